--- /dev/null
+++ b/internal/compat/json_test.go
@@ -0,0 +1,159 @@
+package compat
+
+import (
+	"bytes"
+	"encoding/json"
+	"reflect"
+	"testing"
+
+	"poppyarch/internal/agent"
+	"poppyarch/internal/config"
+	"poppyarch/internal/control"
+	"poppyarch/internal/discovery"
+	"poppyarch/internal/fleet/api"
+	"poppyarch/internal/fleet/journal"
+	"poppyarch/internal/fleet/reconcile"
+	"poppyarch/internal/fleet/spec"
+	"poppyarch/internal/fleet/state"
+	"poppyarch/internal/incident"
+	"poppyarch/internal/incident/collect"
+	"poppyarch/internal/inventory"
+	"poppyarch/internal/lab/measure"
+	"poppyarch/internal/lab/model"
+	"poppyarch/internal/lab/rules"
+	"poppyarch/internal/limits"
+	"poppyarch/internal/load"
+	"poppyarch/internal/membership"
+	"poppyarch/internal/nodefile"
+	"poppyarch/internal/proc"
+	"poppyarch/internal/record"
+)
+
+// TestJSONEncodingsAreStable holds each type that is stored, sent or printed as JSON to the bytes that it was encoded to
+// before. The name of a case is its file's and does not follow the type's.
+func TestJSONEncodingsAreStable(t *testing.T) {
+	for name, example := range map[string]any{
+		"agent-changes":           &agent.Changes{},
+		"agent-reply":             &agent.Reply{},
+		"agent-request":           &agent.Request{},
+		"agent-status":            &agent.Status{},
+		"api-apply":               &api.ApplyCall{},
+		"api-assign":              &api.AssignCall{},
+		"api-assignments":         &api.Assignments{},
+		"api-fault":               &api.Fault{},
+		"api-figures":             &api.Figures{},
+		"api-history":             &api.History{},
+		"api-nodes":               &api.NodesCall{},
+		"api-overview":            &api.Overview{},
+		"api-registration":        &api.Registration{},
+		"api-reply":               &api.Reply{},
+		"api-report":              &api.ReportCall{},
+		"api-retire":              &api.RetireCall{},
+		"api-rollback":            &api.RollbackCall{},
+		"api-steer":               &api.SteerCall{},
+		"config-control":          &config.Control{},
+		"config-nodes":            &config.Nodes{},
+		"config-object":           &config.Object{},
+		"config-record":           &config.Record{},
+		"control-change":          &control.Change{},
+		"control-effect":          &control.Effect{},
+		"control-figures":         &control.Figures{},
+		"control-outcome":         &control.Outcome{},
+		"control-state":           &control.State{},
+		"discovery-list":          &discovery.List{},
+		"incident-analysis":       &incident.Analysis{},
+		"incident-bound":          &incident.Bound{},
+		"incident-change":         &incident.Change{},
+		"incident-clock":          &incident.Clock{},
+		"incident-found":          &collect.Found{},
+		"incident-impact":         &incident.Impact{},
+		"incident-span":           &incident.Span{},
+		"inventory-instance":      &inventory.Instance{},
+		"journal-report":          &journal.Report{},
+		"lab-figure":              &measure.Figure{},
+		"lab-result":              &model.Result{},
+		"lab-violation":           &rules.Broken{},
+		"limits":                  &limits.Limits{},
+		"load-report":             &load.Report{},
+		"membership-explanation":  &membership.Explanation{},
+		"membership-fact":         &membership.Fact{},
+		"nodefile-difference":     &nodefile.Difference{},
+		"nodefile-fault":          &nodefile.Fault{},
+		"nodefile-row":            &nodefile.Row{},
+		"process-identity":        &proc.Identity{},
+		"reconcile-command":       &reconcile.Command{},
+		"record-boot":             &record.Boot{},
+		"record-heartbeat":        &record.Beat{},
+		"spec":                    &spec.Spec{},
+		"spec-change":             &spec.Change{},
+		"state-assignment":        &state.Assignment{},
+		"state-plan":              &state.Plan{},
+		"state-record":            &state.Record{},
+		"state-result":            &state.Result{},
+		"state-revision":          &state.Revision{},
+		"state-rollout-status":    &state.RolloutStatus{},
+		"state-instance-status":   &state.Status{},
+		"state-agent-status":      &state.AgentStatus{},
+		"state-default-strategy":  ptr(state.DefaultStrategy()),
+		"state-filled-strategy":   &state.Strategy{},
+		"state-instance-report":   &state.Report{},
+		"state-command":           &state.Command{},
+		"state-node-change":       &state.NodeChange{},
+		"state-revision-step":     &state.Step{},
+		"state-revision-instance": &state.Set{},
+	} {
+		t.Run(name, func(t *testing.T) {
+			value := example
+			if reflect.ValueOf(example).Elem().IsZero() {
+				value = filled(example)
+			}
+			encoded, err := json.MarshalIndent(value, "", " ")
+			if err != nil {
+				t.Fatal(err)
+			}
+			compareGolden(t, "json/"+name+".json", append(encoded, '\n'))
+		})
+	}
+}
+
+// TestStoredJSONDecodesWithoutLoss decodes what a stored type was encoded to before and encodes it again.
+func TestStoredJSONDecodesWithoutLoss(t *testing.T) {
+	for name, target := range map[string]any{
+		"api-apply":             &api.ApplyCall{},
+		"api-assignments":       &api.Assignments{},
+		"api-overview":          &api.Overview{},
+		"api-report":            &api.ReportCall{},
+		"control-change":        &control.Change{},
+		"control-state":         &control.State{},
+		"discovery-list":        &discovery.List{},
+		"limits":                &limits.Limits{},
+		"process-identity":      &proc.Identity{},
+		"reconcile-command":     &reconcile.Command{},
+		"record-boot":           &record.Boot{},
+		"record-heartbeat":      &record.Beat{},
+		"spec":                  &spec.Spec{},
+		"state-assignment":      &state.Assignment{},
+		"state-record":          &state.Record{},
+		"state-filled-strategy": &state.Strategy{},
+		"state-instance-report": &state.Report{},
+		"lab-result":            &model.Result{},
+	} {
+		t.Run(name, func(t *testing.T) {
+			stored := readFile(t, "testdata/json/"+name+".json")
+			decoder := json.NewDecoder(bytes.NewReader(stored))
+			decoder.DisallowUnknownFields()
+			if err := decoder.Decode(target); err != nil {
+				t.Fatal(err)
+			}
+			encoded, err := json.MarshalIndent(target, "", " ")
+			if err != nil {
+				t.Fatal(err)
+			}
+			if !bytes.Equal(append(encoded, '\n'), stored) {
+				t.Errorf("encoded again it differs:\n%s", encoded)
+			}
+		})
+	}
+}
+
+func ptr[T any](v T) *T { return &v }
--- a/internal/fleet/manager/http.go
+++ b/internal/fleet/manager/http.go
@@ -51,14 +51,16 @@
 	mux := http.NewServeMux()
 	type none struct{}
 	route(mux, "agents/register", func(_ context.Context, in *struct {
-		Agent string
-		Seen  uint64
+		Agent string `json:"agent"`
+		Seen  uint64 `json:"seen"`
 	}) (any, error) {
 		return m.Register(in.Agent, in.Seen)
 	})
 	route(mux, "agents/report", func(_ context.Context, in *api.ReportCall) (any, error) { return none{}, m.Report(in) })
 	route(mux, "agents/assignments", func(ctx context.Context, in *api.AssignCall) (any, error) { return m.Assignments(ctx, in) })
-	route(mux, "configs", func(_ context.Context, in *struct{ Digest string }) (any, error) {
+	route(mux, "configs", func(_ context.Context, in *struct {
+		Digest string `json:"digest"`
+	}) (any, error) {
 		text, err := m.Config(in.Digest)
 		return struct {
 			Text string `json:"text"`
@@ -69,10 +71,17 @@
 	route(mux, "nodes", func(_ context.Context, in *api.NodesCall) (any, error) { return m.Nodes(in) })
 	route(mux, "agents/retire", func(_ context.Context, in *api.RetireCall) (any, error) { return m.Retire(in) })
 	route(mux, "steer", func(_ context.Context, in *api.SteerCall) (any, error) { return m.Steer(in) })
-	route(mux, "overview", func(_ context.Context, in *struct{ Names, Terms []string }) (any, error) {
+	route(mux, "overview", func(_ context.Context, in *struct {
+		Names []string `json:"names"`
+		Terms []string `json:"terms"`
+	}) (any, error) {
 		return m.Overview(spec.Selector{Names: in.Names, Terms: in.Terms})
 	})
-	route(mux, "history", func(_ context.Context, in *struct{ Most int }) (any, error) { return m.History(in.Most), nil })
+	route(mux, "history", func(_ context.Context, in *struct {
+		Most int `json:"most"`
+	}) (any, error) {
+		return m.History(in.Most), nil
+	})
 	route(mux, "wait", func(ctx context.Context, in *struct {
 		Rev    uint64 `json:"rev"`
 		WaitMS int64  `json:"wait_ms"`
--- a/internal/serve/rig_test.go
+++ b/internal/serve/rig_test.go
@@ -97,6 +97,11 @@
 }
 
 func (r *rig) configText(extra string) []byte {
+	return r.configTextFor(r.discN.Addr(), extra)
+}
+
+// configTextFor is configText with another address of discovery.
+func (r *rig) configTextFor(discoveryAddr, extra string) []byte {
 	known, err := json.Marshal(r.disc.List(-1))
 	if err != nil {
 		r.t.Fatal(err)
@@ -104,13 +109,19 @@
 	return fmt.Appendf(nil, `{"name":"t1","discovery":%q,"seed":"1f","known":%s,"settings":%s,
 	 "limits":{"cores":1,"memory_mb":192,"sockets":1024},
 	 "object":{"listen":"127.0.0.1:0","read_class":"object-read","write_class":"object-write",
-	  "complete_class":"object-complete","default_plan":"basis"}%s}`, r.discN.Addr(), known, testSettings, extra)
+	  "complete_class":"object-complete","default_plan":"basis"}%s}`, discoveryAddr, known, testSettings, extra)
 }
 
 // broker runs one in this process and returns the base of its addresses and how to stop it.
 func (r *rig) broker(extra string) (base string, stop func()) {
 	r.t.Helper()
-	cfg, err := config.Parse(r.configText(extra), func(string) string { return "" })
+	return r.brokerFrom(r.configText(extra))
+}
+
+// brokerFrom is broker with a configuration of the caller's.
+func (r *rig) brokerFrom(text []byte) (base string, stop func()) {
+	r.t.Helper()
+	cfg, err := config.Parse(text, func(string) string { return "" })
 	if err != nil {
 		r.t.Fatal(err)
 	}
