--- a/internal/fleet/state/bench_test.go
+++ b/internal/fleet/state/bench_test.go
@@ -61,6 +61,9 @@
 			list, version := s.Assignments(name, have[a])
 			have[a] = version
 			for _, x := range list {
+				if x.Keep { // not released yet: the agent leaves it as it is
+					continue
+				}
 				reports[a] = append(reports[a], Report{Name: x.Name, Proc: Running, Boot: "b" + x.Name, Applied: x.Target, Started: x.Want.Start.Digest(), Healthy: true})
 			}
 			if err := s.Observe(name, s.agents[name].token, seq, version, true, reports[a], now); err != nil {
@@ -94,7 +97,7 @@
 
 // BenchmarkStep has ten instances change in a fleet, and finds out what to do: with the index, and by looking at all.
 func BenchmarkStep(b *testing.B) {
-	for _, n := range []int{100, 1000, 10000, 100000} {
+	for _, n := range benchmarkSizes() {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
@@ -136,3 +139,12 @@
 		runtime.KeepAlive(reports)
 	}
 }
+
+// benchmarkSizes are numbers of instances; with -short only the smallest.
+func benchmarkSizes() []int {
+	sizes := []int{100, 1_000, 10_000, 100_000}
+	if testing.Short() {
+		return sizes[:1]
+	}
+	return sizes
+}
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -114,9 +114,17 @@
 	}
 }
 
+// shortened is the first of the sizes of a benchmark with -short, and else all.
+func shortened[T any](sizes []T) []T {
+	if testing.Short() {
+		return sizes[:1]
+	}
+	return sizes
+}
+
 // BenchmarkPlay is events a second on one core as the fleet grows; the load grows with it, a hundredth as many brokers as nodes.
 func BenchmarkPlay(b *testing.B) {
-	for _, nodes := range []int{10, 100, 1000, 10_000} {
+	for _, nodes := range shortened([]int{10, 100, 1000, 10_000}) {
 		b.Run(fmt.Sprint("nodes=", nodes), func(b *testing.B) {
 			s := &Scenario{Brokers: max(nodes/100, 1), Last: Span(time.Duration(2_000_000/nodes) * time.Millisecond), Nodes: []Kind{{Count: nodes, Cores: 2, Speed: 1}},
 				Load: Load{Rate: 28 * float64(nodes), Work: Span(50 * time.Millisecond), Spread: "exponential"}}
@@ -136,7 +144,8 @@
 
 // BenchmarkMemory shows what a run holds at most: it should follow nodes and brokers and what is open, not what has passed.
 func BenchmarkMemory(b *testing.B) {
-	for _, size := range []struct{ nodes, brokers, seconds int }{{100, 10, 4}, {100, 10, 16}, {1000, 100, 4}, {1000, 1000, 4}, {10_000, 1000, 2}} {
+	type size struct{ nodes, brokers, seconds int }
+	for _, size := range shortened([]size{{100, 10, 4}, {100, 10, 16}, {1000, 100, 4}, {1000, 1000, 4}, {10_000, 1000, 2}}) {
 		b.Run(fmt.Sprintf("nodes=%d/brokers=%d/seconds=%d", size.nodes, size.brokers, size.seconds), func(b *testing.B) {
 			s := &Scenario{Brokers: size.brokers, Last: Span(time.Duration(size.seconds) * time.Second), Nodes: []Kind{{Count: size.nodes, Cores: 2, Speed: 1}},
 				Load: Load{Rate: 28 * float64(size.nodes), Work: Span(50 * time.Millisecond), Spread: "exponential"}}
--- a/tools/runtests/main.go
+++ b/tools/runtests/main.go
@@ -49,6 +49,7 @@
 	if len(whole) > 0 {
 		failed = errors.Join(failed, test(whole))
 	}
+	failed = errors.Join(failed, benchmarks(patterns))
 	for _, t := range known {
 		fmt.Println("KNOWN RED, passed over:", t)
 	}
@@ -87,6 +88,19 @@
 	return cmd.Run()
 }
 
+// benchmarks runs every benchmark once at its smallest size, so that none stops working unnoticed.
+func benchmarks(patterns []string) error {
+	args := []string{"test", "-short", "-run", "^$", "-bench", ".", "-benchtime", "1x", "-timeout", "5m"}
+	cmd := exec.Command("go", append(args, patterns...)...)
+	out, err := cmd.CombinedOutput()
+	if err != nil {
+		os.Stderr.Write(out)
+		return fmt.Errorf("benchmarks: %w", err)
+	}
+	fmt.Println("benchmarks: each ran once")
+	return nil
+}
+
 func output(name string, args ...string) (string, error) {
 	cmd := exec.Command(name, args...)
 	cmd.Stderr = os.Stderr
