--- a/cmd/poppyarch/console.go
+++ b/cmd/poppyarch/console.go
@@ -7,8 +7,8 @@
 
 	"github.com/spf13/cobra"
 
-	"poppyarch/internal/console"
 	"poppyarch/internal/fleet/api"
+	"poppyarch/internal/observability/console"
 )
 
 // consoleCommand is `poppyarch fleet console`.
--- a/cmd/poppyarch/control.go
+++ b/cmd/poppyarch/control.go
@@ -15,10 +15,10 @@
 
 	"github.com/spf13/cobra"
 
-	"poppyarch/internal/agent"
-	"poppyarch/internal/config"
+	"poppyarch/internal/broker/config"
 	"poppyarch/internal/fleet/settings"
-	"poppyarch/internal/inventory"
+	"poppyarch/internal/host/agent"
+	"poppyarch/internal/host/inventory"
 )
 
 // agentCommand runs the agent in the foreground.
--- a/cmd/poppyarch/fleet_test.go
+++ b/cmd/poppyarch/fleet_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"poppyarch/internal/fleet/api"
-	"poppyarch/internal/stack"
-	"poppyarch/internal/standin"
+	"poppyarch/internal/testkit/cluster"
+	"poppyarch/internal/testkit/fake"
 )
 
 // TestMain lets the test binary be poppyarch itself.
@@ -35,7 +35,7 @@
 // exactly one answer, its own.
 func TestEightBrokersThroughKills(t *testing.T) {
 	dir := t.TempDir()
-	s, err := stack.New(stack.Options{Dir: dir, Program: os.Args[0], Env: []string{"POPPYARCH_TEST_MAIN=1"}, Nodes: 3, Blocks: 5, Objects: 3,
+	s, err := cluster.New(cluster.Options{Dir: dir, Program: os.Args[0], Env: []string{"POPPYARCH_TEST_MAIN=1"}, Nodes: 3, Blocks: 5, Objects: 3,
 		Agents: 2, Soak: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
@@ -83,7 +83,7 @@
 	run("apply", "--note", "first")
 	settled("first apply")
 
-	load := &standin.Traffic{Blocks: s.Block, Objects: s.Front, Read: "artwork-read", Write: "job-new", Plan: "basis", Shards: 3, Clients: 3,
+	load := &fake.Traffic{Blocks: s.Block, Objects: s.Front, Read: "artwork-read", Write: "job-new", Plan: "basis", Shards: 3, Clients: 3,
 		Pause: 5 * time.Millisecond, Patience: 20 * time.Second}
 	loading, stop := context.WithCancel(ctx)
 	var traffic sync.WaitGroup
@@ -206,7 +206,7 @@
 	for _, b := range s.Stores {
 		all = append(all, b.Seen())
 	}
-	if twice := standin.Twice(all...); len(twice) > 0 {
+	if twice := fake.Twice(all...); len(twice) > 0 {
 		t.Errorf("ran twice: %v", twice)
 	}
 }
@@ -222,7 +222,7 @@
 // The command line's ways out, against a manager without agents.
 func TestFleetExitCodes(t *testing.T) {
 	dir := t.TempDir()
-	s, err := stack.New(stack.Options{Dir: dir, Program: os.Args[0], Env: []string{"POPPYARCH_TEST_MAIN=1"}, Nodes: 1, Blocks: 2, Agents: 1})
+	s, err := cluster.New(cluster.Options{Dir: dir, Program: os.Args[0], Env: []string{"POPPYARCH_TEST_MAIN=1"}, Nodes: 1, Blocks: 2, Agents: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/poppyarch/incident.go
+++ b/cmd/poppyarch/incident.go
@@ -11,10 +11,10 @@
 
 	"github.com/spf13/cobra"
 
-	"poppyarch/internal/control"
-	"poppyarch/internal/incident"
-	"poppyarch/internal/incident/collect"
-	"poppyarch/internal/incident/report"
+	"poppyarch/internal/broker/control"
+	"poppyarch/internal/observability/incident"
+	"poppyarch/internal/observability/incident/collect"
+	"poppyarch/internal/observability/incident/report"
 )
 
 // incidentFlags are what all incident commands have.
--- a/cmd/poppyarch/incident_test.go
+++ b/cmd/poppyarch/incident_test.go
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"poppyarch/internal/incident"
-	"poppyarch/internal/incident/check"
-	"poppyarch/internal/stack"
-	"poppyarch/internal/standin"
+	"poppyarch/internal/observability/incident"
+	"poppyarch/internal/observability/incident/check"
+	"poppyarch/internal/testkit/cluster"
+	"poppyarch/internal/testkit/fake"
 )
 
 // A scripted incident over real brokers: nodes go silent while brokers die, a node drains while discovery is down. The report
@@ -24,7 +24,7 @@
 	dir := t.TempDir()
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Minute)
 	defer cancel()
-	s, err := stack.Up(ctx, stack.Options{Dir: dir, Program: os.Args[0], Env: []string{"POPPYARCH_TEST_MAIN=1"}, Nodes: 4, Blocks: 3, Objects: 2, Agents: 1,
+	s, err := cluster.Up(ctx, cluster.Options{Dir: dir, Program: os.Args[0], Env: []string{"POPPYARCH_TEST_MAIN=1"}, Nodes: 4, Blocks: 3, Objects: 2, Agents: 1,
 		Soak: 50 * time.Millisecond, Aim: time.Second, Record: true})
 	if err != nil {
 		t.Fatal(err)
@@ -35,7 +35,7 @@
 			s.Close()
 		}
 	}()
-	load := &standin.Traffic{Blocks: s.Block, Objects: s.Front, Read: "artwork-read", Write: "job-new", Plan: "basis", Shards: 4, Clients: 4,
+	load := &fake.Traffic{Blocks: s.Block, Objects: s.Front, Read: "artwork-read", Write: "job-new", Plan: "basis", Shards: 4, Clients: 4,
 		Pause: 20 * time.Millisecond, Patience: 3 * time.Second}
 	truths, gaps, err := s.Play(ctx, load, 700*time.Millisecond, func(string) {})
 	if err != nil {
--- a/cmd/poppyarch/inventory.go
+++ b/cmd/poppyarch/inventory.go
@@ -12,10 +12,10 @@
 
 	"github.com/spf13/cobra"
 
-	"poppyarch/internal/control"
-	"poppyarch/internal/filewatch"
-	"poppyarch/internal/membership"
-	"poppyarch/internal/nodefile"
+	"poppyarch/internal/broker/control"
+	"poppyarch/internal/nodes/filewatch"
+	"poppyarch/internal/nodes/membership"
+	"poppyarch/internal/nodes/nodefile"
 )
 
 // nodeFiles reads lists from disk.
--- a/cmd/poppyarch/lab.go
+++ b/cmd/poppyarch/lab.go
@@ -15,9 +15,9 @@
 	"github.com/spf13/cobra"
 
 	"poppyarch/internal/lab/experiment"
-	"poppyarch/internal/lab/hunt"
-	"poppyarch/internal/lab/measure"
 	"poppyarch/internal/lab/model"
+	"poppyarch/internal/lab/search"
+	"poppyarch/internal/lab/statistics"
 )
 
 // labCommand is the model: designs tried on scenarios, without a socket.
@@ -95,7 +95,7 @@
 			fmt.Fprintf(out, "%s less %s, %d seeds:\n", args[1], args[2], f.runs)
 			for _, name := range []string{"service", "reserved", "served", "p99_ms", "refused", "failed", "connections", "fell", "broken"} {
 				of := experiment.Measures[name]
-				d, err := measure.Paired(experiment.Values(all[0], of), experiment.Values(all[1], of))
+				d, err := statistics.Paired(experiment.Values(all[0], of), experiment.Values(all[1], of))
 				if err != nil {
 					return err
 				}
@@ -194,7 +194,7 @@
 }
 
 func labHunt() *cobra.Command {
-	h := &hunt.Hunt{}
+	h := &search.Hunt{}
 	var out string
 	c := &cobra.Command{Use: "hunt SCENARIO -o CASE", Short: "Search for troubles under which a design breaks a rule or falls behind, and make the case small",
 		Args: usage(cobra.ExactArgs(1)),
@@ -206,7 +206,7 @@
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
 			w := cmd.OutOrStdout()
-			f, err := h.Run(ctx, func(try int, b hunt.Bad) { fmt.Fprintf(w, "candidate %d: %s %v\n", try+1, h.Design, b) })
+			f, err := h.Run(ctx, func(try int, b search.Bad) { fmt.Fprintf(w, "candidate %d: %s %v\n", try+1, h.Design, b) })
 			if err != nil {
 				return err
 			}
--- a/cmd/poppyarch/load.go
+++ b/cmd/poppyarch/load.go
@@ -14,9 +14,9 @@
 	"github.com/spf13/cobra"
 
 	"poppyarch/internal/lab/experiment"
-	"poppyarch/internal/lab/measure"
+	driver "poppyarch/internal/lab/load"
 	"poppyarch/internal/lab/model"
-	driver "poppyarch/internal/load"
+	"poppyarch/internal/lab/statistics"
 )
 
 // loadCommand drives brokers that run with the clients of a scenario.
@@ -129,7 +129,7 @@
 			w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 			fmt.Fprintln(w, "\tMODEL\tSOCKETS\tDIFFERENCE")
 			for _, l := range lines {
-				d, err := measure.Paired(experiment.Values(sockets, l.of), experiment.Values(plays, l.of))
+				d, err := statistics.Paired(experiment.Values(sockets, l.of), experiment.Values(plays, l.of))
 				if err != nil {
 					return err
 				}
--- a/cmd/poppyarch/nodes_test.go
+++ b/cmd/poppyarch/nodes_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"poppyarch/internal/stack"
-	"poppyarch/internal/standin"
+	"poppyarch/internal/testkit/cluster"
+	"poppyarch/internal/testkit/fake"
 )
 
 // The list of storage nodes is edited in every way under running brokers and load through both fronts. New work stops
@@ -18,13 +18,13 @@
 	dir := t.TempDir()
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Minute)
 	defer cancel()
-	s, err := stack.Up(ctx, stack.Options{Dir: dir, Program: os.Args[0], Env: []string{"POPPYARCH_TEST_MAIN=1"}, Nodes: 4, Blocks: 2, Objects: 1, Agents: 1,
+	s, err := cluster.Up(ctx, cluster.Options{Dir: dir, Program: os.Args[0], Env: []string{"POPPYARCH_TEST_MAIN=1"}, Nodes: 4, Blocks: 2, Objects: 1, Agents: 1,
 		Soak: 50 * time.Millisecond, Aim: 2 * time.Second, Lists: true})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	load := &standin.Traffic{Blocks: s.Block, Objects: s.Front, Read: "artwork-read", Write: "job-new", Plan: "basis", Shards: 4, Clients: 3,
+	load := &fake.Traffic{Blocks: s.Block, Objects: s.Front, Read: "artwork-read", Write: "job-new", Plan: "basis", Shards: 4, Clients: 3,
 		Pause: 10 * time.Millisecond}
 	on, stop := context.WithCancel(ctx)
 	var all sync.WaitGroup
--- a/cmd/poppyarch/root.go
+++ b/cmd/poppyarch/root.go
@@ -11,9 +11,9 @@
 
 	"github.com/spf13/cobra"
 
-	"poppyarch/internal/agent"
 	"poppyarch/internal/fleet/api"
 	"poppyarch/internal/fleet/state"
+	"poppyarch/internal/host/agent"
 )
 
 // Exit codes, for scripts.
--- a/cmd/poppyarch/serve.go
+++ b/cmd/poppyarch/serve.go
@@ -10,15 +10,15 @@
 
 	"github.com/spf13/cobra"
 
-	"poppyarch/internal/serve"
+	"poppyarch/internal/broker/server"
 )
 
 func serveCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "serve", Short: "Run one broker in the foreground, set up by LB_CONFIG", Args: usage(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			err := serve.Process(cmd.Context(), os.Getenv, listen, os.Stderr)
-			var faulty *serve.ConfigError
+			err := server.Process(cmd.Context(), os.Getenv, listen, os.Stderr)
+			var faulty *server.ConfigError
 			if errors.As(err, &faulty) {
 				return &exit{exitUsage, err}
 			}
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -6,11 +6,11 @@
 	"fmt"
 	"os"
 
-	"poppyarch/internal/wire"
+	"poppyarch/internal/simulator"
 )
 
 func main() {
-	if err := wire.Serve(os.Stdin, os.Stdout); err != nil {
+	if err := simulator.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simhost:", err)
 		os.Exit(1)
 	}
--- a/examples/tour/main.go
+++ b/examples/tour/main.go
@@ -17,8 +17,8 @@
 
 	"poppyarch/internal/fleet/api"
 	"poppyarch/internal/fleet/state"
-	"poppyarch/internal/stack"
-	"poppyarch/internal/standin"
+	"poppyarch/internal/testkit/cluster"
+	"poppyarch/internal/testkit/fake"
 )
 
 func main() {
@@ -35,7 +35,7 @@
 
 // guide tells what is done and what comes of it.
 type guide struct {
-	s     *stack.Stack
+	s     *cluster.Stack
 	start time.Time
 	pace  time.Duration
 }
@@ -75,7 +75,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	s, err := stack.New(stack.Options{Dir: dir, Program: program, Nodes: 3, Blocks: 3, Objects: 2, Agents: 2, Soak: 500 * time.Millisecond})
+	s, err := cluster.New(cluster.Options{Dir: dir, Program: program, Nodes: 3, Blocks: 3, Objects: 2, Agents: 2, Soak: 500 * time.Millisecond})
 	if err != nil {
 		return err
 	}
@@ -114,7 +114,7 @@
 	}
 
 	g.step("Traffic through both fronts: blocks over RESP2, objects over HTTP")
-	load := &standin.Traffic{Blocks: s.Block, Objects: s.Front, Read: "artwork-read", Write: "job-new", Plan: "basis", Shards: 3, Clients: 2,
+	load := &fake.Traffic{Blocks: s.Block, Objects: s.Front, Read: "artwork-read", Write: "job-new", Plan: "basis", Shards: 3, Clients: 2,
 		Pause: 5 * time.Millisecond}
 	on, stop := context.WithCancel(ctx)
 	var traffic sync.WaitGroup
--- a/examples/toystore/main.go
+++ b/examples/toystore/main.go
@@ -13,8 +13,8 @@
 	"strconv"
 	"syscall"
 
-	"poppyarch/internal/discovery"
-	"poppyarch/internal/standin"
+	"poppyarch/internal/nodes/discovery"
+	"poppyarch/internal/testkit/fake"
 )
 
 func main() {
@@ -31,7 +31,7 @@
 func run(at string, nodes, port int) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	d := standin.NewDiscovery()
+	d := fake.NewDiscovery()
 	failed := make(chan error, 2*nodes+1)
 	serve := func(addr string, serve func(net.Listener) error) error {
 		ln, err := net.Listen("tcp", addr)
@@ -43,10 +43,10 @@
 	}
 	for i := range nodes {
 		block, objects := address(port+i), address(port+100+i)
-		if err := serve(block, standin.NewBlock().Serve); err != nil {
+		if err := serve(block, fake.NewBlock().Serve); err != nil {
 			return err
 		}
-		srv := &http.Server{Handler: standin.NewObjects()}
+		srv := &http.Server{Handler: fake.NewObjects()}
 		if err := serve(objects, srv.Serve); err != nil {
 			return err
 		}
--- a/internal/node/node.go
+++ b/internal/backend/blockstore/client.go
@@ -1,5 +1,5 @@
-// Package node is the platform's protocol towards storage nodes: RESP2 on the net package.
-package node
+// Package blockstore is the platform's protocol towards storage nodes: RESP2 on the net package.
+package blockstore
 
 import (
 	"context"
@@ -8,10 +8,10 @@
 	"strconv"
 	"time"
 
-	"poppyarch/internal/clock"
-	"poppyarch/internal/core"
-	"poppyarch/internal/limits"
-	"poppyarch/internal/pool"
+	"poppyarch/internal/broker/core"
+	"poppyarch/internal/broker/limits"
+	"poppyarch/internal/timing/clock"
+	"poppyarch/internal/transport/pool"
 )
 
 // Command is what a client asked for. It passes on as it came, but for the time left.
--- a/internal/node/node_test.go
+++ b/internal/backend/blockstore/node_test.go
@@ -1,4 +1,4 @@
-package node
+package blockstore
 
 import (
 	"bufio"
@@ -11,10 +11,10 @@
 	"testing"
 	"time"
 
-	"poppyarch/internal/clock"
-	"poppyarch/internal/core"
-	"poppyarch/internal/limits"
-	"poppyarch/internal/pool"
+	"poppyarch/internal/broker/core"
+	"poppyarch/internal/broker/limits"
+	"poppyarch/internal/timing/clock"
+	"poppyarch/internal/transport/pool"
 )
 
 const patience = 30 * time.Second
--- a/internal/node/resp.go
+++ b/internal/backend/blockstore/resp.go
@@ -1,4 +1,4 @@
-package node
+package blockstore
 
 import (
 	"bufio"
@@ -9,7 +9,7 @@
 	"strconv"
 	"strings"
 
-	"poppyarch/internal/core"
+	"poppyarch/internal/broker/core"
 )
 
 // errSyntax says that a node sent what cannot be read as a reply. The connection is of no further use.
--- a/internal/objectstore/client.go
+++ b/internal/backend/objectstore/client.go
@@ -8,10 +8,10 @@
 	"net/http"
 	"time"
 
-	"poppyarch/internal/clock"
-	"poppyarch/internal/core"
-	"poppyarch/internal/limits"
-	"poppyarch/internal/pool"
+	"poppyarch/internal/broker/core"
+	"poppyarch/internal/broker/limits"
+	"poppyarch/internal/timing/clock"
+	"poppyarch/internal/transport/pool"
 )
 
 // errTooLong says that an answer that must be held whole is over its bound.
--- a/internal/config/config.go
+++ b/internal/broker/config/config.go
@@ -14,11 +14,11 @@
 	"strconv"
 	"time"
 
-	"poppyarch/internal/control"
-	"poppyarch/internal/decision"
-	"poppyarch/internal/discovery"
-	"poppyarch/internal/limits"
-	"poppyarch/internal/settings"
+	"poppyarch/internal/broker/control"
+	"poppyarch/internal/broker/decision"
+	"poppyarch/internal/broker/limits"
+	"poppyarch/internal/broker/settings"
+	"poppyarch/internal/nodes/discovery"
 	"poppyarch/policy"
 )
 
--- a/internal/config/config_test.go
+++ b/internal/broker/config/config_test.go
@@ -158,7 +158,7 @@
 
 // The operator's and the example's files are sound.
 func TestShippedConfigurations(t *testing.T) {
-	for _, path := range []string{"../../examples/config.json", "../../deploy/object.json"} {
+	for _, path := range []string{"../../../examples/config.json", "../../../deploy/object.json"} {
 		text, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/config/limits.go
+++ b/internal/broker/config/limits.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"time"
 
-	"poppyarch/internal/limits"
+	"poppyarch/internal/broker/limits"
 )
 
 // fillLimits derives the limits from what the machine and the settings allow; tuning overrides single figures.
--- a/internal/config/sections.go
+++ b/internal/broker/config/sections.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"time"
 
-	"poppyarch/internal/decision"
-	"poppyarch/internal/membership"
+	"poppyarch/internal/broker/decision"
+	"poppyarch/internal/nodes/membership"
 )
 
 // Object sets up the object front.
--- a/internal/control/ledger_test.go
+++ b/internal/broker/control/ledger_test.go
@@ -11,8 +11,8 @@
 
 	"pgregory.net/rapid"
 
-	"poppyarch/internal/fixedseed"
 	"poppyarch/internal/fleet/spec"
+	"poppyarch/internal/testkit/fixedseed"
 )
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
--- a/internal/core/begin_test.go
+++ b/internal/broker/core/begin_test.go
@@ -8,10 +8,10 @@
 	"testing/synctest"
 	"time"
 
-	"poppyarch/internal/clock"
-	"poppyarch/internal/decision"
-	"poppyarch/internal/facade"
-	"poppyarch/internal/limits"
+	"poppyarch/internal/broker/decision"
+	"poppyarch/internal/broker/dispatcher"
+	"poppyarch/internal/broker/limits"
+	"poppyarch/internal/timing/clock"
 )
 
 // lateBackend connects for as long as it is told and then asks whether its attempt may begin, as the real ones do. Attempts
@@ -38,7 +38,7 @@
 // broker over two nodes and one class whose repeats are dropped for a second.
 func startKeyed(ctx context.Context, t *testing.T, be *lateBackend, group decision.Group) *Broker[string, string] {
 	t.Helper()
-	f, err := facade.NewFacade(decision.Config{Hosts: 1, MaxAttempts: 3, MeanUnits: 1, MaxUnits: 8,
+	f, err := dispatcher.NewFacade(decision.Config{Hosts: 1, MaxAttempts: 3, MeanUnits: 1, MaxUnits: 8,
 		Classes: []decision.Class{{Name: "c", Aim: 4 * time.Second, Deadline: 4 * time.Second, Worth: 1, Repeat: decision.Keyed, Group: group,
 			RepeatWindow: time.Second}},
 		Plans: []decision.Plan{{Name: "p", Weight: 1, Price: 1, Rate: 100, Reserve: 100}}}, func(string) {})
--- a/internal/core/core.go
+++ b/internal/broker/core/core.go
@@ -9,11 +9,11 @@
 	"sync/atomic"
 	"time"
 
-	"poppyarch/internal/clock"
-	"poppyarch/internal/decision"
-	"poppyarch/internal/facade"
-	"poppyarch/internal/limits"
-	"poppyarch/internal/record"
+	"poppyarch/internal/broker/decision"
+	"poppyarch/internal/broker/dispatcher"
+	"poppyarch/internal/broker/limits"
+	"poppyarch/internal/observability/record"
+	"poppyarch/internal/timing/clock"
 )
 
 // Outcome tells how an attempt ended.
@@ -50,7 +50,7 @@
 
 // Request is one request as a front takes it. Work is what its backend shall do; the core only passes it on.
 type Request[W any] struct {
-	facade.Job
+	dispatcher.Job
 	Unsafe bool // must never run twice
 	Work   W
 	// Left, where it is set, looks whether the client has gone without its front having noticed yet. It is asked right
@@ -97,7 +97,7 @@
 
 // Broker joins one front's requests with the backend that serves them.
 type Broker[W, V any] struct {
-	facade  *facade.Facade
+	facade  *dispatcher.Facade
 	nodes   *Nodes
 	backend Backend[W, V]
 	clock   *clock.Clock
@@ -107,7 +107,7 @@
 }
 
 // NewBroker returns a broker. Several may share a module, a node table and a gate.
-func NewBroker[W, V any](f *facade.Facade, n *Nodes, g *Gate, b Backend[W, V], c *clock.Clock,
+func NewBroker[W, V any](f *dispatcher.Facade, n *Nodes, g *Gate, b Backend[W, V], c *clock.Clock,
 	lim *limits.Limits) *Broker[W, V] {
 	return &Broker[W, V]{facade: f, nodes: n, backend: b, clock: c, lim: lim, open: g}
 }
@@ -158,7 +158,7 @@
 	due := time.AfterFunc(clock.Duration(last-b.clock.Now()), func() { cancel(ErrDue) })
 	defer due.Stop()
 	id, d := b.facade.Pick(ctx, r.Job)
-	for number := 0; d.Verdict == facade.ToNode; number++ {
+	for number := 0; d.Verdict == dispatcher.ToNode; number++ {
 		var v V
 		out := NotSent
 		sent := int64(0)
@@ -180,18 +180,18 @@
 			q.Tries = append(q.Tries, record.Try{Node: d.Node, Sent: sent - at, Took: b.clock.Now() - sent, Outcome: uint8(out)})
 		}
 		d = b.facade.Report(ctx, id, out)
-		if out == Served || d.Verdict == facade.Ended {
+		if out == Served || d.Verdict == dispatcher.Ended {
 			// One that began and broke has a value as well: it tells the front that nothing more can be said.
 			return Answer[V]{Kind: kind(out), Value: v, Overdue: out != Served && ctx.Err() != nil}
 		}
 	}
 	switch {
-	case d.Verdict == facade.Refused:
+	case d.Verdict == dispatcher.Refused:
 		return Answer[V]{Kind: Refusal, Hint: d.Hint}
-	case d.Verdict == facade.Ended && context.Cause(ctx) == ErrDue:
+	case d.Verdict == dispatcher.Ended && context.Cause(ctx) == ErrDue:
 		return Answer[V]{Kind: Refusal, Hint: b.lim.BusyHint, Overdue: true} // held until its time was up: nothing ran
 	}
-	return Answer[V]{Kind: Failure, Overdue: d.Verdict == facade.Ended}
+	return Answer[V]{Kind: Failure, Overdue: d.Verdict == dispatcher.Ended}
 }
 
 // mayBegin reports whether an attempt may begin now: its node takes new work, and the module's time for it is not over.
--- a/internal/core/core_test.go
+++ b/internal/broker/core/core_test.go
@@ -7,10 +7,10 @@
 	"testing/synctest"
 	"time"
 
-	"poppyarch/internal/clock"
-	"poppyarch/internal/decision"
-	"poppyarch/internal/facade"
-	"poppyarch/internal/limits"
+	"poppyarch/internal/broker/decision"
+	"poppyarch/internal/broker/dispatcher"
+	"poppyarch/internal/broker/limits"
+	"poppyarch/internal/timing/clock"
 )
 
 // backend answers attempts from a list, each after a while; it counts what it is asked for.
@@ -44,7 +44,7 @@
 func start(ctx context.Context, t *testing.T, b *backend, repeat decision.Repeat, node string) (*Broker[string, string],
 	*clock.Clock, *Nodes) {
 	t.Helper()
-	f, err := facade.NewFacade(decision.Config{Hosts: 1, MaxAttempts: 3, MeanUnits: 1, MaxUnits: 8,
+	f, err := dispatcher.NewFacade(decision.Config{Hosts: 1, MaxAttempts: 3, MeanUnits: 1, MaxUnits: 8,
 		Classes: []decision.Class{{Name: "c", Aim: 4 * time.Second, Deadline: 4 * time.Second, Worth: 1, Repeat: repeat}},
 		Plans:   []decision.Plan{{Name: "p", Weight: 1, Price: 1, Rate: 100, Reserve: 100}}}, func(string) {})
 	if err != nil {
@@ -59,7 +59,7 @@
 }
 
 func request(c *clock.Clock) Request[string] {
-	return Request[string]{Work: "w", Job: facade.Job{Volume: "v", Key: "k", Units: 1, Due: c.Now() + 4_000_000}}
+	return Request[string]{Work: "w", Job: dispatcher.Job{Volume: "v", Key: "k", Units: 1, Due: c.Now() + 4_000_000}}
 }
 
 func TestLifeOfARequest(t *testing.T) {
--- a/internal/core/loop.go
+++ b/internal/broker/core/loop.go
@@ -4,13 +4,13 @@
 	"context"
 	"time"
 
-	"poppyarch/internal/clock"
-	"poppyarch/internal/facade"
+	"poppyarch/internal/broker/dispatcher"
+	"poppyarch/internal/timing/clock"
 )
 
 // Loop owns the module: each turn reads the clock once, lets the module decide, and waits for news or for the
 // time the module named. It returns when ctx is done.
-func Loop(ctx context.Context, f *facade.Facade, c *clock.Clock) {
+func Loop(ctx context.Context, f *dispatcher.Facade, c *clock.Clock) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
--- a/internal/core/nodes.go
+++ b/internal/broker/core/nodes.go
@@ -3,7 +3,7 @@
 import (
 	"sync"
 
-	"poppyarch/internal/decision"
+	"poppyarch/internal/broker/decision"
 )
 
 // Node is a storage node as the list names it.
--- a/internal/facade/facade.go
+++ b/internal/broker/dispatcher/dispatcher.go
@@ -1,13 +1,13 @@
-// Package facade gives the decision module a blocking style: callers pick, report and tick, and never see its events and
+// Package dispatcher gives the decision module a blocking style: callers pick, report and tick, and never see its events and
 // actions.
-package facade
+package dispatcher
 
 import (
 	"context"
 	"sync"
 	"time"
 
-	"poppyarch/internal/decision"
+	"poppyarch/internal/broker/decision"
 	"poppyarch/policy"
 )
 
--- a/internal/facade/facade_test.go
+++ b/internal/broker/dispatcher/dispatcher_test.go
@@ -1,4 +1,4 @@
-package facade
+package dispatcher
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"testing/synctest"
 	"time"
 
-	"poppyarch/internal/decision"
+	"poppyarch/internal/broker/decision"
 )
 
 const second = int64(1000000)
--- a/internal/serve/block_test.go
+++ b/internal/broker/server/block_test.go
@@ -1,4 +1,4 @@
-package serve
+package server
 
 import (
 	"bufio"
@@ -12,15 +12,15 @@
 
 	"github.com/tidwall/redcon"
 
-	"poppyarch/internal/discovery"
-	"poppyarch/internal/standin"
+	"poppyarch/internal/nodes/discovery"
+	"poppyarch/internal/testkit/fake"
 )
 
 // blockRig is one block node that the broker's list names, and a connection to the broker.
-func blockRig(t *testing.T, hook func(redcon.Conn, redcon.Command) bool) (*standin.Block, net.Conn, *bufio.Reader, func()) {
+func blockRig(t *testing.T, hook func(redcon.Conn, redcon.Command) bool) (*fake.Block, net.Conn, *bufio.Reader, func()) {
 	t.Helper()
 	r := newRig(t)
-	b := standin.NewBlock()
+	b := fake.NewBlock()
 	b.SetHook(hook)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/serve/control_test.go
+++ b/internal/broker/server/control_test.go
@@ -1,14 +1,14 @@
-package serve
+package server
 
 import (
 	"fmt"
 	"path/filepath"
 	"testing"
 
-	"poppyarch/internal/control"
+	"poppyarch/internal/broker/control"
 	"poppyarch/internal/fleet/spec"
-	"poppyarch/internal/incident"
-	"poppyarch/internal/incident/collect"
+	"poppyarch/internal/observability/incident"
+	"poppyarch/internal/observability/incident/collect"
 )
 
 // A broker that takes changes while it serves: a storage node drained by an operator gets nothing new, discovery's
--- a/internal/serve/live.go
+++ b/internal/broker/server/live.go
@@ -1,4 +1,4 @@
-package serve
+package server
 
 import (
 	"context"
@@ -9,23 +9,23 @@
 	"strconv"
 	"sync"
 
-	"poppyarch/internal/clock"
-	"poppyarch/internal/config"
-	"poppyarch/internal/control"
-	"poppyarch/internal/core"
-	"poppyarch/internal/decision"
-	"poppyarch/internal/discovery"
-	"poppyarch/internal/facade"
+	"poppyarch/internal/broker/config"
+	"poppyarch/internal/broker/control"
+	"poppyarch/internal/broker/core"
+	"poppyarch/internal/broker/decision"
+	"poppyarch/internal/broker/dispatcher"
 	"poppyarch/internal/fleet/spec"
-	"poppyarch/internal/membership"
-	"poppyarch/internal/routing"
+	"poppyarch/internal/nodes/discovery"
+	"poppyarch/internal/nodes/membership"
+	"poppyarch/internal/nodes/routing"
+	"poppyarch/internal/timing/clock"
 )
 
 // live is what a running broker takes up: from its configuration at a hangup, and from the control endpoint, which
 // stands over it. Without an endpoint it only passes on.
 type live struct {
 	table  *core.Nodes
-	facade *facade.Facade
+	facade *dispatcher.Facade
 	watch  *discovery.Client
 	gate   *core.Gate
 	level  *slog.LevelVar
@@ -43,7 +43,7 @@
 	time *clock.Clock
 }
 
-func newLive(cfg *config.Config, table *core.Nodes, f *facade.Facade, w *discovery.Client, g *core.Gate, r *Reload, c *clock.Clock,
+func newLive(cfg *config.Config, table *core.Nodes, f *dispatcher.Facade, w *discovery.Client, g *core.Gate, r *Reload, c *clock.Clock,
 	log *slog.Logger) *live {
 	l := &live{zone: cfg.Zones, log: log, time: c, table: table, facade: f, watch: w, gate: g, level: &slog.LevelVar{},
 		file: spec.Live{Log: cfg.LogLevel, Discovery: cfg.Discovery, MaxOpen: cfg.Limits.MaxOpen}}
--- a/internal/serve/nodes.go
+++ b/internal/broker/server/nodes.go
@@ -1,4 +1,4 @@
-package serve
+package server
 
 import (
 	"context"
@@ -10,15 +10,15 @@
 	"strings"
 	"time"
 
-	"poppyarch/internal/clock"
-	"poppyarch/internal/config"
-	"poppyarch/internal/core"
-	"poppyarch/internal/decision"
-	"poppyarch/internal/filewatch"
+	"poppyarch/internal/broker/config"
+	"poppyarch/internal/broker/core"
+	"poppyarch/internal/broker/decision"
 	"poppyarch/internal/fleet/spec"
-	"poppyarch/internal/membership"
-	"poppyarch/internal/nodefile"
-	"poppyarch/internal/routing"
+	"poppyarch/internal/nodes/filewatch"
+	"poppyarch/internal/nodes/membership"
+	"poppyarch/internal/nodes/nodefile"
+	"poppyarch/internal/nodes/routing"
+	"poppyarch/internal/timing/clock"
 )
 
 // begin takes in what is known at the start: the list that the broker last had, and the files.
--- a/internal/serve/nodes_test.go
+++ b/internal/broker/server/nodes_test.go
@@ -1,4 +1,4 @@
-package serve
+package server
 
 import (
 	"fmt"
@@ -8,9 +8,9 @@
 	"strings"
 	"testing"
 
-	"poppyarch/internal/clock"
-	"poppyarch/internal/core"
-	"poppyarch/internal/membership"
+	"poppyarch/internal/broker/core"
+	"poppyarch/internal/nodes/membership"
+	"poppyarch/internal/timing/clock"
 )
 
 // files is a broker's lists without the broker.
--- a/internal/serve/object_test.go
+++ b/internal/broker/server/object_test.go
@@ -1,4 +1,4 @@
-package serve
+package server
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"poppyarch/internal/discovery"
+	"poppyarch/internal/nodes/discovery"
 )
 
 func TestObjectsAndRanges(t *testing.T) {
--- a/internal/serve/process.go
+++ b/internal/broker/server/process.go
@@ -1,4 +1,4 @@
-package serve
+package server
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"runtime/debug"
 	"syscall"
 
-	"poppyarch/internal/config"
+	"poppyarch/internal/broker/config"
 )
 
 // ConfigError is a configuration that a broker cannot start from.
--- a/internal/serve/recording.go
+++ b/internal/broker/server/recording.go
@@ -1,4 +1,4 @@
-package serve
+package server
 
 import (
 	"context"
@@ -11,13 +11,13 @@
 	"sync/atomic"
 	"time"
 
-	"poppyarch/internal/clock"
-	"poppyarch/internal/config"
-	"poppyarch/internal/control"
-	"poppyarch/internal/core"
-	"poppyarch/internal/decision"
-	"poppyarch/internal/discovery"
-	"poppyarch/internal/record"
+	"poppyarch/internal/broker/config"
+	"poppyarch/internal/broker/control"
+	"poppyarch/internal/broker/core"
+	"poppyarch/internal/broker/decision"
+	"poppyarch/internal/nodes/discovery"
+	"poppyarch/internal/observability/record"
+	"poppyarch/internal/timing/clock"
 )
 
 // recording joins a broker with its recorder. A nil one records nothing.
--- a/internal/serve/reload_test.go
+++ b/internal/broker/server/reload_test.go
@@ -1,4 +1,4 @@
-package serve
+package server
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"poppyarch/internal/standin"
+	"poppyarch/internal/testkit/fake"
 )
 
 // eventually waits for what must come.
@@ -57,8 +57,8 @@
 // whatever LB_DISCOVERY said at the start; a faulty file changes nothing; and the same holds in a drain.
 func TestHangupReadsTheConfigurationAnew(t *testing.T) {
 	r := newRig(t)
-	other := standin.NewDiscovery()
-	otherNode, err := standin.Start(other)
+	other := fake.NewDiscovery()
+	otherNode, err := fake.Start(other)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/serve/rig_test.go
+++ b/internal/broker/server/rig_test.go
@@ -1,4 +1,4 @@
-package serve
+package server
 
 import (
 	"bytes"
@@ -16,9 +16,9 @@
 	"testing"
 	"time"
 
-	"poppyarch/internal/config"
-	"poppyarch/internal/discovery"
-	"poppyarch/internal/standin"
+	"poppyarch/internal/broker/config"
+	"poppyarch/internal/nodes/discovery"
+	"poppyarch/internal/testkit/fake"
 )
 
 // patience bounds every wait for what must come; a run that meets it has failed. No verdict hangs on less.
@@ -57,19 +57,19 @@
 // rig is two object servers and a discovery; brokers come and go.
 type rig struct {
 	t      *testing.T
-	stores []*standin.Objects
-	nodes  []*standin.Node
-	disc   *standin.Discovery
-	discN  *standin.Node
+	stores []*fake.Objects
+	nodes  []*fake.Node
+	disc   *fake.Discovery
+	discN  *fake.Node
 	http   *http.Client
 }
 
 func newRig(t *testing.T) *rig {
 	t.Helper()
-	r := &rig{t: t, disc: standin.NewDiscovery()}
+	r := &rig{t: t, disc: fake.NewDiscovery()}
 	for range 2 {
-		s := standin.NewObjects()
-		n, err := standin.Start(s)
+		s := fake.NewObjects()
+		n, err := fake.Start(s)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -77,7 +77,7 @@
 		r.stores, r.nodes = append(r.stores, s), append(r.nodes, n)
 	}
 	var err error
-	if r.discN, err = standin.Start(r.disc); err != nil {
+	if r.discN, err = fake.Start(r.disc); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.discN.Kill)
@@ -244,7 +244,7 @@
 }
 
 // count is how many requests of a store begin so.
-func count(s *standin.Objects, prefix string) (n int) {
+func count(s *fake.Objects, prefix string) (n int) {
 	for _, line := range s.Requests() {
 		if strings.HasPrefix(line, prefix) {
 			n++
--- a/internal/serve/serve.go
+++ b/internal/broker/server/server.go
@@ -1,5 +1,5 @@
-// Package serve puts one broker together and runs it until it is told to stop.
-package serve
+// Package server puts one broker together and runs it until it is told to stop.
+package server
 
 import (
 	"context"
@@ -9,17 +9,17 @@
 	"net"
 	"sync"
 
-	"poppyarch/internal/clock"
-	"poppyarch/internal/config"
-	"poppyarch/internal/core"
-	"poppyarch/internal/discovery"
-	"poppyarch/internal/facade"
-	"poppyarch/internal/front/block"
-	"poppyarch/internal/front/object"
-	"poppyarch/internal/node"
-	"poppyarch/internal/objectstore"
-	"poppyarch/internal/pool"
-	"poppyarch/internal/record"
+	"poppyarch/internal/backend/blockstore"
+	"poppyarch/internal/backend/objectstore"
+	"poppyarch/internal/broker/config"
+	"poppyarch/internal/broker/core"
+	"poppyarch/internal/broker/dispatcher"
+	"poppyarch/internal/frontend/block"
+	"poppyarch/internal/frontend/object"
+	"poppyarch/internal/nodes/discovery"
+	"poppyarch/internal/observability/record"
+	"poppyarch/internal/timing/clock"
+	"poppyarch/internal/transport/pool"
 )
 
 // Listen opens a listening socket.
@@ -43,7 +43,7 @@
 		return err
 	}
 	defer rec.close()
-	facade, err := facade.NewFacade(cfg.Policy, func(text string) {
+	facade, err := dispatcher.NewFacade(cfg.Policy, func(text string) {
 		log.Info("module: " + text)
 		rec.module(text)
 	})
@@ -96,7 +96,7 @@
 	if cfg.Listen != "" {
 		conns := pool.New(lim, nodes, c)
 		behind.Go(func() { conns.Run(back) })
-		b := core.NewBroker(facade, table, gate, node.New(conns, c, lim), c, lim)
+		b := core.NewBroker(facade, table, gate, blockstore.New(conns, c, lim), c, lim)
 		b.Record(rec.recorder())
 		fronts[cfg.Listen] = block.New(b, block.NewNames(&cfg.Policy, cfg.Shards, lim), clients, c, lim, log)
 	}
--- a/internal/serve/size_test.go
+++ b/internal/broker/server/size_test.go
@@ -1,4 +1,4 @@
-package serve
+package server
 
 import (
 	"bufio"
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"poppyarch/internal/discovery"
-	"poppyarch/internal/standin"
+	"poppyarch/internal/nodes/discovery"
+	"poppyarch/internal/testkit/fake"
 )
 
 // thousand lists 1,024 nodes, each with a shard of its own, over the given addresses.
@@ -63,7 +63,7 @@
 func TestThousandNodesUnderSmallLimits(t *testing.T) {
 	const sockets = 96
 	r := newRig(t)
-	block := standin.NewBlock()
+	block := fake.NewBlock()
 	var addrs []string
 	for range 64 {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -75,7 +75,7 @@
 		addrs = append(addrs, ln.Addr().String())
 	}
 	up := func(int) string { return "up" }
-	first, other := standin.NewDiscovery(), standin.NewDiscovery()
+	first, other := fake.NewDiscovery(), fake.NewDiscovery()
 	first.Set(thousand(addrs, up)...)
 	other.Set(thousand(addrs, up)...)
 	one, two := httptest.NewServer(first), httptest.NewServer(other)
--- a/internal/serve/terms_test.go
+++ b/internal/broker/server/terms_test.go
@@ -1,4 +1,4 @@
-package serve
+package server
 
 import (
 	"bufio"
@@ -19,8 +19,8 @@
 
 	"github.com/tidwall/redcon"
 
-	"poppyarch/internal/discovery"
-	"poppyarch/internal/standin"
+	"poppyarch/internal/nodes/discovery"
+	"poppyarch/internal/testkit/fake"
 )
 
 // limitDescriptors holds a broker process to the descriptors that a test names.
@@ -109,7 +109,7 @@
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	const descriptors = 64
 	r := newRig(t)
-	block := standin.NewBlock()
+	block := fake.NewBlock()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/serve/transcript_test.go
+++ b/internal/broker/server/transcript_test.go
@@ -1,4 +1,4 @@
-package serve
+package server
 
 import (
 	"bufio"
@@ -17,8 +17,8 @@
 	"testing"
 	"time"
 
-	"poppyarch/internal/discovery"
-	"poppyarch/internal/standin"
+	"poppyarch/internal/nodes/discovery"
+	"poppyarch/internal/testkit/fake"
 )
 
 var updateTranscripts = flag.Bool("update-transcripts", false, "write the transcripts under testdata anew; only for requests that no released version has answered")
@@ -124,7 +124,7 @@
 // TestBlockFrontTranscript holds the bytes to a client and to a storage node for scripted requests of the block protocol.
 func TestBlockFrontTranscript(t *testing.T) {
 	r := newRig(t)
-	node := standin.NewBlock()
+	node := fake.NewBlock()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/settings/settings.go
+++ b/internal/broker/settings/settings.go
@@ -7,7 +7,7 @@
 	"reflect"
 	"time"
 
-	"poppyarch/internal/decision"
+	"poppyarch/internal/broker/decision"
 )
 
 // settings mirrors the part of the first message that the module uses; other keys are ignored.
--- a/internal/settings/settings_test.go
+++ b/internal/broker/settings/settings_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"poppyarch/internal/decision"
+	"poppyarch/internal/broker/decision"
 )
 
 const good = `{"balancers":3,"discovery":"push","classes":[{"name":"a","aim_ns":1000,"give_up_ns":2000,"importance":1,"repeat":"dedup",
--- a/internal/fleet/api/api.go
+++ b/internal/fleet/api/api.go
@@ -4,7 +4,7 @@
 import (
 	"errors"
 
-	"poppyarch/internal/control"
+	"poppyarch/internal/broker/control"
 	"poppyarch/internal/fleet/spec"
 	"poppyarch/internal/fleet/state"
 )
--- a/internal/fleet/api/client.go
+++ b/internal/fleet/api/client.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"poppyarch/internal/fleet/call"
+	"poppyarch/internal/fleet/retry"
 	"poppyarch/internal/fleet/state"
 )
 
@@ -24,11 +24,11 @@
 	base    string
 	http    *http.Client
 	timeout time.Duration // of one try
-	policy  call.Policy
+	policy  retry.Policy
 
 	mu      sync.Mutex
-	budget  *call.Budget
-	breaker call.Breaker
+	budget  *retry.Budget
+	breaker retry.Breaker
 	start   time.Time
 }
 
@@ -42,8 +42,8 @@
 	tr := &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: 20 * time.Second,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) { return d.DialContext(ctx, network, at) }}
 	return &Client{base: "http://manager/v1/", http: &http.Client{Transport: tr}, timeout: 10 * time.Second,
-		policy: call.Policy{Tries: 4, First: 100_000, Most: 2_000_000}, budget: call.NewBudget(10, 0.2),
-		breaker: call.Breaker{After: 5, First: 200_000, Most: 5_000_000}, start: time.Now()}
+		policy: retry.Policy{Tries: 4, First: 100_000, Most: 2_000_000}, budget: retry.NewBudget(10, 0.2),
+		breaker: retry.Breaker{After: 5, First: 200_000, Most: 5_000_000}, start: time.Now()}
 }
 
 // Close gives idle connections back.
--- a/internal/fleet/desired/desired.go
+++ b/internal/fleet/desired/desired.go
@@ -8,9 +8,9 @@
 	"os"
 	"strings"
 
-	"poppyarch/internal/agent"
 	"poppyarch/internal/fleet/spec"
-	"poppyarch/internal/inventory"
+	"poppyarch/internal/host/agent"
+	"poppyarch/internal/host/inventory"
 )
 
 // Load reads an inventory. Instances without an agent are that of byDefault.
--- a/internal/fleet/journal/journal_test.go
+++ b/internal/fleet/journal/journal_test.go
@@ -7,8 +7,8 @@
 	"slices"
 	"testing"
 
-	"poppyarch/internal/faultfs"
 	"poppyarch/internal/fleet/journal"
+	"poppyarch/internal/testkit/faultfs"
 )
 
 // play appends numbered records and compacts now and then, until the folder fails. It returns the last one that counts.
--- a/internal/fleet/manager/manager.go
+++ b/internal/fleet/manager/manager.go
@@ -12,11 +12,11 @@
 	"sync"
 	"time"
 
-	"poppyarch/internal/clock"
 	"poppyarch/internal/fleet/api"
 	"poppyarch/internal/fleet/journal"
 	"poppyarch/internal/fleet/spec"
 	"poppyarch/internal/fleet/state"
+	"poppyarch/internal/timing/clock"
 )
 
 // Options sets a manager up.
--- a/internal/fleet/manager/manager_test.go
+++ b/internal/fleet/manager/manager_test.go
@@ -9,10 +9,10 @@
 	"sync"
 	"testing"
 
-	"poppyarch/internal/faultfs"
 	"poppyarch/internal/fleet/api"
 	"poppyarch/internal/fleet/spec"
 	"poppyarch/internal/fleet/state"
+	"poppyarch/internal/testkit/faultfs"
 )
 
 func open(t *testing.T, fs *faultfs.FS, o Options) *Manager {
--- a/internal/fleet/reconcile/reconcile.go
+++ b/internal/fleet/reconcile/reconcile.go
@@ -9,10 +9,10 @@
 import (
 	"fmt"
 
-	"poppyarch/internal/control"
-	"poppyarch/internal/fleet/call"
+	"poppyarch/internal/broker/control"
+	"poppyarch/internal/fleet/retry"
 	"poppyarch/internal/fleet/state"
-	"poppyarch/internal/proc"
+	"poppyarch/internal/host/process"
 )
 
 // Want is what the instance should be.
@@ -94,14 +94,14 @@
 	Want    Want
 	Phase   Phase
 	Mark    string
-	ID      proc.Identity
+	ID      process.Identity
 	Started string   // digest of the start settings of the process
 	Pending *Command // a change whose answer is unknown
 
 	t      Times
 	rnd    func() float64
-	budget *call.Budget // of repeats, shared by all instances of the agent
-	br     call.Breaker
+	budget *retry.Budget // of repeats, shared by all instances of the agent
+	br     retry.Breaker
 
 	boot     string // as the broker said last; empty: it has not, or not for too long
 	applied  uint64
@@ -127,9 +127,9 @@
 }
 
 // New returns what is known of an instance that was never seen. rnd gives numbers from 0 to 1 for jitter.
-func New(name string, t Times, b *call.Budget, rnd func() float64) *Mind {
+func New(name string, t Times, b *retry.Budget, rnd func() float64) *Mind {
 	return &Mind{Name: name, t: t, budget: b, rnd: rnd, wait: t.BackoffFirst,
-		br: call.Breaker{After: t.TripAfter, First: t.TripFirst, Most: t.TripMost}}
+		br: retry.Breaker{After: t.TripAfter, First: t.TripFirst, Most: t.TripMost}}
 }
 
 // jitter spreads a wait over its second half.
@@ -228,11 +228,11 @@
 func (m *Mind) Starting(mark, digest string) { m.Phase, m.Mark, m.Started = Intent, mark, digest }
 
 // Running takes in that the process is there: started now, or found to be running from before.
-func (m *Mind) Running(id proc.Identity, now int64) {
+func (m *Mind) Running(id process.Identity, now int64) {
 	m.Phase, m.ID, m.aliveAt, m.killed = Alive, id, now, false
 	m.forget()
 	m.ready, m.nextLook, m.fails, m.calmAt = false, 0, 0, 0
-	m.br = call.Breaker{After: m.t.TripAfter, First: m.t.TripFirst, Most: m.t.TripMost}
+	m.br = retry.Breaker{After: m.t.TripAfter, First: m.t.TripFirst, Most: m.t.TripMost}
 }
 
 // forget drops what a boot said.
@@ -241,12 +241,12 @@
 }
 
 // NotFound takes in that no process has the mark.
-func (m *Mind) NotFound() { m.Phase, m.ID = None, proc.Identity{} }
+func (m *Mind) NotFound() { m.Phase, m.ID = None, process.Identity{} }
 
 // Ended takes in that the process is no more. text says how.
 func (m *Mind) Ended(now int64, text string) {
 	asked := m.Phase == Leaving
-	m.Phase, m.ID, m.Pending = None, proc.Identity{}, nil
+	m.Phase, m.ID, m.Pending = None, process.Identity{}, nil
 	m.forget()
 	if asked {
 		m.err, m.startAt, m.wait = "", 0, m.t.BackoffFirst
@@ -257,7 +257,7 @@
 
 // StartFailed takes in that no process could be started.
 func (m *Mind) StartFailed(now int64, err error) {
-	m.Phase, m.ID, m.aliveAt = None, proc.Identity{}, now
+	m.Phase, m.ID, m.aliveAt = None, process.Identity{}, now
 	m.crashed(now, err.Error())
 }
 
--- a/internal/fleet/reconcile/reconcile_test.go
+++ b/internal/fleet/reconcile/reconcile_test.go
@@ -6,20 +6,20 @@
 
 	"pgregory.net/rapid"
 
-	"poppyarch/internal/control"
-	"poppyarch/internal/fixedseed"
-	"poppyarch/internal/fleet/call"
+	"poppyarch/internal/broker/control"
+	"poppyarch/internal/fleet/retry"
 	"poppyarch/internal/fleet/state"
-	"poppyarch/internal/proc"
+	"poppyarch/internal/host/process"
+	"poppyarch/internal/testkit/fixedseed"
 )
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
 func mind() *Mind {
-	m := New("n", DefaultTimes(), call.NewBudget(20, 0.1), func() float64 { return 0.5 })
+	m := New("n", DefaultTimes(), retry.NewBudget(20, 0.1), func() float64 { return 0.5 })
 	m.Set(Want{Run: true, Digest: "d", Target: 5})
 	m.Starting("mark", "d")
-	m.Running(proc.Identity{PID: 7, Start: 1, Boot: "m"}, 1000)
+	m.Running(process.Identity{PID: 7, Start: 1, Boot: "m"}, 1000)
 	return m
 }
 
@@ -138,7 +138,7 @@
 // looked at last, and no report of what that boot has not said.
 func TestOrderOfThings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := New("n", DefaultTimes(), call.NewBudget(5, 0.1), func() float64 { return rapid.Float64Range(0, 1).Draw(t, "rnd") })
+		m := New("n", DefaultTimes(), retry.NewBudget(5, 0.1), func() float64 { return rapid.Float64Range(0, 1).Draw(t, "rnd") })
 		now := int64(1)
 		running, draining := false, false
 		boot, applied := 0, uint64(0)
@@ -177,7 +177,7 @@
 					continue
 				}
 				start()
-				m.Running(proc.Identity{PID: pid}, now)
+				m.Running(process.Identity{PID: pid}, now)
 			case Term:
 				if !running || draining {
 					t.Fatalf("told to drain: runs %v, drains %v", running, draining)
--- a/internal/fleet/call/call.go
+++ b/internal/fleet/retry/retry.go
@@ -1,6 +1,6 @@
-// Package call decides on repeats of calls between the parts of a fleet: how long to wait, whether the budget
+// Package retry decides on repeats of calls between the parts of a fleet: how long to wait, whether the budget
 // allows another, and when to stop calling for a while. No I/O, no clock: times come in as microseconds.
-package call
+package retry
 
 // Policy bounds the repeats of one call. Times are microseconds.
 type Policy struct {
--- a/internal/fleet/call/call_test.go
+++ b/internal/fleet/retry/retry_test.go
@@ -1,11 +1,11 @@
-package call
+package retry
 
 import (
 	"testing"
 
 	"pgregory.net/rapid"
 
-	"poppyarch/internal/fixedseed"
+	"poppyarch/internal/testkit/fixedseed"
 )
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
--- a/internal/fleet/settings/settings.go
+++ b/internal/fleet/settings/settings.go
@@ -15,7 +15,7 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"poppyarch/internal/fleet/state"
-	"poppyarch/internal/tomlat"
+	"poppyarch/internal/tomlerror"
 )
 
 // Duration is a time in TOML, such as "5s" or "100ms".
@@ -120,7 +120,7 @@
 	d := toml.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&f); err != nil {
-		return f, tomlat.Error(path, err)
+		return f, tomlerror.Error(path, err)
 	}
 	base := filepath.Dir(path)
 	for _, p := range []*string{&f.Manager.Journal, &f.Agent.Journal, &f.Agent.RunDir, &f.Fleet.Inventory} {
--- a/internal/fleet/state/rollout_test.go
+++ b/internal/fleet/state/rollout_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"testing"
 
-	"poppyarch/internal/fixedseed"
 	"poppyarch/internal/fleet/spec"
+	"poppyarch/internal/testkit/fixedseed"
 )
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
--- a/internal/fleet/supervisor/exec.go
+++ b/internal/fleet/supervisor/exec.go
@@ -10,12 +10,12 @@
 	"strings"
 	"syscall"
 
-	"poppyarch/internal/agent"
-	"poppyarch/internal/config"
-	"poppyarch/internal/control"
+	"poppyarch/internal/broker/config"
+	"poppyarch/internal/broker/control"
 	"poppyarch/internal/fleet/spec"
-	"poppyarch/internal/inventory"
-	"poppyarch/internal/proc"
+	"poppyarch/internal/host/agent"
+	"poppyarch/internal/host/inventory"
+	"poppyarch/internal/host/process"
 )
 
 // Exec runs brokers as processes of this machine. It is both a Machine and its Brokers.
@@ -57,17 +57,17 @@
 	cmd.Stdout, cmd.Stderr = out, out
 	for _, v := range os.Environ() {
 		key, _, _ := strings.Cut(v, "=")
-		if key != "LB_NAME" && key != "LB_LISTEN" && key != "LB_DISCOVERY" && key != "LB_CONFIG" && key != proc.MarkKey {
+		if key != "LB_NAME" && key != "LB_LISTEN" && key != "LB_DISCOVERY" && key != "LB_CONFIG" && key != process.MarkKey {
 			cmd.Env = append(cmd.Env, v)
 		}
 	}
 	cmd.Env = append(append(cmd.Env, e.Env...), "LB_CONFIG="+path)
-	id, exited, err := proc.Start(cmd, mark)
+	id, exited, err := process.Start(cmd, mark)
 	if err != nil {
 		return nil, err
 	}
 	p := &child{id: id, done: exited}
-	if p.handle, err = proc.Open(id); err != nil && !errors.Is(err, proc.ErrGone) {
+	if p.handle, err = process.Open(id); err != nil && !errors.Is(err, process.ErrGone) {
 		cmd.Process.Kill()
 		return nil, err
 	}
@@ -75,8 +75,8 @@
 }
 
 // Adopt takes hold of a broker that an earlier agent started.
-func (e *Exec) Adopt(id proc.Identity) (Process, error) {
-	h, err := proc.Open(id)
+func (e *Exec) Adopt(id process.Identity) (Process, error) {
+	h, err := process.Open(id)
 	if err != nil {
 		return nil, err
 	}
@@ -89,22 +89,22 @@
 }
 
 // Find looks for a broker by its mark.
-func (e *Exec) Find(mark string) (proc.Identity, bool) { return proc.FindMark(mark) }
+func (e *Exec) Find(mark string) (process.Identity, bool) { return process.FindMark(mark) }
 
 type child struct {
-	id     proc.Identity
-	handle *proc.Handle // nil: it had ended at once
+	id     process.Identity
+	handle *process.Handle // nil: it had ended at once
 	done   <-chan error
 }
 
-func (c *child) Identity() proc.Identity { return c.id }
-func (c *child) Done() <-chan error      { return c.done }
-func (c *child) Terminate() error        { return c.signal(syscall.SIGTERM) }
-func (c *child) Kill() error             { return c.signal(syscall.SIGKILL) }
+func (c *child) Identity() process.Identity { return c.id }
+func (c *child) Done() <-chan error         { return c.done }
+func (c *child) Terminate() error           { return c.signal(syscall.SIGTERM) }
+func (c *child) Kill() error                { return c.signal(syscall.SIGKILL) }
 
 func (c *child) signal(sig syscall.Signal) error {
 	if c.handle == nil {
-		return proc.ErrGone
+		return process.ErrGone
 	}
 	return c.handle.Signal(sig)
 }
--- a/internal/fleet/supervisor/record.go
+++ b/internal/fleet/supervisor/record.go
@@ -7,7 +7,7 @@
 	"poppyarch/internal/fleet/reconcile"
 	"poppyarch/internal/fleet/spec"
 	"poppyarch/internal/fleet/state"
-	"poppyarch/internal/proc"
+	"poppyarch/internal/host/process"
 )
 
 // record is one fact in an agent's journal. Intents stand before what they announce, results after.
@@ -22,7 +22,7 @@
 	Configs map[string]string  `json:"configs,omitempty"`
 	Mark    string             `json:"mark,omitempty"`
 	Digest  string             `json:"digest,omitempty"`
-	ID      *proc.Identity     `json:"id,omitempty"`
+	ID      *process.Identity  `json:"id,omitempty"`
 	Command *reconcile.Command `json:"command,omitempty"`
 }
 
@@ -50,7 +50,7 @@
 	Assignment state.Assignment   `json:"assignment"`
 	Mark       string             `json:"mark,omitempty"` // of a process that was started, or was about to be
 	Digest     string             `json:"digest,omitempty"`
-	ID         *proc.Identity     `json:"id,omitempty"`
+	ID         *process.Identity  `json:"id,omitempty"`
 	Command    *reconcile.Command `json:"command,omitempty"`
 }
 
--- a/internal/fleet/supervisor/supervisor.go
+++ b/internal/fleet/supervisor/supervisor.go
@@ -16,19 +16,19 @@
 	"slices"
 	"time"
 
-	"poppyarch/internal/clock"
-	"poppyarch/internal/control"
+	"poppyarch/internal/broker/control"
 	"poppyarch/internal/fleet/api"
-	"poppyarch/internal/fleet/call"
 	"poppyarch/internal/fleet/journal"
 	"poppyarch/internal/fleet/reconcile"
+	"poppyarch/internal/fleet/retry"
 	"poppyarch/internal/fleet/spec"
-	"poppyarch/internal/proc"
+	"poppyarch/internal/host/process"
+	"poppyarch/internal/timing/clock"
 )
 
 // Process is a broker's process, started by this agent or by an earlier one.
 type Process interface {
-	Identity() proc.Identity
+	Identity() process.Identity
 	Done() <-chan error // gives how it ended, once
 	Terminate() error
 	Kill() error
@@ -37,8 +37,8 @@
 // Machine is where processes run.
 type Machine interface {
 	Start(in *spec.Instance, config, mark string) (Process, error)
-	Adopt(proc.Identity) (Process, error)
-	Find(mark string) (proc.Identity, bool)
+	Adopt(process.Identity) (Process, error)
+	Find(mark string) (process.Identity, bool)
 }
 
 // Brokers reaches running brokers.
@@ -78,7 +78,7 @@
 	j       *journal.Journal
 	mem     *memory
 	minds   map[string]*mind
-	budget  *call.Budget
+	budget  *retry.Budget
 	events  chan func() error // what has happened, for the loop
 	token   uint64
 	reg     api.Registration
@@ -129,7 +129,7 @@
 		return nil, err
 	}
 	return &Supervisor{opt: opt, machine: machine, brokers: brokers, manager: manager, clock: clock.New(), log: log, j: j,
-		mem: mem, minds: map[string]*mind{}, budget: call.NewBudget(20, 0.1), events: make(chan func() error, 64),
+		mem: mem, minds: map[string]*mind{}, budget: retry.NewBudget(20, 0.1), events: make(chan func() error, 64),
 		dirty: make(chan struct{}, 1), quit: make(chan struct{})}, nil
 }
 
@@ -257,7 +257,7 @@
 	id := *c.ID
 	p, err := s.machine.Adopt(id)
 	if err != nil {
-		if !errors.Is(err, proc.ErrGone) {
+		if !errors.Is(err, process.ErrGone) {
 			return fmt.Errorf("%s: adopt pid %d: %w", name, id.PID, err)
 		}
 		s.log.Warn("agent: instance ended while no agent was there", "instance", name, "pid", id.PID)
--- a/internal/fleet/supervisor/supervisor_test.go
+++ b/internal/fleet/supervisor/supervisor_test.go
@@ -13,14 +13,14 @@
 	"testing/synctest"
 	"time"
 
-	"poppyarch/internal/control"
-	"poppyarch/internal/faultfs"
+	"poppyarch/internal/broker/control"
 	"poppyarch/internal/fleet/api"
 	"poppyarch/internal/fleet/journal"
 	"poppyarch/internal/fleet/manager"
 	"poppyarch/internal/fleet/spec"
 	"poppyarch/internal/fleet/state"
-	"poppyarch/internal/proc"
+	"poppyarch/internal/host/process"
+	"poppyarch/internal/testkit/faultfs"
 )
 
 // machine is a machine in memory: its processes outlive every agent.
@@ -28,7 +28,7 @@
 	t    *testing.T
 	mu   sync.Mutex
 	pids int
-	live map[int]*process
+	live map[int]*fakeProcess
 	took map[string]int // changes taken, by boot and edition
 	// failures to come
 	dieBefore, dieAfter int  // the n-th change kills its broker before or after it is recorded
@@ -38,9 +38,9 @@
 	starts              map[string]int
 }
 
-type process struct {
+type fakeProcess struct {
 	m      *machine
-	id     proc.Identity
+	id     process.Identity
 	name   string
 	mark   string
 	start  string
@@ -51,7 +51,7 @@
 }
 
 func newMachine(t *testing.T) *machine {
-	return &machine{t: t, live: map[int]*process{}, took: map[string]int{}, starts: map[string]int{}}
+	return &machine{t: t, live: map[int]*fakeProcess{}, took: map[string]int{}, starts: map[string]int{}}
 }
 
 func (m *machine) Start(in *spec.Instance, text, mark string) (Process, error) {
@@ -63,8 +63,8 @@
 		}
 	}
 	m.pids++
-	p := &process{m: m, name: in.Name, mark: mark, start: in.Start.Digest(), bad: text == "bad", done: make(chan struct{}),
-		id: proc.Identity{PID: 100 + m.pids, Start: uint64(m.pids), Boot: "machine"}, ledger: control.NewLedger(fmt.Sprint("boot", m.pids), 100)}
+	p := &fakeProcess{m: m, name: in.Name, mark: mark, start: in.Start.Digest(), bad: text == "bad", done: make(chan struct{}),
+		id: process.Identity{PID: 100 + m.pids, Start: uint64(m.pids), Boot: "machine"}, ledger: control.NewLedger(fmt.Sprint("boot", m.pids), 100)}
 	m.live[p.id.PID] = p
 	m.starts[in.Name]++
 	if p.bad {
@@ -73,16 +73,16 @@
 	return &hold{p}, nil
 }
 
-func (m *machine) Adopt(id proc.Identity) (Process, error) {
+func (m *machine) Adopt(id process.Identity) (Process, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p := m.live[id.PID]; p != nil && p.id == id {
 		return &hold{p}, nil
 	}
-	return nil, proc.ErrGone
+	return nil, process.ErrGone
 }
 
-func (m *machine) Find(mark string) (proc.Identity, bool) {
+func (m *machine) Find(mark string) (process.Identity, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, p := range m.live {
@@ -90,10 +90,10 @@
 			return p.id, true
 		}
 	}
-	return proc.Identity{}, false
+	return process.Identity{}, false
 }
 
-func (p *process) end() {
+func (p *fakeProcess) end() {
 	p.once.Do(func() {
 		p.m.mu.Lock()
 		delete(p.m.live, p.id.PID)
@@ -103,9 +103,9 @@
 }
 
 // hold is one agent's hold of a process.
-type hold struct{ p *process }
+type hold struct{ p *fakeProcess }
 
-func (h *hold) Identity() proc.Identity { return h.p.id }
+func (h *hold) Identity() process.Identity { return h.p.id }
 func (h *hold) Done() <-chan error {
 	ch := make(chan error, 1)
 	go func() { <-h.p.done; ch <- errors.New("killed") }()
@@ -114,7 +114,7 @@
 func (h *hold) Terminate() error { time.AfterFunc(20*time.Millisecond, h.p.end); return nil }
 func (h *hold) Kill() error      { h.p.end(); return nil }
 
-func (m *machine) find(name string) *process {
+func (m *machine) find(name string) *fakeProcess {
 	for _, p := range m.live {
 		if p.name == name {
 			return p
--- a/internal/front/block/answer.go
+++ b/internal/frontend/block/answer.go
@@ -4,7 +4,7 @@
 	"strconv"
 	"strings"
 
-	"poppyarch/internal/core"
+	"poppyarch/internal/broker/core"
 )
 
 // encode writes an answer. A value goes out byte for byte as its node gave it.
--- a/internal/front/block/command.go
+++ b/internal/frontend/block/command.go
@@ -6,10 +6,10 @@
 	"strconv"
 	"strings"
 
-	"poppyarch/internal/core"
-	"poppyarch/internal/decision"
-	"poppyarch/internal/limits"
-	"poppyarch/internal/node"
+	"poppyarch/internal/backend/blockstore"
+	"poppyarch/internal/broker/core"
+	"poppyarch/internal/broker/decision"
+	"poppyarch/internal/broker/limits"
 )
 
 // Names is what the settings say of a command's words. Classes and plans are numbered as the settings name them.
@@ -25,8 +25,8 @@
 
 // parse turns the words of a command into a request. d counts from its sending, of which its arrival is the
 // nearest that the broker can see.
-func parse(args [][]byte, names *Names, now int64) (core.Request[*node.Command], error) {
-	var r core.Request[*node.Command]
+func parse(args [][]byte, names *Names, now int64) (core.Request[*blockstore.Command], error) {
+	var r core.Request[*blockstore.Command]
 	write := bytes.EqualFold(args[0], []byte("BLK.WRITE"))
 	want := 4
 	if write {
@@ -45,7 +45,7 @@
 	if len(args[3]) > names.lim.MaxParams {
 		return r, fmt.Errorf("fields over %d bytes", names.lim.MaxParams)
 	}
-	c := &node.Command{Name: args[0], Piece: args[1], ID: args[2], HasBody: write}
+	c := &blockstore.Command{Name: args[0], Piece: args[1], ID: args[2], HasBody: write}
 	if write {
 		c.Body = args[4]
 	}
@@ -57,7 +57,7 @@
 			return r, fmt.Errorf("malformed or repeated field %q", clip(part))
 		}
 		seen[name] = true
-		c.Params = append(c.Params, node.Param{Name: name, Value: value})
+		c.Params = append(c.Params, blockstore.Param{Name: name, Value: value})
 		if err := field(&r, name, value, names, now); err != nil {
 			return r, err
 		}
@@ -72,7 +72,7 @@
 }
 
 // field takes in one name=value. Names it does not know pass on to the node unseen.
-func field(r *core.Request[*node.Command], name, value string, names *Names, now int64) (err error) {
+func field(r *core.Request[*blockstore.Command], name, value string, names *Names, now int64) (err error) {
 	known := true
 	switch name {
 	case "c":
--- a/internal/front/block/conn.go
+++ b/internal/frontend/block/conn.go
@@ -11,9 +11,9 @@
 
 	"github.com/tidwall/redcon"
 
-	"poppyarch/internal/clock"
-	"poppyarch/internal/core"
-	"poppyarch/internal/socket"
+	"poppyarch/internal/broker/core"
+	"poppyarch/internal/timing/clock"
+	"poppyarch/internal/transport/socket"
 )
 
 // handle gets a connection's first command and keeps the connection until its end.
--- a/internal/front/block/crossing_test.go
+++ b/internal/frontend/block/crossing_test.go
@@ -11,11 +11,11 @@
 	"testing"
 	"time"
 
-	"poppyarch/internal/clock"
-	"poppyarch/internal/core"
-	"poppyarch/internal/limits"
-	"poppyarch/internal/node"
-	"poppyarch/internal/socket"
+	"poppyarch/internal/backend/blockstore"
+	"poppyarch/internal/broker/core"
+	"poppyarch/internal/broker/limits"
+	"poppyarch/internal/timing/clock"
+	"poppyarch/internal/transport/socket"
 )
 
 // These tests force what a client does to fall between two steps of the front: the front's side of the connection waits at
@@ -38,7 +38,7 @@
 // newStepRig is a rig whose front gets what accepted makes of each connection.
 func newStepRig(t *testing.T, lim *limits.Limits, accepted func(*net.TCPConn) net.Conn) *rig {
 	t.Helper()
-	b := &broker{waiting: map[string]chan core.Answer[[]byte]{}, came: make(chan core.Request[*node.Command], 64), left: make(chan string, 64)}
+	b := &broker{waiting: map[string]chan core.Answer[[]byte]{}, came: make(chan core.Request[*blockstore.Command], 64), left: make(chan string, 64)}
 	f := New(b, testNames(lim), 8, clock.New(), lim, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/front/block/front.go
+++ b/internal/frontend/block/front.go
@@ -11,15 +11,15 @@
 
 	"github.com/tidwall/redcon"
 
-	"poppyarch/internal/clock"
-	"poppyarch/internal/core"
-	"poppyarch/internal/limits"
-	"poppyarch/internal/node"
+	"poppyarch/internal/backend/blockstore"
+	"poppyarch/internal/broker/core"
+	"poppyarch/internal/broker/limits"
+	"poppyarch/internal/timing/clock"
 )
 
 // Broker is what stands behind this front.
 type Broker interface {
-	Do(ctx context.Context, r core.Request[*node.Command]) core.Answer[[]byte]
+	Do(ctx context.Context, r core.Request[*blockstore.Command]) core.Answer[[]byte]
 }
 
 // Front serves clients.
--- a/internal/front/block/front_test.go
+++ b/internal/frontend/block/front_test.go
@@ -13,12 +13,12 @@
 	"testing"
 	"time"
 
-	"poppyarch/internal/clock"
-	"poppyarch/internal/core"
-	"poppyarch/internal/decision"
-	"poppyarch/internal/limits"
-	"poppyarch/internal/node"
-	"poppyarch/internal/socket"
+	"poppyarch/internal/backend/blockstore"
+	"poppyarch/internal/broker/core"
+	"poppyarch/internal/broker/decision"
+	"poppyarch/internal/broker/limits"
+	"poppyarch/internal/timing/clock"
+	"poppyarch/internal/transport/socket"
 )
 
 const patience = 30 * time.Second
@@ -39,7 +39,7 @@
 type broker struct {
 	mu      sync.Mutex
 	waiting map[string]chan core.Answer[[]byte]
-	came    chan core.Request[*node.Command]
+	came    chan core.Request[*blockstore.Command]
 	left    chan string
 }
 
@@ -52,7 +52,7 @@
 	return b.waiting[id]
 }
 
-func (b *broker) Do(ctx context.Context, r core.Request[*node.Command]) core.Answer[[]byte] {
+func (b *broker) Do(ctx context.Context, r core.Request[*blockstore.Command]) core.Answer[[]byte] {
 	id := string(r.Work.ID)
 	b.came <- r
 	select {
@@ -74,7 +74,7 @@
 
 func newRig(t *testing.T, lim *limits.Limits, conns int) *rig {
 	t.Helper()
-	b := &broker{waiting: map[string]chan core.Answer[[]byte]{}, came: make(chan core.Request[*node.Command], 64),
+	b := &broker{waiting: map[string]chan core.Answer[[]byte]{}, came: make(chan core.Request[*blockstore.Command], 64),
 		left: make(chan string, 64)}
 	f := New(b, testNames(lim), conns, clock.New(), lim, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -200,7 +200,7 @@
 	left := q.Due - r.front.clock.Now()
 	if q.Class != 1 || !q.Unsafe || q.Plan != 0 || q.Volume != "00000003b4d60021" || q.Key != "7f3a9c21e0b4d655" ||
 		q.Units != 2 || q.Shard != 5 || q.Hosts != 3 || left > 480_000 || string(q.Work.Body) != "b\r\ny" ||
-		len(q.Work.Params) != 8 || q.Work.Params[7] != (node.Param{Name: "k", Value: "x"}) {
+		len(q.Work.Params) != 8 || q.Work.Params[7] != (blockstore.Param{Name: "k", Value: "x"}) {
 		t.Errorf("%+v, %+v", q.Job, q.Work)
 	}
 	r.broker.ask("id9") <- core.Answer[[]byte]{Kind: core.Refusal}
--- a/internal/front/block/guard.go
+++ b/internal/frontend/block/guard.go
@@ -8,9 +8,9 @@
 	"sync/atomic"
 	"time"
 
-	"poppyarch/internal/clock"
-	"poppyarch/internal/limits"
-	"poppyarch/internal/socket"
+	"poppyarch/internal/broker/limits"
+	"poppyarch/internal/timing/clock"
+	"poppyarch/internal/transport/socket"
 )
 
 // errProtocol is malformed or oversized input. Its text goes to the client, then the connection closes.
--- a/internal/front/object/front.go
+++ b/internal/frontend/object/front.go
@@ -18,13 +18,13 @@
 	"sync/atomic"
 	"time"
 
-	"poppyarch/internal/clock"
-	"poppyarch/internal/config"
-	"poppyarch/internal/core"
-	"poppyarch/internal/decision"
-	"poppyarch/internal/facade"
-	"poppyarch/internal/limits"
-	"poppyarch/internal/objectstore"
+	"poppyarch/internal/backend/objectstore"
+	"poppyarch/internal/broker/config"
+	"poppyarch/internal/broker/core"
+	"poppyarch/internal/broker/decision"
+	"poppyarch/internal/broker/dispatcher"
+	"poppyarch/internal/broker/limits"
+	"poppyarch/internal/timing/clock"
 )
 
 // Broker is what stands behind this front.
@@ -241,7 +241,7 @@
 		plan = o.Plan
 	}
 	return core.Request[*objectstore.Call]{
-		Job: facade.Job{
+		Job: dispatcher.Job{
 			Class: class, Plan: x.cfg.Plan(plan), Volume: x.bucket, Key: x.key, Units: x.units(), Shard: shard,
 			Hosts: x.cfg.Policy.Hosts, Due: due,
 		},
--- a/internal/front/object/listener.go
+++ b/internal/frontend/object/listener.go
@@ -7,8 +7,8 @@
 	"sync"
 	"syscall"
 
-	"poppyarch/internal/clock"
-	"poppyarch/internal/socket"
+	"poppyarch/internal/timing/clock"
+	"poppyarch/internal/transport/socket"
 )
 
 // listener keeps the number of client connections within a bound. Where it is met, the next client takes the place of the
--- a/internal/front/object/multipart.go
+++ b/internal/frontend/object/multipart.go
@@ -7,8 +7,8 @@
 	"strconv"
 	"time"
 
-	"poppyarch/internal/clock"
-	"poppyarch/internal/objectstore"
+	"poppyarch/internal/backend/objectstore"
+	"poppyarch/internal/timing/clock"
 )
 
 // create opens an upload at the object's node. Its id names the node's shard from then on.
--- a/internal/agent/agent.go
+++ b/internal/host/agent/agent.go
@@ -11,7 +11,7 @@
 	"sort"
 	"sync"
 
-	"poppyarch/internal/inventory"
+	"poppyarch/internal/host/inventory"
 )
 
 // ErrUnknown says that the inventory has no such instance.
--- a/internal/agent/agent_test.go
+++ b/internal/host/agent/agent_test.go
@@ -14,7 +14,7 @@
 	"testing/synctest"
 	"time"
 
-	"poppyarch/internal/inventory"
+	"poppyarch/internal/host/inventory"
 )
 
 // stage is a launcher whose processes live in memory.
--- a/internal/agent/process.go
+++ b/internal/host/agent/process.go
@@ -16,8 +16,8 @@
 	"syscall"
 	"time"
 
-	"poppyarch/internal/config"
-	"poppyarch/internal/inventory"
+	"poppyarch/internal/broker/config"
+	"poppyarch/internal/host/inventory"
 )
 
 // Exec starts brokers as processes.
--- a/internal/agent/runner.go
+++ b/internal/host/agent/runner.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"poppyarch/internal/inventory"
+	"poppyarch/internal/host/inventory"
 )
 
 // State is what an instance is doing.
--- a/internal/proc/proc.go
+++ b/internal/host/process/process.go
@@ -1,6 +1,6 @@
-// Package proc tells who a process is beyond its pid, which the kernel gives away again, and lets a process be minded
+// Package process tells who a process is beyond its pid, which the kernel gives away again, and lets a process be minded
 // by another that did not start it. Linux only: it reads /proc and uses pidfds.
-package proc
+package process
 
 import (
 	"bytes"
--- a/internal/proc/proc_test.go
+++ b/internal/host/process/process_test.go
@@ -1,4 +1,4 @@
-package proc
+package process
 
 import (
 	"errors"
--- a/internal/lab/chart/chart.go
+++ b/internal/lab/chart/chart.go
@@ -18,13 +18,13 @@
 	"gonum.org/v1/plot/vg"
 	"gonum.org/v1/plot/vg/draw"
 
-	"poppyarch/internal/lab/measure"
+	"poppyarch/internal/lab/statistics"
 )
 
 // Point is one figure at one place.
 type Point struct {
 	X float64
-	Y measure.Figure
+	Y statistics.Figure
 }
 
 // Series is a line of points. Where two neighbours have no figure between them the line has a gap and nothing is drawn through it.
@@ -89,7 +89,7 @@
 // runs cuts a series where a figure is missing.
 func (s *Series) runs() (out [][]Point) {
 	var run []Point
-	for _, p := range append(slices.Clone(s.Points), Point{Y: measure.Figure{Mean: math.NaN()}}) {
+	for _, p := range append(slices.Clone(s.Points), Point{Y: statistics.Figure{Mean: math.NaN()}}) {
 		if drawable(p.Y.Mean) {
 			run = append(run, p)
 			continue
@@ -102,7 +102,7 @@
 	return out
 }
 
-func half(f measure.Figure) float64 {
+func half(f statistics.Figure) float64 {
 	if drawable(f.Half) {
 		return f.Half
 	}
--- a/internal/lab/chart/chart_test.go
+++ b/internal/lab/chart/chart_test.go
@@ -7,13 +7,13 @@
 	"strings"
 	"testing"
 
-	"poppyarch/internal/lab/measure"
+	"poppyarch/internal/lab/statistics"
 )
 
 func line(name string, ys ...float64) Series {
 	s := Series{Name: name}
 	for i, y := range ys {
-		s.Points = append(s.Points, Point{X: float64(i + 1), Y: measure.Figure{Mean: y, Half: 0.1, N: 3}})
+		s.Points = append(s.Points, Point{X: float64(i + 1), Y: statistics.Figure{Mean: y, Half: 0.1, N: 3}})
 	}
 	return s
 }
@@ -67,7 +67,7 @@
 	for name, c := range map[string]*Chart{
 		"no series":   {},
 		"no figure":   {Series: []Series{line("a", math.NaN())}},
-		"log of none": {LogX: true, Series: []Series{{Points: []Point{{X: 0, Y: measure.Figure{Mean: 1}}}}}},
+		"log of none": {LogX: true, Series: []Series{{Points: []Point{{X: 0, Y: statistics.Figure{Mean: 1}}}}}},
 		"too many":    many,
 	} {
 		if _, err := c.Draw("svg", 300, 200); err == nil {
--- a/internal/lab/experiment/bisect.go
+++ b/internal/lab/experiment/bisect.go
@@ -7,8 +7,8 @@
 	"strconv"
 	"sync"
 
-	"poppyarch/internal/lab/measure"
 	"poppyarch/internal/lab/model"
+	"poppyarch/internal/lab/statistics"
 )
 
 // Bisection looks for the figure of a scenario at which a design's measure crosses a bound, such as the load at which service falls under 0.8. The
@@ -29,7 +29,7 @@
 // Step is one figure that was played.
 type Step struct {
 	At    float64
-	Mean  measure.Figure
+	Mean  statistics.Figure
 	Above bool // the mean is at the bound or above
 	Sure  bool // and its interval does not hold the bound
 }
@@ -128,7 +128,7 @@
 			return Step{}, err
 		}
 		values = append(values, part...)
-		x := Step{At: at, Mean: measure.Of(values)}
+		x := Step{At: at, Mean: statistics.Of(values)}
 		x.Above, x.Sure = x.Mean.Mean >= b.Bound, !x.Mean.Holds(b.Bound)
 		if x.Sure || len(values) == b.Most {
 			return x, nil
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -9,8 +9,8 @@
 	"strings"
 	"testing"
 
-	"poppyarch/internal/lab/measure"
 	"poppyarch/internal/lab/model"
+	"poppyarch/internal/lab/statistics"
 )
 
 const scenario = "name = \"small\"\nbrokers = 2\nlast = \"1s\"\n[[nodes]]\ncount = 3\ncores = 1\nspeed = 1.0\n[load]\nrate = 100.0\nwork = \"20ms\"\nspread = \"exponential\"\npatience = \"500ms\"\n"
@@ -132,7 +132,7 @@
 
 // The measures are those of the run.
 func TestMeasures(t *testing.T) {
-	r := &model.Result{Service: 0.5, P99: 0.25, Broken: map[string]int{"cold": 2, "drain": 1}, Time: measure.Figure{Mean: 0.125}}
+	r := &model.Result{Service: 0.5, P99: 0.25, Broken: map[string]int{"cold": 2, "drain": 1}, Time: statistics.Figure{Mean: 0.125}}
 	for name, want := range map[string]float64{"service": 0.5, "p99_ms": 250, "broken": 3, "time_ms": 125} {
 		if got := Measures[name](r); math.Abs(got-want) > 1e-9 {
 			t.Errorf("%s: %v, want %v", name, got, want)
--- a/internal/lab/experiment/plan.go
+++ b/internal/lab/experiment/plan.go
@@ -13,9 +13,9 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"poppyarch/internal/lab/measure"
 	"poppyarch/internal/lab/model"
-	"poppyarch/internal/tomlat"
+	"poppyarch/internal/lab/statistics"
+	"poppyarch/internal/tomlerror"
 )
 
 // Plan is an experiment. Its form is TOML; see docs/LAB.md.
@@ -78,8 +78,8 @@
 }
 
 // Over is a measure over several runs, with its interval.
-func Over(rs []*model.Result, of func(*model.Result) float64) measure.Figure {
-	return measure.Of(Values(rs, of))
+func Over(rs []*model.Result, of func(*model.Result) float64) statistics.Figure {
+	return statistics.Of(Values(rs, of))
 }
 
 // measureNames are the columns of results, in order.
@@ -111,7 +111,7 @@
 	}
 	defer file.Close()
 	if err := toml.NewDecoder(file).DisallowUnknownFields().Decode(into); err != nil {
-		return tomlat.Error(path, err)
+		return tomlerror.Error(path, err)
 	}
 	return nil
 }
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -13,8 +13,8 @@
 	"strings"
 	"sync"
 
-	"poppyarch/internal/lab/measure"
 	"poppyarch/internal/lab/model"
+	"poppyarch/internal/lab/statistics"
 )
 
 // Row is one run's measures.
@@ -160,8 +160,8 @@
 type Line struct {
 	Values []string
 	Design string
-	Mean   measure.Figure
-	Less   measure.Figure // the difference from the first design, seed by seed; of the first itself: nothing
+	Mean   statistics.Figure
+	Less   statistics.Figure // the difference from the first design, seed by seed; of the first itself: nothing
 }
 
 // Run plays what is missing, a point after the other, and reports each line when it is known well enough. It ends early with the context.
@@ -188,10 +188,10 @@
 
 func (p *Plan) line(r *Results, pt Point, design string) Line {
 	own := r.of(pt.Values, design, p.Seed, p.Measure)
-	l := Line{Values: pt.Values, Design: design, Mean: measure.Of(own)}
+	l := Line{Values: pt.Values, Design: design, Mean: statistics.Of(own)}
 	if first := r.of(pt.Values, p.Designs[0], p.Seed, p.Measure); design != p.Designs[0] {
 		n := min(len(first), len(own))
-		l.Less, _ = measure.Paired(own[:n], first[:n])
+		l.Less, _ = statistics.Paired(own[:n], first[:n])
 	}
 	return l
 }
--- a/internal/lab/experiment/table.go
+++ b/internal/lab/experiment/table.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"strings"
 
-	"poppyarch/internal/lab/measure"
+	"poppyarch/internal/lab/statistics"
 )
 
 // Table is what a results file holds, without its plan: which keys were varied, which designs played, and each run's measures.
@@ -66,17 +66,17 @@
 }
 
 // Of is a design's measure at a point over all its seeds.
-func (t *Table) Of(values []string, design, name string) measure.Figure {
+func (t *Table) Of(values []string, design, name string) statistics.Figure {
 	var all []float64
 	for _, row := range t.rows[tableKey(values, design)] {
 		all = append(all, row.Measures[name])
 	}
 	slices.Sort(all) // a sum depends on its order, and that of a map on chance
-	return measure.Of(all)
+	return statistics.Of(all)
 }
 
 // Less is by how much a design differs from another, over the seeds that both have played.
-func (t *Table) Less(values []string, design, base, name string) measure.Figure {
+func (t *Table) Less(values []string, design, base, name string) statistics.Figure {
 	var seeds []uint64
 	a, b := t.rows[tableKey(values, design)], t.rows[tableKey(values, base)]
 	for seed := range a {
@@ -89,7 +89,7 @@
 	for i, seed := range seeds {
 		diff[i] = a[seed].Measures[name] - b[seed].Measures[name]
 	}
-	return measure.Of(diff)
+	return statistics.Of(diff)
 }
 
 // Axis is the column of a key and its values in order; numbers are nil where some value is none.
--- a/internal/lab/fit/fit.go
+++ b/internal/lab/fit/fit.go
@@ -15,9 +15,9 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"poppyarch/internal/decision"
+	"poppyarch/internal/broker/decision"
 	"poppyarch/internal/lab/model"
-	"poppyarch/internal/record"
+	"poppyarch/internal/observability/record"
 )
 
 // Trace is the requests of one or several brokers, on the wall clock.
--- a/internal/lab/fit/fit_test.go
+++ b/internal/lab/fit/fit_test.go
@@ -13,7 +13,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 
 	"poppyarch/internal/lab/model"
-	"poppyarch/internal/record"
+	"poppyarch/internal/observability/record"
 )
 
 // recorded writes what two brokers with clocks of their own would have recorded of n requests, two classes, one node in use by one at a time
--- a/internal/load/install.go
+++ b/internal/lab/load/install.go
@@ -13,10 +13,10 @@
 	"sync"
 	"time"
 
-	"poppyarch/internal/discovery"
 	"poppyarch/internal/lab/model"
-	"poppyarch/internal/stack"
-	"poppyarch/internal/standin"
+	"poppyarch/internal/nodes/discovery"
+	"poppyarch/internal/testkit/cluster"
+	"poppyarch/internal/testkit/fake"
 )
 
 // Installation is a scenario's nodes and discovery as stand-ins in this process, and its brokers, all on loopback.
@@ -25,7 +25,7 @@
 	Blocks   []string // addresses of the brokers' block fronts
 	Objects  []string // or of their object fronts
 
-	nodes []*standin.Timed
+	nodes []*fake.Timed
 	stops []func() error
 }
 
@@ -58,17 +58,17 @@
 			in = nil
 		}
 	}()
-	disc := standin.NewDiscovery()
+	disc := fake.NewDiscovery()
 	for _, k := range s.Nodes {
 		for range k.Count {
-			n := &standin.Timed{Cores: k.Cores, Speed: k.Speed, Room: k.Room, Handshake: time.Duration(s.Service.Handshake)}
+			n := &fake.Timed{Cores: k.Cores, Speed: k.Speed, Room: k.Room, Handshake: time.Duration(s.Service.Handshake)}
 			block, err := in.serve(n.Serve)
 			if err != nil {
 				return in, err
 			}
 			t := discovery.Target{UID: fmt.Sprintf("s-%04d", len(in.nodes)), Endpoint: block, AZ: "room", PodGroup: len(in.nodes), State: "up", CapacityHint: 1}
 			if o.Objects {
-				objects := standin.NewObjects()
+				objects := fake.NewObjects()
 				objects.SetHook(func(w http.ResponseWriter, r *http.Request, next func()) {
 					done, ok := n.Take(Work(r.URL.Path))
 					if !ok {
@@ -109,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	ports, err := stack.Ports(in.Scenario.Brokers)
+	ports, err := cluster.Ports(in.Scenario.Brokers)
 	if err != nil {
 		return err
 	}
@@ -234,7 +234,7 @@
 }
 
 // pause has a node stand still as the trouble says: again and again at times of its own, or once.
-func (in *Installation) pause(ctx context.Context, t *model.Trouble, n *standin.Timed, seed, which uint64) {
+func (in *Installation) pause(ctx context.Context, t *model.Trouble, n *fake.Timed, seed, which uint64) {
 	lots := rand.New(rand.NewPCG(seed, which))
 	if lots.Float64() >= t.Share {
 		return
--- a/internal/load/load.go
+++ b/internal/lab/load/load.go
@@ -17,10 +17,10 @@
 	"sync/atomic"
 	"time"
 
-	"poppyarch/internal/lab/measure"
 	"poppyarch/internal/lab/model"
-	"poppyarch/internal/sketch"
-	"poppyarch/internal/standin"
+	"poppyarch/internal/lab/statistics"
+	"poppyarch/internal/observability/sketch"
+	"poppyarch/internal/testkit/fake"
 )
 
 // Run is a scenario's clients at work.
@@ -54,7 +54,7 @@
 type tally struct {
 	due, earned             [model.SeriesParts]float64
 	dueInside, earnedInside float64
-	asked, served, took     *measure.Batches
+	asked, served, took     *statistics.Batches
 	latency, late           sketch.Sketch
 	res                     model.Result
 	cut, wrong              int
@@ -88,7 +88,7 @@
 	}
 	classes := s.Ways()
 	from, to := time.Duration(s.Warm).Microseconds(), time.Duration(s.Last).Microseconds()
-	r.tally = tally{asked: measure.NewBatches(from, to, batches), served: measure.NewBatches(from, to, batches), took: measure.NewBatches(from, to, batches)}
+	r.tally = tally{asked: statistics.NewBatches(from, to, batches), served: statistics.NewBatches(from, to, batches), took: statistics.NewBatches(from, to, batches)}
 	for _, a := range addrs {
 		r.clients = append(r.clients, &pool{addr: a})
 	}
@@ -316,7 +316,7 @@
 		a.Units, a.Shard, a.Hosts)
 	var b strings.Builder
 	fmt.Fprintf(&b, "*%d\r\n", words)
-	for _, w := range []string{name, standin.Piece(a.Key, int64(a.Work)), id, list, "x"}[:words] {
+	for _, w := range []string{name, fake.Piece(a.Key, int64(a.Work)), id, list, "x"}[:words] {
 		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(w), w)
 	}
 	for {
--- a/internal/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -15,11 +15,11 @@
 	"testing"
 	"time"
 
-	"poppyarch/internal/config"
+	"poppyarch/internal/broker/config"
+	"poppyarch/internal/broker/server"
 	"poppyarch/internal/lab/experiment"
 	"poppyarch/internal/lab/fit"
 	"poppyarch/internal/lab/model"
-	"poppyarch/internal/serve"
 )
 
 const patience = 60 * time.Second
@@ -27,7 +27,7 @@
 // small is the example's scenario, so short and light that no machine is too slow for it, with times that no verdict hangs on.
 func small(t *testing.T) *model.Scenario {
 	t.Helper()
-	s, err := experiment.ReadScenario("../../examples/lab/live.toml")
+	s, err := experiment.ReadScenario("../../../examples/lab/live.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error, 1)
 		go func() {
-			done <- serve.Run(ctx, cfg, func(_ context.Context, a string) (net.Listener, error) { return net.Listen("tcp", a) }, nil,
+			done <- server.Run(ctx, cfg, func(_ context.Context, a string) (net.Listener, error) { return net.Listen("tcp", a) }, nil,
 				slog.New(slog.NewTextHandler(io.Discard, nil)))
 		}()
 		return func() error {
--- a/internal/lab/model/broker.go
+++ b/internal/lab/model/broker.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"poppyarch/internal/decision"
+	"poppyarch/internal/broker/decision"
 	"poppyarch/internal/lab/history"
 )
 
--- a/internal/lab/model/design.go
+++ b/internal/lab/model/design.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"poppyarch/internal/decision"
+	"poppyarch/internal/broker/decision"
 	"poppyarch/policy"
 )
 
--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"poppyarch/internal/decision"
+	"poppyarch/internal/broker/decision"
 )
 
 // discovery is one service for all brokers, which works through calls in turn and tells changes late.
--- a/internal/lab/model/export_test.go
+++ b/internal/lab/model/export_test.go
@@ -1,6 +1,6 @@
 package model
 
-import "poppyarch/internal/decision"
+import "poppyarch/internal/broker/decision"
 
 // ConfigOf is what the model's brokers are told, but for their seed.
 func ConfigOf(s *Scenario) decision.Config {
--- a/internal/lab/model/members.go
+++ b/internal/lab/model/members.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"poppyarch/internal/decision"
-	"poppyarch/internal/membership"
+	"poppyarch/internal/broker/decision"
+	"poppyarch/internal/nodes/membership"
 )
 
 // members is the module behind the broker's own membership, as where node lists or a control endpoint are set up: discovery's word is merged, and
--- a/internal/lab/model/members_test.go
+++ b/internal/lab/model/members_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"poppyarch/internal/decision"
+	"poppyarch/internal/broker/decision"
 )
 
 // teller records what the membership passes on.
--- a/internal/lab/model/run.go
+++ b/internal/lab/model/run.go
@@ -7,12 +7,12 @@
 	"sort"
 	"time"
 
-	"poppyarch/internal/decision"
+	"poppyarch/internal/broker/decision"
 	"poppyarch/internal/lab/engine"
 	"poppyarch/internal/lab/history"
-	"poppyarch/internal/lab/measure"
 	"poppyarch/internal/lab/rules"
-	"poppyarch/internal/sketch"
+	"poppyarch/internal/lab/statistics"
+	"poppyarch/internal/observability/sketch"
 )
 
 // batches is how many parts of a run the intervals are drawn from.
@@ -20,37 +20,37 @@
 
 // Result is what one run showed, after its warming up where a figure says nothing else. Times are seconds.
 type Result struct {
-	Scenario   string         `json:"scenario"`
-	Design     string         `json:"design"`
-	Seed       uint64         `json:"seed"`
-	Asked      measure.Figure `json:"asked"`   // requests a second
-	Served     measure.Figure `json:"served"`  // a second
-	Time       measure.Figure `json:"time"`    // from a client's first try to its answer, of those served
-	Inside     measure.Figure `json:"inside"`  // requests at all nodes together
-	Service    float64        `json:"service"` // worth earned over worth due, from the first second on
-	Reserved   float64        `json:"reserved"`
-	Series     []float64      `json:"series"` // service in so many parts of the run
-	Median     float64        `json:"median"` // of the time
-	P99        float64        `json:"p99"`
-	Quantiles  []float64      `json:"quantiles"` // of the time, at those of Quantiles
-	Full       int            `json:"full"`      // turned away by a full room
-	GivenUp    int            `json:"given_up"`  // by their clients
-	Refused    int            `json:"refused"`
-	Failed     int            `json:"failed"`
-	Late       int            `json:"late"` // served after the aim
-	Unheard    int            `json:"unheard"`
-	Attempts   int            `json:"attempts"`
-	Handshakes int            `json:"handshakes"`
-	Calls      int            `json:"calls"`     // of discovery
-	Fell       int            `json:"fell"`      // cold nodes
-	ColdPeak   float64        `json:"cold_peak"` // most that a cold node got in the window, against what the settings say that any bears, chance included
-	ColdSends  int            `json:"cold_sends"`
-	MostOpen   int            `json:"most_open"`
-	Moot       int            `json:"moot"` // sends that could not be
-	Requests   int            `json:"requests"`
-	Events     uint64         `json:"events"`
-	Broken     map[string]int `json:"broken,omitempty"`
-	Words      []rules.Broken `json:"words,omitempty"` // the first rules broken
+	Scenario   string            `json:"scenario"`
+	Design     string            `json:"design"`
+	Seed       uint64            `json:"seed"`
+	Asked      statistics.Figure `json:"asked"`   // requests a second
+	Served     statistics.Figure `json:"served"`  // a second
+	Time       statistics.Figure `json:"time"`    // from a client's first try to its answer, of those served
+	Inside     statistics.Figure `json:"inside"`  // requests at all nodes together
+	Service    float64           `json:"service"` // worth earned over worth due, from the first second on
+	Reserved   float64           `json:"reserved"`
+	Series     []float64         `json:"series"` // service in so many parts of the run
+	Median     float64           `json:"median"` // of the time
+	P99        float64           `json:"p99"`
+	Quantiles  []float64         `json:"quantiles"` // of the time, at those of Quantiles
+	Full       int               `json:"full"`      // turned away by a full room
+	GivenUp    int               `json:"given_up"`  // by their clients
+	Refused    int               `json:"refused"`
+	Failed     int               `json:"failed"`
+	Late       int               `json:"late"` // served after the aim
+	Unheard    int               `json:"unheard"`
+	Attempts   int               `json:"attempts"`
+	Handshakes int               `json:"handshakes"`
+	Calls      int               `json:"calls"`     // of discovery
+	Fell       int               `json:"fell"`      // cold nodes
+	ColdPeak   float64           `json:"cold_peak"` // most that a cold node got in the window, against what the settings say that any bears, chance included
+	ColdSends  int               `json:"cold_sends"`
+	MostOpen   int               `json:"most_open"`
+	Moot       int               `json:"moot"` // sends that could not be
+	Requests   int               `json:"requests"`
+	Events     uint64            `json:"events"`
+	Broken     map[string]int    `json:"broken,omitempty"`
+	Words      []rules.Broken    `json:"words,omitempty"` // the first rules broken
 }
 
 // Quantiles are where a result says how long those served took.
@@ -103,8 +103,8 @@
 	loadBy                  float64
 	lastID, keys            uint64
 
-	asked, spent, served    *measure.Batches
-	inside                  *measure.Level
+	asked, spent, served    *statistics.Batches
+	inside                  *statistics.Level
 	latency                 sketch.Sketch // microseconds
 	due, earned             ledger
 	dueInside, earnedInside float64
@@ -252,8 +252,8 @@
 func prepare(s *Scenario, design string, seed uint64) *run {
 	from, to := s.Warm.us(), s.Last.us()
 	r := &run{s: s, e: engine.New(seed), name: design, classes: s.classes(), byName: map[string]*Node{}, from: from, loadBy: 1,
-		asked: measure.NewBatches(from, to, batches), spent: measure.NewBatches(from, to, batches),
-		served: measure.NewBatches(from, to, batches), inside: measure.NewLevel(from, to, batches)}
+		asked: statistics.NewBatches(from, to, batches), spent: statistics.NewBatches(from, to, batches),
+		served: statistics.NewBatches(from, to, batches), inside: statistics.NewLevel(from, to, batches)}
 	per := max(to/SeriesParts, 1)
 	r.due, r.earned = ledger{per, make([]float64, SeriesParts)}, ledger{per, make([]float64, SeriesParts)}
 	r.who, r.again, r.lots, r.links = r.e.Stream("who"), r.e.Stream("again"), r.e.Stream("lots"), r.e.Stream("links")
--- a/internal/lab/model/settings_test.go
+++ b/internal/lab/model/settings_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/pelletier/go-toml/v2"
 
+	"poppyarch/internal/broker/settings"
 	"poppyarch/internal/lab/model"
-	"poppyarch/internal/settings"
 )
 
 // What brokers on sockets are told of a scenario is what the model's are told: read back from the platform's words, every figure is the same.
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -14,8 +14,8 @@
 
 	"poppyarch/internal/lab/chart"
 	"poppyarch/internal/lab/experiment"
-	"poppyarch/internal/lab/measure"
 	"poppyarch/internal/lab/model"
+	"poppyarch/internal/lab/statistics"
 )
 
 // Page is one report.
@@ -225,7 +225,7 @@
 	return Picture{SVG: template.HTML(svg[at:]), Text: text}, nil
 }
 
-func compare(less measure.Figure) (text, class string) {
+func compare(less statistics.Figure) (text, class string) {
 	switch {
 	case less.N == 0 || math.IsInf(less.Half, 1):
 		return "too few seeds to compare", "same"
@@ -265,7 +265,7 @@
 		if d == base {
 			continue
 		}
-		more, less, same, most, where := 0, 0, 0, measure.Figure{}, ""
+		more, less, same, most, where := 0, 0, 0, statistics.Figure{}, ""
 		for _, p := range t.Points {
 			f := t.Less(p, d, base, name)
 			switch _, class := compare(f); class {
@@ -329,7 +329,7 @@
 		for i, rs := range all {
 			c := Cell{Text: experiment.Over(rs, experiment.Measures[name]).String()}
 			if i > 0 {
-				less, err := measure.Paired(experiment.Values(rs, experiment.Measures[name]), experiment.Values(all[0], experiment.Measures[name]))
+				less, err := statistics.Paired(experiment.Values(rs, experiment.Measures[name]), experiment.Values(all[0], experiment.Measures[name]))
 				if err != nil {
 					return nil, err
 				}
--- a/internal/lab/hunt/hunt.go
+++ b/internal/lab/search/search.go
@@ -1,5 +1,5 @@
-// Package hunt looks for troubles under which a design breaks a rule or falls far behind another, and makes what it has found small: a case to keep.
-package hunt
+// Package search looks for troubles under which a design breaks a rule or falls far behind another, and makes what it has found small: a case to keep.
+package search
 
 import (
 	"context"
--- a/internal/lab/hunt/hunt_test.go
+++ b/internal/lab/search/search_test.go
@@ -1,4 +1,4 @@
-package hunt
+package search
 
 import (
 	"context"
--- a/internal/lab/measure/measure.go
+++ b/internal/lab/statistics/statistics.go
@@ -1,6 +1,6 @@
-// Package measure turns what a run shows into figures with intervals. One run's values follow each other and are not
+// Package statistics turns what a run shows into figures with intervals. One run's values follow each other and are not
 // independent; batches of them nearly are, and so are runs of different seeds.
-package measure
+package statistics
 
 import (
 	"encoding/json"
--- a/internal/lab/measure/measure_test.go
+++ b/internal/lab/statistics/statistics_test.go
@@ -1,4 +1,4 @@
-package measure
+package statistics
 
 import (
 	"encoding/json"
--- a/internal/discovery/discovery.go
+++ b/internal/nodes/discovery/discovery.go
@@ -19,11 +19,11 @@
 	"sync/atomic"
 	"time"
 
-	"poppyarch/internal/clock"
-	"poppyarch/internal/core"
-	"poppyarch/internal/decision"
-	"poppyarch/internal/facade"
-	"poppyarch/internal/limits"
+	"poppyarch/internal/broker/core"
+	"poppyarch/internal/broker/decision"
+	"poppyarch/internal/broker/dispatcher"
+	"poppyarch/internal/broker/limits"
+	"poppyarch/internal/timing/clock"
 )
 
 // List is the form of the node list, in the platform's words.
@@ -117,7 +117,7 @@
 	lim          *limits.Limits
 	deliver      func(nodes []core.Node, full bool)
 	notify       func(err error) // a watch has ended with err, or with nil a list has come
-	facade       *facade.Facade
+	facade       *dispatcher.Facade
 	log          *slog.Logger
 }
 
@@ -125,7 +125,7 @@
 const NoList int64 = -1
 
 // New returns a client that keeps the table and the module up to date. rev is that of the list they know.
-func New(addr string, rev int64, zones []string, table *core.Nodes, f *facade.Facade, lim *limits.Limits,
+func New(addr string, rev int64, zones []string, table *core.Nodes, f *dispatcher.Facade, lim *limits.Limits,
 	log *slog.Logger) *Client {
 	dialer := &net.Dialer{KeepAlive: -1}
 	c := &Client{
--- a/internal/discovery/discovery_test.go
+++ b/internal/nodes/discovery/discovery_test.go
@@ -13,13 +13,13 @@
 	"testing"
 	"time"
 
-	"poppyarch/internal/clock"
-	"poppyarch/internal/core"
-	"poppyarch/internal/decision"
-	"poppyarch/internal/discovery"
-	"poppyarch/internal/facade"
-	"poppyarch/internal/limits"
-	"poppyarch/internal/standin"
+	"poppyarch/internal/broker/core"
+	"poppyarch/internal/broker/decision"
+	"poppyarch/internal/broker/dispatcher"
+	"poppyarch/internal/broker/limits"
+	"poppyarch/internal/nodes/discovery"
+	"poppyarch/internal/testkit/fake"
+	"poppyarch/internal/timing/clock"
 )
 
 func testLimits() *limits.Limits {
@@ -38,7 +38,7 @@
 func client(t *testing.T, h http.Handler, lim *limits.Limits, tell ...func(error)) (*core.Nodes, *discovery.Client) {
 	t.Helper()
 	srv := httptest.NewServer(h)
-	f, err := facade.NewFacade(decision.Config{Ask: true, AskWithin: time.Second,
+	f, err := dispatcher.NewFacade(decision.Config{Ask: true, AskWithin: time.Second,
 		Classes: []decision.Class{{Name: "c", Aim: time.Second, Deadline: time.Second}}}, func(string) {})
 	if err != nil {
 		t.Fatal(err)
@@ -64,7 +64,7 @@
 // Moved in the middle of a watch that would wait a minute, the client reads the whole list at the new address at once,
 // whatever version the old one had, and what only the old one named is gone.
 func TestMovesAtOnce(t *testing.T) {
-	old, other := standin.NewDiscovery(), standin.NewDiscovery()
+	old, other := fake.NewDiscovery(), fake.NewDiscovery()
 	old.Set(target("a", "up"), target("b", "up"))
 	old.Set(target("a", "up"))
 	srv := httptest.NewServer(other)
@@ -93,7 +93,7 @@
 
 // A fleet that is told to move asks the new address spread over a time. Until then the watch at the old one brings news.
 func TestMoveOfAFleetIsSpread(t *testing.T) {
-	old, other := standin.NewDiscovery(), standin.NewDiscovery()
+	old, other := fake.NewDiscovery(), fake.NewDiscovery()
 	old.Set(target("a", "up"))
 	other.Set(target("b", "up"))
 	srv := httptest.NewServer(other)
@@ -129,8 +129,8 @@
 // Where a discovery cannot give the whole list to a broker that has moved there, what is new is asked for instead, and the
 // whole list once it can be had.
 func TestMoveToACrowdedDiscovery(t *testing.T) {
-	old, other := standin.NewDiscovery(), standin.NewDiscovery()
-	for _, d := range []*standin.Discovery{old, other} {
+	old, other := fake.NewDiscovery(), fake.NewDiscovery()
+	for _, d := range []*fake.Discovery{old, other} {
 		d.Set(target("a", "up"))
 		d.Set(target("b", "up"))
 	}
@@ -197,7 +197,7 @@
 
 // Changes reach the table, one call after the other.
 func TestWatchFollowsChanges(t *testing.T) {
-	d := standin.NewDiscovery()
+	d := fake.NewDiscovery()
 	table := watch(t, d, testLimits())
 	d.Set(target("a", "up"))
 	eventually(t, "a is up", state(table, "a")(decision.Ready))
@@ -210,7 +210,7 @@
 
 // A dead discovery leaves the list in force, is not hammered, and is taken up again.
 func TestOutlivesADeadDiscovery(t *testing.T) {
-	d := standin.NewDiscovery()
+	d := fake.NewDiscovery()
 	table := watch(t, d, testLimits())
 	d.Set(target("a", "up"))
 	eventually(t, "a is up", state(table, "a")(decision.Ready))
@@ -253,7 +253,7 @@
 func TestVersionZeroIsNotReadOverAndOver(t *testing.T) {
 	var mu sync.Mutex
 	var calls []string
-	d := standin.NewDiscovery()
+	d := fake.NewDiscovery()
 	table := watch(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		calls = append(calls, r.URL.RawQuery)
--- a/internal/discovery/held_test.go
+++ b/internal/nodes/discovery/held_test.go
@@ -14,11 +14,11 @@
 	"testing/synctest"
 	"time"
 
-	"poppyarch/internal/clock"
-	"poppyarch/internal/core"
-	"poppyarch/internal/decision"
-	"poppyarch/internal/facade"
-	"poppyarch/internal/limits"
+	"poppyarch/internal/broker/core"
+	"poppyarch/internal/broker/decision"
+	"poppyarch/internal/broker/dispatcher"
+	"poppyarch/internal/broker/limits"
+	"poppyarch/internal/timing/clock"
 )
 
 // span is a time from one moment to another, after the test's start.
@@ -124,7 +124,7 @@
 		move: at[2], crowdedTo: at[2] + time.Second}
 	lim := &limits.Limits{ListWait: 1_000_000, ListGrace: 1_000_000, ListTold: 6_000_000, ListPause: 100_000, MaxList: 1 << 16,
 		MaxListRows: 10, NodeIdle: 10_000_000, ListSpread: 400_000}
-	f, err := facade.NewFacade(decision.Config{Seed: seed, Hosts: 80, Ask: true, AskWithin: 10 * time.Second,
+	f, err := dispatcher.NewFacade(decision.Config{Seed: seed, Hosts: 80, Ask: true, AskWithin: 10 * time.Second,
 		Classes: []decision.Class{{Name: "c", Aim: time.Second, Deadline: time.Second}}}, func(string) {})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/discovery/retry_test.go
+++ b/internal/nodes/discovery/retry_test.go
@@ -14,11 +14,11 @@
 	"testing/synctest"
 	"time"
 
-	"poppyarch/internal/clock"
-	"poppyarch/internal/core"
-	"poppyarch/internal/decision"
-	"poppyarch/internal/facade"
-	"poppyarch/internal/limits"
+	"poppyarch/internal/broker/core"
+	"poppyarch/internal/broker/decision"
+	"poppyarch/internal/broker/dispatcher"
+	"poppyarch/internal/broker/limits"
+	"poppyarch/internal/timing/clock"
 )
 
 func discard() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
@@ -114,7 +114,7 @@
 // afterOutage is how long after the end of an outage a broker has the change made then.
 func afterOutage(t *testing.T, o *outage, hosts int, seed uint64) time.Duration {
 	lim := &limits.Limits{ListWait: listWait(hosts).Microseconds(), ListGrace: 1_000_000, ListTold: 6_000_000, ListPause: 100_000, MaxList: 1 << 16, MaxListRows: 10, NodeIdle: 10_000_000}
-	f, err := facade.NewFacade(decision.Config{Seed: seed, Hosts: hosts, Ask: true, AskWithin: 10 * time.Second,
+	f, err := dispatcher.NewFacade(decision.Config{Seed: seed, Hosts: hosts, Ask: true, AskWithin: 10 * time.Second,
 		Classes: []decision.Class{{Name: "c", Aim: time.Second, Deadline: time.Second}}}, func(string) {})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/discovery/slow_test.go
+++ b/internal/nodes/discovery/slow_test.go
@@ -12,8 +12,8 @@
 	"testing/synctest"
 	"time"
 
-	"poppyarch/internal/core"
-	"poppyarch/internal/limits"
+	"poppyarch/internal/broker/core"
+	"poppyarch/internal/broker/limits"
 )
 
 // A call that hangs is given up soon; where discovery is slow to answer each next call gets longer, up to a bound.
--- a/internal/membership/membership.go
+++ b/internal/nodes/membership/membership.go
@@ -11,7 +11,7 @@
 	"slices"
 	"sort"
 
-	"poppyarch/internal/wheel"
+	"poppyarch/internal/timing/timerwheel"
 )
 
 // Source is who says something.
@@ -106,7 +106,7 @@
 	begun bool // past the first words: what comes now is new
 	src   [sources]source
 	nodes map[string]*node
-	wheel *wheel.Wheel
+	wheel *timerwheel.Wheel
 	dirty map[string]bool
 	epoch uint64
 }
@@ -118,7 +118,7 @@
 	held    map[string]*Entry // omitted, and held back by the guard
 	heldAt  int64
 	reason  string
-	timer   wheel.Timer
+	timer   timerwheel.Timer
 }
 
 // node is what is remembered of one id.
@@ -131,13 +131,13 @@
 	penalty float64
 	at      int64 // of penalty
 	damped  bool
-	timer   wheel.Timer
+	timer   timerwheel.Timer
 	note    string
 }
 
 // New returns an empty set.
 func New(o Options, now int64) *Set {
-	s := &Set{o: o, now: now, nodes: map[string]*node{}, wheel: wheel.New(now, 1000), dirty: map[string]bool{}}
+	s := &Set{o: o, now: now, nodes: map[string]*node{}, wheel: timerwheel.New(now, 1000), dirty: map[string]bool{}}
 	for i := range s.src {
 		s.src[i] = source{version: math.MinInt64, entries: map[string]*Entry{}, held: map[string]*Entry{}}
 		s.src[i].timer.ID = "\x00" + Source(i).String()
@@ -271,7 +271,7 @@
 // time goes on to now and lets timers fire.
 func (s *Set) time(now int64) {
 	s.now = max(s.now, now)
-	s.wheel.Advance(s.now, func(t *wheel.Timer) {
+	s.wheel.Advance(s.now, func(t *timerwheel.Timer) {
 		for i := range s.src {
 			if t == &s.src[i].timer {
 				s.believe(&s.src[i])
--- a/internal/nodefile/nodefile_test.go
+++ b/internal/nodes/nodefile/nodefile_test.go
@@ -11,7 +11,7 @@
 
 	"pgregory.net/rapid"
 
-	"poppyarch/internal/fixedseed"
+	"poppyarch/internal/testkit/fixedseed"
 )
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
--- a/internal/console/console_test.go
+++ b/internal/observability/console/console_test.go
@@ -11,7 +11,7 @@
 
 	tea "github.com/charmbracelet/bubbletea"
 
-	"poppyarch/internal/control"
+	"poppyarch/internal/broker/control"
 	"poppyarch/internal/fleet/api"
 	"poppyarch/internal/fleet/state"
 )
--- a/internal/incident/check/check.go
+++ b/internal/observability/incident/check/check.go
@@ -5,7 +5,7 @@
 import (
 	"fmt"
 
-	"poppyarch/internal/incident"
+	"poppyarch/internal/observability/incident"
 )
 
 // Truth is an episode as it really was. Times are on the reference's clock.
--- a/internal/incident/clocks.go
+++ b/internal/observability/incident/clocks.go
@@ -5,7 +5,7 @@
 	"sort"
 	"strings"
 
-	"poppyarch/internal/record"
+	"poppyarch/internal/observability/record"
 )
 
 // Clock is how a boot's clock stands to the reference's: at its time t the reference shows t+Offset, give or take
--- a/internal/incident/clocks_test.go
+++ b/internal/observability/incident/clocks_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"poppyarch/internal/record"
+	"poppyarch/internal/observability/record"
 )
 
 // Two boots with the same clock: one was without a watch when version 9 was made, and heard it 1.3 s after the other. Only what
--- a/internal/incident/collect/collect.go
+++ b/internal/observability/incident/collect/collect.go
@@ -10,8 +10,8 @@
 	"slices"
 	"sort"
 
-	"poppyarch/internal/incident"
-	"poppyarch/internal/record"
+	"poppyarch/internal/observability/incident"
+	"poppyarch/internal/observability/record"
 )
 
 // Found tells what was read.
--- a/internal/incident/incident_test.go
+++ b/internal/observability/incident/incident_test.go
@@ -9,11 +9,11 @@
 	"strings"
 	"testing"
 
-	"poppyarch/internal/decision"
-	"poppyarch/internal/incident"
-	"poppyarch/internal/incident/check"
-	"poppyarch/internal/incident/report"
-	"poppyarch/internal/record"
+	"poppyarch/internal/broker/decision"
+	"poppyarch/internal/observability/incident"
+	"poppyarch/internal/observability/incident/check"
+	"poppyarch/internal/observability/incident/report"
+	"poppyarch/internal/observability/record"
 )
 
 const (
--- a/internal/incident/notes.go
+++ b/internal/observability/incident/notes.go
@@ -7,7 +7,7 @@
 	"sort"
 	"strings"
 
-	"poppyarch/internal/record"
+	"poppyarch/internal/observability/record"
 )
 
 // at is a note on the reference's clock.
--- a/internal/incident/report/report.go
+++ b/internal/observability/incident/report/report.go
@@ -12,7 +12,7 @@
 	"text/tabwriter"
 	"time"
 
-	"poppyarch/internal/incident"
+	"poppyarch/internal/observability/incident"
 )
 
 // JSON writes the analysis for programs.
--- a/internal/incident/report/report_test.go
+++ b/internal/observability/incident/report/report_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"poppyarch/internal/incident"
-	"poppyarch/internal/record"
+	"poppyarch/internal/observability/incident"
+	"poppyarch/internal/observability/record"
 )
 
 const sec = int64(1_000_000)
--- a/internal/incident/stream.go
+++ b/internal/observability/incident/stream.go
@@ -6,9 +6,9 @@
 	"slices"
 	"sort"
 
-	"poppyarch/internal/decision"
-	"poppyarch/internal/record"
-	"poppyarch/internal/sketch"
+	"poppyarch/internal/broker/decision"
+	"poppyarch/internal/observability/record"
+	"poppyarch/internal/observability/sketch"
 )
 
 // Stream takes in the records of one boot of one broker, in the order of their frames. Times are the broker's own
--- a/internal/incident/traffic.go
+++ b/internal/observability/incident/traffic.go
@@ -6,7 +6,7 @@
 	"slices"
 	"sort"
 
-	"poppyarch/internal/sketch"
+	"poppyarch/internal/observability/sketch"
 )
 
 // brokers makes episodes of deaths.
--- a/internal/incident/view.go
+++ b/internal/observability/incident/view.go
@@ -8,8 +8,8 @@
 	"sort"
 	"strings"
 
-	"poppyarch/internal/record"
-	"poppyarch/internal/sketch"
+	"poppyarch/internal/observability/record"
+	"poppyarch/internal/observability/sketch"
 )
 
 // view is everything on the reference's clock.
--- a/internal/record/event.go
+++ b/internal/observability/record/event.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"math"
 
-	"poppyarch/internal/sketch"
+	"poppyarch/internal/observability/sketch"
 )
 
 // Kind is what an event tells.
--- a/internal/record/recorder.go
+++ b/internal/observability/record/recorder.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"poppyarch/internal/sketch"
+	"poppyarch/internal/observability/sketch"
 )
 
 // Options bounds a recorder.
--- a/internal/wire/wire.go
+++ b/internal/simulator/simulator.go
@@ -1,6 +1,6 @@
-// Package wire translates between the simulator's lines and the module's events and actions.
+// Package simulator translates between the simulator's lines and the module's events and actions.
 // It decides nothing.
-package wire
+package simulator
 
 import (
 	"bufio"
@@ -12,8 +12,8 @@
 	"strings"
 	"time"
 
-	"poppyarch/internal/decision"
-	"poppyarch/internal/settings"
+	"poppyarch/internal/broker/decision"
+	"poppyarch/internal/broker/settings"
 	"poppyarch/policy"
 )
 
--- a/internal/stack/stack.go
+++ b/internal/testkit/cluster/cluster.go
@@ -1,6 +1,6 @@
-// Package stack puts a whole installation on loopback, for tests, measurements and the tour: storage nodes and discovery
+// Package cluster puts a whole installation on loopback, for tests, measurements and the tour: storage nodes and discovery
 // as stand-ins in this process, a manager and agents as processes, and the brokers that the agents start.
-package stack
+package cluster
 
 import (
 	"context"
@@ -18,10 +18,10 @@
 	"syscall"
 	"time"
 
-	"poppyarch/internal/discovery"
 	"poppyarch/internal/fleet/api"
-	"poppyarch/internal/proc"
-	"poppyarch/internal/standin"
+	"poppyarch/internal/host/process"
+	"poppyarch/internal/nodes/discovery"
+	"poppyarch/internal/testkit/fake"
 )
 
 // Options says what to put up.
@@ -45,9 +45,9 @@
 	opt     Options
 	Config  string // fleet.toml of the manager and the command line
 	Client  *api.Client
-	Disc    *standin.Discovery
-	Stores  []*standin.Block
-	Object  []*standin.Objects
+	Disc    *fake.Discovery
+	Stores  []*fake.Block
+	Object  []*fake.Objects
 	Block   []string // addresses of the block fronts
 	Front   []string // and of the object fronts
 	addrs   []string // of the nodes
@@ -60,7 +60,7 @@
 
 // New starts stand-ins and writes the files; Start starts the processes.
 func New(o Options) (*Stack, error) {
-	s := &Stack{opt: o, procs: map[string]*exec.Cmd{}, Disc: standin.NewDiscovery(), Config: filepath.Join(o.Dir, "fleet.toml")}
+	s := &Stack{opt: o, procs: map[string]*exec.Cmd{}, Disc: fake.NewDiscovery(), Config: filepath.Join(o.Dir, "fleet.toml")}
 	serve := func(f func(net.Listener) error) (string, error) {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -71,7 +71,7 @@
 		return ln.Addr().String(), nil
 	}
 	for k := range o.Nodes {
-		b, ob := standin.NewBlock(), standin.NewObjects()
+		b, ob := fake.NewBlock(), fake.NewObjects()
 		ba, err := serve(b.Serve)
 		if err != nil {
 			return nil, err
@@ -312,16 +312,16 @@
 }
 
 // Broker identifies the process of a broker, as the manager last heard.
-func (s *Stack) Broker(ctx context.Context, name string) (proc.Identity, string, error) {
+func (s *Stack) Broker(ctx context.Context, name string) (process.Identity, string, error) {
 	o, err := s.Client.Overview(ctx, []string{name}, nil)
 	if err != nil || len(o.Instances) != 1 {
-		return proc.Identity{}, "", fmt.Errorf("%s: %d instances, %w", name, len(o.Instances), err)
+		return process.Identity{}, "", fmt.Errorf("%s: %d instances, %w", name, len(o.Instances), err)
 	}
 	i := o.Instances[0]
 	if i.Seen.PID == 0 {
-		return proc.Identity{}, "", fmt.Errorf("%s: no process", name)
+		return process.Identity{}, "", fmt.Errorf("%s: no process", name)
 	}
-	id, err := proc.Of(i.Seen.PID)
+	id, err := process.Of(i.Seen.PID)
 	return id, i.Seen.Boot, err
 }
 
@@ -331,7 +331,7 @@
 	if err != nil {
 		return err
 	}
-	h, err := proc.Open(id)
+	h, err := process.Open(id)
 	if err != nil {
 		return err
 	}
@@ -342,10 +342,10 @@
 func (s *Stack) Close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	var left []proc.Identity
+	var left []process.Identity
 	if o, err := s.Client.Overview(ctx, nil, nil); err == nil {
 		for _, i := range o.Instances {
-			if id, err := proc.Of(i.Seen.PID); err == nil && i.Seen.PID > 0 {
+			if id, err := process.Of(i.Seen.PID); err == nil && i.Seen.PID > 0 {
 				left = append(left, id)
 			}
 		}
@@ -376,7 +376,7 @@
 	all.Wait()
 	var err error
 	for _, id := range left {
-		if h, e := proc.Open(id); e == nil {
+		if h, e := process.Open(id); e == nil {
 			h.Signal(syscall.SIGKILL)
 			<-h.Done()
 			err = errors.Join(err, fmt.Errorf("broker with pid %d had to be killed", id.PID))
--- a/internal/stack/edits.go
+++ b/internal/testkit/cluster/edits.go
@@ -1,4 +1,4 @@
-package stack
+package cluster
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"github.com/tidwall/redcon"
 
-	"poppyarch/internal/discovery"
+	"poppyarch/internal/nodes/discovery"
 )
 
 // Edit is one way to change the list under running brokers, and what came of it.
--- a/internal/stack/play.go
+++ b/internal/testkit/cluster/play.go
@@ -1,4 +1,4 @@
-package stack
+package cluster
 
 import (
 	"context"
@@ -10,10 +10,10 @@
 
 	"github.com/tidwall/redcon"
 
-	"poppyarch/internal/incident"
-	"poppyarch/internal/incident/check"
-	"poppyarch/internal/proc"
-	"poppyarch/internal/standin"
+	"poppyarch/internal/host/process"
+	"poppyarch/internal/observability/incident"
+	"poppyarch/internal/observability/incident/check"
+	"poppyarch/internal/testkit/fake"
 )
 
 // Hang has a node take requests and answer none, until the returned function is called. Requests that came meanwhile
@@ -33,7 +33,7 @@
 // Play drives a scripted incident with overlapping failures over a running fleet, each part as long as unit says, and
 // returns what really happened. Storage nodes go silent while brokers die; a node is drained during a volume's surge; discovery goes
 // down; a rollout goes through at the end.
-func (s *Stack) Play(ctx context.Context, load *standin.Traffic, unit time.Duration, say func(string)) (truths []check.Truth, gaps []check.Gap, err error) {
+func (s *Stack) Play(ctx context.Context, load *fake.Traffic, unit time.Duration, say func(string)) (truths []check.Truth, gaps []check.Gap, err error) {
 	now := func() int64 { return time.Now().UnixMicro() }
 	on, stop := context.WithCancel(ctx)
 	var all sync.WaitGroup
@@ -53,7 +53,7 @@
 		if err != nil {
 			return nil, err
 		}
-		h, err := proc.Open(id)
+		h, err := process.Open(id)
 		if err != nil {
 			return nil, err
 		}
@@ -125,7 +125,7 @@
 
 	say("a volume surges")
 	surge := now()
-	extra := &standin.Traffic{Blocks: s.Block, Read: load.Read, Write: load.Write, Plan: load.Plan, Shards: load.Shards, Clients: 1, Volume: 0xabcd,
+	extra := &fake.Traffic{Blocks: s.Block, Read: load.Read, Write: load.Write, Plan: load.Plan, Shards: load.Shards, Clients: 1, Volume: 0xabcd,
 		Pause: load.Pause / 20}
 	som, halt := context.WithTimeout(ctx, 4*unit)
 	extra.Run(som)
--- a/internal/compat/json_test.go
+++ b/internal/testkit/compat/json_test.go
@@ -6,27 +6,27 @@
 	"reflect"
 	"testing"
 
-	"poppyarch/internal/agent"
-	"poppyarch/internal/config"
-	"poppyarch/internal/control"
-	"poppyarch/internal/discovery"
+	"poppyarch/internal/broker/config"
+	"poppyarch/internal/broker/control"
+	"poppyarch/internal/broker/limits"
 	"poppyarch/internal/fleet/api"
 	"poppyarch/internal/fleet/journal"
 	"poppyarch/internal/fleet/reconcile"
 	"poppyarch/internal/fleet/spec"
 	"poppyarch/internal/fleet/state"
-	"poppyarch/internal/incident"
-	"poppyarch/internal/incident/collect"
-	"poppyarch/internal/inventory"
-	"poppyarch/internal/lab/measure"
+	"poppyarch/internal/host/agent"
+	"poppyarch/internal/host/inventory"
+	"poppyarch/internal/host/process"
+	"poppyarch/internal/lab/load"
 	"poppyarch/internal/lab/model"
 	"poppyarch/internal/lab/rules"
-	"poppyarch/internal/limits"
-	"poppyarch/internal/load"
-	"poppyarch/internal/membership"
-	"poppyarch/internal/nodefile"
-	"poppyarch/internal/proc"
-	"poppyarch/internal/record"
+	"poppyarch/internal/lab/statistics"
+	"poppyarch/internal/nodes/discovery"
+	"poppyarch/internal/nodes/membership"
+	"poppyarch/internal/nodes/nodefile"
+	"poppyarch/internal/observability/incident"
+	"poppyarch/internal/observability/incident/collect"
+	"poppyarch/internal/observability/record"
 )
 
 // TestJSONEncodingsAreStable holds each type that is stored, sent or printed as JSON to the bytes that it was encoded to
@@ -70,7 +70,7 @@
 		"incident-span":           &incident.Span{},
 		"inventory-instance":      &inventory.Instance{},
 		"journal-report":          &journal.Report{},
-		"lab-figure":              &measure.Figure{},
+		"lab-figure":              &statistics.Figure{},
 		"lab-result":              &model.Result{},
 		"lab-violation":           &rules.Broken{},
 		"limits":                  &limits.Limits{},
@@ -80,7 +80,7 @@
 		"nodefile-difference":     &nodefile.Difference{},
 		"nodefile-fault":          &nodefile.Fault{},
 		"nodefile-row":            &nodefile.Row{},
-		"process-identity":        &proc.Identity{},
+		"process-identity":        &process.Identity{},
 		"reconcile-command":       &reconcile.Command{},
 		"record-boot":             &record.Boot{},
 		"record-heartbeat":        &record.Beat{},
@@ -127,7 +127,7 @@
 		"control-state":         &control.State{},
 		"discovery-list":        &discovery.List{},
 		"limits":                &limits.Limits{},
-		"process-identity":      &proc.Identity{},
+		"process-identity":      &process.Identity{},
 		"reconcile-command":     &reconcile.Command{},
 		"record-boot":           &record.Boot{},
 		"record-heartbeat":      &record.Beat{},
--- a/internal/compat/stored_test.go
+++ b/internal/testkit/compat/stored_test.go
@@ -10,10 +10,10 @@
 
 	"poppyarch/internal/fleet/journal"
 	"poppyarch/internal/fleet/state"
-	"poppyarch/internal/inventory"
-	"poppyarch/internal/nodefile"
-	"poppyarch/internal/record"
-	"poppyarch/internal/sketch"
+	"poppyarch/internal/host/inventory"
+	"poppyarch/internal/nodes/nodefile"
+	"poppyarch/internal/observability/record"
+	"poppyarch/internal/observability/sketch"
 )
 
 // openJournal opens a journal folder that holds the given files and returns what was read and the folder.
--- a/internal/standin/discovery.go
+++ b/internal/testkit/fake/discovery.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"encoding/json"
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"poppyarch/internal/discovery"
+	"poppyarch/internal/nodes/discovery"
 )
 
 // Discovery serves a node list, whole or as a watch.
--- a/internal/standin/objects.go
+++ b/internal/testkit/fake/objects.go
@@ -1,6 +1,6 @@
-// Package standin has small stand-ins for the systems around a broker, written from the public specifications:
+// Package fake has small stand-ins for the systems around a broker, written from the public specifications:
 // object servers, block nodes and discovery. Tests and the example use them; the broker never does.
-package standin
+package fake
 
 import (
 	"bytes"
--- a/internal/wheel/wheel.go
+++ b/internal/timing/timerwheel/timerwheel.go
@@ -1,6 +1,6 @@
-// Package wheel is a hierarchical timing wheel: many timers of which most are moved or stopped before they fire. It has
+// Package timerwheel is a hierarchical timing wheel: many timers of which most are moved or stopped before they fire. It has
 // no clock and no goroutine; the owner says what time it is. Times are microseconds.
-package wheel
+package timerwheel
 
 const (
 	levels = 4
--- a/internal/wheel/wheel_test.go
+++ b/internal/timing/timerwheel/timerwheel_test.go
@@ -1,4 +1,4 @@
-package wheel
+package timerwheel
 
 import (
 	"container/heap"
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"poppyarch/internal/fixedseed"
+	"poppyarch/internal/testkit/fixedseed"
 )
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
--- a/internal/tomlat/tomlat.go
+++ b/internal/tomlerror/tomlerror.go
@@ -1,5 +1,5 @@
-// Package tomlat says where in a TOML file something is wrong.
-package tomlat
+// Package tomlerror says where in a TOML file something is wrong.
+package tomlerror
 
 import (
 	"errors"
--- a/internal/pool/pool.go
+++ b/internal/transport/pool/pool.go
@@ -11,10 +11,10 @@
 	"sync"
 	"time"
 
-	"poppyarch/internal/clock"
-	"poppyarch/internal/core"
-	"poppyarch/internal/limits"
-	"poppyarch/internal/socket"
+	"poppyarch/internal/broker/core"
+	"poppyarch/internal/broker/limits"
+	"poppyarch/internal/timing/clock"
+	"poppyarch/internal/transport/socket"
 )
 
 // ErrFull says that every descriptor set aside for nodes is in use.
--- a/internal/pool/pool_test.go
+++ b/internal/transport/pool/pool_test.go
@@ -8,10 +8,10 @@
 
 	"context"
 
-	"poppyarch/internal/clock"
-	"poppyarch/internal/core"
-	"poppyarch/internal/limits"
-	"poppyarch/internal/socket"
+	"poppyarch/internal/broker/core"
+	"poppyarch/internal/broker/limits"
+	"poppyarch/internal/timing/clock"
+	"poppyarch/internal/transport/socket"
 )
 
 // pipes is a pool whose connections are pipes, in a synctest bubble; it counts dials.
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -5,8 +5,8 @@
 	"math"
 	"time"
 
-	"poppyarch/internal/decision"
-	"poppyarch/internal/rate"
+	"poppyarch/internal/broker/decision"
+	"poppyarch/internal/timing/rate"
 )
 
 // volume is what this host knows of a tenant's volume over all nodes.
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"poppyarch/internal/decision"
+	"poppyarch/internal/broker/decision"
 )
 
 // What a request and a timer turn cost against the number of listed nodes: docs/measurements/full-fleet.md.
--- a/policy/depth.go
+++ b/policy/depth.go
@@ -4,8 +4,8 @@
 	"math"
 	"time"
 
-	"poppyarch/internal/decision"
-	"poppyarch/internal/rate"
+	"poppyarch/internal/broker/decision"
+	"poppyarch/internal/timing/rate"
 )
 
 // node is one storage node as seen from here. Seconds unless a type says otherwise.
--- a/policy/discovery_test.go
+++ b/policy/discovery_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"poppyarch/internal/decision"
+	"poppyarch/internal/broker/decision"
 )
 
 // slowDiscovery works through calls in turn, so many a second; a call that has waited too long fails, and has cost as much as
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"poppyarch/internal/decision"
+	"poppyarch/internal/broker/decision"
 	"poppyarch/policy"
 )
 
--- a/policy/many_test.go
+++ b/policy/many_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"poppyarch/internal/decision"
+	"poppyarch/internal/broker/decision"
 )
 
 // These tests are about one host among hundreds: it asks any one node for little, and what it does all the others do.
--- a/policy/nodelist.go
+++ b/policy/nodelist.go
@@ -3,8 +3,8 @@
 import (
 	"cmp"
 
-	"poppyarch/internal/decision"
-	"poppyarch/internal/rate"
+	"poppyarch/internal/broker/decision"
+	"poppyarch/internal/timing/rate"
 )
 
 // learn takes the node list's news.
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -12,9 +12,9 @@
 	"slices"
 	"time"
 
-	"poppyarch/internal/backoff"
-	"poppyarch/internal/decision"
-	"poppyarch/internal/rate"
+	"poppyarch/internal/broker/decision"
+	"poppyarch/internal/timing/backoff"
+	"poppyarch/internal/timing/rate"
 )
 
 // Tuned values. Times are wall times; the rest are plain ratios unless a unit is named.
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"poppyarch/internal/decision"
+	"poppyarch/internal/broker/decision"
 )
 
 const ms = time.Millisecond
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"poppyarch/internal/decision"
+	"poppyarch/internal/broker/decision"
 )
 
 // world plays clients, nodes and list at random, and checks every action against the seven rules with books of
--- a/policy/ramp_test.go
+++ b/policy/ramp_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"poppyarch/internal/decision"
+	"poppyarch/internal/broker/decision"
 )
 
 // fleetLoad drives many hosts at once over the same nodes: volumes that come through a few hosts each, one of which surges.
--- a/policy/request.go
+++ b/policy/request.go
@@ -6,8 +6,8 @@
 	"sort"
 	"time"
 
-	"poppyarch/internal/decision"
-	"poppyarch/internal/rate"
+	"poppyarch/internal/broker/decision"
+	"poppyarch/internal/timing/rate"
 )
 
 // request is one client request from arrival until it is over and all its attempts are known.
--- a/policy/rules.go
+++ b/policy/rules.go
@@ -4,8 +4,8 @@
 	"math"
 	"time"
 
-	"poppyarch/internal/decision"
-	"poppyarch/internal/rate"
+	"poppyarch/internal/broker/decision"
+	"poppyarch/internal/timing/rate"
 )
 
 // maySend holds all seven rules for one send now.
--- a/policy/size_test.go
+++ b/policy/size_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"poppyarch/internal/decision"
+	"poppyarch/internal/broker/decision"
 )
 
 // many lists n nodes of a shard each, all started at the given time.
--- a/tools/measure/fleet.go
+++ b/tools/measure/fleet.go
@@ -13,8 +13,8 @@
 
 	"github.com/spf13/cobra"
 
-	"poppyarch/internal/stack"
-	"poppyarch/internal/standin"
+	"poppyarch/internal/testkit/cluster"
+	"poppyarch/internal/testkit/fake"
 )
 
 // fleetCommand holds a rolling change of the fleet's manager and agents against one of the single agent, on loopback, under
@@ -33,7 +33,7 @@
 	for n := range runs {
 		for _, x := range []struct {
 			name string
-			f    func(context.Context, *stack.Stack, *standin.Traffic, string) (time.Duration, time.Duration, error)
+			f    func(context.Context, *cluster.Stack, *fake.Traffic, string) (time.Duration, time.Duration, error)
 		}{{"fleet", fleet}, {"fleet, agent killed in it", fleetKilled}, {"single agent", single}, {"single agent, killed", singleKilled}} {
 			if err := rolloutOnce(x.name, n+1, x.f); err != nil {
 				return fmt.Errorf("%s: %w", x.name, err)
@@ -43,19 +43,19 @@
 	return nil
 }
 
-func rolloutOnce(name string, n int, f func(context.Context, *stack.Stack, *standin.Traffic, string) (time.Duration, time.Duration, error)) error {
+func rolloutOnce(name string, n int, f func(context.Context, *cluster.Stack, *fake.Traffic, string) (time.Duration, time.Duration, error)) error {
 	dir, err := os.MkdirTemp("", "fleet")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	s, err := stack.New(stack.Options{Dir: dir, Program: program, Nodes: 3, Blocks: 5, Objects: 3, Agents: 1, Soak: 100 * time.Millisecond})
+	s, err := cluster.New(cluster.Options{Dir: dir, Program: program, Nodes: 3, Blocks: 5, Objects: 3, Agents: 1, Soak: 100 * time.Millisecond})
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
-	load := &standin.Traffic{Blocks: s.Block, Objects: s.Front, Read: "artwork-read", Write: "job-new", Plan: "basis", Shards: 3, Clients: 4,
+	load := &fake.Traffic{Blocks: s.Block, Objects: s.Front, Read: "artwork-read", Write: "job-new", Plan: "basis", Shards: 3, Clients: 4,
 		Pause: 5 * time.Millisecond}
 	start, change, err := f(ctx, s, load, program)
 	if e := s.Close(); err == nil {
@@ -70,7 +70,7 @@
 }
 
 // under drives load while f runs, and half a second before and after.
-func under(ctx context.Context, load *standin.Traffic, f func() error) (time.Duration, error) {
+func under(ctx context.Context, load *fake.Traffic, f func() error) (time.Duration, error) {
 	on, stop := context.WithCancel(ctx)
 	var all sync.WaitGroup
 	all.Go(func() { load.Run(on) })
@@ -84,7 +84,7 @@
 	return took, err
 }
 
-func settle(ctx context.Context, s *stack.Stack) error {
+func settle(ctx context.Context, s *cluster.Stack) error {
 	for ctx.Err() == nil {
 		if o, err := s.Client.Overview(ctx, nil, nil); err == nil && o.Settled && o.Rev > 0 {
 			return nil
@@ -94,7 +94,7 @@
 	return ctx.Err()
 }
 
-func begin(ctx context.Context, s *stack.Stack) (time.Duration, error) {
+func begin(ctx context.Context, s *cluster.Stack) (time.Duration, error) {
 	if err := s.Start(ctx); err != nil {
 		return 0, err
 	}
@@ -108,16 +108,16 @@
 	return time.Since(at), settle(ctx, s)
 }
 
-func fleet(ctx context.Context, s *stack.Stack, load *standin.Traffic, _ string) (start, change time.Duration, err error) {
+func fleet(ctx context.Context, s *cluster.Stack, load *fake.Traffic, _ string) (start, change time.Duration, err error) {
 	return managed(ctx, s, load, false)
 }
 
-func fleetKilled(ctx context.Context, s *stack.Stack, load *standin.Traffic, _ string) (start, change time.Duration, err error) {
+func fleetKilled(ctx context.Context, s *cluster.Stack, load *fake.Traffic, _ string) (start, change time.Duration, err error) {
 	return managed(ctx, s, load, true)
 }
 
 // managed changes all brokers by the fleet's manager; with kill its agent is killed in the middle of it.
-func managed(ctx context.Context, s *stack.Stack, load *standin.Traffic, kill bool) (start, change time.Duration, err error) {
+func managed(ctx context.Context, s *cluster.Stack, load *fake.Traffic, kill bool) (start, change time.Duration, err error) {
 	at := time.Now()
 	if _, err = begin(ctx, s); err != nil {
 		return
@@ -144,7 +144,7 @@
 }
 
 // agent starts the single agent and waits until all its instances run.
-func agent(s *stack.Stack, program, dir string) (*exec.Cmd, error) {
+func agent(s *cluster.Stack, program, dir string) (*exec.Cmd, error) {
 	cmd := exec.Command(program, "agent", "--inventory", filepath.Join(filepath.Dir(s.Config), "inventory.yaml"), "--run-dir", dir)
 	cmd.Stderr, _ = os.Create(filepath.Join(dir, "agent.log"))
 	if err := cmd.Start(); err != nil {
@@ -159,17 +159,17 @@
 	}
 }
 
-func single(ctx context.Context, s *stack.Stack, load *standin.Traffic, program string) (start, change time.Duration, err error) {
+func single(ctx context.Context, s *cluster.Stack, load *fake.Traffic, program string) (start, change time.Duration, err error) {
 	return alone(ctx, s, load, program, false)
 }
 
-func singleKilled(ctx context.Context, s *stack.Stack, load *standin.Traffic, program string) (start, change time.Duration, err error) {
+func singleKilled(ctx context.Context, s *cluster.Stack, load *fake.Traffic, program string) (start, change time.Duration, err error) {
 	return alone(ctx, s, load, program, true)
 }
 
 var agentKey = regexp.MustCompile(`, agent: m\d+`)
 
-func alone(ctx context.Context, s *stack.Stack, load *standin.Traffic, program string, kill bool) (start, change time.Duration, err error) {
+func alone(ctx context.Context, s *cluster.Stack, load *fake.Traffic, program string, kill bool) (start, change time.Duration, err error) {
 	dir := filepath.Join(filepath.Dir(s.Config), "single")
 	if err = os.Mkdir(dir, 0o700); err != nil {
 		return
--- a/tools/measure/incident.go
+++ b/tools/measure/incident.go
@@ -8,12 +8,12 @@
 
 	"github.com/spf13/cobra"
 
-	"poppyarch/internal/incident"
-	"poppyarch/internal/incident/check"
-	"poppyarch/internal/incident/collect"
-	"poppyarch/internal/incident/report"
-	"poppyarch/internal/stack"
-	"poppyarch/internal/standin"
+	"poppyarch/internal/observability/incident"
+	"poppyarch/internal/observability/incident/check"
+	"poppyarch/internal/observability/incident/collect"
+	"poppyarch/internal/observability/incident/report"
+	"poppyarch/internal/testkit/cluster"
+	"poppyarch/internal/testkit/fake"
 )
 
 // incidentCommand plays a scripted incident over a whole installation on loopback, has the report made from the brokers'
@@ -36,12 +36,12 @@
 	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
-	s, err := stack.Up(ctx, stack.Options{Dir: dir, Program: program, Nodes: 4, Blocks: 3, Objects: 2, Agents: 1, Soak: 100 * time.Millisecond,
+	s, err := cluster.Up(ctx, cluster.Options{Dir: dir, Program: program, Nodes: 4, Blocks: 3, Objects: 2, Agents: 1, Soak: 100 * time.Millisecond,
 		Aim: 400 * time.Millisecond, Record: true})
 	if err != nil {
 		return err
 	}
-	load := &standin.Traffic{Blocks: s.Block, Objects: s.Front, Read: "artwork-read", Write: "job-new", Plan: "basis", Shards: 4, Clients: 6,
+	load := &fake.Traffic{Blocks: s.Block, Objects: s.Front, Read: "artwork-read", Write: "job-new", Plan: "basis", Shards: 4, Clients: 6,
 		Pause: 20 * time.Millisecond, Patience: 1200 * time.Millisecond}
 	start := time.Now()
 	truths, gaps, err := s.Play(ctx, load, unit, func(text string) { fmt.Printf("%6.2f s  %s\n", time.Since(start).Seconds(), text) })
--- a/tools/measure/nodes.go
+++ b/tools/measure/nodes.go
@@ -9,8 +9,8 @@
 
 	"github.com/spf13/cobra"
 
-	"poppyarch/internal/stack"
-	"poppyarch/internal/standin"
+	"poppyarch/internal/testkit/cluster"
+	"poppyarch/internal/testkit/fake"
 )
 
 // nodesCommand edits the list of storage nodes in every way under running brokers and load, and measures when new work
@@ -60,7 +60,7 @@
 	return nil
 }
 
-func editsOnce() ([]stack.Edit, error) {
+func editsOnce() ([]cluster.Edit, error) {
 	dir, err := os.MkdirTemp("", "nodes")
 	if err != nil {
 		return nil, err
@@ -68,13 +68,13 @@
 	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
-	s, err := stack.Up(ctx, stack.Options{Dir: dir, Program: program, Nodes: 4, Blocks: 2, Objects: 1, Agents: 1, Soak: 50 * time.Millisecond,
+	s, err := cluster.Up(ctx, cluster.Options{Dir: dir, Program: program, Nodes: 4, Blocks: 2, Objects: 1, Agents: 1, Soak: 50 * time.Millisecond,
 		Aim: 2 * time.Second, Lists: true})
 	if err != nil {
 		return nil, err
 	}
 	defer s.Close()
-	load := &standin.Traffic{Blocks: s.Block, Objects: s.Front, Read: "artwork-read", Write: "job-new", Plan: "basis", Shards: 4, Clients: 4,
+	load := &fake.Traffic{Blocks: s.Block, Objects: s.Front, Read: "artwork-read", Write: "job-new", Plan: "basis", Shards: 4, Clients: 4,
 		Pause: 2 * time.Millisecond}
 	on, stop := context.WithCancel(ctx)
 	var all sync.WaitGroup
--- a/tools/measure/record.go
+++ b/tools/measure/record.go
@@ -15,11 +15,11 @@
 
 	"github.com/spf13/cobra"
 
-	"poppyarch/internal/incident"
-	"poppyarch/internal/incident/collect"
-	"poppyarch/internal/record"
-	"poppyarch/internal/stack"
-	"poppyarch/internal/standin"
+	"poppyarch/internal/observability/incident"
+	"poppyarch/internal/observability/incident/collect"
+	"poppyarch/internal/observability/record"
+	"poppyarch/internal/testkit/cluster"
+	"poppyarch/internal/testkit/fake"
 )
 
 // recordCommand measures what records cost: a broker's CPU for a request without, with sampled and with full recording, and
@@ -69,7 +69,7 @@
 		return 0, err
 	}
 	defer os.RemoveAll(dir)
-	s, err := stack.New(stack.Options{Dir: dir, Program: program, Nodes: 3, Blocks: 1})
+	s, err := cluster.New(cluster.Options{Dir: dir, Program: program, Nodes: 3, Blocks: 1})
 	if err != nil {
 		return 0, err
 	}
@@ -97,7 +97,7 @@
 	if err := cmd.Start(); err != nil {
 		return 0, err
 	}
-	load := &standin.Traffic{Blocks: s.Block, Read: "artwork-read", Write: "job-new", Plan: "basis", Shards: 3, Clients: 8, Pause: 200 * time.Microsecond}
+	load := &fake.Traffic{Blocks: s.Block, Read: "artwork-read", Write: "job-new", Plan: "basis", Shards: 3, Clients: 8, Pause: 200 * time.Microsecond}
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 	load.Run(ctx)
 	cancel()
--- a/tools/measure/subset.go
+++ b/tools/measure/subset.go
@@ -7,7 +7,7 @@
 	"github.com/spf13/cobra"
 	"gonum.org/v1/gonum/stat"
 
-	"poppyarch/internal/routing"
+	"poppyarch/internal/nodes/routing"
 )
 
 // subsetNodes are n of them, without the first so many.
--- a/tools/runtests/main.go
+++ b/tools/runtests/main.go
@@ -11,7 +11,7 @@
 	"slices"
 	"strings"
 
-	"poppyarch/internal/knownred"
+	"poppyarch/internal/testkit/knownred"
 )
 
 const list = "KNOWN-RED.txt"
