--- a/cmd/poppyarch/fleet.go
+++ b/cmd/poppyarch/fleet.go
@@ -90,7 +90,7 @@
 	if u, err := user.Current(); err == nil {
 		by = u.Username
 	}
-	return state.Command{ID: id, By: by, Note: note, Expect: expect, DryRun: dry}
+	return state.Command{ID: id, Author: by, Note: note, ExpectedRevision: expect, DryRun: dry}
 }
 
 // fleetCommand is `poppyarch fleet`.
@@ -156,7 +156,7 @@
 			}
 			defer dir.Close()
 			lim := state.DefaultLimits()
-			lim.Silence, lim.Revisions = s.Manager.Silence.Micros(), s.Manager.Revisions
+			lim.AgentTimeout, lim.MaxRevisions = s.Manager.Silence.Micros(), s.Manager.Revisions
 			m, err := manager.Open(dir, manager.Options{Limits: lim, AcceptDamage: s.Manager.AcceptDamage}, log)
 			if err != nil {
 				return err
@@ -319,7 +319,7 @@
 		sub := &cobra.Command{
 			Use: x.name, Short: x.short, Args: usage(cobra.NoArgs),
 			RunE: f.with(func(in *session) error {
-				r, err := in.client.Steer(in.ctx, &api.SteerCall{Command: f.command(note, 0, false), Rev: rev, To: x.to})
+				r, err := in.client.Steer(in.ctx, &api.SetPhaseCall{Command: f.command(note, 0, false), Rev: rev, To: x.to})
 				if err != nil {
 					return err
 				}
@@ -378,11 +378,11 @@
 	})
 	for _, x := range []struct {
 		name, short string
-		to          spec.NodeState
+		to          spec.NodeOverrideState
 	}{
 		{"add", "Have brokers use a node that discovery does not know", spec.NodeAdded},
-		{"drain", "Send nodes nothing new; what is open goes on", spec.NodeDrain},
-		{"out", "Take nodes out, as if discovery had removed them", spec.NodeOut},
+		{"drain", "Send nodes nothing new; what is open goes on", spec.NodeDraining},
+		{"out", "Take nodes out, as if discovery had removed them", spec.NodeRemoved},
 		{"back", "Take the word on nodes back: discovery's counts alone", ""},
 	} {
 		var addr, objects, zone, note string
@@ -397,7 +397,7 @@
 				for _, id := range ids {
 					ch := state.NodeChange{ID: id}
 					if x.to != "" {
-						ch.To = &spec.Node{ID: id, State: x.to, Addr: addr, Objects: objects, Shard: shard, Zone: zone}
+						ch.Override = &spec.NodeOverride{ID: id, State: x.to, Addr: addr, ObjectAddr: objects, Shard: shard, Zone: zone}
 					}
 					list = append(list, ch)
 				}
--- a/cmd/poppyarch/root.go
+++ b/cmd/poppyarch/root.go
@@ -41,11 +41,11 @@
 	switch {
 	case errors.As(err, &e):
 		return e.code
-	case errors.Is(err, agent.ErrNoAgent), errors.Is(err, api.ErrDown):
+	case errors.Is(err, agent.ErrNoAgent), errors.Is(err, api.ErrUnavailable):
 		return exitNoAgent
-	case errors.Is(err, state.ErrConflict), errors.Is(err, state.ErrOverlap), errors.Is(err, state.ErrState):
+	case errors.Is(err, state.ErrConflict), errors.Is(err, state.ErrRolloutActive), errors.Is(err, state.ErrInvalidState):
 		return exitMoved
-	case errors.Is(err, state.ErrUnknown), errors.Is(err, api.ErrRequest):
+	case errors.Is(err, state.ErrNotFound), errors.Is(err, api.ErrRequest):
 		return exitUsage
 	case errors.Is(err, agent.ErrUnknown):
 		return exitUsage
--- a/internal/backend/blockstore/client.go
+++ b/internal/backend/blockstore/client.go
@@ -37,10 +37,10 @@
 	return &Client{pool: p, clock: c, lim: lim}
 }
 
-// Do makes one attempt. A break before the last byte was written proves that nothing ran; after it nothing is
+// Attempt makes one attempt. A break before the last byte was written proves that nothing ran; after it nothing is
 // proven. Nothing is ever written twice.
-func (c *Client) Do(ctx context.Context, a core.Attempt[*Command]) ([]byte, core.Outcome) {
-	conn, out := c.pool.Lend(ctx, a.Node.Addr, a.Unsafe, a.Deadline, a.Open)
+func (c *Client) Attempt(ctx context.Context, a core.Attempt[*Command]) ([]byte, core.Outcome) {
+	conn, out := c.pool.Lend(ctx, a.Node.Addr, a.NotIdempotent, a.Deadline, a.MayStart)
 	if conn == nil {
 		return nil, out
 	}
@@ -50,7 +50,7 @@
 	msg := a.Work.encode((a.Deadline - sent) / 1000)
 	if n, err := conn.Write(msg); err != nil || n < len(msg) {
 		c.pool.Drop(conn)
-		return nil, core.Unsent
+		return nil, core.SendIncomplete
 	}
 	rep, err := c.read(ctx, conn, a.Deadline)
 	if err == nil && !rep.spoilt && stop() {
@@ -62,9 +62,9 @@
 	case err == nil:
 		return rep.value, rep.outcome()
 	case ctx.Err() != nil:
-		return nil, core.Ended(ctx)
+		return nil, core.OutcomeOf(ctx)
 	case errors.Is(err, errSyntax): // nothing against the node, whose other connections are sound
-		return nil, core.Spoilt
+		return nil, core.MalformedResponse
 	}
 	if timedOut(err) {
 		c.pool.Quiet(a.Node.Addr, sent)
@@ -80,11 +80,11 @@
 	if _, err := conn.R.Peek(1); err != nil {
 		return reply{}, err
 	}
-	conn.SetReadDeadline(time.Now().Add(clock.Duration(min(c.lim.AnswerRest, deadline-c.clock.Now()))))
+	conn.SetReadDeadline(time.Now().Add(clock.Duration(min(c.lim.ResponseCompletionTimeout, deadline-c.clock.Now()))))
 	if ctx.Err() != nil { // its own deadline may just have been overwritten
 		return reply{}, ctx.Err()
 	}
-	rep, err := readReply(conn.R, c.lim.MaxValue)
+	rep, err := readReply(conn.R, c.lim.MaxValueBytes)
 	if timedOut(err) {
 		err = errSyntax
 	}
--- a/internal/backend/blockstore/resp.go
+++ b/internal/backend/blockstore/resp.go
@@ -28,7 +28,7 @@
 	case r.value != nil:
 		return core.Served
 	case r.err == "BUSY" || strings.HasPrefix(r.err, "BUSY "):
-		return core.TurnedAway
+		return core.Rejected
 	}
 	return core.NodeError
 }
--- a/internal/backend/objectstore/client.go
+++ b/internal/backend/objectstore/client.go
@@ -29,9 +29,9 @@
 	return &Client{pool: p, clock: c, lim: lim}
 }
 
-// Do makes one attempt: one exchange, written once.
-func (c *Client) Do(ctx context.Context, a core.Attempt[*Call]) (*Result, core.Outcome) {
-	conn, out := c.pool.Lend(ctx, a.Node.Objects, a.Unsafe, a.Deadline, a.Open)
+// Attempt makes one attempt: one exchange, written once.
+func (c *Client) Attempt(ctx context.Context, a core.Attempt[*Call]) (*Result, core.Outcome) {
+	conn, out := c.pool.Lend(ctx, a.Node.ObjectAddr, a.NotIdempotent, a.Deadline, a.MayStart)
 	if conn == nil {
 		return nil, out
 	}
@@ -39,10 +39,10 @@
 	defer stop()
 	method, target, h, body := a.Work.request()
 	sent := c.clock.Now()
-	msg := encode(a.Node.Objects, method, target, h, body)
+	msg := encode(a.Node.ObjectAddr, method, target, h, body)
 	if n, err := conn.Write(msg); err != nil || n < len(msg) {
 		c.pool.Drop(conn)
-		return nil, core.Unsent // its last byte was never written
+		return nil, core.SendIncomplete // its last byte was never written
 	}
 	res, keep, err := c.read(ctx, conn, a)
 	if err == nil && keep && stop() {
@@ -51,22 +51,22 @@
 		c.pool.Drop(conn) // also gives the attempt up at the node
 	}
 	if err == nil {
-		return res, verdict(res, a.Unsafe)
+		return res, verdict(res, a.NotIdempotent)
 	}
 	if ctx.Err() != nil {
-		return res, core.Ended(ctx)
+		return res, core.OutcomeOf(ctx)
 	}
 	var ne net.Error
 	switch {
 	case errors.Is(err, errVersion), errors.Is(err, errTooLong):
 		return res, core.NodeError
 	case errors.As(err, &ne) && ne.Timeout():
-		c.pool.Quiet(a.Node.Objects, sent)
+		c.pool.Quiet(a.Node.ObjectAddr, sent)
 		return res, core.TimedOut
 	case errors.As(err, &ne), errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
 		return res, core.ConnectionLost
 	}
-	return res, core.Spoilt // it came, and cannot be read
+	return res, core.MalformedResponse // it came, and cannot be read
 }
 
 // errVersion says that a resent read met another version of the object.
@@ -75,7 +75,7 @@
 // read takes in the answer. An error with a Result says that it broke after it had begun to reach the client.
 func (c *Client) read(ctx context.Context, conn *pool.Conn, a core.Attempt[*Call]) (*Result, bool, error) {
 	call := a.Work
-	resp, err := head(conn, call.Method, int64(c.lim.MaxHead))
+	resp, err := head(conn, call.Method, int64(c.lim.MaxHeaderBytes))
 	if err != nil {
 		return nil, false, err
 	}
@@ -94,7 +94,7 @@
 	if k := call.kept; k != nil {
 		res.Status, res.Header, buf = k.status, k.header, k.body
 	}
-	buf, whole, err := fill(resp.Body, buf, c.lim.ObjectBuffer)
+	buf, whole, err := fill(resp.Body, buf, c.lim.ObjectBufferBytes)
 	if call.kept != nil {
 		call.kept.body = buf
 	}
@@ -107,13 +107,13 @@
 	}
 	if call.Stream == nil || resp.StatusCode >= 300 {
 		// Answers other than objects are small; one that is not is no answer.
-		if buf, whole, err = fill(resp.Body, buf, int(c.lim.MaxCompletion)); err == nil && !whole {
+		if buf, whole, err = fill(resp.Body, buf, int(c.lim.MaxCompletionBytes)); err == nil && !whole {
 			err = errTooLong
 		}
 		res.Body = buf
 		return res, keep, err
 	}
-	a.Begin()
+	a.ResponseStarted()
 	res.Streamed = true
 	err = c.stream(ctx, conn, call.Stream(res), buf, resp.Body)
 	res.Broken = err != nil
@@ -168,7 +168,7 @@
 	}
 	chunk := make([]byte, 32<<10)
 	for {
-		conn.SetDeadline(time.Now().Add(clock.Duration(c.lim.ObjectStall)))
+		conn.SetDeadline(time.Now().Add(clock.Duration(c.lim.ObjectStallTimeout)))
 		if ctx.Err() != nil { // its own deadline may just have been overwritten
 			return ctx.Err()
 		}
@@ -196,7 +196,7 @@
 		if unsafe {
 			return core.NodeError
 		}
-		return core.TurnedAway
+		return core.Rejected
 	case r.Status >= 500 && r.Status != http.StatusNotImplemented:
 		return core.NodeError
 	}
--- a/internal/broker/config/config.go
+++ b/internal/broker/config/config.go
@@ -169,14 +169,14 @@
 	}
 	// The settings say whether the simulator's clients get advice; the protocol's always may. A refusal goes out at
 	// once, so it should say when coming back is worth while.
-	c.Policy.Hints = true
-	if c.Policy.MaxHint == 0 {
-		c.Policy.MaxHint = 2 * time.Second
+	c.Policy.SendsRetryAfter = true
+	if c.Policy.MaxRetryAfter == 0 {
+		c.Policy.MaxRetryAfter = 2 * time.Second
 	}
 	// Over sockets lists come on a watch that the broker has opened, also where the settings say that they are pushed: then
 	// an agent of this broker's own has them, and what it has counts as told whether or not a watch is open.
-	if !c.Policy.Ask {
-		c.Policy.Ask, c.Policy.Pushed = true, true
+	if !c.Policy.PollsEndpoints {
+		c.Policy.PollsEndpoints, c.Policy.LocalDiscoveryAgent = true, true
 	}
 	if _, err := policy.New(c.Policy); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -202,10 +202,10 @@
 			return nil, fmt.Errorf("nodes.%w", err)
 		}
 		if n.Zone != "" {
-			if c.Policy.Home = slices.Index(c.Zones, n.Zone) + 1; c.Policy.Home == 0 {
+			if c.Policy.LocalZone = slices.Index(c.Zones, n.Zone) + 1; c.Policy.LocalZone == 0 {
 				return nil, fmt.Errorf("nodes.zone: %q is none of settings.zones", n.Zone)
 			}
-			c.Policy.Far = time.Duration(cmp.Or(n.FarMS, 50)) * time.Millisecond
+			c.Policy.RemoteZonePenalty = time.Duration(cmp.Or(n.FarMS, 50)) * time.Millisecond
 		}
 	}
 	if c.Record != nil {
--- a/internal/broker/config/limits.go
+++ b/internal/broker/config/limits.go
@@ -57,62 +57,62 @@
 	memory := m.MemoryMB << 20
 	free := m.Sockets - ownDescriptors
 	return &limits.Limits{
-		Procs: max(int(m.Cores), 1), Memory: memory * 6 / 10, Descriptors: m.Sockets,
+		Procs: max(int(m.Cores), 1), MemoryBytes: memory * 6 / 10, Descriptors: m.Sockets,
 		ClientConns: free * 2 / 3, NodeConns: free / 3,
-		MaxOpen: 4096, MaxBodies: memory / 6, MaxPipeline: 128, MaxMessage: 72 << 10, MaxArgs: 16, MaxValue: 64 << 10,
-		MaxID: 64, MaxParams: 1024, ClientWrite: 5 * second, ClientFirst: 2*second + 500*ms, ClientStall: second + 500*ms,
-		ClientKeep: m.Sockets/3 - m.Sockets/24, // clients may hold a third: idle ones must not use that up
-		ClientLull: 2 * second, ClientIdle: 10 * second, ClientLinger: 200 * ms, BusyHint: 200 * ms,
-		AnswerMargin: 5 * ms, DrainAccept: 500 * ms, DrainTotal: 5*second + 500*ms,
-		Connect: 250 * ms, NodeIdle: 10 * second, NodeFresh: 5 * second, NodeRest: 20 * ms, AnswerRest: 150 * ms, IdlePerNode: 16,
-		ListWait: second, ListGrace: second, ListTold: 6 * second, ListPause: 100 * ms, MaxList: 4 << 20, MaxListRows: 10000,
-		MaxObject: 16 << 20, MaxHead: 16 << 10, ObjectBuffer: 64 << 10, MaxParts: 10000, ObjectIdle: 60 * second,
-		ObjectStall: 10 * second, MaxCompletion: 1 << 20, ReadBack: second, ReadBackPause: 100 * ms,
+		MaxInFlight: 4096, MaxBodyBytes: memory / 6, MaxPipeline: 128, MaxMessageBytes: 72 << 10, MaxArgs: 16, MaxValueBytes: 64 << 10,
+		MaxID: 64, MaxParams: 1024, ClientWriteTimeout: 5 * second, ClientFirstByteTimeout: 2*second + 500*ms, ClientStallTimeout: second + 500*ms,
+		ClientIdleConns:                m.Sockets/3 - m.Sockets/24, // clients may hold a third: idle ones must not use that up
+		ClientIdleTimeoutUnderPressure: 2 * second, ClientIdleTimeout: 10 * second, ClientLingerTimeout: 200 * ms, BusyRetryAfter: 200 * ms,
+		AnswerMargin: 5 * ms, DrainAcceptTime: 500 * ms, DrainTotalTime: 5*second + 500*ms,
+		ConnectTimeout: 250 * ms, NodeIdleTimeout: 10 * second, NodeReuseWindow: 5 * second, NodeReuseDelay: 20 * ms, ResponseCompletionTimeout: 150 * ms, MaxIdleConnsPerNode: 16,
+		WatchTimeout: second, WatchGracePeriod: second, NotificationDeadline: 6 * second, WatchMinInterval: 100 * ms, MaxListBytes: 4 << 20, MaxListEndpoints: 10000,
+		MaxObjectBytes: 16 << 20, MaxHeaderBytes: 16 << 10, ObjectBufferBytes: 64 << 10, MaxParts: 10000, ObjectIdleTimeout: 60 * second,
+		ObjectStallTimeout: 10 * second, MaxCompletionBytes: 1 << 20, ReadBackTime: second, ReadBackInterval: 100 * ms,
 	}, nil
 }
 
 // limitConnections follows what the settings say of connections to storage nodes.
 func (c *Config) limitConnections(l *limits.Limits, ex *extra) {
 	if v := ex.Limits.Connect; v > 0 {
-		l.Connect = v / 1000
+		l.ConnectTimeout = v / 1000
 	}
 	if v := ex.Limits.Keepalive; v > 0 { // well before the nodes close it
-		l.NodeIdle = min(l.NodeIdle, v/1000/3)
-		l.NodeFresh = min(l.NodeFresh, l.NodeIdle/2)
+		l.NodeIdleTimeout = min(l.NodeIdleTimeout, v/1000/3)
+		l.NodeReuseWindow = min(l.NodeReuseWindow, l.NodeIdleTimeout/2)
 	}
-	c.Policy.Keep = time.Duration(l.NodeFresh) * time.Microsecond
+	c.Policy.ConnectionReuseWindow = time.Duration(l.NodeReuseWindow) * time.Microsecond
 }
 
 // limitDiscovery follows the size of the fleet. One discovery serves all brokers and bears some hundreds of calls a second at
 // best. A list without news has no lines, a full one has a line for each node, so the move of a fleet is spread further than
 // its watches. A longer wait costs no safety: what a call should have told counts as told so long after its wait is over.
 func (c *Config) limitDiscovery(l *limits.Limits) {
-	hosts := int64(c.Policy.Hosts)
-	l.ListWait = max(l.ListWait, hosts*second/100)
-	if v := c.Policy.AskWithin.Microseconds(); v > 0 {
-		l.ListWait = min(l.ListWait, max(second, v/2))
+	hosts := int64(c.Policy.Brokers)
+	l.WatchTimeout = max(l.WatchTimeout, hosts*second/100)
+	if v := c.Policy.MaxPollInterval.Microseconds(); v > 0 {
+		l.WatchTimeout = min(l.WatchTimeout, max(second, v/2))
 	}
-	if c.Policy.Pushed {
-		l.ListRetry = agentRetry
+	if c.Policy.LocalDiscoveryAgent {
+		l.DiscoveryMaxBackoff = agentRetry
 	}
-	l.ListSpread = min(hosts*5*ms, second+500*ms) // the old address serves on for so long
+	l.DiscoveryMoveJitter = min(hosts*5*ms, second+500*ms) // the old address serves on for so long
 }
 
 // limitRequests follows the classes' deadlines and aims. The platform kills no sooner than the longest deadline, counted as
 // longestKill where it is longer, and killSlack after SIGTERM.
 func (c *Config) limitRequests(l *limits.Limits, ex *extra) {
 	if v := ex.Limits.MaxOpen; v > 0 {
-		l.MaxOpen = min(l.MaxOpen, v)
+		l.MaxInFlight = min(l.MaxInFlight, v)
 	}
 	longest := int64(0)
 	for _, k := range c.Policy.Classes {
 		longest = max(longest, k.Deadline.Microseconds())
-		l.AnswerRest = min(l.AnswerRest, k.Aim.Microseconds()/3) // so that what may run twice can go again in time
+		l.ResponseCompletionTimeout = min(l.ResponseCompletionTimeout, k.LatencyObjective.Microseconds()/3) // so that what may run twice can go again in time
 	}
-	l.ClientSend = longest // by then its client has given up
-	l.DrainTotal = max(l.DrainTotal, longest+500*ms)
-	l.DrainAnswer = min(longest, longestKill) + killSlack - killMargin
-	l.DrainServe = max(l.DrainAnswer-answerTime, l.DrainAccept)
+	l.ClientRequestTimeout = longest // by then its client has given up
+	l.DrainTotalTime = max(l.DrainTotalTime, longest+500*ms)
+	l.DrainAnswerTime = min(longest, longestKill) + killSlack - killMargin
+	l.DrainServeTime = max(l.DrainAnswerTime-answerTime, l.DrainAcceptTime)
 }
 
 // tune overrides single figures and checks the result.
@@ -126,12 +126,12 @@
 	}
 	for key, v := range map[string]int64{
 		"procs": int64(l.Procs), "client_conns": int64(l.ClientConns), "node_conns": int64(l.NodeConns),
-		"max_open": int64(l.MaxOpen), "max_message": int64(l.MaxMessage), "max_pipeline": int64(l.MaxPipeline),
-		"max_id": int64(l.MaxID), "max_params": int64(l.MaxParams), "client_first": l.ClientFirst,
-		"client_stall": l.ClientStall, "client_send": l.ClientSend, "client_lull": l.ClientLull, "client_idle": l.ClientIdle,
-		"max_args": int64(l.MaxArgs), "max_value": int64(l.MaxValue), "connect": l.Connect, "node_idle": l.NodeIdle, "answer_rest": l.AnswerRest,
-		"list_wait": l.ListWait, "list_grace": l.ListGrace, "list_told": l.ListTold, "client_write": l.ClientWrite,
-		"max_object": l.MaxObject, "object_buffer": int64(l.ObjectBuffer), "object_stall": l.ObjectStall,
+		"max_open": int64(l.MaxInFlight), "max_message": int64(l.MaxMessageBytes), "max_pipeline": int64(l.MaxPipeline),
+		"max_id": int64(l.MaxID), "max_params": int64(l.MaxParams), "client_first": l.ClientFirstByteTimeout,
+		"client_stall": l.ClientStallTimeout, "client_send": l.ClientRequestTimeout, "client_lull": l.ClientIdleTimeoutUnderPressure, "client_idle": l.ClientIdleTimeout,
+		"max_args": int64(l.MaxArgs), "max_value": int64(l.MaxValueBytes), "connect": l.ConnectTimeout, "node_idle": l.NodeIdleTimeout, "answer_rest": l.ResponseCompletionTimeout,
+		"list_wait": l.WatchTimeout, "list_grace": l.WatchGracePeriod, "list_told": l.NotificationDeadline, "client_write": l.ClientWriteTimeout,
+		"max_object": l.MaxObjectBytes, "object_buffer": int64(l.ObjectBufferBytes), "object_stall": l.ObjectStallTimeout,
 	} {
 		if v <= 0 {
 			return fmt.Errorf("tuning.%s: %d is not above 0", key, v)
--- a/internal/broker/config/sections.go
+++ b/internal/broker/config/sections.go
@@ -153,10 +153,10 @@
 		if i < 0 {
 			return fmt.Errorf("%s: settings name no class %q", key, name)
 		}
-		if safe := c.Policy.Classes[i].Repeat == decision.Safe; key == "read_class" && !safe {
+		if safe := c.Policy.Classes[i].Idempotency == decision.Idempotent; key == "read_class" && !safe {
 			return fmt.Errorf("%s: class %q may not be repeated, but reads are", key, name)
 		}
-		if unsafe := c.Policy.Classes[i].Repeat == decision.Unsafe; key == "complete_class" && !unsafe {
+		if unsafe := c.Policy.Classes[i].Idempotency == decision.NotIdempotent; key == "complete_class" && !unsafe {
 			return fmt.Errorf("%s: class %q may run twice, but completions must not", key, name)
 		}
 	}
--- a/internal/broker/control/ledger.go
+++ b/internal/broker/control/ledger.go
@@ -13,14 +13,14 @@
 
 // Change is what an agent wants a boot to hold, whole and not as a difference.
 type Change struct {
-	ID       string      `json:"id"`       // of the command; asked again with the same id, the same answer comes
-	Token    uint64      `json:"token"`    // of the agent; lower ones than the highest seen are refused
-	Boot     string      `json:"boot"`     // the boot that it is meant for
-	Base     uint64      `json:"base"`     // the revision that the boot must hold
-	Revision uint64      `json:"revision"` // and the one it holds then; greater than Base
-	Rev      uint64      `json:"rev"`      // the fleet's revision that it is of, for people
-	Live     spec.Live   `json:"live"`
-	Nodes    []spec.Node `json:"nodes"`
+	ID       string              `json:"id"`       // of the command; asked again with the same id, the same answer comes
+	Token    uint64              `json:"token"`    // of the agent; lower ones than the highest seen are refused
+	Boot     string              `json:"boot"`     // the boot that it is meant for
+	Base     uint64              `json:"base"`     // the revision that the boot must hold
+	Revision uint64              `json:"revision"` // and the one it holds then; greater than Base
+	Rev      uint64              `json:"rev"`      // the fleet's revision that it is of, for people
+	Live     spec.LiveSettings   `json:"live"`
+	Nodes    []spec.NodeOverride `json:"nodes"`
 }
 
 // Code tells what became of a change.
--- a/internal/broker/control/server.go
+++ b/internal/broker/control/server.go
@@ -20,20 +20,20 @@
 
 // State is what a boot says of itself.
 type State struct {
-	Name     string    `json:"name"`
-	Boot     string    `json:"boot"`
-	PID      int       `json:"pid"`
-	Started  string    `json:"started"` // digest of its start settings, as its configuration names it
-	Applied  uint64    `json:"applied"` // revision that it holds; 0: what it started with
-	Rev      uint64    `json:"rev"`     // the fleet's revision that this is of
-	Token    uint64    `json:"token"`
-	Since    time.Time `json:"since"`
-	Draining bool      `json:"draining,omitempty"`
-	ListRev  int64     `json:"list_rev"` // version of discovery's list that it works by; -1: none yet
-	Nodes    int       `json:"nodes"`
-	Open     int64     `json:"open"`              // requests taken and not answered
-	Live     spec.Live `json:"live"`              // in force
-	Figures  *Figures  `json:"figures,omitempty"` // of the last second, where the broker records
+	Name     string            `json:"name"`
+	Boot     string            `json:"boot"`
+	PID      int               `json:"pid"`
+	Started  string            `json:"started"` // digest of its start settings, as its configuration names it
+	Applied  uint64            `json:"applied"` // revision that it holds; 0: what it started with
+	Rev      uint64            `json:"rev"`     // the fleet's revision that this is of
+	Token    uint64            `json:"token"`
+	Since    time.Time         `json:"since"`
+	Draining bool              `json:"draining,omitempty"`
+	ListRev  int64             `json:"list_rev"` // version of discovery's list that it works by; -1: none yet
+	Nodes    int               `json:"nodes"`
+	Open     int64             `json:"open"`              // requests taken and not answered
+	Live     spec.LiveSettings `json:"live"`              // in force
+	Figures  *Figures          `json:"figures,omitempty"` // of the last second, where the broker records
 }
 
 // Figures are what a broker did in a span of time. Times are microseconds.
@@ -80,9 +80,9 @@
 // Broker is the running broker behind the endpoint.
 type Broker interface {
 	// Check reports what in a change cannot be taken up, naming the field.
-	Check(spec.Live, []spec.Node) error
+	Check(spec.LiveSettings, []spec.NodeOverride) error
 	// Take takes a checked change up and tells what that did.
-	Take(spec.Live, []spec.Node) []Effect
+	Take(spec.LiveSettings, []spec.NodeOverride) []Effect
 	// Describe fills in what the broker knows: list, nodes, open requests, settings in force.
 	Describe(*State)
 }
--- a/internal/broker/core/core.go
+++ b/internal/broker/core/core.go
@@ -21,28 +21,28 @@
 
 // The outcomes a backend may report.
 const (
-	Served         = decision.Served
-	NodeError      = decision.NodeError
-	TurnedAway     = decision.TurnedAway
-	TimedOut       = decision.TimedOut
-	NoConnection   = decision.NoConnection
-	ConnectionLost = decision.ConnectionLost
-	Cancelled      = decision.Cancelled
-	NotSent        = decision.NotSent
-	Spoilt         = decision.Spoilt
-	Unsent         = decision.Unsent
+	Served            = decision.Served
+	NodeError         = decision.NodeError
+	Rejected          = decision.Rejected
+	TimedOut          = decision.TimedOut
+	ConnectFailed     = decision.ConnectFailed
+	ConnectionLost    = decision.ConnectionLost
+	Cancelled         = decision.Cancelled
+	NotAttempted      = decision.NotAttempted
+	MalformedResponse = decision.MalformedResponse
+	SendIncomplete    = decision.SendIncomplete
 )
 
-// ErrClientLeft is the cause with which a front cancels a request whose client went away.
-var ErrClientLeft = errors.New("client left")
+// ErrClientDisconnected is the cause with which a front cancels a request whose client went away.
+var ErrClientDisconnected = errors.New("client left")
 
-// ErrDue is the cause with which an attempt ends at its client's deadline, or at that of a drain.
-var ErrDue = errors.New("due")
+// ErrDeadlineExceeded is the cause with which an attempt ends at its client's deadline, or at that of a drain.
+var ErrDeadlineExceeded = errors.New("due")
 
-// Ended names the outcome of an attempt that ended with its ctx: a node that was silent until the client's time was up
+// OutcomeOf names the outcome of an attempt that ended with its ctx: a node that was silent until the client's time was up
 // has timed out, and the module must hear of that; where the client left, it tells nothing.
-func Ended(ctx context.Context) Outcome {
-	if context.Cause(ctx) == ErrDue {
+func OutcomeOf(ctx context.Context) Outcome {
+	if context.Cause(ctx) == ErrDeadlineExceeded {
 		return TimedOut
 	}
 	return Cancelled
@@ -50,77 +50,77 @@
 
 // Request is one request as a front takes it. Work is what its backend shall do; the core only passes it on.
 type Request[W any] struct {
-	dispatcher.Job
-	Unsafe bool // must never run twice
-	Work   W
+	dispatcher.RequestInfo
+	NotIdempotent bool // must never run twice
+	Work          W
 	// Left, where it is set, looks whether the client has gone without its front having noticed yet. It is asked right
 	// before each attempt: none may begin for a client that has gone.
-	Left func() bool
+	ClientGone func() bool
 }
 
 // Attempt is one try at one node.
 type Attempt[W any] struct {
-	Node     Node
-	Work     W
-	Unsafe   bool
-	Number   int   // of the request, from 0 on
-	Deadline int64 // the broker stops waiting then
-	// Open reports whether the attempt may still begin. It is asked once more after dialling, right before the first
+	Node          Node
+	Work          W
+	NotIdempotent bool
+	Number        int   // of the request, from 0 on
+	Deadline      int64 // the broker stops waiting then
+	// MayStart reports whether the attempt may still begin. It is asked once more after dialling, right before the first
 	// byte: the node may have begun to drain meanwhile, the client may have gone, the time for a repeat may be over.
-	Open func() bool
-	// Begin tells that the answer starts to reach the client, which ends the request for the module.
-	Begin func()
+	MayStart func() bool
+	// ResponseStarted tells that the answer starts to reach the client, which ends the request for the module.
+	ResponseStarted func()
 }
 
 // Backend makes attempts. Do returns by the attempt's deadline or soon after ctx is done.
 type Backend[W, V any] interface {
-	Do(ctx context.Context, a Attempt[W]) (V, Outcome)
+	Attempt(ctx context.Context, a Attempt[W]) (V, Outcome)
 }
 
-// Kind is the kind of a final answer.
-type Kind uint8
+// AnswerKind is the kind of a final answer.
+type AnswerKind uint8
 
 // The kinds of answers.
 const (
-	Success Kind = iota
-	Refusal      // nothing ran; trying again is harmless
-	Failure      // it may have run
+	Success   AnswerKind = iota
+	Rejection            // nothing ran; trying again is harmless
+	Failure              // it may have run
 )
 
 // Answer is the one final answer of a request.
 type Answer[V any] struct {
-	Kind    Kind
-	Value   V     // of a Success, or of a Failure whose answer had begun
-	Hint    int64 // of a Refusal: come again after so many microseconds; 0: no advice
-	Overdue bool  // of a Failure or a Refusal: the client's time ran out
+	Kind             AnswerKind
+	Value            V     // of a Success, or of a Failure whose answer had begun
+	RetryAfter       int64 // of a Refusal: come again after so many microseconds; 0: no advice
+	DeadlineExceeded bool  // of a Failure or a Refusal: the client's time ran out
 }
 
 // Broker joins one front's requests with the backend that serves them.
 type Broker[W, V any] struct {
-	facade  *dispatcher.Facade
-	nodes   *Nodes
+	facade  *dispatcher.Dispatcher
+	nodes   *EndpointTable
 	backend Backend[W, V]
 	clock   *clock.Clock
 	lim     *limits.Limits
-	open    *Gate
+	open    *ConcurrencyLimiter
 	rec     *record.Recorder // nil: nothing is recorded
 }
 
 // NewBroker returns a broker. Several may share a module, a node table and a gate.
-func NewBroker[W, V any](f *dispatcher.Facade, n *Nodes, g *Gate, b Backend[W, V], c *clock.Clock,
+func NewBroker[W, V any](f *dispatcher.Dispatcher, n *EndpointTable, g *ConcurrencyLimiter, b Backend[W, V], c *clock.Clock,
 	lim *limits.Limits) *Broker[W, V] {
 	return &Broker[W, V]{facade: f, nodes: n, backend: b, clock: c, lim: lim, open: g}
 }
 
-// Record has every request recorded by r. It is called before the first Do.
-func (b *Broker[W, V]) Record(r *record.Recorder) { b.rec = r }
+// SetRecorder has every request recorded by r. It is called before the first Do.
+func (b *Broker[W, V]) SetRecorder(r *record.Recorder) { b.rec = r }
 
 // stories are requests being recorded.
 var stories = sync.Pool{New: func() any { return &record.Request{} }}
 
-// Do carries a request to its final answer, which comes before the request is due. Where ctx is done earlier
+// Handle carries a request to its final answer, which comes before the request is due. Where ctx is done earlier
 // the client has left and the answer reaches nobody.
-func (b *Broker[W, V]) Do(ctx context.Context, r Request[W]) Answer[V] {
+func (b *Broker[W, V]) Handle(ctx context.Context, r Request[W]) Answer[V] {
 	if b.rec == nil {
 		return b.do(ctx, r, nil, 0)
 	}
@@ -128,15 +128,15 @@
 	q := stories.Get().(*record.Request)
 	*q = record.Request{Class: uint8(r.Class), Plan: uint8(r.Plan), Volume: r.Volume, Units: r.Units, Shard: int64(r.Shard), Tries: q.Tries[:0]}
 	a := b.do(ctx, r, q, at)
-	q.Took, q.Hint = b.clock.Now()-at, a.Hint
+	q.Took, q.Hint = b.clock.Now()-at, a.RetryAfter
 	switch {
 	case a.Kind == Success:
 		q.Answer = record.Served
-	case errors.Is(context.Cause(ctx), ErrClientLeft):
+	case errors.Is(context.Cause(ctx), ErrClientDisconnected):
 		q.Answer = record.Left
-	case a.Kind == Refusal:
+	case a.Kind == Rejection:
 		q.Answer = record.Refused
-	case a.Overdue:
+	case a.DeadlineExceeded:
 		q.Answer = record.Overdue
 	default:
 		q.Answer = record.Failed
@@ -148,31 +148,31 @@
 
 // do is Do; q, where it is not nil, takes the attempts of a request that came at at.
 func (b *Broker[W, V]) do(ctx context.Context, r Request[W], q *record.Request, at int64) Answer[V] {
-	if !b.open.Enter() {
-		return Answer[V]{Kind: Refusal, Hint: b.lim.BusyHint} // the process is full: nothing ran
+	if !b.open.Acquire() {
+		return Answer[V]{Kind: Rejection, RetryAfter: b.lim.BusyRetryAfter} // the process is full: nothing ran
 	}
-	defer b.open.Leave()
-	last := r.Due - b.lim.AnswerMargin
+	defer b.open.Release()
+	last := r.Deadline - b.lim.AnswerMargin
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	due := time.AfterFunc(clock.Duration(last-b.clock.Now()), func() { cancel(ErrDue) })
+	due := time.AfterFunc(clock.Duration(last-b.clock.Now()), func() { cancel(ErrDeadlineExceeded) })
 	defer due.Stop()
-	id, d := b.facade.Pick(ctx, r.Job)
-	for number := 0; d.Verdict == dispatcher.ToNode; number++ {
+	id, d := b.facade.Submit(ctx, r.RequestInfo)
+	for number := 0; d.Verdict == dispatcher.Forward; number++ {
 		var v V
-		out := NotSent
+		out := NotAttempted
 		sent := int64(0)
 		if q != nil {
 			sent = b.clock.Now()
 		}
 		if node, ok := b.nodes.Get(d.Node); ok {
-			v, out = b.backend.Do(ctx, Attempt[W]{
-				Node: node, Work: r.Work, Unsafe: r.Unsafe, Number: number,
+			v, out = b.backend.Attempt(ctx, Attempt[W]{
+				Node: node, Work: r.Work, NotIdempotent: r.NotIdempotent, Number: number,
 				Deadline: min(b.clock.Now()+d.Timeout, last),
-				Open:     func() bool { return b.mayBegin(node, d.SendBy) && !gone(r.Left, cancel) },
-				Begin: func() {
+				MayStart: func() bool { return b.mayBegin(node, d.NotAfter) && !gone(r.ClientGone, cancel) },
+				ResponseStarted: func() {
 					due.Stop() // an answer that has begun has no deadline
-					b.facade.Began(id)
+					b.facade.ResponseStarted(id)
 				},
 			})
 		}
@@ -182,21 +182,21 @@
 		d = b.facade.Report(ctx, id, out)
 		if out == Served || d.Verdict == dispatcher.Ended {
 			// One that began and broke has a value as well: it tells the front that nothing more can be said.
-			return Answer[V]{Kind: kind(out), Value: v, Overdue: out != Served && ctx.Err() != nil}
+			return Answer[V]{Kind: kind(out), Value: v, DeadlineExceeded: out != Served && ctx.Err() != nil}
 		}
 	}
 	switch {
-	case d.Verdict == dispatcher.Refused:
-		return Answer[V]{Kind: Refusal, Hint: d.Hint}
-	case d.Verdict == dispatcher.Ended && context.Cause(ctx) == ErrDue:
-		return Answer[V]{Kind: Refusal, Hint: b.lim.BusyHint, Overdue: true} // held until its time was up: nothing ran
+	case d.Verdict == dispatcher.Rejected:
+		return Answer[V]{Kind: Rejection, RetryAfter: d.RetryAfter}
+	case d.Verdict == dispatcher.Ended && context.Cause(ctx) == ErrDeadlineExceeded:
+		return Answer[V]{Kind: Rejection, RetryAfter: b.lim.BusyRetryAfter, DeadlineExceeded: true} // held until its time was up: nothing ran
 	}
-	return Answer[V]{Kind: Failure, Overdue: d.Verdict == dispatcher.Ended}
+	return Answer[V]{Kind: Failure, DeadlineExceeded: d.Verdict == dispatcher.Ended}
 }
 
 // mayBegin reports whether an attempt may begin now: its node takes new work, and the module's time for it is not over.
 func (b *Broker[W, V]) mayBegin(n Node, by int64) bool {
-	return b.nodes.Takes(n) && (by == 0 || b.clock.Now() <= by)
+	return b.nodes.Accepts(n) && (by == 0 || b.clock.Now() <= by)
 }
 
 // gone reports whether a request's client has left. If so it cancels the request.
@@ -204,38 +204,38 @@
 	if left == nil || !left() {
 		return false
 	}
-	cancel(ErrClientLeft)
+	cancel(ErrClientDisconnected)
 	return true
 }
 
-func kind(o Outcome) Kind {
+func kind(o Outcome) AnswerKind {
 	if o == Served {
 		return Success
 	}
 	return Failure
 }
 
-// Gate bounds the requests that a process has open over all its fronts.
-type Gate struct {
+// ConcurrencyLimiter bounds the requests that a process has open over all its fronts.
+type ConcurrencyLimiter struct {
 	open atomic.Int64
 	max  atomic.Int64
 }
 
-// NewGate returns a gate for so many.
-func NewGate(n int) *Gate {
-	g := &Gate{}
-	g.SetMax(n)
+// NewConcurrencyLimiter returns a gate for so many.
+func NewConcurrencyLimiter(n int) *ConcurrencyLimiter {
+	g := &ConcurrencyLimiter{}
+	g.SetLimit(n)
 	return g
 }
 
-// SetMax changes the bound. Whoever is in stays in.
-func (g *Gate) SetMax(n int) { g.max.Store(int64(n)) }
+// SetLimit changes the bound. Whoever is in stays in.
+func (g *ConcurrencyLimiter) SetLimit(n int) { g.max.Store(int64(n)) }
 
-// Max is the bound.
-func (g *Gate) Max() int { return int(g.max.Load()) }
+// Limit is the bound.
+func (g *ConcurrencyLimiter) Limit() int { return int(g.max.Load()) }
 
-// Enter counts one in, or reports that the gate is full.
-func (g *Gate) Enter() bool {
+// Acquire counts one in, or reports that the gate is full.
+func (g *ConcurrencyLimiter) Acquire() bool {
 	if g.open.Add(1) > g.max.Load() {
 		g.open.Add(-1)
 		return false
@@ -243,8 +243,8 @@
 	return true
 }
 
-// Leave counts one out.
-func (g *Gate) Leave() { g.open.Add(-1) }
+// Release counts one out.
+func (g *ConcurrencyLimiter) Release() { g.open.Add(-1) }
 
-// Open is how many are in.
-func (g *Gate) Open() int64 { return g.open.Load() }
+// InFlight is how many are in.
+func (g *ConcurrencyLimiter) InFlight() int64 { return g.open.Load() }
--- a/internal/broker/core/loop.go
+++ b/internal/broker/core/loop.go
@@ -8,9 +8,9 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// Loop owns the module: each turn reads the clock once, lets the module decide, and waits for news or for the
+// RunDecisions owns the module: each turn reads the clock once, lets the module decide, and waits for news or for the
 // time the module named. It returns when ctx is done.
-func Loop(ctx context.Context, f *dispatcher.Facade, c *clock.Clock) {
+func RunDecisions(ctx context.Context, f *dispatcher.Dispatcher, c *clock.Clock) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -20,7 +20,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.Wake():
+		case <-f.TickDue():
 		case <-timer.C:
 		}
 	}
--- a/internal/broker/server/nodes.go
+++ b/internal/broker/server/nodes.go
@@ -55,11 +55,11 @@
 	entries := make([]membership.Entry, 0, len(nodes))
 	var gone []string
 	for _, n := range nodes {
-		if n.State == decision.Gone {
+		if n.State == decision.Removed {
 			gone = append(gone, n.ID)
 			continue
 		}
-		e := membership.Entry{ID: n.ID, Addr: n.Addr, Objects: n.Objects, Shard: n.Shard, Zone: n.Zone, Started: n.Started}
+		e := membership.Entry{ID: n.ID, Addr: n.Addr, Objects: n.ObjectAddr, Shard: n.Shard, Zone: n.Zone, Started: n.StartedAt}
 		if n.State == decision.Draining {
 			e.State = membership.Draining
 		}
@@ -72,15 +72,15 @@
 }
 
 // fromOperators hands the operators' word to it. The caller holds mu.
-func (l *live) fromOperators(list []spec.Node) []membership.Member {
+func (l *live) fromOperators(list []spec.NodeOverride) []membership.Member {
 	l.said[membership.Operators]++
 	entries := make([]membership.Entry, 0, len(list))
 	for _, n := range list {
-		e := membership.Entry{ID: n.ID, Addr: n.Addr, Objects: n.Objects, Shard: n.Shard, Zone: l.zoneOf(n.Zone), Where: "fleet nodes"}
+		e := membership.Entry{ID: n.ID, Addr: n.Addr, Objects: n.ObjectAddr, Shard: n.Shard, Zone: l.zoneOf(n.Zone), Where: "fleet nodes"}
 		switch n.State {
-		case spec.NodeDrain:
+		case spec.NodeDraining:
 			e.State = membership.Draining
-		case spec.NodeOut:
+		case spec.NodeRemoved:
 			e.State = membership.Out
 		}
 		entries = append(entries, e)
@@ -102,7 +102,7 @@
 		usual = l.all.Usual()
 	}
 	for _, m := range list {
-		n := core.Node{ID: m.ID, Addr: m.Addr, Objects: m.Objects, Shard: m.Shard, Zone: m.Zone, Started: m.Started}
+		n := core.Node{ID: m.ID, Addr: m.Addr, ObjectAddr: m.Objects, Shard: m.Shard, Zone: m.Zone, StartedAt: m.Started}
 		if usual > 0 { // what a kind can do counts against the others
 			n.Capacity = m.Capacity / usual
 		}
@@ -110,7 +110,7 @@
 		case membership.Draining:
 			n.State = decision.Draining
 		case membership.Out:
-			n.State = decision.Gone
+			n.State = decision.Removed
 		}
 		out = append(out, n)
 	}
--- a/internal/broker/server/process.go
+++ b/internal/broker/server/process.go
@@ -37,7 +37,7 @@
 		return &ConfigError{err}
 	}
 	runtime.GOMAXPROCS(cfg.Limits.Procs)
-	debug.SetMemoryLimit(cfg.Limits.Memory)
+	debug.SetMemoryLimit(cfg.Limits.MemoryBytes)
 	var level slog.LevelVar
 	if err := level.UnmarshalText([]byte(cfg.LogLevel)); err != nil {
 		return &ConfigError{fmt.Errorf("log: %w", err)}
--- a/internal/broker/server/recording.go
+++ b/internal/broker/server/recording.go
@@ -31,7 +31,7 @@
 }
 
 // newRecording starts a recorder as the configuration says, or returns nil.
-func newRecording(cfg *config.Config, c *clock.Clock, g *core.Gate, table *core.Nodes, log *slog.Logger) (*recording, error) {
+func newRecording(cfg *config.Config, c *clock.Clock, g *core.ConcurrencyLimiter, table *core.EndpointTable, log *slog.Logger) (*recording, error) {
 	if cfg.Record == nil {
 		return nil, nil
 	}
@@ -39,10 +39,10 @@
 	x := &recording{cfg: cfg, id: newBoot()}
 	boot := record.Boot{Name: cfg.Name, ID: x.id}
 	for _, k := range cfg.Policy.Classes {
-		boot.Classes = append(boot.Classes, record.Class{Name: k.Name, Aim: k.Aim.Microseconds(), Due: k.Deadline.Microseconds(), Worth: k.Worth})
+		boot.Classes = append(boot.Classes, record.Class{Name: k.Name, Aim: k.LatencyObjective.Microseconds(), Due: k.Deadline.Microseconds(), Worth: k.PriorityWeight})
 	}
 	for _, p := range cfg.Policy.Plans {
-		boot.Plans = append(boot.Plans, record.Plan{Name: p.Name, Price: p.Price})
+		boot.Plans = append(boot.Plans, record.Plan{Name: p.Name, Price: p.PriceFactor})
 	}
 	var sink record.Sink
 	if o.Dir == "" {
@@ -58,7 +58,7 @@
 	heap := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 	level := func(b *record.Beat) {
 		metrics.Read(heap)
-		b.Open, b.Heap, b.Threads, b.Nodes = g.Open(), heap[0].Value.Uint64(), int64(runtime.NumGoroutine()), int64(table.Len())
+		b.Open, b.Heap, b.Threads, b.Nodes = g.InFlight(), heap[0].Value.Uint64(), int64(runtime.NumGoroutine()), int64(table.Len())
 		if w := x.watch.Load(); w != nil {
 			b.List = w.Rev()
 		}
@@ -105,7 +105,7 @@
 }
 
 // list records the entries of a list that differ from what is known.
-func (x *recording) list(table *core.Nodes, nodes []core.Node, full bool, rev int64) {
+func (x *recording) list(table *core.EndpointTable, nodes []core.Node, full bool, rev int64) {
 	if x == nil {
 		return
 	}
@@ -114,13 +114,13 @@
 		listed[n.ID] = true
 		old, known := table.Get(n.ID)
 		switch {
-		case !known && n.State == decision.Gone:
+		case !known && n.State == decision.Removed:
 		case !known:
-			x.r.Note(record.KindList, n.ID, "known "+stateName(n.State)+" "+strconv.FormatInt(n.Started, 10), rev)
+			x.r.Note(record.KindList, n.ID, "known "+stateName(n.State)+" "+strconv.FormatInt(n.StartedAt, 10), rev)
 		case old.State != n.State:
 			x.r.Note(record.KindList, n.ID, stateName(n.State), rev)
-		case old.Started != n.Started:
-			x.r.Note(record.KindList, n.ID, "started "+strconv.FormatInt(n.Started, 10), rev)
+		case old.StartedAt != n.StartedAt:
+			x.r.Note(record.KindList, n.ID, "started "+strconv.FormatInt(n.StartedAt, 10), rev)
 		case old.Addr != n.Addr:
 			x.r.Note(record.KindList, n.ID, "moved "+n.Addr, rev)
 		}
@@ -134,8 +134,8 @@
 	}
 }
 
-func stateName(s decision.NodeState) string {
-	return map[decision.NodeState]string{decision.Ready: "up", decision.Draining: "draining", decision.Gone: "gone"}[s]
+func stateName(s decision.EndpointState) string {
+	return map[decision.EndpointState]string{decision.Ready: "up", decision.Draining: "draining", decision.Removed: "gone"}[s]
 }
 
 // discovery records its versions, and when it is out of reach.
--- a/internal/broker/server/server.go
+++ b/internal/broker/server/server.go
@@ -36,14 +36,14 @@
 func Run(ctx context.Context, cfg *config.Config, listen Listen, reload *Reload, log *slog.Logger) error {
 	lim := &cfg.Limits
 	c := clock.New()
-	table := core.NewNodes()
-	gate := core.NewGate(lim.MaxOpen)
+	table := core.NewEndpointTable()
+	gate := core.NewConcurrencyLimiter(lim.MaxInFlight)
 	rec, err := newRecording(cfg, c, gate, table, log)
 	if err != nil {
 		return err
 	}
 	defer rec.close()
-	facade, err := dispatcher.NewFacade(cfg.Policy, func(text string) {
+	facade, err := dispatcher.New(cfg.Policy, func(text string) {
 		log.Info("module: " + text)
 		rec.module(text)
 	})
@@ -73,7 +73,7 @@
 	if cfg.Listen != "" && cfg.Object != nil {
 		clients, nodes = clients/2, nodes/2
 	}
-	behind.Go(func() { core.Loop(back, facade, c) })
+	behind.Go(func() { core.RunDecisions(back, facade, c) })
 	behind.Go(func() { watch.Run(back) })
 	if reload != nil {
 		behind.Go(func() { reload.run(back, cfg, l, log) })
@@ -97,14 +97,14 @@
 		conns := pool.New(lim, nodes, c)
 		behind.Go(func() { conns.Run(back) })
 		b := core.NewBroker(facade, table, gate, blockstore.New(conns, c, lim), c, lim)
-		b.Record(rec.recorder())
+		b.SetRecorder(rec.recorder())
 		fronts[cfg.Listen] = block.New(b, block.NewNames(&cfg.Policy, cfg.Shards, lim), clients, c, lim, log)
 	}
 	if cfg.Object != nil {
 		conns := pool.New(lim, nodes, c) // a pool of its own: its connections speak HTTP
 		behind.Go(func() { conns.Run(back) })
 		b := core.NewBroker(facade, table, gate, objectstore.New(conns, c, lim), c, lim)
-		b.Record(rec.recorder())
+		b.SetRecorder(rec.recorder())
 		fronts[cfg.Object.Listen] = object.New(b, cfg, clients, c, log)
 	}
 	defer context.AfterFunc(ctx, func() { rec.note(record.KindDrain, "", "draining", 0) })()
@@ -146,7 +146,7 @@
 		return fmt.Errorf("serve: %w", err)
 	}
 	log.Info("draining")
-	total, cancel := context.WithTimeout(context.WithoutCancel(ctx), clock.Duration(cfg.Limits.DrainTotal))
+	total, cancel := context.WithTimeout(context.WithoutCancel(ctx), clock.Duration(cfg.Limits.DrainTotalTime))
 	defer cancel()
 	var draining sync.WaitGroup
 	for addr, f := range fronts {
--- a/internal/broker/settings/settings.go
+++ b/internal/broker/settings/settings.go
@@ -60,12 +60,12 @@
 	} `json:"specifics"`
 }
 
-var repeats = map[string]decision.Repeat{
-	"retryable": decision.Safe, "dedup": decision.Keyed, "fragile": decision.Unsafe,
+var repeats = map[string]decision.Idempotency{
+	"retryable": decision.Idempotent, "dedup": decision.IdempotentByKey, "fragile": decision.NotIdempotent,
 }
 
-var groups = map[string]decision.Group{
-	"": decision.GroupAll, "all": decision.GroupAll, "zone": decision.GroupZone, "cell": decision.GroupShard,
+var groups = map[string]decision.DedupScope{
+	"": decision.DedupEverywhere, "all": decision.DedupEverywhere, "zone": decision.DedupZone, "cell": decision.DedupShard,
 }
 
 // Parse turns the JSON of the settings into the module's Config.
@@ -84,19 +84,19 @@
 	}
 	c, l := in.Contract, in.Limits
 	out := decision.Config{
-		Seed: seed, Hosts: in.Balancers, MaxAttempts: l.SendCap,
-		Ask: in.Discovery == "ask", AskWithin: time.Duration(c.AskWithin),
-		Hints: l.RetryAfter, MaxHint: time.Duration(l.MaxRetry),
-		ColdFrom: c.ColdFrom, Warm: time.Duration(c.WarmAfter),
-		TipWindow: time.Duration(c.TipAfter), ColdUnits: in.Specifics.ColdBears,
-		KeyQuiet: time.Duration(c.KeyQuiet), BudgetFree: c.FreeResends, BudgetWindow: time.Duration(c.LookBack),
+		Seed: seed, Brokers: in.Balancers, MaxAttempts: l.SendCap,
+		PollsEndpoints: in.Discovery == "ask", MaxPollInterval: time.Duration(c.AskWithin),
+		SendsRetryAfter: l.RetryAfter, MaxRetryAfter: time.Duration(l.MaxRetry),
+		SlowStartFraction: c.ColdFrom, SlowStartDuration: time.Duration(c.WarmAfter),
+		OverloadWindow: time.Duration(c.TipAfter), ColdCapacityUnits: in.Specifics.ColdBears,
+		OrderedKeyQuietPeriod: time.Duration(c.KeyQuiet), RetryBudgetBase: c.FreeResends, RetryBudgetWindow: time.Duration(c.LookBack),
 		MeanUnits: in.Specifics.MeanUnits, MaxUnits: in.Specifics.MaxUnits,
-		ShareWorth: in.Specifics.FairWorth, Handshake: in.Deductions.Handshake,
+		QuotaPriorityWeight: in.Specifics.FairWorth, HandshakeCost: in.Deductions.Handshake,
 	}
 	if c.LookBack > 0 {
-		out.Budget = true
+		out.HasRetryBudget = true
 		if c.FurtherRatio != nil {
-			out.BudgetShare = *c.FurtherRatio
+			out.RetryBudgetRatio = *c.FurtherRatio
 		}
 	}
 	for i, k := range in.Classes {
@@ -109,15 +109,15 @@
 			return out, fmt.Errorf("settings.classes[%d].group: unknown group %q", i, k.Group)
 		}
 		out.Classes = append(out.Classes, decision.Class{
-			Name: k.Name, Aim: time.Duration(k.Aim), Deadline: time.Duration(k.GiveUp), Worth: k.Importance,
-			Repeat: repeat, Group: group, RepeatWindow: time.Duration(k.Window),
-			InOrder: k.ByArrival,
+			Name: k.Name, LatencyObjective: time.Duration(k.Aim), Deadline: time.Duration(k.GiveUp), PriorityWeight: k.Importance,
+			Idempotency: repeat, DedupScope: group, DedupWindow: time.Duration(k.Window),
+			Ordered: k.ByArrival,
 		})
 	}
 	for _, p := range in.Policies {
 		out.Plans = append(out.Plans, decision.Plan{
-			Name: p.Name, Weight: p.Shares, Price: p.Value, Rate: p.Usual, Reserve: p.Floor,
-			Limit: p.NeverOver, LimitBurst: p.Burst, Slack: p.Tolerance,
+			Name: p.Name, Weight: p.Shares, PriceFactor: p.Value, UsualRate: p.Usual, ReservedRate: p.Floor,
+			RateLimit: p.NeverOver, RateLimitBurst: p.Burst, RateLimitTolerance: p.Tolerance,
 		})
 	}
 	return out, nil
--- a/internal/fleet/api/api.go
+++ b/internal/fleet/api/api.go
@@ -11,17 +11,17 @@
 
 // Errors that cross the wire by their codes.
 var (
-	ErrEpoch   = errors.New("the manager has restarted")            // what was agreed with its former life is void
-	ErrStorage = errors.New("the manager cannot write its journal") // nothing has changed
-	ErrRequest = errors.New("faulty request")                       // it would fail again
-	ErrHistory = errors.New("the manager has lost history")         // it is not the one that this agent followed
-	ErrDown    = errors.New("no manager answers")                   // whether it acted is unknown
+	ErrEpoch       = errors.New("the manager has restarted")            // what was agreed with its former life is void
+	ErrStorage     = errors.New("the manager cannot write its journal") // nothing has changed
+	ErrRequest     = errors.New("faulty request")                       // it would fail again
+	ErrHistory     = errors.New("the manager has lost history")         // it is not the one that this agent followed
+	ErrUnavailable = errors.New("no manager answers")                   // whether it acted is unknown
 )
 
 // codes name errors on the wire.
 var codes = map[string]error{
-	"epoch": ErrEpoch, "storage": ErrStorage, "request": ErrRequest, "conflict": state.ErrConflict, "overlap": state.ErrOverlap,
-	"unknown": state.ErrUnknown, "fenced": state.ErrFenced, "state": state.ErrState,
+	"epoch": ErrEpoch, "storage": ErrStorage, "request": ErrRequest, "conflict": state.ErrConflict, "overlap": state.ErrRolloutActive,
+	"unknown": state.ErrNotFound, "fenced": state.ErrFenced, "state": state.ErrInvalidState,
 }
 
 // Code is an error's name on the wire, or "request" for any that has none.
@@ -79,11 +79,11 @@
 
 // Assignments is the answer.
 type Assignments struct {
-	Version uint64             `json:"version"`
-	Full    bool               `json:"full"` // List is all there is
-	List    []state.Assignment `json:"list"`
-	Nodes   []spec.Node        `json:"nodes"`
-	Edition uint64             `json:"edition"`
+	Version uint64              `json:"version"`
+	Full    bool                `json:"full"` // List is all there is
+	List    []state.Assignment  `json:"list"`
+	Nodes   []spec.NodeOverride `json:"nodes"`
+	Edition uint64              `json:"edition"`
 }
 
 // ApplyCall has the manager want another fleet.
@@ -99,8 +99,8 @@
 	Changes []state.NodeChange `json:"changes"`
 }
 
-// SteerCall pauses, resumes or aborts a rollout; Rev 0 means the one under way.
-type SteerCall struct {
+// SetPhaseCall pauses, resumes or aborts a rollout; Rev 0 means the one under way.
+type SetPhaseCall struct {
 	state.Command
 	Rev uint64      `json:"rev"`
 	To  state.Phase `json:"to"`
@@ -128,18 +128,18 @@
 
 // Overview is the fleet for people.
 type Overview struct {
-	Fleet       string                `json:"fleet"`
-	Rev         uint64                `json:"rev"`
-	Settled     bool                  `json:"settled"`
-	Unavailable int                   `json:"unavailable"`
-	Enabled     int                   `json:"enabled"`
-	Differing   int                   `json:"differing"`
-	Instances   []state.Status        `json:"instances"`
-	Agents      []state.AgentStatus   `json:"agents"`
-	Rollouts    []state.RolloutStatus `json:"rollouts"`
-	Nodes       []spec.Node           `json:"nodes"`
-	Figures     []Figures             `json:"figures,omitempty"`
-	Journal     string                `json:"journal,omitempty"` // what is wrong with it
+	Fleet       string                 `json:"fleet"`
+	Rev         uint64                 `json:"rev"`
+	Settled     bool                   `json:"settled"`
+	Unavailable int                    `json:"unavailable"`
+	Enabled     int                    `json:"enabled"`
+	Differing   int                    `json:"differing"`
+	Instances   []state.InstanceStatus `json:"instances"`
+	Agents      []state.AgentStatus    `json:"agents"`
+	Rollouts    []state.RolloutStatus  `json:"rollouts"`
+	Nodes       []spec.NodeOverride    `json:"nodes"`
+	Figures     []Figures              `json:"figures,omitempty"`
+	Journal     string                 `json:"journal,omitempty"` // what is wrong with it
 }
 
 // History lists revisions, newest first.
--- a/internal/fleet/desired/desired.go
+++ b/internal/fleet/desired/desired.go
@@ -53,8 +53,8 @@
 		d := spec.ConfigDigest(text)
 		out.Configs[d] = string(text)
 		i := &spec.Instance{Name: in.Name, Agent: in.Agent, Domain: in.Domain, Enabled: in.Enabled,
-			Start: spec.Start{Config: d, Listen: in.Listen, ObjectListen: in.ObjectListen, Cores: in.Cores, MemoryMB: in.MemoryMB, Sockets: in.Sockets},
-			Live:  spec.Live{Log: in.Log, Discovery: in.Discovery, MaxOpen: in.MaxOpen}}
+			Start: spec.StartSettings{Config: d, Listen: in.Listen, ObjectListen: in.ObjectListen, Cores: in.Cores, MemoryMB: in.MemoryMB, Sockets: in.Sockets},
+			Live:  spec.LiveSettings{LogLevel: in.Log, Discovery: in.Discovery, MaxInFlight: in.MaxOpen}}
 		if in.Groups != "" {
 			i.Groups = strings.Split(in.Groups, ",")
 		}
--- a/internal/fleet/manager/http.go
+++ b/internal/fleet/manager/http.go
@@ -70,7 +70,7 @@
 	route(mux, "rollback", func(_ context.Context, in *api.RollbackCall) (any, error) { return m.Rollback(in) })
 	route(mux, "nodes", func(_ context.Context, in *api.NodesCall) (any, error) { return m.Nodes(in) })
 	route(mux, "agents/retire", func(_ context.Context, in *api.RetireCall) (any, error) { return m.Retire(in) })
-	route(mux, "steer", func(_ context.Context, in *api.SteerCall) (any, error) { return m.Steer(in) })
+	route(mux, "steer", func(_ context.Context, in *api.SetPhaseCall) (any, error) { return m.Steer(in) })
 	route(mux, "overview", func(_ context.Context, in *struct {
 		Names []string `json:"names"`
 		Terms []string `json:"terms"`
--- a/internal/fleet/reconcile/reconcile.go
+++ b/internal/fleet/reconcile/reconcile.go
@@ -368,26 +368,26 @@
 
 // Report is what may be said of it: no more than its boot has said lately.
 func (m *Mind) Report(now int64) state.Report {
-	r := state.Report{Name: m.Name, Crashes: m.total, Flapping: m.flapping(now), Error: m.err, Refused: m.refused}
+	r := state.Report{Name: m.Name, Crashes: m.total, Flapping: m.flapping(now), Error: m.err, RejectedEdition: m.refused}
 	switch m.Phase {
 	case None:
-		r.Proc = state.Stopped
+		r.Process = state.Stopped
 		if m.Want.Drop {
-			r.Proc = state.Absent
+			r.Process = state.Absent
 		} else if m.Want.Run && len(m.crashes) > 0 {
-			r.Proc = state.Backoff
+			r.Process = state.Backoff
 		}
 	case Intent:
-		r.Proc = state.Unknown
+		r.Process = state.Unknown
 	case Leaving:
-		r.Proc, r.PID = state.Draining, m.ID.PID
+		r.Process, r.PID = state.Draining, m.ID.PID
 	case Alive:
-		r.Proc, r.PID, r.Started = state.Starting, m.ID.PID, m.Started
+		r.Process, r.PID, r.StartDigest = state.Starting, m.ID.PID, m.Started
 		if m.ready {
-			r.Proc = state.Running
+			r.Process = state.Running
 		}
 		if m.boot != "" && now-m.lookedAt <= m.t.Deaf {
-			r.Boot, r.Applied, r.Healthy, r.List, r.Nodes = m.boot, m.applied, m.healthy, m.list, m.nodes
+			r.Incarnation, r.AppliedEdition, r.Healthy, r.ListRevision, r.NodeCount = m.boot, m.applied, m.healthy, m.list, m.nodes
 		}
 	}
 	return r
--- a/internal/fleet/settings/settings.go
+++ b/internal/fleet/settings/settings.go
@@ -74,21 +74,21 @@
 
 // Strategy is how revisions roll out.
 type Strategy struct {
-	Canary         int          `toml:"canary"`
-	Batch          state.Amount `toml:"batch"`
-	MaxUnavailable state.Amount `toml:"max_unavailable"`
-	ByDomain       bool         `toml:"by_domain"`
-	Soak           Duration     `toml:"soak"`
-	Deadline       Duration     `toml:"deadline"`
-	FailureBudget  state.Amount `toml:"failure_budget"`
-	OnFailure      string       `toml:"on_failure"`
-	Overlap        string       `toml:"overlap"`
+	Canary         int                  `toml:"canary"`
+	Batch          state.CountOrPercent `toml:"batch"`
+	MaxUnavailable state.CountOrPercent `toml:"max_unavailable"`
+	ByDomain       bool                 `toml:"by_domain"`
+	Soak           Duration             `toml:"soak"`
+	Deadline       Duration             `toml:"deadline"`
+	FailureBudget  state.CountOrPercent `toml:"failure_budget"`
+	OnFailure      string               `toml:"on_failure"`
+	Overlap        string               `toml:"overlap"`
 }
 
 // State turns it into the planner's form.
 func (s Strategy) State() state.Strategy {
-	return state.Strategy{Canary: s.Canary, Batch: s.Batch, MaxUnavailable: s.MaxUnavailable, ByDomain: s.ByDomain,
-		Soak: s.Soak.Micros(), Deadline: s.Deadline.Micros(), FailureBudget: s.FailureBudget, OnFailure: s.OnFailure, Overlap: s.Overlap}
+	return state.Strategy{Canary: s.Canary, Batch: s.Batch, MaxUnavailable: s.MaxUnavailable, OneDomainPerWave: s.ByDomain,
+		SoakTime: s.Soak.Micros(), ProgressDeadline: s.Deadline.Micros(), FailureBudget: s.FailureBudget, OnFailure: s.OnFailure, Overlap: s.Overlap}
 }
 
 // Default is what holds without a file. dir is where journals and sockets go.
@@ -97,13 +97,13 @@
 	listen := "127.0.0.1:7700"
 	us := func(v int64) Duration { return Duration(time.Duration(v) * time.Microsecond) }
 	return File{
-		Manager: Manager{Listen: listen, Journal: filepath.Join(dir, "manager"), Silence: us(state.DefaultLimits().Silence),
-			Revisions: state.DefaultLimits().Revisions},
+		Manager: Manager{Listen: listen, Journal: filepath.Join(dir, "manager"), Silence: us(state.DefaultLimits().AgentTimeout),
+			Revisions: state.DefaultLimits().MaxRevisions},
 		Agent: Agent{Name: "local", Manager: listen, Journal: filepath.Join(dir, "agent"), RunDir: dir, Drain: Duration(15 * time.Second),
 			Look: Duration(time.Second)},
 		Fleet: Fleet{Manager: listen, Agent: "local"},
-		Strategy: Strategy{Canary: d.Canary, Batch: d.Batch, MaxUnavailable: d.MaxUnavailable, ByDomain: d.ByDomain, Soak: us(d.Soak),
-			Deadline: us(d.Deadline), FailureBudget: d.FailureBudget, OnFailure: d.OnFailure, Overlap: d.Overlap},
+		Strategy: Strategy{Canary: d.Canary, Batch: d.Batch, MaxUnavailable: d.MaxUnavailable, ByDomain: d.OneDomainPerWave, Soak: us(d.SoakTime),
+			Deadline: us(d.ProgressDeadline), FailureBudget: d.FailureBudget, OnFailure: d.OnFailure, Overlap: d.Overlap},
 	}
 }
 
--- a/internal/fleet/state/assignment.go
+++ b/internal/fleet/state/assignment.go
@@ -8,12 +8,12 @@
 
 // Assignment is what an agent shall make of one instance.
 type Assignment struct {
-	Name   string         `json:"name"`
-	Want   *spec.Instance `json:"want"`           // nil: end it
-	Target uint64         `json:"target"`         // edition that its broker shall hold
-	Rev    uint64         `json:"rev"`            // revision that it is of
-	Drop   bool           `json:"drop,omitempty"` // it is another's: forget it once it has ended
-	Keep   bool           `json:"keep,omitempty"` // it will be this agent's, in its turn: leave it as it is
+	Name          string         `json:"name"`
+	Desired       *spec.Instance `json:"want"`           // nil: end it
+	TargetEdition uint64         `json:"target"`         // edition that its broker shall hold
+	Revision      uint64         `json:"rev"`            // revision that it is of
+	Release       bool           `json:"drop,omitempty"` // it is another's: forget it once it has ended
+	Unreleased    bool           `json:"keep,omitempty"` // it will be this agent's, in its turn: leave it as it is
 }
 
 // Assignments lists what has changed for an agent since the version that it holds, and the version that this brings it
@@ -31,7 +31,7 @@
 		// released yet. It is not to end that.
 		for n, i := range s.head {
 			if i.Agent == name && s.inst[n] == nil {
-				out = append(out, Assignment{Name: n, Keep: true})
+				out = append(out, Assignment{Name: n, Unreleased: true})
 			}
 		}
 	} else {
@@ -39,7 +39,7 @@
 			if v <= have {
 				continue
 			}
-			as := Assignment{Name: n, Drop: true}
+			as := Assignment{Name: n, Release: true}
 			if i := a.insts[n]; i != nil {
 				as = s.assignment(i)
 			}
@@ -52,13 +52,13 @@
 
 func (s *State) assignment(i *instance) Assignment {
 	if i.want == nil || i.want.Agent != i.agent.name {
-		return Assignment{Name: i.name, Drop: true}
+		return Assignment{Name: i.name, Release: true}
 	}
-	return Assignment{Name: i.name, Want: i.want, Target: s.target(i), Rev: i.rev}
+	return Assignment{Name: i.name, Desired: i.want, TargetEdition: s.target(i), Revision: i.rev}
 }
 
-// NodeChanges are the operators' changes to the node list, and the revision they are of.
-func (s *State) NodeChanges() ([]spec.Node, uint64) { return s.nodes, s.nodesRev }
+// NodeOverrides are the operators' changes to the node list, and the revision they are of.
+func (s *State) NodeOverrides() ([]spec.NodeOverride, uint64) { return s.nodes, s.nodesRev }
 
 // Config returns a configuration text by its digest.
 func (s *State) Config(digest string) (string, bool) {
--- a/internal/fleet/state/availability.go
+++ b/internal/fleet/state/availability.go
@@ -65,18 +65,18 @@
 	}
 	switch {
 	case i.want == nil:
-		return i.seen.Proc == Absent
+		return i.seen.Process == Absent
 	case i.want.Agent != a.name:
 		return false // still to be handed over
 	case !i.want.Enabled:
-		return i.seen.Proc == Stopped
+		return i.seen.Process == Stopped
 	}
-	return i.seen.Proc == Running && i.seen.Boot != "" && i.seen.Applied == s.target(i) && i.seen.Started == i.digest
+	return i.seen.Process == Running && i.seen.Incarnation != "" && i.seen.AppliedEdition == s.target(i) && i.seen.StartDigest == i.digest
 }
 
 // available reports whether an instance is known to serve, as whatever revision.
 func (i *instance) available() bool {
-	return i.known && !i.agent.silent && i.seen.Proc == Running && i.seen.Healthy
+	return i.known && !i.agent.silent && i.seen.Process == Running && i.seen.Healthy
 }
 
 // weigh brings the counters and sets that an instance takes part in up to date.
@@ -92,7 +92,7 @@
 	}
 	i.ok = cur && (up || !enabled)
 	a := i.agent
-	pending := enabled && (i.want.Agent != a.name || i.seen.Started != i.digest)
+	pending := enabled && (i.want.Agent != a.name || i.seen.StartDigest != i.digest)
 	if i.ok || up && !pending && a.changed[i.name] == 0 {
 		i.disturbed = false
 	}
@@ -104,7 +104,7 @@
 		// A silent agent's are all exposed, which unavailable() adds up without visiting them; what is kept here
 		// holds for the time that it is heard.
 		i.counted = true
-		down := !(i.known && i.seen.Proc == Running && i.seen.Healthy)
+		down := !(i.known && i.seen.Process == Running && i.seen.Healthy)
 		i.exposed = i.disturbed || down || pending
 		// What counts against the bound may be a guess, but what a further change may be told for free has to be
 		// known: an instance nobody hears of may well be serving.
@@ -119,7 +119,7 @@
 	} else {
 		a.differ[i.name] = i
 	}
-	if i.known && !a.silent && a.changed[i.name] == 0 && i.seen.Proc == Absent && (i.want == nil || i.want.Agent != a.name) {
+	if i.known && !a.silent && a.changed[i.name] == 0 && i.seen.Process == Absent && (i.want == nil || i.want.Agent != a.name) {
 		s.gone[i.name] = i
 	} else {
 		delete(s.gone, i.name)
--- a/internal/fleet/state/snapshot.go
+++ b/internal/fleet/state/snapshot.go
@@ -12,25 +12,25 @@
 // snapshot is all that must survive, in one value. Instances stand once in a table and are named by their place in it,
 // counted from 1; 0 is none. What agents have seen is not in it: they tell it again.
 type snapshot struct {
-	Rev       uint64            `json:"rev"`
-	Fleet     string            `json:"fleet"`
-	Edition   uint64            `json:"edition"`
-	NodesRev  uint64            `json:"nodes_rev"`
-	NodesEd   uint64            `json:"nodes_edition"`
-	Token     uint64            `json:"token"`
-	Nodes     []spec.Node       `json:"nodes"`
-	Configs   map[string]string `json:"configs"`
-	Table     []*spec.Instance  `json:"table"`
-	Head      map[string]int    `json:"head"`
-	Base      map[string]int    `json:"base"`
-	Behind    []string          `json:"behind"`
-	Revisions []snapRevision    `json:"revisions"`
-	Agents    map[string]uint64 `json:"agents"` // tokens
-	Inst      []snapInstance    `json:"inst"`
-	Active    *snapRollout      `json:"active"`
-	Queue     []snapRollout     `json:"queue"`
-	Past      []snapRollout     `json:"past"`
-	Commands  []snapCommand     `json:"commands"`
+	Rev       uint64              `json:"rev"`
+	Fleet     string              `json:"fleet"`
+	Edition   uint64              `json:"edition"`
+	NodesRev  uint64              `json:"nodes_rev"`
+	NodesEd   uint64              `json:"nodes_edition"`
+	Token     uint64              `json:"token"`
+	Nodes     []spec.NodeOverride `json:"nodes"`
+	Configs   map[string]string   `json:"configs"`
+	Table     []*spec.Instance    `json:"table"`
+	Head      map[string]int      `json:"head"`
+	Base      map[string]int      `json:"base"`
+	Behind    []string            `json:"behind"`
+	Revisions []snapRevision      `json:"revisions"`
+	Agents    map[string]uint64   `json:"agents"` // tokens
+	Inst      []snapInstance      `json:"inst"`
+	Active    *snapRollout        `json:"active"`
+	Queue     []snapRollout       `json:"queue"`
+	Past      []snapRollout       `json:"past"`
+	Commands  []snapCommand       `json:"commands"`
 }
 
 type snapRevision struct {
@@ -271,10 +271,10 @@
 	return s, nil
 }
 
-// Recovered ends a replay. Nobody has been heard yet, so whatever there is counts, and counts as out of service,
+// FinishReplay ends a replay. Nobody has been heard yet, so whatever there is counts, and counts as out of service,
 // until its agent says otherwise: what served before the manager's end must not be taken for new, even where it has been
 // told to end since.
-func (s *State) Recovered() {
+func (s *State) FinishReplay() {
 	for _, i := range s.inst {
 		i.joined = true
 		s.weigh(i)
--- a/internal/fleet/state/view.go
+++ b/internal/fleet/state/view.go
@@ -8,35 +8,35 @@
 	"poppyarch/internal/fleet/spec"
 )
 
-// Status is an instance for people. Age says how old what is seen is, in microseconds; -1: nothing is known.
-type Status struct {
-	Name      string `json:"name"`
-	Agent     string `json:"agent"`
-	Domain    string `json:"domain"`
-	Enabled   bool   `json:"enabled"`
-	Rev       uint64 `json:"rev"`     // revision that it was released with
-	Target    uint64 `json:"target"`  // edition that it should hold
-	Current   bool   `json:"current"` // it is known to hold it
-	Available bool   `json:"available"`
-	Why       string `json:"why,omitempty"` // it is not current
-	Age       int64  `json:"age_us"`
-	Seen      Report `json:"seen"`
+// InstanceStatus is an instance for people. Age says how old what is seen is, in microseconds; -1: nothing is known.
+type InstanceStatus struct {
+	Name          string `json:"name"`
+	Agent         string `json:"agent"`
+	Domain        string `json:"domain"`
+	Enabled       bool   `json:"enabled"`
+	Revision      uint64 `json:"rev"`     // revision that it was released with
+	TargetEdition uint64 `json:"target"`  // edition that it should hold
+	Current       bool   `json:"current"` // it is known to hold it
+	Available     bool   `json:"available"`
+	Reason        string `json:"why,omitempty"` // it is not current
+	Age           int64  `json:"age_us"`
+	Report        Report `json:"seen"`
 }
 
 // Proc words what the process does.
-func (s *Status) Proc() string {
-	if s.Seen.Proc == Unknown {
+func (s *InstanceStatus) Proc() string {
+	if s.Report.Process == Unknown {
 		return "unknown"
 	}
-	return string(s.Seen.Proc)
+	return string(s.Report.Process)
 }
 
 // Holds words whether the broker holds what is wanted: current, old, or unknown.
-func (s *Status) Holds() string {
+func (s *InstanceStatus) Holds() string {
 	switch {
 	case s.Current:
 		return "current"
-	case s.Seen.Boot == "":
+	case s.Report.Incarnation == "":
 		return "unknown"
 	}
 	return "old"
@@ -56,36 +56,36 @@
 	case i.agent.changed[i.name] > 0:
 		return "its agent has not been told yet"
 	case i.want == nil:
-		return "to end, is " + string(i.seen.Proc)
+		return "to end, is " + string(i.seen.Process)
 	case i.want.Agent != i.agent.name:
-		return "to move to agent " + i.want.Agent + ", is " + string(i.seen.Proc) + " at " + i.agent.name
-	case !i.want.Enabled && i.seen.Proc != Stopped:
-		return "to stop, is " + string(i.seen.Proc)
+		return "to move to agent " + i.want.Agent + ", is " + string(i.seen.Process) + " at " + i.agent.name
+	case !i.want.Enabled && i.seen.Process != Stopped:
+		return "to stop, is " + string(i.seen.Process)
 	case !i.want.Enabled:
 		return ""
-	case i.seen.Refused != 0 && i.seen.Refused == s.target(i):
+	case i.seen.RejectedEdition != 0 && i.seen.RejectedEdition == s.target(i):
 		return "turned revision down: " + i.seen.Error
-	case i.seen.Proc != Running:
-		text := "is " + string(i.seen.Proc)
+	case i.seen.Process != Running:
+		text := "is " + string(i.seen.Process)
 		if i.seen.Error != "" {
 			text += ": " + i.seen.Error
 		}
 		return text
-	case i.seen.Boot == "":
+	case i.seen.Incarnation == "":
 		return "its broker does not answer"
-	case i.seen.Started != i.digest:
+	case i.seen.StartDigest != i.digest:
 		return "runs with other start settings"
-	case i.seen.Applied != s.target(i):
-		return fmt.Sprintf("holds edition %d, not %d", i.seen.Applied, s.target(i))
+	case i.seen.AppliedEdition != s.target(i):
+		return fmt.Sprintf("holds edition %d, not %d", i.seen.AppliedEdition, s.target(i))
 	case !i.seen.Healthy:
 		return "its fronts do not answer"
 	}
 	return ""
 }
 
-func (s *State) status(i *instance) Status {
-	st := Status{Name: i.name, Agent: i.agent.name, Rev: i.rev, Target: s.target(i), Current: s.current(i), Available: i.available(),
-		Why: s.why(i), Age: -1, Seen: i.seen}
+func (s *State) status(i *instance) InstanceStatus {
+	st := InstanceStatus{Name: i.name, Agent: i.agent.name, Revision: i.rev, TargetEdition: s.target(i), Current: s.current(i), Available: i.available(),
+		Reason: s.why(i), Age: -1, Report: i.seen}
 	if i.want != nil {
 		st.Domain, st.Enabled = i.want.FailureDomain(), i.want.Enabled
 	}
@@ -99,23 +99,23 @@
 }
 
 // Instances lists those that a selector picks, by name.
-func (s *State) Instances(sel spec.Selector) []Status {
-	out := []Status{}
+func (s *State) Instances(sel spec.Selector) []InstanceStatus {
+	out := []InstanceStatus{}
 	for _, name := range slices.Sorted(maps.Keys(s.inst)) {
 		i := s.inst[name]
 		w := i.want
 		if w == nil {
 			w = &spec.Instance{Name: name, Agent: i.agent.name}
 		}
-		if sel.Picks(w) {
+		if sel.Matches(w) {
 			out = append(out, s.status(i))
 		}
 	}
 	return out
 }
 
-// Differing counts the instances that are not as they should be. It costs one look at each agent.
-func (s *State) Differing() (n int) {
+// NotCurrent counts the instances that are not as they should be. It costs one look at each agent.
+func (s *State) NotCurrent() (n int) {
 	for _, a := range s.agents {
 		if a.silent {
 			n += len(a.insts)
@@ -128,12 +128,12 @@
 
 // AgentStatus is an agent for people.
 type AgentStatus struct {
-	Name      string `json:"name"`
-	Token     uint64 `json:"token"`
-	Silent    bool   `json:"silent"`
-	Age       int64  `json:"age_us"` // since its last call; -1: never
-	Instances int    `json:"instances"`
-	Differing int    `json:"differing"`
+	Name       string `json:"name"`
+	Token      uint64 `json:"token"`
+	Silent     bool   `json:"silent"`
+	Age        int64  `json:"age_us"` // since its last call; -1: never
+	Instances  int    `json:"instances"`
+	NotCurrent int    `json:"differing"`
 }
 
 // Agents lists them by name.
@@ -141,7 +141,7 @@
 	out := []AgentStatus{}
 	for _, name := range slices.Sorted(maps.Keys(s.agents)) {
 		a := s.agents[name]
-		st := AgentStatus{Name: name, Token: a.token, Silent: a.silent, Age: -1, Instances: len(a.insts), Differing: len(a.differ)}
+		st := AgentStatus{Name: name, Token: a.token, Silent: a.silent, Age: -1, Instances: len(a.insts), NotCurrent: len(a.differ)}
 		if a.at > 0 {
 			st.Age = s.now - a.at
 		}
@@ -152,23 +152,23 @@
 
 // RolloutStatus is a rollout for people.
 type RolloutStatus struct {
-	Rev      uint64            `json:"rev"`
-	Phase    Phase             `json:"phase"`
-	Reason   string            `json:"reason,omitempty"`
-	Blocked  string            `json:"blocked,omitempty"` // why nothing is released at the moment
-	At       int64             `json:"at"`
-	Wave     int               `json:"wave"` // the one under way, from 0
-	Waves    int               `json:"waves"`
-	Size     int               `json:"size"`     // instances in all
-	Released int               `json:"released"` // told to change
-	Fine     int               `json:"fine"`     // of these, as they should be
-	Failed   map[string]string `json:"failed,omitempty"`
-	Waiting  []string          `json:"waiting,omitempty"` // released and not yet current, the first few
-	Soaking  int64             `json:"soaking_us,omitempty"`
+	Revision  uint64            `json:"rev"`
+	Phase     Phase             `json:"phase"`
+	Reason    string            `json:"reason,omitempty"`
+	Blocked   string            `json:"blocked,omitempty"` // why nothing is released at the moment
+	StartedAt int64             `json:"at"`
+	Wave      int               `json:"wave"` // the one under way, from 0
+	Waves     int               `json:"waves"`
+	Size      int               `json:"size"`     // instances in all
+	Released  int               `json:"released"` // told to change
+	Current   int               `json:"fine"`     // of these, as they should be
+	Failed    map[string]string `json:"failed,omitempty"`
+	Waiting   []string          `json:"waiting,omitempty"` // released and not yet current, the first few
+	Soaking   int64             `json:"soaking_us,omitempty"`
 }
 
 func (s *State) rolloutStatus(r *rollout) RolloutStatus {
-	st := RolloutStatus{Rev: r.rev, Phase: r.phase, Reason: r.reason, Blocked: r.blocked, At: r.at, Wave: r.wave,
+	st := RolloutStatus{Revision: r.rev, Phase: r.phase, Reason: r.reason, Blocked: r.blocked, StartedAt: r.at, Wave: r.wave,
 		Waves: len(r.waves), Size: len(r.members)}
 	for _, name := range slices.Sorted(maps.Keys(r.members)) {
 		m := r.members[name]
@@ -176,7 +176,7 @@
 			st.Released++
 		}
 		if m.released && m.ok {
-			st.Fine++
+			st.Current++
 		}
 		if m.failed != "" {
 			if st.Failed == nil {
@@ -210,11 +210,11 @@
 
 // Settled reports whether nothing is under way and everything is known to be as it should be.
 func (s *State) Settled() bool {
-	return s.active == nil && len(s.queue) == 0 && len(s.behind) == 0 && s.Differing() == 0
+	return s.active == nil && len(s.queue) == 0 && len(s.behind) == 0 && s.NotCurrent() == 0
 }
 
-// Rev is the newest revision.
-func (s *State) Rev() uint64 { return s.rev }
+// NewestRevision is the newest revision.
+func (s *State) NewestRevision() uint64 { return s.rev }
 
 // History lists the kept revisions, newest first.
 func (s *State) History(most int) []Revision {
@@ -225,5 +225,5 @@
 	return out
 }
 
-// Head is the fleet as the newest revision wants it.
-func (s *State) Head() map[string]*spec.Instance { return maps.Clone(s.head) }
+// DesiredInstances is the fleet as the newest revision wants it.
+func (s *State) DesiredInstances() map[string]*spec.Instance { return maps.Clone(s.head) }
--- a/internal/fleet/supervisor/record.go
+++ b/internal/fleet/supervisor/record.go
@@ -12,18 +12,18 @@
 
 // record is one fact in an agent's journal. Intents stand before what they announce, results after.
 type record struct {
-	Kind    string             `json:"kind"`
-	Name    string             `json:"name,omitempty"`
-	Fleet   string             `json:"fleet,omitempty"`
-	Edition uint64             `json:"edition,omitempty"`
-	Full    bool               `json:"full,omitempty"`
-	List    []state.Assignment `json:"list,omitempty"`
-	Nodes   []spec.Node        `json:"nodes,omitempty"`
-	Configs map[string]string  `json:"configs,omitempty"`
-	Mark    string             `json:"mark,omitempty"`
-	Digest  string             `json:"digest,omitempty"`
-	ID      *process.Identity  `json:"id,omitempty"`
-	Command *reconcile.Command `json:"command,omitempty"`
+	Kind    string              `json:"kind"`
+	Name    string              `json:"name,omitempty"`
+	Fleet   string              `json:"fleet,omitempty"`
+	Edition uint64              `json:"edition,omitempty"`
+	Full    bool                `json:"full,omitempty"`
+	List    []state.Assignment  `json:"list,omitempty"`
+	Nodes   []spec.NodeOverride `json:"nodes,omitempty"`
+	Configs map[string]string   `json:"configs,omitempty"`
+	Mark    string              `json:"mark,omitempty"`
+	Digest  string              `json:"digest,omitempty"`
+	ID      *process.Identity   `json:"id,omitempty"`
+	Command *reconcile.Command  `json:"command,omitempty"`
 }
 
 const (
@@ -40,7 +40,7 @@
 type memory struct {
 	Fleet   string               `json:"fleet"`
 	Edition uint64               `json:"edition"` // the highest that the manager has shown
-	Nodes   []spec.Node          `json:"nodes"`
+	Nodes   []spec.NodeOverride  `json:"nodes"`
 	Configs map[string]string    `json:"configs"`
 	Cases   map[string]*caseFile `json:"cases"`
 }
@@ -74,21 +74,21 @@
 		if r.Full { // what is not in the list is not this agent's
 			keep := map[string]bool{}
 			for _, a := range r.List {
-				keep[a.Name] = a.Keep
+				keep[a.Name] = a.Unreleased
 			}
 			for name, c := range m.Cases {
 				if !keep[name] {
-					c.Assignment = state.Assignment{Name: name, Drop: true}
+					c.Assignment = state.Assignment{Name: name, Release: true}
 				}
 			}
 		}
 		for _, a := range r.List {
-			if a.Keep {
+			if a.Unreleased {
 				continue
 			}
 			if c := m.Cases[a.Name]; c != nil {
 				c.Assignment = a
-			} else if !a.Drop {
+			} else if !a.Release {
 				m.Cases[a.Name] = &caseFile{Assignment: a}
 			}
 		}
@@ -115,8 +115,8 @@
 func (m *memory) prune() {
 	used := map[string]bool{}
 	for _, c := range m.Cases {
-		if c.Assignment.Want != nil {
-			used[c.Assignment.Want.Start.Config] = true
+		if c.Assignment.Desired != nil {
+			used[c.Assignment.Desired.Start.Config] = true
 		}
 	}
 	for d := range m.Configs {
--- a/internal/fleet/supervisor/supervisor.go
+++ b/internal/fleet/supervisor/supervisor.go
@@ -285,9 +285,9 @@
 
 func (s *Supervisor) want(c *caseFile) reconcile.Want {
 	a := c.Assignment
-	w := reconcile.Want{Drop: a.Drop || a.Want == nil, Target: a.Target}
+	w := reconcile.Want{Drop: a.Release || a.Desired == nil, Target: a.TargetEdition}
 	if !w.Drop {
-		w.Run, w.Digest = a.Want.Enabled, a.Want.Start.Digest()
+		w.Run, w.Digest = a.Desired.Enabled, a.Desired.Start.Digest()
 	}
 	return w
 }
@@ -420,7 +420,7 @@
 func (s *Supervisor) start(m *mind, c *caseFile, now int64) error {
 	var b [12]byte
 	rand.Read(b[:])
-	mark, in := hex.EncodeToString(b[:]), c.Assignment.Want
+	mark, in := hex.EncodeToString(b[:]), c.Assignment.Desired
 	digest := in.Start.Digest()
 	if err := s.put(&record{Kind: recStarting, Name: m.Name, Mark: mark, Digest: digest}); err != nil {
 		return err
@@ -450,7 +450,7 @@
 // look asks a broker.
 func (s *Supervisor) look(ctx context.Context, m *mind, c *caseFile) {
 	m.busy = true
-	turn, in := m.turn, c.Assignment.Want
+	turn, in := m.turn, c.Assignment.Desired
 	go func() {
 		cctx, cancel := context.WithTimeout(ctx, s.opt.CallWait)
 		st, healthy, err := s.brokers.Look(cctx, in)
@@ -475,9 +475,9 @@
 // change sends a command.
 func (s *Supervisor) change(ctx context.Context, m *mind, c *caseFile, cmd *reconcile.Command) {
 	m.busy = true
-	turn, in := m.turn, c.Assignment.Want
+	turn, in := m.turn, c.Assignment.Desired
 	ch := &control.Change{ID: cmd.ID, Token: s.token, Boot: cmd.Boot, Base: cmd.Base, Revision: cmd.Target,
-		Rev: c.Assignment.Rev, Live: in.Live, Nodes: s.mem.Nodes}
+		Rev: c.Assignment.Revision, Live: in.Live, Nodes: s.mem.Nodes}
 	go func() {
 		cctx, cancel := context.WithTimeout(ctx, s.opt.CallWait)
 		o, err := s.brokers.Change(cctx, in, ch)
--- a/internal/fleet/supervisor/sync.go
+++ b/internal/fleet/supervisor/sync.go
@@ -85,8 +85,8 @@
 		if err == nil {
 			err = s.assign(ctx, reg, &a)
 		}
-		if errors.Is(err, api.ErrDown) || errors.Is(err, errJournal) { // the same may well go in a moment
-			if errors.Is(err, api.ErrDown) {
+		if errors.Is(err, api.ErrUnavailable) || errors.Is(err, errJournal) { // the same may well go in a moment
+			if errors.Is(err, api.ErrUnavailable) {
 				s.log.Warn("agent: manager not reached", "err", err)
 			}
 			t := time.NewTimer(*pause)
@@ -127,8 +127,8 @@
 	var missing []string
 	if err := s.inLoop(ctx, func() error {
 		for _, x := range a.List {
-			if x.Want != nil && s.mem.Configs[x.Want.Start.Config] == "" {
-				missing = append(missing, x.Want.Start.Config)
+			if x.Desired != nil && s.mem.Configs[x.Desired.Start.Config] == "" {
+				missing = append(missing, x.Desired.Start.Config)
 			}
 		}
 		return nil
@@ -156,14 +156,14 @@
 		var forget []string
 		dropped := map[string]bool{}
 		for _, x := range a.List {
-			dropped[x.Name] = x.Drop && !x.Keep
+			dropped[x.Name] = x.Release && !x.Unreleased
 		}
 		for name, m := range s.minds {
 			drop, told := dropped[name]
 			if a.Full && !told {
 				drop = true
 			}
-			if drop && m.Want.Drop && m.process == nil && m.Report(s.clock.Now()).Proc == state.Absent {
+			if drop && m.Want.Drop && m.process == nil && m.Report(s.clock.Now()).Process == state.Absent {
 				forget = append(forget, name)
 			}
 		}
@@ -182,7 +182,7 @@
 			m.wake = 0
 		}
 		for _, name := range forget {
-			if c := s.mem.Cases[name]; c == nil || !c.Assignment.Drop {
+			if c := s.mem.Cases[name]; c == nil || !c.Assignment.Release {
 				continue
 			}
 			if err := s.put(&record{Kind: recForget, Name: name}); err != nil {
--- a/internal/frontend/block/answer.go
+++ b/internal/frontend/block/answer.go
@@ -14,10 +14,10 @@
 		b := make([]byte, 0, len(a.Value)+16)
 		b = append(strconv.AppendInt(append(b, '$'), int64(len(a.Value)), 10), "\r\n"...)
 		return append(append(b, a.Value...), "\r\n"...)
-	case core.Refusal:
-		return busy(a.Hint)
+	case core.Rejection:
+		return busy(a.RetryAfter)
 	}
-	if a.Overdue {
+	if a.DeadlineExceeded {
 		return []byte("-ERR out of time\r\n")
 	}
 	return []byte("-ERR failed\r\n")
--- a/internal/frontend/block/client.go
+++ b/internal/frontend/block/client.go
@@ -48,15 +48,15 @@
 	lim := c.front.lim
 	switch {
 	case c.owed.Load() > 0: // the last answer wakes nobody
-		return now + min(lim.ClientLull, lim.ClientStall)/4
+		return now + min(lim.ClientIdleTimeoutUnderPressure, lim.ClientStallTimeout)/4
 	case c.last.Load() == 0:
-		return c.came + lim.ClientFirst
+		return c.came + lim.ClientFirstByteTimeout
 	case c.mid.Load():
-		return min(c.last.Load()+lim.ClientStall, c.began.Load()+lim.ClientSend)
-	case now < c.since.Load()+lim.ClientLull:
-		return c.since.Load() + lim.ClientLull
+		return min(c.last.Load()+lim.ClientStallTimeout, c.began.Load()+lim.ClientRequestTimeout)
+	case now < c.since.Load()+lim.ClientIdleTimeoutUnderPressure:
+		return c.since.Load() + lim.ClientIdleTimeoutUnderPressure
 	}
-	return min(now+lim.ClientLull/4, c.since.Load()+lim.ClientIdle)
+	return min(now+lim.ClientIdleTimeoutUnderPressure/4, c.since.Load()+lim.ClientIdleTimeout)
 }
 
 // late decides whether a client that has been silent until now, or that was woken, has to go. None goes that is owed
@@ -69,7 +69,7 @@
 		return nil
 	}
 	if c.mid.Load() {
-		if c.stalled(now, woken) || woken && c.tooSlow(now) || now >= c.began.Load()+f.lim.ClientSend {
+		if c.stalled(now, woken) || woken && c.tooSlow(now) || now >= c.began.Load()+f.lim.ClientRequestTimeout {
 			c.ended.Store(true)
 			return errStalled
 		}
@@ -77,8 +77,8 @@
 	}
 	idle := now - c.since.Load()
 	switch {
-	case woken, c.last.Load() == 0 && now >= c.came+f.lim.ClientFirst, idle >= f.lim.ClientIdle,
-		c.last.Load() > 0 && idle >= f.lim.ClientLull && (c.large || f.crowded()):
+	case woken, c.last.Load() == 0 && now >= c.came+f.lim.ClientFirstByteTimeout, idle >= f.lim.ClientIdleTimeout,
+		c.last.Load() > 0 && idle >= f.lim.ClientIdleTimeoutUnderPressure && (c.large || f.crowded()):
 		c.ended.Store(true)
 		return errIdle
 	}
@@ -93,7 +93,7 @@
 
 // stalled reports whether it has stopped within a command for too long: sooner where others need the place.
 func (c *client) stalled(now int64, needed bool) bool {
-	wait := c.front.lim.ClientStall
+	wait := c.front.lim.ClientStallTimeout
 	if needed {
 		wait /= 4
 	}
@@ -103,7 +103,7 @@
 // tooSlow reports whether it has been within a command for so long that it goes where others need the place, though it
 // sends a byte now and then: a few hundred of such clients would keep everybody else out.
 func (c *client) tooSlow(now int64) bool {
-	return c.mid.Load() && now >= c.began.Load()+2*c.front.lim.ClientStall
+	return c.mid.Load() && now >= c.began.Load()+2*c.front.lim.ClientStallTimeout
 }
 
 // slot is the place of one command's answer in the order.
--- a/internal/frontend/block/command.go
+++ b/internal/frontend/block/command.go
@@ -67,7 +67,7 @@
 			return r, fmt.Errorf("%s is missing", name)
 		}
 	}
-	r.Unsafe = names.Unsafe[r.Class]
+	r.NotIdempotent = names.Unsafe[r.Class]
 	return r, nil
 }
 
@@ -85,7 +85,7 @@
 		var ms float64
 		ms, err = decimal(value)
 		known = ms > 0 && ms <= 1e8
-		r.Due = now + int64(ms*1000)
+		r.Deadline = now + int64(ms*1000)
 	case "units":
 		r.Units, err = decimal(value)
 		known = r.Units > 0 && (names.MaxUnits <= 0 || r.Units <= names.MaxUnits)
@@ -93,8 +93,8 @@
 		r.Shard, err = strconv.Atoi(value)
 		known = r.Shard >= -1 && !strings.HasPrefix(value, "+") && (names.Shards <= 0 || r.Shard < names.Shards)
 	case "hosts":
-		r.Hosts, err = strconv.Atoi(value)
-		known = r.Hosts >= 0 && !strings.HasPrefix(value, "+")
+		r.Brokers, err = strconv.Atoi(value)
+		known = r.Brokers >= 0 && !strings.HasPrefix(value, "+")
 	}
 	if err != nil || !known {
 		return fmt.Errorf("%s: cannot be %q", name, clip(value))
@@ -152,7 +152,7 @@
 	n := &Names{Classes: map[string]int{}, Plans: map[string]int{}, Shards: shards, MaxUnits: cfg.MaxUnits, lim: lim}
 	for i, c := range cfg.Classes {
 		n.Classes[c.Name] = i
-		n.Unsafe = append(n.Unsafe, c.Repeat == decision.Unsafe)
+		n.Unsafe = append(n.Unsafe, c.Idempotency == decision.NotIdempotent)
 	}
 	for i, p := range cfg.Plans {
 		n.Plans[p.Name] = i
--- a/internal/frontend/block/conn.go
+++ b/internal/frontend/block/conn.go
@@ -33,11 +33,11 @@
 	case errors.Is(err, errProtocol):
 		w.put("-ERR " + err.Error() + "\r\n")
 	case !errors.Is(err, errIdle) && !errors.Is(err, errQuit):
-		cancel(core.ErrClientLeft) // end of stream or reset
+		cancel(core.ErrClientDisconnected) // end of stream or reset
 	}
 	close(w.slots)
 	writer.Wait()
-	if errors.Is(err, errProtocol) || !errors.Is(context.Cause(ctx), core.ErrClientLeft) && w.answerOnItsWay() {
+	if errors.Is(err, errProtocol) || !errors.Is(context.Cause(ctx), core.ErrClientDisconnected) && w.answerOnItsWay() {
 		w.closeGently()
 	}
 	cancel(nil)
@@ -62,9 +62,9 @@
 	if half, ok := c.net.Conn.(interface{ CloseWrite() error }); ok {
 		half.CloseWrite()
 	}
-	end := time.Now().Add(clock.Duration(c.front.lim.ClientLinger))
+	end := time.Now().Add(clock.Duration(c.front.lim.ClientLingerTimeout))
 	buf := make([]byte, 4096)
-	for left := c.front.lim.MaxMessage; left > 0 && time.Now().Before(end); {
+	for left := c.front.lim.MaxMessageBytes; left > 0 && time.Now().Before(end); {
 		c.net.SetReadDeadline(end)
 		n, err := c.net.Conn.Read(buf)
 		left -= n
@@ -98,18 +98,18 @@
 		}
 		if until := f.until.Load(); until > 0 {
 			if f.clock.Now() >= until {
-				w.put(string(busy(f.lim.BusyHint))) // nothing ran, and nothing would come back in time
+				w.put(string(busy(f.lim.BusyRetryAfter))) // nothing ran, and nothing would come back in time
 				break
 			}
-			r.Due = min(r.Due, until) // this process may be killed right after
+			r.Deadline = min(r.Deadline, until) // this process may be killed right after
 		}
 		// What a client wrote before it went is read after it has gone where this process was late or more than one
 		// command came at once.
 		left := func() bool { return socket.Left(w.net.Conn) }
 		if (!w.asked.Load() || w.owed.Load() > 0) && left() {
-			return core.ErrClientLeft
+			return core.ErrClientDisconnected
 		}
-		r.Left = left
+		r.ClientGone = left
 		s := &slot{id: string(r.Work.ID)}
 		if !f.open(s.id) {
 			w.put("-ERR id: a request of that id is open\r\n")
@@ -117,7 +117,7 @@
 		}
 		if !f.hold(s, int64(len(cmd.Raw))) {
 			f.close(s)
-			w.put(string(busy(f.lim.BusyHint))) // nothing ran
+			w.put(string(busy(f.lim.BusyRetryAfter))) // nothing ran
 			break
 		}
 		w.owe(s)
@@ -128,7 +128,7 @@
 			f.evictSurplus()
 		}
 		requests.Go(func() {
-			b := encode(f.broker.Do(ctx, r))
+			b := encode(f.broker.Handle(ctx, r))
 			s.bytes.Add(int64(len(b)))
 			f.held.Add(int64(len(b)))
 			s.answer <- b
@@ -154,7 +154,7 @@
 // hold counts a request's bytes until its answer is sent, or reports that there are too many. Answers that clients are
 // slow to take count too.
 func (f *Front) hold(s *slot, size int64) bool {
-	if f.held.Add(size) > f.lim.MaxBodies {
+	if f.held.Add(size) > f.lim.MaxBodyBytes {
 		f.held.Add(-size)
 		return false
 	}
@@ -178,10 +178,10 @@
 	for s := range w.slots {
 		b := <-s.answer
 		if !broken {
-			w.net.SetWriteDeadline(time.Now().Add(clock.Duration(w.front.lim.ClientWrite)))
+			w.net.SetWriteDeadline(time.Now().Add(clock.Duration(w.front.lim.ClientWriteTimeout)))
 			if _, err := w.net.Write(b); err != nil {
 				broken = true
-				cancel(core.ErrClientLeft)
+				cancel(core.ErrClientDisconnected)
 				w.net.Close()
 			}
 		}
--- a/internal/frontend/block/eviction.go
+++ b/internal/frontend/block/eviction.go
@@ -17,7 +17,7 @@
 	switch {
 	case c.owed.Load() > 0, c.closing():
 		return notEvictable
-	case c.net.over.Load(), c.last.Load() == 0 && now >= c.came+c.front.lim.ClientStall/4:
+	case c.net.over.Load(), c.last.Load() == 0 && now >= c.came+c.front.lim.ClientStallTimeout/4:
 		return 0
 	case c.stalled(now, true):
 		return 1
--- a/internal/frontend/block/front.go
+++ b/internal/frontend/block/front.go
@@ -19,7 +19,7 @@
 
 // Broker is what stands behind this front.
 type Broker interface {
-	Do(ctx context.Context, r core.Request[*blockstore.Command]) core.Answer[[]byte]
+	Handle(ctx context.Context, r core.Request[*blockstore.Command]) core.Answer[[]byte]
 }
 
 // Front serves clients.
@@ -57,8 +57,8 @@
 func New(b Broker, names *Names, conns int, c *clock.Clock, lim *limits.Limits, log *slog.Logger) *Front {
 	spare := conns - conns/8
 	keep := spare
-	if lim.ClientKeep > 0 {
-		keep = min(keep, lim.ClientKeep)
+	if lim.ClientIdleConns > 0 {
+		keep = min(keep, lim.ClientIdleConns)
 	}
 	base, expire := context.WithCancelCause(context.Background())
 	return &Front{broker: b, names: names, clock: c, lim: lim, log: log, most: conns, spare: spare, keep: keep,
@@ -98,15 +98,15 @@
 // long its client would wait: the process may be killed after that. ctx bounds the wait.
 func (f *Front) Drain(ctx context.Context) error {
 	began := f.clock.Now()
-	f.until.Store(began + f.lim.DrainAnswer)
+	f.until.Store(began + f.lim.DrainAnswerTime)
 	f.draining.Store(true)
 	defer close(f.drained)
-	last := time.AfterFunc(clock.Duration(f.lim.DrainAnswer), func() { f.expire(core.ErrDue) })
+	last := time.AfterFunc(clock.Duration(f.lim.DrainAnswerTime), func() { f.expire(core.ErrDeadlineExceeded) })
 	defer last.Stop()
 	for {
 		f.mu.Lock()
 		n, passed := len(f.conns), f.clock.Now()-began
-		if f.ln != nil && (passed >= f.lim.DrainServe || n == 0 && passed >= f.lim.DrainAccept) {
+		if f.ln != nil && (passed >= f.lim.DrainServeTime || n == 0 && passed >= f.lim.DrainAcceptTime) {
 			f.ln.Close()
 		}
 		for c := range f.conns {
