--- a/internal/frontend/object/front.go
+++ b/internal/frontend/object/front.go
@@ -29,7 +29,7 @@
 
 // Broker is what stands behind this front.
 type Broker interface {
-	Do(ctx context.Context, r core.Request[*objectstore.Call]) core.Answer[*objectstore.Result]
+	Handle(ctx context.Context, r core.Request[*objectstore.Call]) core.Answer[*objectstore.Result]
 }
 
 // Front serves the object API.
@@ -53,15 +53,15 @@
 	f := &Front{broker: b, cfg: cfg, clock: c, lim: &cfg.Limits, log: log, conns: conns}
 	f.base, f.expire = context.WithCancel(context.Background())
 	f.server = &http.Server{
-		Handler: f, MaxHeaderBytes: f.lim.MaxHead, ReadHeaderTimeout: clock.Duration(f.lim.ObjectStall),
-		ConnContext: withConn, ConnState: connState, IdleTimeout: clock.Duration(f.lim.ObjectIdle), ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn),
+		Handler: f, MaxHeaderBytes: f.lim.MaxHeaderBytes, ReadHeaderTimeout: clock.Duration(f.lim.ObjectStallTimeout),
+		ConnContext: withConn, ConnState: connState, IdleTimeout: clock.Duration(f.lim.ObjectIdleTimeout), ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn),
 	}
 	return f
 }
 
 // Serve accepts clients until the listener is closed, and returns when Drain is over.
 func (f *Front) Serve(ln net.Listener) error {
-	err := f.server.Serve(newListener(ln, f.conns, f.lim.ClientStall, f.clock))
+	err := f.server.Serve(newListener(ln, f.conns, f.lim.ClientStallTimeout, f.clock))
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
@@ -71,12 +71,12 @@
 // Drain takes new connections for a while longer, closes idle ones and returns when all requests are answered. What was
 // taken is answered by Limits.DrainAnswer, unless its answer has begun: the process may be killed after that.
 func (f *Front) Drain(ctx context.Context) error {
-	f.until.Store(f.clock.Now() + f.lim.DrainAnswer)
-	last := time.AfterFunc(clock.Duration(f.lim.DrainAnswer), f.expire)
+	f.until.Store(f.clock.Now() + f.lim.DrainAnswerTime)
+	last := time.AfterFunc(clock.Duration(f.lim.DrainAnswerTime), f.expire)
 	defer last.Stop()
 	f.server.SetKeepAlivesEnabled(false)
 	select {
-	case <-time.After(clock.Duration(f.lim.DrainAccept)):
+	case <-time.After(clock.Duration(f.lim.DrainAcceptTime)):
 	case <-ctx.Done():
 	}
 	if err := f.server.Shutdown(ctx); err != nil {
@@ -117,7 +117,7 @@
 	if x.began.Load() { // nothing more can be said; a cut connection tells the client that the body is not whole
 		panic(http.ErrAbortHandler)
 	}
-	x.rc.SetWriteDeadline(time.Now().Add(clock.Duration(x.lim.ClientWrite)))
+	x.rc.SetWriteDeadline(time.Now().Add(clock.Duration(x.lim.ClientWriteTimeout)))
 	writeFault(w, r, x.id, err)
 }
 
@@ -241,12 +241,12 @@
 		plan = o.Plan
 	}
 	return core.Request[*objectstore.Call]{
-		Job: dispatcher.Job{
+		RequestInfo: dispatcher.RequestInfo{
 			Class: class, Plan: x.cfg.Plan(plan), Volume: x.bucket, Key: x.key, Units: x.units(), Shard: shard,
-			Hosts: x.cfg.Policy.Hosts, Due: due,
+			Brokers: x.cfg.Policy.Brokers, Deadline: due,
 		},
-		Unsafe: x.cfg.Policy.Classes[class].Repeat == decision.Unsafe,
-		Left:   clientLeft(x.r.Context()),
+		NotIdempotent: x.cfg.Policy.Classes[class].Idempotency == decision.NotIdempotent,
+		ClientGone:    clientLeft(x.r.Context()),
 		Work: &objectstore.Call{Method: method, Target: (&url.URL{Path: "/" + x.bucket + "/" + x.key}).EscapedPath() +
 			query, Header: h, Body: x.body},
 	}
@@ -300,20 +300,20 @@
 	defer cancel(nil)
 	defer context.AfterFunc(x.base, func() {
 		if !x.began.Load() {
-			cancel(core.ErrDue)
+			cancel(core.ErrDeadlineExceeded)
 		}
 	})()
-	a := x.broker.Do(ctx, q)
+	a := x.broker.Handle(ctx, q)
 	switch {
 	case a.Kind == core.Success:
 		return a.Value, nil
-	case x.clock.Now() >= q.Due-2*x.lim.AnswerMargin:
+	case x.clock.Now() >= q.Deadline-2*x.lim.AnswerMargin:
 		return nil, errTimeout // whatever the last attempt's end was, the client's time is up
-	case a.Kind == core.Refusal:
+	case a.Kind == core.Rejection:
 		// Whole seconds are all that this header has; rounded up, since the advice is not to come earlier.
-		x.w.Header().Set("Retry-After", strconv.FormatInt(max((a.Hint+999_999)/1_000_000, 1), 10))
+		x.w.Header().Set("Retry-After", strconv.FormatInt(max((a.RetryAfter+999_999)/1_000_000, 1), 10))
 		return nil, errSlowDown
-	case a.Overdue:
+	case a.DeadlineExceeded:
 		return nil, errTimeout
 	}
 	return nil, errInternal
@@ -335,7 +335,7 @@
 // put stores an object or a part. The body is read before the module sees the request: a node's time is not
 // spent on a slow client, and a resent attempt has all of it.
 func (x *exchange) put(class, shard int, query string) error {
-	if err := x.readBody(x.lim.MaxObject); err != nil {
+	if err := x.readBody(x.lim.MaxObjectBytes); err != nil {
 		return err
 	}
 	res, err := x.ask(x.request(class, shard, http.MethodPut, query, x.due))
@@ -354,7 +354,7 @@
 	if n > most {
 		return errTooLarge
 	}
-	if x.held.Add(n) > x.lim.MaxBodies {
+	if x.held.Add(n) > x.lim.MaxBodyBytes {
 		x.held.Add(-n)
 		x.w.Header().Set("Retry-After", "1")
 		return errSlowDown
@@ -404,7 +404,7 @@
 type patient struct{ x *exchange }
 
 func (p *patient) Write(b []byte) (int, error) {
-	p.x.rc.SetWriteDeadline(time.Now().Add(clock.Duration(p.x.lim.ObjectStall)))
+	p.x.rc.SetWriteDeadline(time.Now().Add(clock.Duration(p.x.lim.ObjectStallTimeout)))
 	return p.x.w.Write(b)
 }
 
@@ -418,7 +418,7 @@
 		length = -1 // the length of what a GET would bring
 	}
 	x.header(res, length)
-	x.rc.SetWriteDeadline(time.Now().Add(clock.Duration(x.lim.ClientWrite)))
+	x.rc.SetWriteDeadline(time.Now().Add(clock.Duration(x.lim.ClientWriteTimeout)))
 	x.w.WriteHeader(res.Status)
 	x.w.Write(res.Body)
 	return nil
--- a/internal/frontend/object/multipart.go
+++ b/internal/frontend/object/multipart.go
@@ -97,7 +97,7 @@
 	if err != nil {
 		return err
 	}
-	if err := x.readBody(x.lim.MaxCompletion); err != nil {
+	if err := x.readBody(x.lim.MaxCompletionBytes); err != nil {
 		return err
 	}
 	want, err := parseCompletion(x.body, x.lim.MaxParts)
@@ -105,7 +105,7 @@
 		return err
 	}
 	// Some of the client's time is kept for the reading back.
-	due := x.due - min(x.lim.ReadBack, (x.due-x.clock.Now())/3)
+	due := x.due - min(x.lim.ReadBackTime, (x.due-x.clock.Now())/3)
 	res, err := x.ask(x.request(class, shard, http.MethodPost, "?uploadId="+url.QueryEscape(own), due))
 	if err == nil && res.Status != http.StatusNotFound {
 		return x.answer(res)
@@ -131,14 +131,14 @@
 			return x.answer(res)
 		}
 		// It may still be running at the node.
-		if x.clock.Now()+x.lim.ReadBackPause >= x.due {
+		if x.clock.Now()+x.lim.ReadBackInterval >= x.due {
 			x.w.Header().Del("Retry-After") // it is not known to be harmless
 			return err
 		}
 		select {
 		case <-x.r.Context().Done():
 			return err
-		case <-time.After(clock.Duration(x.lim.ReadBackPause)):
+		case <-time.After(clock.Duration(x.lim.ReadBackInterval)):
 		}
 	}
 }
--- a/internal/observability/console/console.go
+++ b/internal/observability/console/console.go
@@ -254,7 +254,7 @@
 	}
 	for _, r := range m.o.Rollouts {
 		if r.Phase == "active" || r.Phase == "paused" {
-			parts = append(parts, fmt.Sprintf("rollout %d %s, wave %d of %d", r.Rev, r.Phase, min(r.Wave+1, r.Waves), r.Waves))
+			parts = append(parts, fmt.Sprintf("rollout %d %s, wave %d of %d", r.Revision, r.Phase, min(r.Wave+1, r.Waves), r.Waves))
 		}
 	}
 	if len(parts) == 0 {
--- a/internal/observability/console/table.go
+++ b/internal/observability/console/table.go
@@ -58,16 +58,16 @@
 		st, holds := i.Proc(), i.Holds()
 		req, ref, fail, open := "-", "-", "-", "-"
 		d := []string{
-			fmt.Sprintf("agent %s, domain %s, revision %d, edition %d wanted and %d held", i.Agent, i.Domain, i.Rev, i.Target, i.Seen.Applied),
-			fmt.Sprintf("process %s, pid %d, boot %s, crashed %d times", st, i.Seen.PID, dash(i.Seen.Boot), i.Seen.Crashes),
-			fmt.Sprintf("node list version %d with %d nodes", i.Seen.List, i.Seen.Nodes),
+			fmt.Sprintf("agent %s, domain %s, revision %d, edition %d wanted and %d held", i.Agent, i.Domain, i.Revision, i.TargetEdition, i.Report.AppliedEdition),
+			fmt.Sprintf("process %s, pid %d, boot %s, crashed %d times", st, i.Report.PID, dash(i.Report.Incarnation), i.Report.Crashes),
+			fmt.Sprintf("node list version %d with %d nodes", i.Report.ListRevision, i.Report.NodeCount),
 			fmt.Sprintf("known as of %s ago", age(i.Age)),
 		}
-		if i.Why != "" {
-			d = append(d, "not as wanted: "+i.Why)
+		if i.Reason != "" {
+			d = append(d, "not as wanted: "+i.Reason)
 		}
-		if i.Seen.Error != "" {
-			d = append(d, "last error: "+i.Seen.Error)
+		if i.Report.Error != "" {
+			d = append(d, "last error: "+i.Report.Error)
 		}
 		if f, ok := figs[i.Name]; ok {
 			var all, refused, failed uint64
@@ -90,7 +90,7 @@
 		} else {
 			d = append(d, "", "no figures: its configuration has no record key, or nothing has come yet")
 		}
-		t.rows = append(t.rows, []string{i.Name, i.Agent, st, holds, req, ref, fail, open, age(i.Age), i.Why})
+		t.rows = append(t.rows, []string{i.Name, i.Agent, st, holds, req, ref, fail, open, age(i.Age), i.Reason})
 		t.names, t.detail = append(t.names, i.Name), append(t.detail, d)
 	}
 	return t
@@ -234,9 +234,9 @@
 		if r.Waves > 0 {
 			wave = fmt.Sprintf("%d/%d", min(r.Wave+1, r.Waves), r.Waves)
 		}
-		t.rows = append(t.rows, []string{fmt.Sprint(r.Rev), string(r.Phase), wave, fmt.Sprintf("%d/%d", r.Released, r.Size), fmt.Sprint(r.Fine),
+		t.rows = append(t.rows, []string{fmt.Sprint(r.Revision), string(r.Phase), wave, fmt.Sprintf("%d/%d", r.Released, r.Size), fmt.Sprint(r.Current),
 			fmt.Sprint(len(r.Failed)), reason})
-		d := []string{fmt.Sprintf("rollout of revision %d is %s", r.Rev, r.Phase)}
+		d := []string{fmt.Sprintf("rollout of revision %d is %s", r.Revision, r.Phase)}
 		if reason != "" {
 			d = append(d, reason)
 		}
@@ -249,7 +249,7 @@
 		for _, name := range slices.Sorted(maps.Keys(r.Failed)) {
 			d = append(d, "failed: "+name+": "+r.Failed[name])
 		}
-		t.names, t.detail = append(t.names, fmt.Sprint("rollout ", r.Rev)), append(t.detail, d)
+		t.names, t.detail = append(t.names, fmt.Sprint("rollout ", r.Revision)), append(t.detail, d)
 	}
 	return t
 }
--- a/internal/observability/incident/stream.go
+++ b/internal/observability/incident/stream.go
@@ -177,7 +177,7 @@
 		sent := at + y.Sent
 		done := sent + y.Took
 		switch decision.Outcome(y.Outcome) {
-		case decision.Served, decision.NodeError, decision.TurnedAway, decision.Spoilt: // it said something
+		case decision.Served, decision.NodeError, decision.Rejected, decision.MalformedResponse: // it said something
 			n.answers = append(n.answers, done)
 			if decision.Outcome(y.Outcome) == decision.Served {
 				k := n.latency[slot(done)]
@@ -189,7 +189,7 @@
 			}
 		case decision.TimedOut:
 			n.silent = append(n.silent, try{sent, done})
-		case decision.NoConnection, decision.ConnectionLost:
+		case decision.ConnectFailed, decision.ConnectionLost:
 			n.refused = append(n.refused, try{sent, done})
 		}
 	}
--- a/internal/timing/clock/clock.go
+++ b/internal/timing/clock/clock.go
@@ -3,11 +3,14 @@
 
 import "time"
 
-// Clock tells the time in microseconds. Its zero is that of Unix time, so that the start times in the node list
-// stand on it, but it runs on the monotonic clock: a step of the wall clock does not move it.
+// Micros is a time or a duration in microseconds. Times count from the zero of Unix time.
+type Micros = int64
+
+// Clock tells the time. Its zero is that of Unix time, so that the start times of storage nodes can be compared with it,
+// but it runs on the monotonic clock: a step of the wall clock does not move it.
 type Clock struct {
 	start time.Time
-	zero  int64
+	zero  Micros
 }
 
 // New returns a clock set by the wall clock once.
@@ -16,8 +19,8 @@
 	return &Clock{start: now, zero: now.UnixMicro()}
 }
 
-// Now is the present time.
-func (c *Clock) Now() int64 { return c.zero + time.Since(c.start).Microseconds() }
+// Now returns the present time.
+func (c *Clock) Now() Micros { return c.zero + time.Since(c.start).Microseconds() }
 
-// Duration turns microseconds into the standard library's form.
-func Duration(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
+// Duration converts microseconds to the standard library's type.
+func Duration(m Micros) time.Duration { return time.Duration(m) * time.Microsecond }
--- a/internal/transport/pool/pool.go
+++ b/internal/transport/pool/pool.go
@@ -91,7 +91,7 @@
 	if !p.reserve() {
 		return nil, ErrFull
 	}
-	ctx, cancel := context.WithTimeout(ctx, clock.Duration(p.lim.Connect))
+	ctx, cancel := context.WithTimeout(ctx, clock.Duration(p.lim.ConnectTimeout))
 	defer cancel()
 	conn, err := p.dial(ctx, "tcp", addr)
 	if err != nil {
@@ -110,7 +110,7 @@
 	if !errors.Is(err, ErrFull) {
 		return c, err
 	}
-	enough := time.NewTimer(clock.Duration(p.lim.Connect)) // of waiting; the dialling has its own time
+	enough := time.NewTimer(clock.Duration(p.lim.ConnectTimeout)) // of waiting; the dialling has its own time
 	defer enough.Stop()
 	for errors.Is(err, ErrFull) {
 		select {
@@ -139,20 +139,20 @@
 func (p *Pool) Lend(ctx context.Context, addr string, fresh bool, deadline int64, open func() bool) (*Conn, core.Outcome) {
 	left := deadline - p.clock.Now()
 	if ctx.Err() != nil || left <= 0 {
-		return nil, core.NotSent
+		return nil, core.NotAttempted
 	}
 	dialling, cancel := context.WithTimeout(ctx, clock.Duration(left))
 	defer cancel()
 	c, err := p.wait(dialling, addr, fresh)
 	if err != nil {
 		if errors.Is(err, ErrFull) || ctx.Err() != nil {
-			return nil, core.NotSent // tells nothing of the node
+			return nil, core.NotAttempted // tells nothing of the node
 		}
-		return nil, core.NoConnection
+		return nil, core.ConnectFailed
 	}
 	if left = deadline - p.clock.Now(); !open() || left <= 0 {
 		p.Put(c)
-		return nil, core.NotSent
+		return nil, core.NotAttempted
 	}
 	c.SetDeadline(time.Now().Add(clock.Duration(left)))
 	return c, core.Served
@@ -175,17 +175,17 @@
 	}
 	// What comes behind an answer would be taken for the next one, were the connection lent again before it is seen.
 	at := len(list) - 1
-	for at >= 0 && now-list[at].used < p.lim.NodeRest {
+	for at >= 0 && now-list[at].used < p.lim.NodeReuseDelay {
 		at--
 	}
 	if at < 0 {
 		return nil
 	}
 	c := list[at]
-	if now-c.used > p.lim.NodeIdle {
+	if now-c.used > p.lim.NodeIdleTimeout {
 		return nil // all before it are older; Sweep closes them
 	}
-	if fresh && (now-c.used > p.lim.NodeFresh || c.used <= p.quiet[addr]) {
+	if fresh && (now-c.used > p.lim.NodeReuseWindow || c.used <= p.quiet[addr]) {
 		return nil
 	}
 	p.idle[addr] = slices.Delete(list, at, at+1)
@@ -235,7 +235,7 @@
 	p.mu.Lock()
 	list := append(p.idle[c.addr], c)
 	var surplus *Conn
-	if len(list) > p.lim.IdlePerNode {
+	if len(list) > p.lim.MaxIdleConnsPerNode {
 		surplus, list = list[0], list[1:]
 	}
 	p.idle[c.addr] = list
@@ -269,7 +269,7 @@
 	p.mu.Lock()
 	for addr, list := range p.idle {
 		n := 0
-		for n < len(list) && now-list[n].used > p.lim.NodeIdle {
+		for n < len(list) && now-list[n].used > p.lim.NodeIdleTimeout {
 			n++
 		}
 		old = append(old, list[:n]...)
@@ -279,7 +279,7 @@
 		}
 	}
 	for addr, at := range p.quiet {
-		if now-at > p.lim.NodeIdle {
+		if now-at > p.lim.NodeIdleTimeout {
 			delete(p.quiet, addr)
 		}
 	}
@@ -291,7 +291,7 @@
 
 // Run sweeps until ctx is done.
 func (p *Pool) Run(ctx context.Context) {
-	t := time.NewTicker(clock.Duration(max(p.lim.NodeIdle/8, 1000)))
+	t := time.NewTicker(clock.Duration(max(p.lim.NodeIdleTimeout/8, 1000)))
 	defer t.Stop()
 	for {
 		select {
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -28,11 +28,13 @@
 		return v
 	}
 	plan := s.cfg.Plan(a.Plan)
-	h := float64(cmp.Or(max(a.Hosts, 0), s.cfg.Hosts))
-	v := &volume{plan: plan, seen: s.now, credit: plan.Reserve + max(s.cfg.MaxUnits, 1)}
+	h := float64(cmp.Or(max(a.Brokers, 0), s.cfg.Brokers))
+	v := &volume{plan: plan, seen: s.now, credit: plan.ReservedRate + max(s.cfg.MaxUnits, 1)}
 	// This host may be a restart that has already spent its part of the limit. So the store starts at its birth,
 	// not full but with its part of the slack, which ordinary sending never touches.
-	v.limit = rate.Bucket{Rate: plan.Limit / h, Max: plan.LimitBurst / h, Level: plan.Slack / h, At: s.born}
+	v.limit = rate.Bucket{
+		Rate: plan.RateLimit / h, Max: plan.RateLimitBurst / h, Level: plan.RateLimitTolerance / h, At: s.born,
+	}
 	s.vols[a.Volume] = v
 	return v
 }
@@ -51,9 +53,10 @@
 		if _, cold := s.coldSince(n); cold {
 			c += 5
 		}
-		c += s.cfg.Distance(n.Zone).Seconds()
-		if s.cfg.Keep > 0 && s.now > n.heardAt+s.cfg.Keep { // never worth a stay at which a node is held back
-			c += min(s.cfg.Handshake, aimPart) * r.class.Aim.Seconds()
+		c += s.cfg.ZonePenalty(n.Zone).Seconds()
+		// Never worth a stay at which a node is held back.
+		if s.cfg.ConnectionReuseWindow > 0 && s.now > n.heardAt+s.cfg.ConnectionReuseWindow {
+			c += min(s.cfg.HandshakeCost, aimPart) * r.class.LatencyObjective.Seconds()
 		}
 		c += errorCost * n.errors * n.aim // one that fails fast would draw all new objects
 		c = max(c, leastStay) * (1 + 0.2*s.rng.Float64())
@@ -98,9 +101,9 @@
 
 // value is what a unit is likely to pay: in full inside the reserve, else as part of the share.
 func (s *Scheduler) value(r *request) float64 {
-	v := r.class.Worth * r.vol.plan.Price
+	v := r.class.PriorityWeight * r.vol.plan.PriceFactor
 	if !r.reserved {
-		v *= s.cfg.ShareWorth
+		v *= s.cfg.QuotaPriorityWeight
 	}
 	return v
 }
--- a/policy/depth.go
+++ b/policy/depth.go
@@ -10,7 +10,7 @@
 
 // node is one storage node as seen from here. Seconds unless a type says otherwise.
 type node struct {
-	decision.Member
+	decision.Endpoint
 	listed       bool
 	flows        []*flow
 	byVol        map[*volume]*flow
@@ -68,10 +68,10 @@
 // observe takes what an outcome tells of its node: latency, service, depth.
 func (s *Scheduler) observe(n *node, r *request, ev *decision.Event) {
 	lat, size := (s.now - r.sentAt).Seconds(), r.a.Units/s.cfg.MeanUnits
-	if n.suspect && ev.Outcome != decision.Served && ev.Outcome != decision.Spoilt {
+	if n.suspect && ev.Outcome != decision.Served && ev.Outcome != decision.MalformedResponse {
 		s.trust -= trustGain * s.trust
 	}
-	if ev.Outcome.IsAnswer() {
+	if ev.Outcome.IsResponse() {
 		n.heardAt = s.now
 	}
 	switch ev.Outcome { // spoilt answers come from good nodes as well: no sign of load, a restart or silence
@@ -105,33 +105,33 @@
 		if up := math.Copysign(1, pauseAim*n.aim-lat); !r.long && (up < 0 || ev.Outcome == decision.Served) {
 			s.sway(n.aim, up)
 		}
-	case decision.TurnedAway:
+	case decision.Rejected:
 		n.depth = max(minDepth, n.depth/2) // a full queue: longer than any stay that pays
 		n.retryAt = s.now + tickBusy
-	case decision.NoConnection, decision.ConnectionLost:
+	case decision.ConnectFailed, decision.ConnectionLost:
 		// Where none can be made, or one breaks after a silence, the process may be down or just restarted: treat
 		// it as cold before the list says so. A single connection may break for reasons of its own.
-		if ev.Outcome == decision.NoConnection {
+		if ev.Outcome == decision.ConnectFailed {
 			n.refused++
 		}
 		if n.refused < sureRefused && !(n.suspect && s.now > n.heardAt+sureSilence) {
 			break
 		}
-		if s.now > n.doubtAt+s.cfg.Warm {
+		if s.now > n.doubtAt+s.cfg.SlowStartDuration {
 			s.log("node %s may have restarted: outcome %d", n.Node, ev.Outcome)
 		}
 		n.depth, n.doubtAt = min(1, n.depth), s.now
 		n.retryAt = s.now + hintShort
 	}
-	if ev.VolumeUse > 0 {
-		r.vol.used, r.vol.usedAt = float64(ev.VolumeUse-1)/100*r.vol.plan.Rate, s.now
+	if ev.VolumeUsage > 0 {
+		r.vol.used, r.vol.usedAt = float64(ev.VolumeUsage-1)/100*r.vol.plan.UsualRate, s.now
 	}
-	r.vol.others.Add(s.now, ev.Elsewhere)
+	r.vol.others.Add(s.now, ev.UnitsElsewhere)
 	if ev.Outcome == decision.Served {
 		r.vol.served.Add(s.now, r.a.Units)
 		n.refused, n.errors = 0, n.errors-errorGain*n.errors
 		if f := n.byVol[r.vol]; f != nil {
-			f.served += r.a.Units + ev.Elsewhere
+			f.served += r.a.Units + ev.UnitsElsewhere
 		}
 		if n.suspect {
 			n.suspect, s.trust = false, s.trust+trustGain*(1-s.trust)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -90,7 +90,7 @@
 		cfg: cfg, reqs: map[uint64]*request{}, byShard: map[int][]*node{},
 		rng: rand.New(rand.NewPCG(cfg.Seed, 1)), jitter: rand.New(rand.NewPCG(cfg.Seed, 2)),
 		vols: map[string]*volume{}, nodes: map[string]*node{}, turns: map[string]*turn{},
-		backoff:  backoff.New(cfg.Callers(), cfg.AskWithin/2),
+		backoff:  backoff.New(cfg.DiscoveryClients(), cfg.MaxPollInterval/2),
 		unserved: map[piece]time.Duration{}, askedOf: map[int]*rate.Meter{}, trust: 0.5, all: history{depth: 1},
 	}, nil
 }
@@ -136,9 +136,9 @@
 		s.dispatch(n)
 		return n.queued <= 0
 	})
-	if s.cfg.Ask && !s.watching && s.now >= s.askAt { // at the start and after failures
+	if s.cfg.PollsEndpoints && !s.watching && s.now >= s.askAt { // at the start and after failures
 		s.watching = true
-		s.act = append(s.act, decision.Action{Kind: decision.Watch})
+		s.act = append(s.act, decision.Action{Kind: decision.WatchEndpoints})
 	}
 	s.wake()
 	return s.act
@@ -147,17 +147,17 @@
 // takeIn handles one event; what it makes possible is decided later in the step.
 func (s *Scheduler) takeIn(ev *decision.Event) {
 	switch ev.Kind {
-	case decision.Arrived:
+	case decision.RequestArrived:
 		s.take(ev)
-	case decision.Answered:
+	case decision.AttemptEnded:
 		s.answer(ev)
-	case decision.StreamBegan, decision.ClientLeft:
+	case decision.ResponseStarted, decision.ClientDisconnected:
 		if r := s.reqs[ev.ID]; r != nil {
-			r.streamed = ev.Kind == decision.StreamBegan
+			r.streamed = ev.Kind == decision.ResponseStarted
 			s.leave(r)
 			s.close(r)
 		}
-	case decision.ListFull, decision.ListChanged, decision.ListFailed:
+	case decision.EndpointsReplaced, decision.EndpointsChanged, decision.EndpointWatchFailed:
 		s.learn(ev)
 	case decision.TimerFired:
 		if s.now >= s.wakeAt {
@@ -169,7 +169,7 @@
 // log writes a rare line on a change of state.
 func (s *Scheduler) log(format string, args ...any) {
 	if s.logs.Allow(s.now, time.Minute, maxLogs) {
-		s.act = append(s.act, decision.Action{Kind: decision.Log, Text: fmt.Sprintf(format, args...)})
+		s.act = append(s.act, decision.Action{Kind: decision.WriteLog, Text: fmt.Sprintf(format, args...)})
 	}
 }
 
@@ -181,6 +181,6 @@
 	}
 	if s.wakeAt < 0 || s.wakeAt > s.now+in {
 		s.wakeAt = s.now + in
-		s.act = append(s.act, decision.Action{Kind: decision.Timer, After: in, Token: 1})
+		s.act = append(s.act, decision.Action{Kind: decision.SetTimer, After: in, Token: 1})
 	}
 }
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -113,7 +113,9 @@
 // tidy forgets clients that try no more, keys at rest, and volumes and nodes long unseen, but no node while
 // its drain, cold start, an attempt or a send in the rule's window may count if it comes back.
 func (s *Scheduler) tidy() {
-	gone := func(n *node) bool { return !n.listed && s.now > n.leftAt+forget+s.cfg.Warm && len(n.out) == 0 }
+	gone := func(n *node) bool {
+		return !n.listed && s.now > n.leftAt+forget+s.cfg.SlowStartDuration && len(n.out) == 0
+	}
 	s.list = slices.DeleteFunc(s.list, gone)
 	s.byShard[-1] = s.list
 	maps.DeleteFunc(s.nodes, func(_ string, n *node) bool { return gone(n) })
--- a/policy/request.go
+++ b/policy/request.go
@@ -50,7 +50,7 @@
 	if s.reqs[ev.ID] != nil {
 		return
 	}
-	if s.cfg.Budget {
+	if s.cfg.HasRetryBudget {
 		s.taken.Add(s.now, 1)
 	}
 	r := &request{id: ev.ID, a: ev.Arrival, lot: 0.8 * s.rng.Float64(), chance: s.rng.Float64()}
@@ -63,7 +63,7 @@
 	}
 	r.class, r.vol = &s.cfg.Classes[r.a.Class], s.volume(&r.a)
 	r.began = s.firstTry(r)
-	r.aimAt, r.halfAt = r.began+r.class.Aim, s.now+(r.a.Due-s.now)/2-tickBusy
+	r.aimAt, r.halfAt = r.began+r.class.LatencyObjective, s.now+(r.a.Deadline-s.now)/2-tickBusy
 	s.label(r)
 	s.asked.Add(s.now, r.a.Units)
 	if m := s.askedOf[r.a.Shard]; m != nil {
@@ -88,8 +88,8 @@
 	if own > 0 {
 		demand = max(demand, total*max(1, demand/own))
 	}
-	part := min(1, v.plan.Reserve/max(demand, v.plan.Reserve, 1e-9))
-	v.credit = min(v.credit+r.a.Units*part, v.plan.Reserve+max(s.cfg.MaxUnits, 1))
+	part := min(1, v.plan.ReservedRate/max(demand, v.plan.ReservedRate, 1e-9))
+	v.credit = min(v.credit+r.a.Units*part, v.plan.ReservedRate+max(s.cfg.MaxUnits, 1))
 	if v.credit >= r.a.Units && r.aimAt > s.now {
 		v.credit -= r.a.Units
 		r.reserved = true
@@ -102,11 +102,11 @@
 // names the same piece and ends no later than that one's client would wait. Due alone tells a further try
 // only after this host stood still; some clients simply wait less. Runs on one key may be taken for tries.
 func (s *Scheduler) firstTry(r *request) time.Duration {
-	if came := r.a.Due - r.class.Deadline; s.stood > 0 && came < s.now && came >= s.now-s.stood {
+	if came := r.a.Deadline - r.class.Deadline; s.stood > 0 && came < s.now && came >= s.now-s.stood {
 		return came
 	}
 	until := s.unserved[piece{r.a.Volume, r.a.Key, r.a.Class}]
-	if s.now < until && r.a.Due <= until+tickBusy {
+	if s.now < until && r.a.Deadline <= until+tickBusy {
 		return until - r.class.Deadline
 	}
 	return s.now
@@ -122,16 +122,16 @@
 	// Sent later than this it is not likely to pay: a large one stays longer, what pays less has to be surer.
 	// Kept beyond halfAt without a send, it costs more than a refusal.
 	need := sureStay * n.mean * r.a.Units / s.cfg.MeanUnits
-	if !r.reserved && r.vol.plan.Reserve > 0 {
-		need /= max(cmp.Or(s.cfg.ShareWorth, 1), leastWorth)
+	if !r.reserved && r.vol.plan.ReservedRate > 0 {
+		need /= max(cmp.Or(s.cfg.QuotaPriorityWeight, 1), leastWorth)
 	}
-	r.endAt = min(r.aimAt-time.Duration(need*float64(time.Second)), r.a.Due-endMargin, r.halfAt)
+	r.endAt = min(r.aimAt-time.Duration(need*float64(time.Second)), r.a.Deadline-endMargin, r.halfAt)
 	if r.endAt <= s.now || r.attempts == 0 && r.chance > s.admitted(r) {
 		s.giveUp(r, hintLong)
 		return
 	}
 	r.node = n
-	if r.class.InOrder && r.a.Key != "" && r.turn == nil {
+	if r.class.Ordered && r.a.Key != "" && r.turn == nil {
 		if s.turns[r.a.Key] == nil {
 			s.turns[r.a.Key] = &turn{}
 		}
@@ -152,7 +152,7 @@
 // What is inside a reserve goes on until the rest has nearly stopped: one host of many sees little.
 func (s *Scheduler) admitted(r *request) float64 {
 	if r.reserved {
-		return float64(max(10, s.cfg.Hosts)) * s.all.depth
+		return float64(max(10, s.cfg.Brokers)) * s.all.depth
 	}
 	return s.all.depth * s.all.depth
 }
@@ -167,11 +167,11 @@
 	r.out--
 	r.served = r.served || ev.Outcome == decision.Served
 	s.observe(n, r, ev)
-	if !ev.Outcome.NeverRan() && ev.Outcome != decision.Served && r.risk == nil {
+	if !ev.Outcome.NotExecuted() && ev.Outcome != decision.Served && r.risk == nil {
 		r.risk, r.riskAt = n, r.sentAt
 	}
-	if r.turn != nil && ev.Outcome.MayStillRun() {
-		r.turn.rest = max(r.turn.rest, s.now+s.cfg.KeyQuiet)
+	if r.turn != nil && ev.Outcome.MayStillExecute() {
+		r.turn.rest = max(r.turn.rest, s.now+s.cfg.OrderedKeyQuietPeriod)
 	}
 	if ev.Final || ev.Outcome == decision.Served || r.over {
 		s.leave(r)
@@ -202,9 +202,9 @@
 		r.vol.credit += r.a.Units
 	}
 	a := decision.Action{Kind: decision.Fail, ID: r.id}
-	if r.class.Refusable() || r.risk == nil && r.out == 0 {
-		a = decision.Action{Kind: decision.Refuse, ID: r.id}
-		a.After = s.cfg.Hint(hint)
+	if r.class.MayShed() || r.risk == nil && r.out == 0 {
+		a = decision.Action{Kind: decision.Shed, ID: r.id}
+		a.After = s.cfg.RetryAfter(hint)
 	}
 	s.act = append(s.act, a)
 	s.close(r)
