--- a/cmd/poppyarch/fleet_show.go
+++ b/cmd/poppyarch/fleet_show.go
@@ -81,21 +81,6 @@
 	t.Flush()
 }
 
-func dash(s string) string {
-	if s == "" {
-		return "-"
-	}
-	return s
-}
-
-// age words how old a figure is.
-func age(us int64) string {
-	if us < 0 {
-		return "never"
-	}
-	return (time.Duration(us) * time.Microsecond).Round(100 * time.Millisecond).String()
-}
-
 func showOverview(w io.Writer, o api.Overview) {
 	fmt.Fprintf(w, "revision %d, %d of %d enabled instances available", o.Rev, o.Enabled-o.Unavailable, o.Enabled)
 	if o.Settled {
@@ -110,12 +95,12 @@
 	fmt.Fprintln(t, "INSTANCE\tAGENT\tSTATE\tREV\tHOLDS\tBOOT\tNODES\tAGE\tWHY")
 	for _, i := range o.Instances {
 		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%.8s\t%d\t%s\t%s\n", i.Name, i.Agent, i.Proc(), i.Revision, i.Holds(), dash(i.Report.Incarnation), i.Report.NodeCount,
-			age(i.Age), i.Reason)
+			formatAge(i.Age), i.Reason)
 	}
 	t.Flush()
 	for _, a := range o.Agents {
 		if a.Silent {
-			fmt.Fprintf(w, "agent %s is silent, last heard of %s ago; nothing is known of its %d instances\n", a.Name, age(a.Age), a.Instances)
+			fmt.Fprintf(w, "agent %s is silent, last heard of %s ago; nothing is known of its %d instances\n", a.Name, formatAge(a.Age), a.Instances)
 		}
 	}
 	for _, r := range o.Rollouts {
@@ -133,7 +118,7 @@
 		if a.Silent {
 			st, differ = "silent", fmt.Sprint(a.Instances)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\n", a.Name, st, age(a.Age), a.Instances, differ)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\n", a.Name, st, formatAge(a.Age), a.Instances, differ)
 	}
 	t.Flush()
 }
--- a/cmd/poppyarch/incident.go
+++ b/cmd/poppyarch/incident.go
@@ -7,6 +7,7 @@
 	"io"
 	"os"
 	"path/filepath"
+	"strconv"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -17,213 +18,253 @@
 	"poppyarch/internal/observability/incident/report"
 )
 
-// incidentFlags are what all incident commands have.
+// incidentFlags are the flags that all incident commands share.
 type incidentFlags struct {
-	dirs, rings    []string
-	from, to       string
-	ended          bool
-	slow, surge    float64
-	notice, clocks time.Duration
+	dirs   []string // folders of segments
+	rings  []string // control endpoints of brokers that record in memory
+	from   string
+	to     string
+	ended  bool
+	slow   float64
+	surge  float64
+	notice time.Duration
+	clocks time.Duration
 }
 
 // incidentCommand is `poppyarch incident`.
 func incidentCommand() *cobra.Command {
 	f := &incidentFlags{}
 	c := &cobra.Command{
-		Use: "incident", Short: "Read brokers' records and tell what happened",
-		Long: "Reads the segments that brokers with a record key have written, of any number of brokers, dead ones included, and works out\n" +
-			"episodes, how exactly their begins and ends are known, what they cost, and what is not known.",
+		Use: "incident", Short: "Analyse brokers' records and report what happened",
+		Long: "Reads the segments that brokers with a record key have written, of any number of brokers, including dead ones, and\n" +
+			"derives episodes, the bounds of their start and end times, their impact, and what is unknown.",
 	}
-	p := c.PersistentFlags()
-	p.StringArrayVarP(&f.dirs, "records", "r", nil, "a folder of segments, or one segment; several may be given")
-	p.StringArrayVar(&f.rings, "ring", nil, "unix:PATH or HOST:PORT of the control endpoint of a broker that records in memory; several may be given")
-	p.StringVar(&f.from, "from", "", "only what touches the time from here: RFC 3339, or HH:MM:SS of the records' day, UTC")
-	p.StringVar(&f.to, "to", "", "and to here")
-	p.BoolVar(&f.ended, "ended", false, "brokers without a last word are dead, however fresh their records are")
-	p.Float64Var(&f.slow, "slow", 3, "a node is slow at so many times its usual median")
-	p.Float64Var(&f.surge, "surge", 4, "a volume surges at so many times its usual rate")
-	p.DurationVar(&f.notice, "notice", 500*time.Millisecond, "a list version is told to every broker within this")
-	p.DurationVar(&f.clocks, "clocks", time.Second, "wall clocks of machines differ by at most this")
-	var html, as, title string
-	rep := &cobra.Command{
-		Use: "report", Short: "Write the whole report: text, JSON, or one HTML page", Args: usage(cobra.NoArgs),
+	flags := c.PersistentFlags()
+	flags.StringArrayVarP(&f.dirs, "records", "r", nil, "a folder of segments, or one segment; may be repeated")
+	flags.StringArrayVar(&f.rings, "ring", nil, "unix:PATH or HOST:PORT of the control endpoint of a broker that records in memory; may be repeated")
+	flags.StringVar(&f.from, "from", "", "only what overlaps the time from here: RFC 3339, or HH:MM:SS of the records' day, UTC")
+	flags.StringVar(&f.to, "to", "", "and up to here")
+	flags.BoolVar(&f.ended, "ended", false, "treat brokers without a final record as dead, however fresh their records are")
+	flags.Float64Var(&f.slow, "slow", 3, "a node is slow at this multiple of its usual median")
+	flags.Float64Var(&f.surge, "surge", 4, "a volume surges at this multiple of its usual rate")
+	flags.DurationVar(&f.notice, "notice", 500*time.Millisecond, "a list revision reaches every broker within this time")
+	flags.DurationVar(&f.clocks, "clocks", time.Second, "wall clocks of machines differ by at most this")
+	c.AddCommand(f.reportCommand(), f.listCommand(), f.showCommand(), f.exportCommand(), f.diffCommand())
+	return c
+}
+
+// defaultReportTitle is the title of a report's HTML page.
+const defaultReportTitle = "Incident report"
+
+func (f *incidentFlags) reportCommand() *cobra.Command {
+	var page, format, title string
+	c := &cobra.Command{
+		Use: "report", Short: "Write the full report as text, JSON or one HTML page", Args: usage(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			a, err := f.read(cmd.ErrOrStderr())
+			analysis, err := f.read(cmd)
 			if err != nil {
 				return err
 			}
-			if html != "" {
-				out, err := os.Create(html)
-				if err != nil {
-					return err
-				}
-				err = report.HTML(out, a, title)
-				return errors.Join(err, out.Close())
+			if page != "" {
+				return writeFile(page, func(out io.Writer) error { return report.HTML(out, analysis, title) })
 			}
-			switch as {
+			switch format {
 			case "text":
-				return report.Text(cmd.OutOrStdout(), a)
+				return report.Text(cmd.OutOrStdout(), analysis)
 			case "json":
-				return report.JSON(cmd.OutOrStdout(), a)
+				return report.JSON(cmd.OutOrStdout(), analysis)
 			case "html":
-				return report.HTML(cmd.OutOrStdout(), a, title)
+				return report.HTML(cmd.OutOrStdout(), analysis, title)
 			}
-			return &exit{exitUsage, fmt.Errorf("--format: %q is none of text, json, html", as)}
+			return &exit{exitUsage, fmt.Errorf("--format: %q is none of text, json, html", format)}
 		},
 	}
-	rep.Flags().StringVarP(&html, "output", "o", "", "write the HTML page here")
-	rep.Flags().StringVar(&as, "format", "text", "text, json or html, to standard output")
-	rep.Flags().StringVar(&title, "title", "Incident report", "of the page")
-	list := &cobra.Command{
+	c.Flags().StringVarP(&page, "output", "o", "", "write the HTML page to this file")
+	c.Flags().StringVar(&format, "format", "text", "text, json or html, to standard output")
+	c.Flags().StringVar(&title, "title", defaultReportTitle, "title of the page")
+	return c
+}
+
+func (f *incidentFlags) listCommand() *cobra.Command {
+	return &cobra.Command{
 		Use: "list", Short: "List the episodes", Args: usage(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			a, err := f.read(cmd.ErrOrStderr())
+			analysis, err := f.read(cmd)
 			if err != nil {
 				return err
 			}
-			for i := range a.Episodes {
-				e := &a.Episodes[i]
-				fmt.Fprintf(cmd.OutOrStdout(), "%d  %s  %s: %s, %s\n", e.ID, e.Begin.Words(), e.Kind, e.Subject, e.Took())
+			out := newPrinter(cmd.OutOrStdout())
+			for i := range analysis.Episodes {
+				e := &analysis.Episodes[i]
+				out.printf("%d  %s  %s: %s, %s\n", e.ID, e.Begin.Words(), e.Kind, e.Subject, e.Took())
 			}
-			return nil
+			return out.err
 		},
 	}
-	show := &cobra.Command{
+}
+
+func (f *incidentFlags) showCommand() *cobra.Command {
+	return &cobra.Command{
 		Use: "show NUMBER", Short: "Show one episode with its evidence", Args: usage(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			var id int
-			if _, err := fmt.Sscan(args[0], &id); err != nil {
-				return &exit{exitUsage, fmt.Errorf("%q is no episode's number", args[0])}
+			id, err := strconv.Atoi(args[0])
+			if err != nil {
+				return &exit{exitUsage, fmt.Errorf("%q is not the number of an episode", args[0])}
 			}
-			a, err := f.read(cmd.ErrOrStderr())
+			analysis, err := f.read(cmd)
 			if err != nil {
 				return err
 			}
-			if err := report.Show(cmd.OutOrStdout(), a, id); err != nil {
+			if err := report.Show(cmd.OutOrStdout(), analysis, id); err != nil {
 				return &exit{exitUsage, err}
 			}
 			return nil
 		},
 	}
-	var into string
-	export := &cobra.Command{
-		Use: "export --into FOLDER", Short: "Copy the segments and write the report in all forms beside them", Args: usage(cobra.NoArgs),
+}
+
+func (f *incidentFlags) exportCommand() *cobra.Command {
+	var folder string
+	c := &cobra.Command{
+		Use: "export --into FOLDER", Short: "Copy the segments and write the report in every format next to them", Args: usage(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			a, err := f.read(cmd.ErrOrStderr())
+			analysis, err := f.read(cmd)
 			if err != nil {
 				return err
 			}
-			if err := os.MkdirAll(filepath.Join(into, "records"), 0o755); err != nil {
+			segments := filepath.Join(folder, "records")
+			if err := os.MkdirAll(segments, 0o755); err != nil {
 				return err
 			}
-			n, err := copySegments(f.dirs, filepath.Join(into, "records"))
+			copied, err := copySegments(f.dirs, segments)
 			if err != nil {
 				return err
 			}
 			for name, write := range map[string]func(io.Writer) error{
-				"report.html": func(w io.Writer) error { return report.HTML(w, a, "Incident report") },
-				"report.json": func(w io.Writer) error { return report.JSON(w, a) },
-				"report.txt":  func(w io.Writer) error { return report.Text(w, a) },
+				"report.html": func(out io.Writer) error { return report.HTML(out, analysis, defaultReportTitle) },
+				"report.json": func(out io.Writer) error { return report.JSON(out, analysis) },
+				"report.txt":  func(out io.Writer) error { return report.Text(out, analysis) },
 			} {
-				out, err := os.Create(filepath.Join(into, name))
-				if err != nil {
-					return err
-				}
-				if err := errors.Join(write(out), out.Close()); err != nil {
+				if err := writeFile(filepath.Join(folder, name), write); err != nil {
 					return err
 				}
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%d segments and the report are in %s\n", n, into)
-			return nil
+			out := newPrinter(cmd.OutOrStdout())
+			out.printf("%d segments and the report are in %s\n", copied, folder)
+			return out.err
 		},
 	}
-	export.Flags().StringVar(&into, "into", "", "a folder, made where it is missing")
-	export.MarkFlagRequired("into")
-	diff := &cobra.Command{
-		Use: "diff FIRST SECOND", Short: "Hold two incidents against each other: folders of segments", Args: usage(cobra.ExactArgs(2)),
+	c.Flags().StringVar(&folder, "into", "", "a folder; created if it does not exist")
+	markRequired(c, "into")
+	return c
+}
+
+func (f *incidentFlags) diffCommand() *cobra.Command {
+	return &cobra.Command{
+		Use: "diff FIRST SECOND", Short: "Compare two incidents, each a folder of segments", Args: usage(cobra.ExactArgs(2)),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			var both [2]*incident.Analysis
+			var analyses [2]*incident.Analysis
 			for i, dir := range args {
-				g := *f
-				g.dirs = []string{dir}
-				a, err := g.read(cmd.ErrOrStderr())
+				flags := *f
+				flags.dirs = []string{dir}
+				analysis, err := flags.read(cmd)
 				if err != nil {
 					return err
 				}
-				both[i] = a
+				analyses[i] = analysis
 			}
-			return report.Diff(cmd.OutOrStdout(), incident.Diff(both[0], both[1]))
+			return report.Diff(cmd.OutOrStdout(), incident.Diff(analyses[0], analyses[1]))
 		},
 	}
-	c.AddCommand(rep, list, show, export, diff)
-	return c
 }
 
-// read collects and analyses.
-func (f *incidentFlags) read(warn io.Writer) (*incident.Analysis, error) {
+// writeFile creates a file and writes its content with a function.
+func writeFile(path string, write func(io.Writer) error) error {
+	file, err := os.Create(path)
+	if err != nil {
+		return err
+	}
+	return errors.Join(write(file), file.Close())
+}
+
+// read collects the records and analyses them. Faults in the records are printed to standard error.
+func (f *incidentFlags) read(cmd *cobra.Command) (*incident.Analysis, error) {
 	if len(f.dirs)+len(f.rings) == 0 {
-		return nil, &exit{exitUsage, errors.New("--records or --ring: nothing to read is given")}
+		return nil, &exit{exitUsage, errors.New("--records or --ring: one of them is required")}
 	}
 	streams, found, err := collect.Read(f.dirs...)
 	if err != nil {
 		return nil, &exit{exitUsage, err}
 	}
 	for _, addr := range f.rings {
-		s, err := ring(addr)
+		stream, err := readRing(cmd.Context(), addr)
 		if err != nil {
-			fmt.Fprintf(warn, "records: %s: %v\n", addr, err) // a broker that is down is no reason to read none
+			cmd.PrintErrf("records: %s: %v\n", addr, err) // the other brokers are still worth reading
 			continue
 		}
-		streams = append(streams, s)
+		streams = append(streams, stream)
 		found.Frames++
 	}
-	for _, x := range found.Faults {
-		fmt.Fprintln(warn, "records:", x)
+	for _, fault := range found.Faults {
+		cmd.PrintErrln("records:", fault)
 	}
 	if found.Frames == 0 {
 		return nil, &exit{exitUsage, fmt.Errorf("%v: no records", append(f.dirs, f.rings...))}
 	}
-	o := incident.DefaultOptions()
-	o.Slow, o.Surge, o.Notice, o.Wall = f.slow, f.surge, f.notice.Microseconds(), f.clocks.Microseconds()
-	o.Now = time.Now().UnixMicro()
-	if f.ended {
-		o.Now = 0
+	options := f.analysisOptions()
+	analysis := incident.Analyse(streams, options)
+	if f.from == "" && f.to == "" {
+		return analysis, nil
 	}
-	a := incident.Analyse(streams, o)
-	if f.from != "" || f.to != "" {
-		for _, x := range []struct {
-			text string
-			to   *int64
-		}{{f.from, &o.From}, {f.to, &o.To}} {
-			if x.text == "" {
-				continue
-			}
-			if *x.to, err = moment(x.text, a.From); err != nil {
-				return nil, &exit{exitUsage, err}
-			}
-		}
-		a = incident.Analyse(streams, o)
+	// Times of the day count from the day of the records, which the first analysis tells.
+	if options.From, err = parseMoment(f.from, analysis.From, options.From); err != nil {
+		return nil, &exit{exitUsage, err}
+	}
+	if options.To, err = parseMoment(f.to, analysis.From, options.To); err != nil {
+		return nil, &exit{exitUsage, err}
+	}
+	return incident.Analyse(streams, options), nil
+}
+
+func (f *incidentFlags) analysisOptions() incident.Options {
+	options := incident.DefaultOptions()
+	options.Slow = f.slow
+	options.Surge = f.surge
+	options.Notice = f.notice.Microseconds()
+	options.Wall = f.clocks.Microseconds()
+	if !f.ended {
+		options.Now = time.Now().UnixMicro()
 	}
-	return a, nil
+	return options
 }
 
-// ring reads a broker's records from its memory.
-func ring(addr string) (*incident.Stream, error) {
-	cl, err := control.Dial(addr)
+// ringTimeout bounds the transfer of a broker's records in memory.
+const ringTimeout = 10 * time.Second
+
+// maxRingBytes bounds the size of a broker's records in memory.
+const maxRingBytes = 1 << 30
+
+// readRing reads the records that a broker keeps in memory.
+func readRing(ctx context.Context, addr string) (*incident.Stream, error) {
+	client, err := control.Dial(addr)
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+	ctx, cancel := context.WithTimeout(ctx, ringTimeout)
 	defer cancel()
-	b, err := cl.Records(ctx, 1<<30)
+	segment, err := client.Records(ctx, maxRingBytes)
 	if err != nil {
 		return nil, err
 	}
-	return collect.Bytes(b)
+	return collect.Bytes(segment)
 }
 
-// moment reads RFC 3339, or a time of the day on which the records begin.
-func moment(text string, day int64) (int64, error) {
+// parseMoment returns Unix time in microseconds. The text is RFC 3339, a time of the day on which dayMicros lies, or
+// empty, which means the default.
+func parseMoment(text string, dayMicros, defaultMicros int64) (int64, error) {
+	if text == "" {
+		return defaultMicros, nil
+	}
 	if t, err := time.Parse(time.RFC3339Nano, text); err == nil {
 		return t.UnixMicro(), nil
 	}
@@ -231,8 +272,9 @@
 	if err != nil {
 		return 0, fmt.Errorf("%q is neither RFC 3339 nor HH:MM:SS", text)
 	}
-	d := time.UnixMicro(day).UTC()
-	return time.Date(d.Year(), d.Month(), d.Day(), t.Hour(), t.Minute(), t.Second(), t.Nanosecond(), time.UTC).UnixMicro(), nil
+	day := time.UnixMicro(dayMicros).UTC()
+	moment := time.Date(day.Year(), day.Month(), day.Day(), t.Hour(), t.Minute(), t.Second(), t.Nanosecond(), time.UTC)
+	return moment.UnixMicro(), nil
 }
 
 // copySegments copies all segments under the folders. Files of one name from different folders get numbers before it.
--- /dev/null
+++ b/cmd/poppyarch/inventory_broker.go
@@ -0,0 +1,156 @@
+package main
+
+import (
+	"context"
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"poppyarch/internal/broker/control"
+	"poppyarch/internal/nodes/membership"
+)
+
+// controlFlags name a broker's control endpoint.
+type controlFlags struct {
+	addr    string
+	timeout time.Duration
+}
+
+func (f *controlFlags) add(c *cobra.Command) {
+	c.Flags().StringVar(&f.addr, "control", "", "unix:PATH or HOST:PORT of the broker's control endpoint")
+	c.Flags().DurationVar(&f.timeout, "timeout", 5*time.Second, "give up after this time")
+	markRequired(c, "control")
+}
+
+// call runs a function with a client for the endpoint, within the time-out.
+func (f *controlFlags) call(ctx context.Context, run func(context.Context, *control.Client) error) error {
+	client, err := control.Dial(f.addr)
+	if err != nil {
+		return &exit{exitUsage, err}
+	}
+	ctx, cancel := context.WithTimeout(ctx, f.timeout)
+	defer cancel()
+	if err := run(ctx, client); err != nil {
+		return &exit{exitNoAgent, err}
+	}
+	return nil
+}
+
+func (f *inventoryFlags) explainCommand() *cobra.Command {
+	endpoint := &controlFlags{}
+	c := &cobra.Command{
+		Use:   "explain NODE",
+		Short: "Show where a broker has each fact about a node from",
+		Args:  usage(cobra.ExactArgs(1)),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return endpoint.call(cmd.Context(), func(ctx context.Context, client *control.Client) error {
+				var node membership.Explanation
+				if err := client.Nodes(ctx, args[0], &node); err != nil {
+					return err
+				}
+				if f.asJSON {
+					return printJSON(cmd.OutOrStdout(), node)
+				}
+				out := newPrinter(cmd.OutOrStdout())
+				printExplanation(out, &node)
+				return out.err
+			})
+		},
+	}
+	endpoint.add(c)
+	return c
+}
+
+func printExplanation(out *printer, node *membership.Explanation) {
+	out.printf("%s is %s (%s)\n", node.ID, node.State, node.Phase)
+	for _, fact := range node.Facts {
+		held := ""
+		if fact.Held {
+			held = ", held back: it says nothing any more"
+		}
+		out.printf("  %s says %s  %s%s\n", fact.Source, fact.Says, fact.Where, held)
+	}
+	for _, note := range node.Notes {
+		out.println("  note:", note)
+	}
+}
+
+// liveNodes is what a broker's control endpoint returns for all nodes.
+type liveNodes struct {
+	Epoch uint64                   `json:"epoch"`
+	Held  []string                 `json:"held"`
+	Why   string                   `json:"why"`
+	Nodes []membership.Explanation `json:"nodes"`
+}
+
+func (f *inventoryFlags) liveCommand() *cobra.Command {
+	endpoint := &controlFlags{}
+	c := &cobra.Command{
+		Use:   "live",
+		Short: "Show the nodes as a broker uses them, and which source each state comes from",
+		Args:  usage(cobra.NoArgs),
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			return endpoint.call(cmd.Context(), func(ctx context.Context, client *control.Client) error {
+				var live liveNodes
+				if err := client.Nodes(ctx, "", &live); err != nil {
+					return err
+				}
+				if f.asJSON {
+					return printJSON(cmd.OutOrStdout(), live)
+				}
+				out := newPrinter(cmd.OutOrStdout())
+				t := newTable(cmd.OutOrStdout(), "NODE", "PHASE", "DISCOVERY", "FILES", "OPERATORS", "WHERE")
+				for i := range live.Nodes {
+					printLiveNode(t, &live.Nodes[i])
+				}
+				if err := t.flush(); err != nil {
+					return err
+				}
+				if live.Why != "" {
+					out.println(live.Why)
+				}
+				return out.err
+			})
+		},
+	}
+	endpoint.add(c)
+	return c
+}
+
+// printLiveNode prints a node with what each source says of it.
+func printLiveNode(t *table, node *membership.Explanation) {
+	bySource := map[string]string{}
+	where := ""
+	for _, fact := range node.Facts {
+		state, _, _ := strings.Cut(fact.Says, " ")
+		bySource[fact.Source] = strings.TrimRight(state, ",")
+		if fact.Where != "" {
+			where = fact.Where
+		}
+	}
+	t.printf("%s\t%s\t%s\t%s\t%s\t%s\n", node.ID, node.Phase, dash(bySource["discovery"]), dash(bySource["files"]),
+		dash(bySource["operators"]), where)
+}
+
+func (f *inventoryFlags) acceptCommand() *cobra.Command {
+	endpoint := &controlFlags{}
+	c := &cobra.Command{
+		Use:   "accept",
+		Short: "Make a broker apply the removals that it holds back",
+		Args:  usage(cobra.NoArgs),
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			return endpoint.call(cmd.Context(), func(ctx context.Context, client *control.Client) error {
+				changed, err := client.Accept(ctx)
+				if err != nil {
+					return err
+				}
+				out := newPrinter(cmd.OutOrStdout())
+				out.printf("%d nodes changed\n", changed)
+				return out.err
+			})
+		},
+	}
+	endpoint.add(c)
+	return c
+}
--- a/cmd/poppyarch/root.go
+++ b/cmd/poppyarch/root.go
@@ -1,10 +1,8 @@
 package main
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"os"
 	"path/filepath"
 	"strings"
@@ -65,7 +63,7 @@
 	}
 	c.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return &exit{exitUsage, err} })
 	c.AddCommand(serveCommand(), agentCommand(), validateCommand(), fleetCommand(), incidentCommand(), inventoryCommand(), labCommand(), loadCommand())
-	c.AddCommand(controlCommands()...)
+	c.AddCommand(instanceCommands()...)
 	return c
 }
 
@@ -90,8 +88,9 @@
 	return filepath.Join(os.TempDir(), fmt.Sprintf("poppyarch-%d", os.Getuid()))
 }
 
-func printJSON(w io.Writer, v any) error {
-	e := json.NewEncoder(w)
-	e.SetIndent("", "  ")
-	return e.Encode(v)
+// markRequired makes a flag of the command required.
+func markRequired(c *cobra.Command, flag string) {
+	if err := c.MarkFlagRequired(flag); err != nil {
+		panic(err) // the flag was declared just before
+	}
 }
