--- /dev/null
+++ b/cmd/poppyarch/fleet_nodes.go
@@ -0,0 +1,100 @@
+package main
+
+import (
+	"io"
+
+	"github.com/spf13/cobra"
+
+	"poppyarch/internal/fleet/api"
+	"poppyarch/internal/fleet/spec"
+	"poppyarch/internal/fleet/state"
+)
+
+func (f *fleetFlags) nodesCommand() *cobra.Command {
+	c := &cobra.Command{
+		Use: "nodes", Short: "Override what discovery says of storage nodes",
+		Long: "Node overrides go to every broker at once and do not wait for a rollout. They can add a node that discovery does not\n" +
+			"know, and drain or remove one that it does; they never send work to a node that discovery has draining or removed.",
+	}
+	c.AddCommand(f.listNodesCommand(), f.addNodeCommand())
+	c.AddCommand(f.overrideCommand("drain", "Send nodes no new requests; open ones continue", spec.NodeDraining))
+	remove := f.overrideCommand("remove", "Remove nodes, as if discovery had removed them", spec.NodeRemoved)
+	remove.Aliases = []string{"out"} // the command's former name
+	clear := f.overrideCommand("clear", "Clear the overrides of nodes: discovery alone decides again", "")
+	clear.Aliases = []string{"back"} // the command's former name
+	c.AddCommand(remove, clear)
+	return c
+}
+
+func (f *fleetFlags) listNodesCommand() *cobra.Command {
+	return &cobra.Command{
+		Use: "list", Short: "Show the node overrides in force", Args: usage(cobra.NoArgs),
+		RunE: f.inSession(func(s *session) error {
+			overview, err := s.client.Overview(s.ctx, nil, nil)
+			if err != nil {
+				return err
+			}
+			return s.print(overview.Nodes, func(out io.Writer) error { return printNodes(out, overview.Nodes) })
+		}),
+	}
+}
+
+func (f *fleetFlags) addNodeCommand() *cobra.Command {
+	node := spec.NodeOverride{State: spec.NodeAdded}
+	change := changeFlags{}
+	c := &cobra.Command{
+		Use: "add NODE", Short: "Make brokers use a node that discovery does not know", Args: usage(cobra.ExactArgs(1)),
+		RunE: f.inSession(func(s *session) error {
+			override := node
+			override.ID = s.args[0]
+			return s.changeNodes("add", []state.NodeChange{{ID: override.ID, Override: &override}}, change)
+		}),
+	}
+	c.Flags().StringVar(&node.Addr, "addr", "", "HOST:PORT")
+	c.Flags().StringVar(&node.ObjectAddr, "objects", "", "HOST:PORT of its object API, if it differs")
+	c.Flags().StringVar(&node.Zone, "zone", "", "its zone")
+	c.Flags().IntVar(&node.Shard, "shard", 0, "the shard that it holds")
+	markRequired(c, "addr")
+	change.addAll(c, "return when every broker has applied it")
+	return c
+}
+
+// overrideCommand sets the state of nodes; an empty one clears their overrides.
+func (f *fleetFlags) overrideCommand(name, short string, to spec.NodeOverrideState) *cobra.Command {
+	change := changeFlags{}
+	c := &cobra.Command{
+		Use: name + " NODE...", Short: short, Args: usage(cobra.MinimumNArgs(1)),
+		RunE: f.inSession(func(s *session) error {
+			var changes []state.NodeChange
+			for _, id := range s.args {
+				nodeChange := state.NodeChange{ID: id}
+				if to != "" {
+					nodeChange.Override = &spec.NodeOverride{ID: id, State: to}
+				}
+				changes = append(changes, nodeChange)
+			}
+			return s.changeNodes(name, changes, change)
+		}),
+	}
+	change.addAll(c, "return when every broker has applied it")
+	return c
+}
+
+// changeNodes sends changes of node overrides and waits for the fleet if asked to.
+func (s *session) changeNodes(name string, changes []state.NodeChange, f changeFlags) error {
+	command, err := s.newCommand(f)
+	if err != nil {
+		return err
+	}
+	reply, err := s.client.Nodes(s.ctx, &api.NodesCall{Command: command, Changes: changes})
+	if err != nil {
+		return err
+	}
+	if err := s.printReply("nodes "+name, reply); err != nil {
+		return err
+	}
+	if f.wait {
+		return s.waitUntilSettled()
+	}
+	return nil
+}
--- /dev/null
+++ b/cmd/poppyarch/fleet_output.go
@@ -0,0 +1,178 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"poppyarch/internal/fleet/api"
+	"poppyarch/internal/fleet/spec"
+	"poppyarch/internal/fleet/state"
+)
+
+// printReply prints the manager's reply to a command.
+func (s *session) printReply(command string, reply api.Reply) error {
+	return s.print(reply, func(out io.Writer) error {
+		p := newPrinter(out)
+		if reply.Plan != nil {
+			p.section(func(out io.Writer) error { return printChanges(out, reply.Plan.Changes) })
+			if command != "diff" {
+				printWaves(p, reply.Plan)
+			}
+		}
+		switch {
+		case reply.Result.Text != "":
+			p.println(reply.Result.Text)
+		case reply.Result.Repeated:
+			p.printf("%s: was done before, revision %d\n", command, reply.Result.Revision)
+		default:
+			p.printf("%s: done, revision %d\n", command, reply.Result.Revision)
+		}
+		return p.err
+	})
+}
+
+func printWaves(p *printer, plan *state.Plan) {
+	if len(plan.Waves) == 0 {
+		return
+	}
+	for i, wave := range plan.Waves {
+		p.printf("wave %d: %s\n", i+1, strings.Join(wave, " "))
+	}
+	if len(plan.WaitsFor) > 0 {
+		p.printf("waits for rollouts %v\n", plan.WaitsFor)
+	}
+}
+
+func printChanges(out io.Writer, changes []spec.Change) error {
+	t := newTable(out)
+	for _, c := range changes {
+		t.printf("%s\t%s\t%s\n", c.Name, c.Kind, strings.Join(c.Fields, " "))
+	}
+	return t.flush()
+}
+
+func printNodes(out io.Writer, nodes []spec.NodeOverride) error {
+	if len(nodes) == 0 {
+		_, err := fmt.Fprintln(out, "no node overrides are in force")
+		return err
+	}
+	t := newTable(out, "NODE", "STATE", "ADDR", "SHARD", "ZONE")
+	for _, n := range nodes {
+		shard := "-"
+		if n.Addr != "" {
+			shard = strconv.Itoa(n.Shard)
+		}
+		t.printf("%s\t%s\t%s\t%s\t%s\n", n.ID, n.State, dash(n.Addr), shard, dash(n.Zone))
+	}
+	return t.flush()
+}
+
+func printOverview(out io.Writer, o api.Overview) error {
+	p := newPrinter(out)
+	p.printf("revision %d, %d of %d enabled instances available", o.Rev, o.Enabled-o.Unavailable, o.Enabled)
+	if o.Settled {
+		p.println(", settled")
+	} else {
+		p.printf(", %d not as wanted\n", o.Differing)
+	}
+	if o.Journal != "" {
+		p.println("the manager's journal:", o.Journal)
+	}
+	p.section(func(out io.Writer) error { return printInstanceStatus(out, o.Instances) })
+	for _, a := range o.Agents {
+		if a.Silent {
+			p.printf("agent %s is silent, last contact %s ago; the state of its %d instances is unknown\n", a.Name, formatAge(a.Age), a.Instances)
+		}
+	}
+	for _, r := range o.Rollouts {
+		if r.Phase != state.Done && r.Phase != state.Aborted {
+			p.println(formatRollout(r))
+		}
+	}
+	return p.err
+}
+
+func printInstanceStatus(out io.Writer, instances []state.InstanceStatus) error {
+	t := newTable(out, "INSTANCE", "AGENT", "STATE", "REV", "HOLDS", "BOOT", "NODES", "AGE", "WHY")
+	for _, i := range instances {
+		t.printf("%s\t%s\t%s\t%d\t%s\t%.8s\t%d\t%s\t%s\n", i.Name, i.Agent, i.Proc(), i.Revision, i.Holds(),
+			dash(i.Report.Incarnation), i.Report.NodeCount, formatAge(i.Age), i.Reason)
+	}
+	return t.flush()
+}
+
+func printAgents(out io.Writer, agents []state.AgentStatus) error {
+	t := newTable(out, "AGENT", "STATE", "HEARD", "INSTANCES", "NOT AS WANTED")
+	for _, a := range agents {
+		contact := "heard"
+		notCurrent := a.NotCurrent
+		if a.Silent {
+			contact = "silent"
+			notCurrent = a.Instances
+		}
+		t.printf("%s\t%s\t%s\t%d\t%d\n", a.Name, contact, formatAge(a.Age), a.Instances, notCurrent)
+	}
+	return t.flush()
+}
+
+// formatRollout describes a rollout in one line.
+func formatRollout(r state.RolloutStatus) string {
+	text := fmt.Sprintf("rollout %d %s", r.Revision, r.Phase)
+	if r.Phase == state.Active || r.Phase == state.Paused {
+		text += fmt.Sprintf(": wave %d of %d, %d of %d released, %d as wanted", min(r.Wave+1, r.Waves), r.Waves, r.Released, r.Size, r.Current)
+	}
+	if r.Soaking > 0 {
+		text += ", soaking"
+	}
+	if len(r.Waiting) > 0 {
+		text += ", waiting for " + strings.Join(r.Waiting, " ")
+	}
+	if r.Blocked != "" {
+		text += "; held: " + r.Blocked
+	}
+	if r.Reason != "" {
+		text += "; " + r.Reason
+	}
+	return text
+}
+
+func printRollouts(out io.Writer, rollouts []state.RolloutStatus) error {
+	p := newPrinter(out)
+	if len(rollouts) == 0 {
+		p.println("no rollouts yet")
+	}
+	for _, r := range rollouts {
+		p.println(formatRollout(r))
+		for _, name := range slices.Sorted(maps.Keys(r.Failed)) {
+			p.printf("  failed: %s: %s\n", name, r.Failed[name])
+		}
+	}
+	return p.err
+}
+
+func printHistory(out io.Writer, history api.History) error {
+	t := newTable(out, "REV", "WHEN", "BY", "WHAT", "NOTE")
+	for _, revision := range history.Revisions {
+		when := "-"
+		if revision.At > 0 {
+			when = time.UnixMicro(revision.At).UTC().Format(time.RFC3339)
+		}
+		t.printf("%d\t%s\t%s\t%s\t%s\n", revision.Number, when, dash(revision.Author), describeRevision(&revision), revision.Note)
+	}
+	return t.flush()
+}
+
+func describeRevision(revision *state.Revision) string {
+	switch {
+	case revision.IsRollback:
+		return fmt.Sprintf("back to %d, %d instances", revision.RollbackTo, len(revision.Changes))
+	case len(revision.Changes) == 0:
+		return fmt.Sprintf("node changes, %d in force", len(revision.Nodes))
+	}
+	return fmt.Sprintf("%d instances", len(revision.Changes))
+}
--- /dev/null
+++ b/cmd/poppyarch/fleet_rollout.go
@@ -0,0 +1,295 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"poppyarch/internal/fleet/api"
+	"poppyarch/internal/fleet/desired"
+	"poppyarch/internal/fleet/state"
+)
+
+// submitInventory sends an inventory to the manager as the desired state.
+func (s *session) submitInventory(file string, f changeFlags) (api.Reply, error) {
+	if file == "" {
+		file = s.settings.Fleet.Inventory
+	}
+	if file == "" {
+		return api.Reply{}, &exit{exitUsage, errors.New("no inventory: --inventory, or fleet.inventory in the file")}
+	}
+	spec, err := desired.Load(file, s.settings.Fleet.Agent)
+	if err != nil {
+		return api.Reply{}, &exit{exitUsage, err}
+	}
+	command, err := s.newCommand(f)
+	if err != nil {
+		return api.Reply{}, err
+	}
+	return s.client.Apply(s.ctx, &api.ApplyCall{Command: command, Spec: *spec, Strategy: s.settings.Strategy.State()})
+}
+
+func addInventoryFlag(c *cobra.Command, file *string) {
+	c.Flags().StringVarP(file, "inventory", "i", "", "the inventory (.csv, .yaml or .yml)")
+}
+
+func (f *fleetFlags) applyCommand() *cobra.Command {
+	var file string
+	change := changeFlags{}
+	c := &cobra.Command{
+		Use: "apply", Short: "Make the inventory the desired state and roll it out",
+		RunE: f.inSession(func(s *session) error {
+			reply, err := s.submitInventory(file, change)
+			if err != nil {
+				return err
+			}
+			return s.finishRollout("apply", reply, change)
+		}),
+	}
+	addInventoryFlag(c, &file)
+	change.addAll(c, "return when the rollout has ended")
+	return c
+}
+
+func (f *fleetFlags) planCommand() *cobra.Command {
+	var file string
+	c := &cobra.Command{
+		Use: "plan", Short: "Show what apply would do, wave by wave",
+		RunE: f.inSession(func(s *session) error {
+			reply, err := s.submitInventory(file, changeFlags{dryRun: true})
+			if err != nil {
+				return err
+			}
+			return s.printReply("plan", reply)
+		}),
+	}
+	addInventoryFlag(c, &file)
+	return c
+}
+
+func (f *fleetFlags) diffCommand() *cobra.Command {
+	var file string
+	c := &cobra.Command{
+		Use: "diff", Short: "Show what differs between the inventory and the fleet; exit code 4 if anything does",
+		RunE: f.inSession(func(s *session) error {
+			reply, err := s.submitInventory(file, changeFlags{dryRun: true})
+			if err != nil {
+				return err
+			}
+			if err := s.printReply("diff", reply); err != nil {
+				return err
+			}
+			if reply.Plan != nil && len(reply.Plan.Changes) > 0 {
+				return &exit{exitUnhealthy, fmt.Errorf("%d instances differ", len(reply.Plan.Changes))}
+			}
+			return nil
+		}),
+	}
+	addInventoryFlag(c, &file)
+	return c
+}
+
+// finishRollout prints the reply to a command that begins a rollout and waits for its end if asked to.
+func (s *session) finishRollout(command string, reply api.Reply, f changeFlags) error {
+	if err := s.printReply(command, reply); err != nil {
+		return err
+	}
+	if f.wait && !f.dryRun && reply.Result.Rollout > 0 {
+		return s.waitForRollout(reply.Result.Rollout)
+	}
+	return nil
+}
+
+func (f *fleetFlags) rolloutCommand() *cobra.Command {
+	c := &cobra.Command{Use: "rollout", Short: "Show and control rollouts"}
+	c.AddCommand(f.rolloutStatusCommand(), f.rollbackCommand())
+	for _, x := range []struct {
+		name, short string
+		phase       state.Phase
+	}{
+		{"pause", "Release no further instances until the rollout is resumed", state.Paused},
+		{"resume", "Continue the rollout; failed instances are retried", state.Active},
+		{"abort", "End the rollout where it is", state.Aborted},
+	} {
+		c.AddCommand(f.phaseCommand(x.name, x.short, x.phase))
+	}
+	return c
+}
+
+func (f *fleetFlags) rolloutStatusCommand() *cobra.Command {
+	return &cobra.Command{
+		Use: "status", Short: "Show the rollouts", Args: usage(cobra.NoArgs),
+		RunE: f.inSession(func(s *session) error {
+			overview, err := s.client.Overview(s.ctx, nil, nil)
+			if err != nil {
+				return err
+			}
+			return s.print(overview.Rollouts, func(out io.Writer) error { return printRollouts(out, overview.Rollouts) })
+		}),
+	}
+}
+
+func (f *fleetFlags) phaseCommand(name, short string, phase state.Phase) *cobra.Command {
+	var revision uint64
+	change := changeFlags{}
+	c := &cobra.Command{
+		Use: name, Short: short, Args: usage(cobra.NoArgs),
+		RunE: f.inSession(func(s *session) error {
+			command, err := s.newCommand(change)
+			if err != nil {
+				return err
+			}
+			reply, err := s.client.Steer(s.ctx, &api.SetPhaseCall{Command: command, Rev: revision, To: phase})
+			if err != nil {
+				return err
+			}
+			return s.printReply("rollout "+name, reply)
+		}),
+	}
+	c.Flags().Uint64Var(&revision, "rollout", 0, "revision of the rollout (default: the active one)")
+	change.addNote(c)
+	return c
+}
+
+func (f *fleetFlags) rollbackCommand() *cobra.Command {
+	var target uint64
+	var withNodes bool
+	change := changeFlags{}
+	c := &cobra.Command{
+		Use: "rollback --to REVISION", Short: "Roll back to an earlier revision; an active rollout ends", Args: usage(cobra.NoArgs),
+		RunE: f.inSession(func(s *session) error {
+			command, err := s.newCommand(change)
+			if err != nil {
+				return err
+			}
+			call := &api.RollbackCall{Command: command, To: target, WithNodes: withNodes, Strategy: s.settings.Strategy.State()}
+			reply, err := s.client.Rollback(s.ctx, call)
+			if err != nil {
+				return err
+			}
+			return s.finishRollout("rollout rollback", reply, change)
+		}),
+	}
+	c.Flags().Uint64Var(&target, "to", 0, "the revision")
+	c.Flags().BoolVar(&withNodes, "nodes", false, "restore the node overrides of that revision too")
+	change.addAll(c, "return when the rollout has ended")
+	markRequired(c, "to")
+	return c
+}
+
+func (f *fleetFlags) waitCommand() *cobra.Command {
+	var revision uint64
+	c := &cobra.Command{
+		Use: "wait", Short: "Return when the fleet is in its desired state, or a rollout has ended",
+		RunE: f.inSession(func(s *session) error {
+			if revision > 0 {
+				return s.waitForRollout(revision)
+			}
+			return s.waitUntilSettled()
+		}),
+	}
+	c.Flags().Uint64Var(&revision, "rollout", 0, "wait for the rollout of this revision (default: for the whole fleet)")
+	return c
+}
+
+// waitStep is how long one call waits for news.
+const waitStep = 500 * time.Millisecond
+
+var errWaitTimeout = &exit{exitRollout, errors.New("not ended in time")}
+
+// settledResult is what scripts read when the fleet has settled.
+type settledResult struct {
+	Settled bool `json:"settled"`
+}
+
+// waitForRollout follows a rollout to its end.
+func (s *session) waitForRollout(revision uint64) error {
+	progress := &rolloutProgress{session: s}
+	return s.poll(revision, func(rollouts []state.RolloutStatus, _ bool) (bool, error) {
+		for _, r := range rollouts {
+			if r.Revision != revision {
+				continue
+			}
+			progress.report(r)
+			if err := checkNotStopped(r); err != nil {
+				return true, err
+			}
+			if r.Phase == state.Done {
+				return true, s.print(r, func(io.Writer) error { return nil })
+			}
+		}
+		return false, nil
+	})
+}
+
+// waitUntilSettled follows all rollouts until the whole fleet is in its desired state.
+func (s *session) waitUntilSettled() error {
+	progress := &rolloutProgress{session: s}
+	return s.poll(0, func(rollouts []state.RolloutStatus, settled bool) (bool, error) {
+		for _, r := range rollouts {
+			if r.Phase == state.Done || r.Phase == state.Aborted {
+				continue
+			}
+			progress.report(r)
+			if err := checkNotStopped(r); err != nil {
+				return true, err
+			}
+		}
+		if !settled {
+			return false, nil
+		}
+		return true, s.print(settledResult{Settled: true}, func(out io.Writer) error {
+			_, err := fmt.Fprintln(out, "settled")
+			return err
+		})
+	})
+}
+
+// poll asks for rollouts until check reports the end, or the session's time is up.
+func (s *session) poll(revision uint64, check func(rollouts []state.RolloutStatus, settled bool) (bool, error)) error {
+	for {
+		rollouts, settled, err := s.client.Wait(s.ctx, revision, waitStep)
+		if err != nil {
+			if s.ctx.Err() != nil {
+				return errWaitTimeout
+			}
+			return err
+		}
+		ended, err := check(rollouts, settled)
+		if ended || err != nil {
+			return err
+		}
+		if s.ctx.Err() != nil {
+			return errWaitTimeout
+		}
+	}
+}
+
+// checkNotStopped returns an error for a rollout that does not go on by itself.
+func checkNotStopped(r state.RolloutStatus) error {
+	switch r.Phase {
+	case state.Paused:
+		return &exit{exitRollout, fmt.Errorf("rollout %d is paused: %s", r.Revision, r.Reason)}
+	case state.Aborted:
+		return &exit{exitRollout, fmt.Errorf("rollout %d was aborted: %s", r.Revision, r.Reason)}
+	}
+	return nil
+}
+
+// rolloutProgress prints a rollout's state to standard error whenever it has changed.
+type rolloutProgress struct {
+	session *session
+	last    string
+}
+
+func (p *rolloutProgress) report(r state.RolloutStatus) {
+	text := formatRollout(r)
+	if text == p.last || p.session.flags.asJSON {
+		return
+	}
+	p.session.cmd.PrintErrln(text)
+	p.last = text
+}
--- a/cmd/poppyarch/lab.go
+++ b/cmd/poppyarch/lab.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -9,7 +10,6 @@
 	"runtime"
 	"sync"
 	"syscall"
-	"text/tabwriter"
 
 	"github.com/pelletier/go-toml/v2"
 	"github.com/spf13/cobra"
@@ -20,16 +20,19 @@
 	"poppyarch/internal/lab/statistics"
 )
 
-// labCommand is the model: designs tried on scenarios, without a socket.
+// labCommand is `poppyarch lab`: designs tried on scenarios in a simulation, without a socket.
 func labCommand() *cobra.Command {
-	c := &cobra.Command{Use: "lab", Short: "Try designs on a model of clients, brokers and nodes", Args: usage(cobra.NoArgs),
-		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() }}
-	c.AddCommand(labRun(), labCompare(), labSweep(), labBisect(), labHunt(), labLive(), labFit(),
-		labDraw("plot", "Draw a measure of a sweep with its intervals"), labDraw("report", "Make one HTML page of results and of scenarios"))
+	c := &cobra.Command{
+		Use: "lab", Short: "Simulate designs on a model of clients, brokers and nodes", Args: usage(cobra.NoArgs),
+		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
+	}
+	c.AddCommand(labRun(), labCompare(), labSweep(), labBisect(), labSearch(), labLive(), labFit())
+	c.AddCommand(labDraw("plot", "Plot a measure of a sweep with its intervals"))
+	c.AddCommand(labDraw("report", "Write an HTML page of results and scenarios"))
 	return c
 }
 
-// labFlags are what both commands take.
+// labFlags are the flags that run and compare share.
 type labFlags struct {
 	seed   uint64
 	runs   int
@@ -37,123 +40,156 @@
 }
 
 func (f *labFlags) add(c *cobra.Command) {
-	c.Flags().Uint64Var(&f.seed, "seed", 1, "of the first run; the others follow")
-	c.Flags().IntVar(&f.runs, "runs", 8, "runs of each design, of one seed each")
-	c.Flags().BoolVar(&f.asJSON, "json", false, "results as JSON, one a run")
+	c.Flags().Uint64Var(&f.seed, "seed", 1, "seed of the first run; the others follow")
+	c.Flags().IntVar(&f.runs, "runs", 8, "runs of each design, one seed each")
+	c.Flags().BoolVar(&f.asJSON, "json", false, "print results as JSON, one line per run")
 }
 
 func labRun() *cobra.Command {
 	var f labFlags
 	var designs []string
-	c := &cobra.Command{Use: "run SCENARIO", Short: "Play a scenario with one or several designs", Args: usage(cobra.ExactArgs(1)),
+	c := &cobra.Command{
+		Use: "run SCENARIO", Short: "Run a scenario with one or several designs", Args: usage(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			s, all, err := f.play(args[0], designs)
+			scenario, results, err := f.play(args[0], designs)
 			if err != nil {
 				return err
 			}
-			out := cmd.OutOrStdout()
 			if f.asJSON {
-				return f.json(out, all)
+				return printResults(cmd.OutOrStdout(), results)
 			}
-			fmt.Fprintf(out, "%s: %.3g of all cores asked for, %d runs of each design\n", s.Name, s.Offered(), f.runs)
-			w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-			fmt.Fprintln(w, "DESIGN\tSERVICE\tRESERVED\tSERVED/S\tTIME MS\tP99 MS\tREFUSED\tFAILED\tLATE\tCONNECTIONS\tFELL\tBROKEN")
-			for _, rs := range all {
-				fmt.Fprintf(w, "%s", rs[0].Design)
-				for _, of := range []func(*model.Result) float64{func(r *model.Result) float64 { return r.Service }, func(r *model.Result) float64 { return r.Reserved }, served,
-					func(r *model.Result) float64 { return 1000 * r.Time.Mean }, p99, func(r *model.Result) float64 { return float64(r.Refused) },
-					func(r *model.Result) float64 { return float64(r.Failed) }, func(r *model.Result) float64 { return float64(r.Late) },
-					func(r *model.Result) float64 { return float64(r.Handshakes) }, func(r *model.Result) float64 { return float64(r.Fell) }} {
-					fmt.Fprintf(w, "\t%v", experiment.Over(rs, of))
-				}
-				broken := ""
-				for _, r := range rs {
-					broken += r.BrokenRules()
-				}
-				fmt.Fprintf(w, "\t%s\n", broken)
-			}
-			return w.Flush()
-		}}
+			out := newPrinter(cmd.OutOrStdout())
+			out.printf("%s: %.3g of all cores asked for, %d runs of each design\n", scenario.Name, scenario.Offered(), f.runs)
+			out.section(func(out io.Writer) error { return printDesigns(out, results) })
+			return out.err
+		},
+	}
 	f.add(c)
-	c.Flags().StringSliceVarP(&designs, "design", "d", model.Designs(), "designs to play")
+	c.Flags().StringSliceVarP(&designs, "design", "d", model.Designs(), "designs to run")
 	return c
 }
 
+// designColumns are the figures of a design, over its runs.
+var designColumns = []struct {
+	title string
+	value func(*model.Result) float64
+}{
+	{"SERVICE", func(r *model.Result) float64 { return r.Service }},
+	{"RESERVED", func(r *model.Result) float64 { return r.Reserved }},
+	{"SERVED/S", func(r *model.Result) float64 { return r.Served.Mean }},
+	{"TIME MS", func(r *model.Result) float64 { return 1000 * r.Time.Mean }},
+	{"P99 MS", func(r *model.Result) float64 { return 1000 * r.P99 }},
+	{"REFUSED", func(r *model.Result) float64 { return float64(r.Refused) }},
+	{"FAILED", func(r *model.Result) float64 { return float64(r.Failed) }},
+	{"LATE", func(r *model.Result) float64 { return float64(r.Late) }},
+	{"CONNECTIONS", func(r *model.Result) float64 { return float64(r.Handshakes) }},
+	{"FELL", func(r *model.Result) float64 { return float64(r.Fell) }},
+}
+
+// printDesigns prints a line for each design; results are by design and run.
+func printDesigns(out io.Writer, results [][]*model.Result) error {
+	titles := []string{"DESIGN"}
+	for _, column := range designColumns {
+		titles = append(titles, column.title)
+	}
+	t := newTable(out, append(titles, "BROKEN")...)
+	for _, runs := range results {
+		t.printf("%s", runs[0].Design)
+		for _, column := range designColumns {
+			t.printf("\t%v", experiment.Over(runs, column.value))
+		}
+		broken := ""
+		for _, r := range runs {
+			broken += r.BrokenRules()
+		}
+		t.printf("\t%s\n", broken)
+	}
+	return t.flush()
+}
+
+// comparedMeasures are what compare lists, in order.
+var comparedMeasures = []string{"service", "reserved", "served", "p99_ms", "refused", "failed", "connections", "fell", "broken"}
+
 func labCompare() *cobra.Command {
 	var f labFlags
-	c := &cobra.Command{Use: "compare SCENARIO DESIGN DESIGN", Short: "Say by how much the first design differs from the second, seed by seed",
+	c := &cobra.Command{
+		Use: "compare SCENARIO DESIGN DESIGN", Short: "Show by how much the first design differs from the second, seed by seed",
 		Args: usage(cobra.ExactArgs(3)),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			_, all, err := f.play(args[0], args[1:])
+			_, results, err := f.play(args[0], args[1:])
 			if err != nil {
 				return err
 			}
-			out := cmd.OutOrStdout()
 			if f.asJSON {
-				return f.json(out, all)
+				return printResults(cmd.OutOrStdout(), results)
 			}
-			fmt.Fprintf(out, "%s less %s, %d seeds:\n", args[1], args[2], f.runs)
-			for _, name := range []string{"service", "reserved", "served", "p99_ms", "refused", "failed", "connections", "fell", "broken"} {
-				of := experiment.Measures[name]
-				d, err := statistics.Paired(experiment.Values(all[0], of), experiment.Values(all[1], of))
+			out := newPrinter(cmd.OutOrStdout())
+			out.printf("%s less %s, %d seeds:\n", args[1], args[2], f.runs)
+			for _, name := range comparedMeasures {
+				measure := experiment.Measures[name]
+				difference, err := statistics.Paired(experiment.Values(results[0], measure), experiment.Values(results[1], measure))
 				if err != nil {
 					return err
 				}
 				verdict := "differs"
-				if d.Holds(0) {
+				if difference.Holds(0) {
 					verdict = "no difference shown"
 				}
-				fmt.Fprintf(out, "  %-12s %v  %s\n", name, d, verdict)
+				out.printf("  %-12s %v  %s\n", name, difference, verdict)
 			}
-			return nil
-		}}
+			return out.err
+		},
+	}
 	f.add(c)
 	return c
 }
 
 func labSweep() *cobra.Command {
-	var out string
-	c := &cobra.Command{Use: "sweep PLAN -o RESULTS", Short: "Play designs over a grid until the figures are as narrow as wanted; goes on where it was ended",
+	var path string
+	c := &cobra.Command{
+		Use: "sweep PLAN -o RESULTS", Short: "Run designs over a grid until the intervals are narrow enough; continues an interrupted sweep",
 		Args: usage(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			p, err := experiment.Read(args[0])
+			plan, err := experiment.Read(args[0])
 			if err != nil {
 				return &exit{exitUsage, err}
 			}
-			r, err := experiment.Open(out, p.Keys())
+			results, err := experiment.Open(path, plan.Keys())
 			if err != nil {
 				return &exit{exitUsage, err}
 			}
-			defer r.Close()
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			w := cmd.OutOrStdout()
-			fmt.Fprintf(w, "%s; the others less %s, seed by seed\n", p.Measure, p.Designs[0])
-			return p.Run(ctx, r, func(l experiment.Line) {
-				for i, k := range p.Keys() {
-					fmt.Fprintf(w, "%s=%s ", k, l.Values[i])
-				}
-				fmt.Fprintf(w, "%-10s %v", l.Design, l.Mean)
-				if l.Design != p.Designs[0] {
-					verdict := ""
-					if l.Less.Holds(0) {
-						verdict = ", no difference shown"
-					}
-					fmt.Fprintf(w, "  (%v%s)", l.Less, verdict)
-				}
-				fmt.Fprintf(w, "  %d seeds\n", l.Mean.N)
-			})
-		}}
-	c.Flags().StringVarP(&out, "out", "o", "", "results, as CSV; what is there is not played again")
-	if err := c.MarkFlagRequired("out"); err != nil {
-		panic(err) // the flag is declared on the line above
+			out := newPrinter(cmd.OutOrStdout())
+			out.printf("%s; the others less %s, seed by seed\n", plan.Measure, plan.Designs[0])
+			err = plan.Run(ctx, results, func(line experiment.Line) { printSweepLine(out, plan, line) })
+			return errors.Join(err, results.Close(), out.err)
+		},
 	}
+	c.Flags().StringVarP(&path, "out", "o", "", "results, as CSV; runs that it holds are not repeated")
+	markRequired(c, "out")
 	return c
 }
 
+func printSweepLine(out *printer, plan *experiment.Plan, line experiment.Line) {
+	for i, key := range plan.Keys() {
+		out.printf("%s=%s ", key, line.Values[i])
+	}
+	out.printf("%-10s %v", line.Design, line.Mean)
+	if line.Design != plan.Designs[0] {
+		verdict := ""
+		if line.Less.Holds(0) {
+			verdict = ", no difference shown"
+		}
+		out.printf("  (%v%s)", line.Less, verdict)
+	}
+	out.printf("  %d seeds\n", line.Mean.N)
+}
+
 func labBisect() *cobra.Command {
 	b := &experiment.Bisection{}
-	c := &cobra.Command{Use: "bisect SCENARIO --key KEY --from A --to B --bound X", Short: "Find the figure at which a design's measure crosses a bound",
+	c := &cobra.Command{
+		Use: "bisect SCENARIO --key KEY --from A --to B --bound X", Short: "Find the value at which a design's measure crosses a bound",
 		Args: usage(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var err error
@@ -162,122 +198,127 @@
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			w := cmd.OutOrStdout()
-			found, err := b.Run(ctx, func(s experiment.Step) {
-				side, sure := "under", ""
-				if s.Above {
-					side = "at or above"
-				}
-				if !s.Sure {
-					sure = ", not sure"
-				}
-				fmt.Fprintf(w, "%s=%.6g  %s %v  %d seeds, %s %v%s\n", b.Key, s.At, b.Measure, s.Mean, s.Mean.N, side, b.Bound, sure)
-			})
+			out := newPrinter(cmd.OutOrStdout())
+			found, err := b.Run(ctx, func(step experiment.Step) { printBisectionStep(out, b, step) })
 			if err != nil {
 				return &exit{exitUsage, err}
 			}
-			fmt.Fprintf(w, "%s crosses %v between %s=%.6g and %.6g\n", b.Measure, b.Bound, b.Key, found.Near.At, found.Far.At)
-			return nil
-		}}
+			out.printf("%s crosses %v between %s=%.6g and %.6g\n", b.Measure, b.Bound, b.Key, found.Near.At, found.Far.At)
+			return out.err
+		},
+	}
 	f := c.Flags()
-	f.StringVar(&b.Key, "key", "load.rate", "the figure of the scenario that is looked for")
-	f.Float64Var(&b.From, "from", 0, "one end")
-	f.Float64Var(&b.To, "to", 0, "the other")
-	f.Float64Var(&b.Bound, "bound", 0.8, "of the measure")
+	f.StringVar(&b.Key, "key", "load.rate", "key of the scenario that is varied")
+	f.Float64Var(&b.From, "from", 0, "one end of the range")
+	f.Float64Var(&b.To, "to", 0, "the other end")
+	f.Float64Var(&b.Bound, "bound", 0.8, "bound of the measure")
 	f.StringVarP(&b.Design, "design", "d", "module", "design")
 	f.StringVarP(&b.Measure, "measure", "m", "service", "measure")
-	f.IntVar(&b.Runs, "runs", 6, "seeds at a time")
-	f.IntVar(&b.Most, "most", 24, "seeds for a step at which the interval holds the bound")
-	f.Uint64Var(&b.Seed, "seed", 1, "the first")
-	f.IntVar(&b.Steps, "steps", 7, "halvings")
+	f.IntVar(&b.Runs, "runs", 6, "seeds per step")
+	f.IntVar(&b.Most, "most", 24, "most seeds of a step whose interval contains the bound")
+	f.Uint64Var(&b.Seed, "seed", 1, "the first seed")
+	f.IntVar(&b.Steps, "steps", 7, "number of halvings")
 	return c
 }
 
-func labHunt() *cobra.Command {
-	h := &search.Hunt{}
-	var out string
-	c := &cobra.Command{Use: "hunt SCENARIO -o CASE", Short: "Search for troubles under which a design breaks a rule or falls behind, and make the case small",
-		Args: usage(cobra.ExactArgs(1)),
+func printBisectionStep(out *printer, b *experiment.Bisection, step experiment.Step) {
+	side := "under"
+	if step.Above {
+		side = "at or above"
+	}
+	certainty := ""
+	if !step.Sure {
+		certainty = ", not sure"
+	}
+	out.printf("%s=%.6g  %s %v  %d seeds, %s %v%s\n", b.Key, step.At, b.Measure, step.Mean, step.Mean.N, side, b.Bound, certainty)
+}
+
+func labSearch() *cobra.Command {
+	hunt := &search.Hunt{}
+	var path string
+	c := &cobra.Command{
+		Use: "search SCENARIO -o CASE", Short: "Search for faults under which a design breaks a rule or falls behind, and minimise the case",
+		Aliases: []string{"hunt"}, // the command's former name
+		Args:    usage(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var err error
-			if h.Base, err = experiment.ReadScenario(args[0]); err != nil {
+			if hunt.Base, err = experiment.ReadScenario(args[0]); err != nil {
 				return &exit{exitUsage, err}
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			w := cmd.OutOrStdout()
-			f, err := h.Run(ctx, func(try int, b search.Bad) { fmt.Fprintf(w, "candidate %d: %s %v\n", try+1, h.Design, b) })
+			out := newPrinter(cmd.OutOrStdout())
+			found, err := hunt.Run(ctx, func(try int, bad search.Bad) { out.printf("candidate %d: %s %v\n", try+1, hunt.Design, bad) })
 			if err != nil {
 				return err
 			}
-			text, err := toml.Marshal(f.Scenario)
+			text, err := toml.Marshal(found.Scenario)
 			if err != nil {
 				return err
 			}
-			head := fmt.Sprintf("# Found by lab hunt: %s %v against %s, seeds %d to %d.\n", h.Design, f.Bad, h.Against, h.Seed, h.Seed+uint64(h.Runs)-1)
-			if err := os.WriteFile(out, append([]byte(head), text...), 0o644); err != nil {
+			head := fmt.Sprintf("# Found by lab hunt: %s %v against %s, seeds %d to %d.\n", hunt.Design, found.Bad, hunt.Against,
+				hunt.Seed, hunt.Seed+uint64(hunt.Runs)-1)
+			if err := os.WriteFile(path, append([]byte(head), text...), 0o644); err != nil {
 				return err
 			}
-			fmt.Fprintf(w, "made small: %s %v, %d plays, %s\n", h.Design, f.Bad, f.Plays, out)
-			return nil
-		}}
-	f := c.Flags()
-	f.StringVarP(&h.Design, "design", "d", "module", "design")
-	f.StringVar(&h.Against, "against", "oracle", "design that it is held against")
-	f.Uint64Var(&h.Seed, "seed", 1, "of the search, and of the first play")
-	f.IntVar(&h.Runs, "runs", 2, "seeds of a candidate")
-	f.IntVar(&h.Tries, "tries", 60, "candidates")
-	f.StringVarP(&out, "out", "o", "", "the case, a scenario")
-	if err := c.MarkFlagRequired("out"); err != nil {
-		panic(err) // the flag is declared on the line above
+			out.printf("made small: %s %v, %d plays, %s\n", hunt.Design, found.Bad, found.Plays, path)
+			return out.err
+		},
 	}
+	flags := c.Flags()
+	flags.StringVarP(&hunt.Design, "design", "d", "module", "design")
+	flags.StringVar(&hunt.Against, "against", "oracle", "design to compare it with")
+	flags.Uint64Var(&hunt.Seed, "seed", 1, "seed of the search and of the first run")
+	flags.IntVar(&hunt.Runs, "runs", 2, "seeds of a candidate")
+	flags.IntVar(&hunt.Tries, "tries", 60, "candidates")
+	flags.StringVarP(&path, "out", "o", "", "the case, a scenario")
+	markRequired(c, "out")
 	return c
 }
 
-func served(r *model.Result) float64 { return r.Served.Mean }
-func p99(r *model.Result) float64    { return 1000 * r.P99 }
-
-// play reads a scenario and runs all designs on all seeds, side by side; a run itself is one loop.
+// play reads a scenario and runs all designs on all seeds in parallel. Results are by design and run.
 func (f *labFlags) play(path string, designs []string) (*model.Scenario, [][]*model.Result, error) {
-	s, err := experiment.ReadScenario(path)
+	scenario, err := experiment.ReadScenario(path)
 	if err != nil {
 		return nil, nil, &exit{exitUsage, err}
 	}
 	if f.runs < 1 {
 		return nil, nil, &exit{exitUsage, fmt.Errorf("--runs: %d cannot be", f.runs)}
 	}
-	for _, d := range designs {
-		if err := model.CheckDesign(d); err != nil {
+	for _, design := range designs {
+		if err := model.CheckDesign(design); err != nil {
 			return nil, nil, &exit{exitUsage, err}
 		}
 	}
-	all := make([][]*model.Result, len(designs))
-	room, wait := make(chan struct{}, runtime.GOMAXPROCS(0)), sync.WaitGroup{}
+	results := make([][]*model.Result, len(designs))
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
+	var running sync.WaitGroup
 	var once sync.Once
 	var failed error
-	for k, d := range designs {
-		all[k] = make([]*model.Result, f.runs)
+	for k, design := range designs {
+		results[k] = make([]*model.Result, f.runs)
 		for i := range f.runs {
-			wait.Go(func() {
-				room <- struct{}{}
-				defer func() { <-room }()
-				r, err := model.Play(s, d, f.seed+uint64(i))
+			running.Go(func() {
+				slots <- struct{}{}
+				defer func() { <-slots }()
+				result, err := model.Play(scenario, design, f.seed+uint64(i))
 				if err != nil {
 					once.Do(func() { failed = err })
 				}
-				all[k][i] = r
+				results[k][i] = result
 			})
 		}
 	}
-	wait.Wait()
-	return s, all, failed
+	running.Wait()
+	return scenario, results, failed
 }
 
-func (f *labFlags) json(w io.Writer, all [][]*model.Result) error {
-	e := json.NewEncoder(w)
-	for _, rs := range all {
-		for _, r := range rs {
-			if err := e.Encode(r); err != nil {
+// printResults prints a JSON object for each run, design by design.
+func printResults(out io.Writer, results [][]*model.Result) error {
+	encoder := json.NewEncoder(out)
+	for _, runs := range results {
+		for _, r := range runs {
+			if err := encoder.Encode(r); err != nil {
 				return err
 			}
 		}
--- a/cmd/poppyarch/lab_fit.go
+++ b/cmd/poppyarch/lab_fit.go
@@ -12,18 +12,18 @@
 	"poppyarch/internal/lab/fit"
 )
 
-// labFit makes a scenario of brokers' records.
+// labFit derives a scenario from brokers' records.
 func labFit() *cobra.Command {
 	var out string
 	c := &cobra.Command{Use: "fit RECORDS... -o SCENARIO", Args: usage(cobra.MinimumNArgs(1)),
-		Short: "Make a scenario of what brokers have recorded, and say what records do not tell",
+		Short: "Derive a scenario from brokers' records, and list what records do not tell",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			t, err := fit.Read(args...)
 			if err != nil {
 				return &exit{exitUsage, err}
 			}
 			for _, f := range t.Faults {
-				fmt.Fprintln(cmd.ErrOrStderr(), f)
+				cmd.PrintErrln(f)
 			}
 			s, w, notes, err := t.Scenario(strings.TrimSuffix(filepath.Base(out), filepath.Ext(out)))
 			if err != nil {
@@ -41,12 +41,11 @@
 			if err := os.WriteFile(out, append([]byte(head), text...), 0o644); err != nil {
 				return err
 			}
-			fmt.Fprint(cmd.OutOrStdout(), strings.ReplaceAll(head, "# ", ""))
-			return nil
+			output := newPrinter(cmd.OutOrStdout())
+			output.printf("%s", strings.ReplaceAll(head, "# ", ""))
+			return output.err
 		}}
 	c.Flags().StringVarP(&out, "out", "o", "", "the scenario")
-	if err := c.MarkFlagRequired("out"); err != nil {
-		panic(err) // the flag is declared on the line above
-	}
+	markRequired(c, "out")
 	return c
 }
--- /dev/null
+++ b/cmd/poppyarch/lab_live.go
@@ -0,0 +1,157 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"os/exec"
+	"os/signal"
+	"path/filepath"
+	"syscall"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"poppyarch/internal/lab/experiment"
+	driver "poppyarch/internal/lab/load"
+	"poppyarch/internal/lab/model"
+	"poppyarch/internal/lab/statistics"
+)
+
+// liveFlags are the flags of `lab live`.
+type liveFlags struct {
+	runs    int
+	seed    uint64
+	objects bool
+	asJSON  bool
+	records string
+}
+
+// liveComparison holds the results of the same seeds in the model and on sockets.
+type liveComparison struct {
+	scenario *model.Scenario
+	reports  []*driver.Report
+	sockets  []*model.Result
+	model    []*model.Result
+}
+
+// labLive compares the model with brokers on loopback sockets.
+func labLive() *cobra.Command {
+	f := &liveFlags{}
+	c := &cobra.Command{
+		Use: "live SCENARIO", Args: usage(cobra.ExactArgs(1)),
+		Short: "Run a scenario in the model and with brokers on loopback sockets, with the same clients, and show the differences",
+		RunE: func(cmd *cobra.Command, args []string) error {
+			scenario, err := experiment.ReadScenario(args[0])
+			if err != nil {
+				return &exit{exitUsage, err}
+			}
+			if f.runs < 1 {
+				return &exit{exitUsage, fmt.Errorf("--runs: %d cannot be", f.runs)}
+			}
+			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
+			defer stop()
+			comparison, err := f.run(ctx, scenario)
+			if err != nil {
+				return err
+			}
+			if f.asJSON {
+				return printResults(cmd.OutOrStdout(), [][]*model.Result{comparison.model, comparison.sockets})
+			}
+			return f.print(cmd.OutOrStdout(), comparison)
+		},
+	}
+	c.Flags().IntVar(&f.runs, "runs", 3, "number of seeds")
+	c.Flags().Uint64Var(&f.seed, "seed", 1, "the first seed")
+	c.Flags().StringVar(&f.records, "records", "", "folder for the brokers' records, for lab fit and incident")
+	c.Flags().BoolVar(&f.objects, "objects", false, "clients use the object API")
+	c.Flags().BoolVar(&f.asJSON, "json", false, "print results as JSON, one line per run: the model's first")
+	return c
+}
+
+// run installs the scenario's brokers and plays each seed on sockets and in the model.
+func (f *liveFlags) run(ctx context.Context, scenario *model.Scenario) (comparison *liveComparison, err error) {
+	dir, err := os.MkdirTemp("", "poppyarch-live-")
+	if err != nil {
+		return nil, err
+	}
+	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
+	installation, err := driver.Install(scenario, driver.Options{Dir: dir, Objects: f.objects, Records: f.records}, startBroker)
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = installation.Close() }() // the results are complete; how the brokers ended is in their logs
+	comparison = &liveComparison{scenario: scenario}
+	for i := range uint64(f.runs) {
+		report, err := installation.Play(ctx, f.seed+i)
+		if err != nil {
+			return nil, err
+		}
+		simulated, err := model.Play(scenario, "module", f.seed+i)
+		if err != nil {
+			return nil, err
+		}
+		comparison.reports = append(comparison.reports, report)
+		comparison.sockets = append(comparison.sockets, report.Result)
+		comparison.model = append(comparison.model, simulated)
+	}
+	return comparison, nil
+}
+
+func (f *liveFlags) print(out io.Writer, c *liveComparison) error {
+	p := newPrinter(out)
+	p.printf("%s: %d brokers, %d nodes, %v, %d seeds; the difference is sockets less model, seed by seed\n", c.scenario.Name,
+		c.scenario.Brokers, c.scenario.Count(), time.Duration(c.scenario.Last), f.runs)
+	if p.err != nil {
+		return p.err
+	}
+	t := newTable(out, "", "MODEL", "SOCKETS", "DIFFERENCE")
+	for _, figure := range loadFigures {
+		difference, err := statistics.Paired(experiment.Values(c.sockets, figure.value), experiment.Values(c.model, figure.value))
+		if err != nil {
+			return err
+		}
+		verdict := ""
+		if difference.Holds(0) && f.runs > 1 {
+			verdict = ", none shown"
+		}
+		t.printf("%s\t%v\t%v\t%s%s\n", figure.name, experiment.Over(c.model, figure.value), experiment.Over(c.sockets, figure.value),
+			difference.Signed(), verdict)
+	}
+	printClientOverhead(t, c.reports)
+	return t.flush()
+}
+
+// brokerStopTimeout is how long a broker may drain before it is killed.
+const brokerStopTimeout = 10 * time.Second
+
+// startBroker starts a broker as a process of its own. The returned function drains it and waits for its end.
+func startBroker(name, config string) (func() error, error) {
+	program, err := os.Executable()
+	if err != nil {
+		return nil, err
+	}
+	log, err := os.Create(filepath.Join(filepath.Dir(config), name+".log"))
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = log.Close() }() // the process has a descriptor of its own
+	cmd := exec.Command(program, "serve")
+	cmd.Env = append(os.Environ(), "LB_CONFIG="+config)
+	cmd.Stderr = log
+	// A broker must not outlive this process.
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	if err := cmd.Start(); err != nil {
+		return nil, err
+	}
+	return func() error {
+		if err := cmd.Process.Signal(syscall.SIGTERM); err != nil && !errors.Is(err, os.ErrProcessDone) {
+			return err
+		}
+		kill := time.AfterFunc(brokerStopTimeout, func() { _ = cmd.Process.Kill() }) // Wait reports what became of it
+		defer kill.Stop()
+		return cmd.Wait()
+	}, nil
+}
