--- a/cmd/poppyarch/fleet.go
+++ b/cmd/poppyarch/fleet.go
@@ -215,13 +215,13 @@
 				return err
 			}
 			defer dir.Close()
-			times := reconcile.DefaultTimes()
-			times.Drain, times.Look = s.Agent.Drain.Micros(), s.Agent.Look.Micros()
-			times.Deaf = max(times.Deaf, 3*times.Look)
-			x := &supervisor.Exec{Program: self, Dir: run}
+			times := reconcile.DefaultConfig()
+			times.DrainTimeout, times.HealthyProbeInterval = s.Agent.Drain.Micros(), s.Agent.Look.Micros()
+			times.StatusTTL = max(times.StatusTTL, 3*times.HealthyProbeInterval)
+			x := &supervisor.LocalBrokers{Program: self, Dir: run}
 			client := api.NewClient(s.Agent.Manager)
 			defer client.Close()
-			sv, err := supervisor.Open(dir, supervisor.Options{Name: s.Agent.Name, Times: times, NewFleet: s.Agent.NewFleet}, x, x, client, log)
+			sv, err := supervisor.Open(dir, supervisor.Options{Name: s.Agent.Name, Reconcile: times, AcceptNewFleet: s.Agent.NewFleet}, x, x, client, log)
 			if err != nil {
 				return err
 			}
@@ -266,7 +266,7 @@
 				return &exit{exitUsage, err}
 			}
 			dry = dry || what != "apply"
-			r, err := in.client.Apply(in.ctx, &api.ApplyCall{Command: f.command(note, expect, dry), Spec: *want, Strategy: s.Strategy.State()})
+			r, err := in.client.Apply(in.ctx, &api.ApplyRequest{Command: f.command(note, expect, dry), Spec: *want, Strategy: s.Strategy.State()})
 			if err != nil {
 				return err
 			}
@@ -319,7 +319,7 @@
 		sub := &cobra.Command{
 			Use: x.name, Short: x.short, Args: usage(cobra.NoArgs),
 			RunE: f.with(func(in *session) error {
-				r, err := in.client.Steer(in.ctx, &api.SetPhaseCall{Command: f.command(note, 0, false), Rev: rev, To: x.to})
+				r, err := in.client.SetRolloutPhase(in.ctx, &api.SetPhaseRequest{Command: f.command(note, 0, false), Revision: rev, To: x.to})
 				if err != nil {
 					return err
 				}
@@ -337,7 +337,7 @@
 		Use: "rollback --to REVISION", Short: "Go back to an earlier revision; a rollout under way ends", Args: usage(cobra.NoArgs),
 		RunE: f.with(func(in *session) error {
 			s := in.set
-			r, err := in.client.Rollback(in.ctx, &api.RollbackCall{Command: f.command(note, expect, dry), To: to, WithNodes: nodes, Strategy: s.Strategy.State()})
+			r, err := in.client.Rollback(in.ctx, &api.RollbackRequest{Command: f.command(note, expect, dry), To: to, WithNodes: nodes, Strategy: s.Strategy.State()})
 			if err != nil {
 				return err
 			}
@@ -401,7 +401,7 @@
 					}
 					list = append(list, ch)
 				}
-				r, err := in.client.Nodes(in.ctx, &api.NodesCall{Command: f.command(note, expect, dry), Changes: list})
+				r, err := in.client.ChangeNodes(in.ctx, &api.NodesRequest{Command: f.command(note, expect, dry), Changes: list})
 				if err != nil {
 					return err
 				}
@@ -507,7 +507,7 @@
 		Long: "An instance that moves to another agent is started there once the old one has let it go. A machine that will not come back lets\n" +
 			"nothing go: this says so in its place. Only a silent agent can be retired. Be sure that its brokers do not run.",
 		RunE: f.with(func(in *session) error {
-			r, err := in.client.Retire(in.ctx, &api.RetireCall{Command: f.command(note, 0, false), Agent: in.args[0]})
+			r, err := in.client.Retire(in.ctx, &api.RetireRequest{Command: f.command(note, 0, false), Agent: in.args[0]})
 			if err != nil {
 				return err
 			}
--- a/cmd/poppyarch/fleet_show.go
+++ b/cmd/poppyarch/fleet_show.go
@@ -97,14 +97,14 @@
 }
 
 func showOverview(w io.Writer, o api.Overview) {
-	fmt.Fprintf(w, "revision %d, %d of %d enabled instances available", o.Rev, o.Enabled-o.Unavailable, o.Enabled)
+	fmt.Fprintf(w, "revision %d, %d of %d enabled instances available", o.Revision, o.Enabled-o.Unavailable, o.Enabled)
 	if o.Settled {
 		fmt.Fprintln(w, ", settled")
 	} else {
-		fmt.Fprintf(w, ", %d not as wanted\n", o.Differing)
+		fmt.Fprintf(w, ", %d not as wanted\n", o.NotCurrent)
 	}
-	if o.Journal != "" {
-		fmt.Fprintln(w, "the manager's journal:", o.Journal)
+	if o.JournalFault != "" {
+		fmt.Fprintln(w, "the manager's journal:", o.JournalFault)
 	}
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "INSTANCE\tAGENT\tSTATE\tREV\tHOLDS\tBOOT\tNODES\tAGE\tWHY")
--- a/cmd/poppyarch/fleet_test.go
+++ b/cmd/poppyarch/fleet_test.go
@@ -139,8 +139,8 @@
 	run("rollout", "rollback", "--to", "2", "--wait")
 	run("nodes", "drain", "s-2", "--wait")
 	o := settled("after the rollback")
-	if o.Rev != 5 || len(o.Nodes) != 1 {
-		t.Errorf("revision %d, node changes %v", o.Rev, o.Nodes)
+	if o.Revision != 5 || len(o.Nodes) != 1 {
+		t.Errorf("revision %d, node changes %v", o.Revision, o.Nodes)
 	}
 
 	// Nothing new reaches the drained node any more, while the others work on.
@@ -274,7 +274,7 @@
 	}
 	out, err := s.Run("--json", "status")
 	var o api.Overview
-	if jerr := json.Unmarshal([]byte(out[:strings.LastIndex(out, "}")+1]), &o); jerr != nil || o.Rev != 2 || exitCode(err) != exitUnhealthy {
+	if jerr := json.Unmarshal([]byte(out[:strings.LastIndex(out, "}")+1]), &o); jerr != nil || o.Revision != 2 || exitCode(err) != exitUnhealthy {
 		t.Errorf("%v %v\n%s", jerr, err, out)
 	}
 }
--- a/cmd/poppyarch/incident_test.go
+++ b/cmd/poppyarch/incident_test.go
@@ -45,8 +45,8 @@
 		t.Error(load.Complaints())
 	}
 	o, err := s.Client.Overview(ctx, nil, nil)
-	if err != nil || len(o.Figures) != 5 || o.Figures[0].Figures.Span == 0 {
-		t.Errorf("%v, figures of %d brokers", err, len(o.Figures))
+	if err != nil || len(o.Metrics) != 5 || o.Metrics[0].Metrics.Span == 0 {
+		t.Errorf("%v, figures of %d brokers", err, len(o.Metrics))
 	}
 	closed = true
 	if err := s.Close(); err != nil {
--- a/examples/tour/main.go
+++ b/examples/tour/main.go
@@ -217,5 +217,5 @@
 }
 
 func summary(o api.Overview) string {
-	return fmt.Sprintf("revision %d, %d of %d instances available, each current by its own word", o.Rev, o.Enabled-o.Unavailable, o.Enabled)
+	return fmt.Sprintf("revision %d, %d of %d instances available, each current by its own word", o.Revision, o.Enabled-o.Unavailable, o.Enabled)
 }
--- a/internal/fleet/api/api.go
+++ b/internal/fleet/api/api.go
@@ -34,8 +34,8 @@
 	return "request"
 }
 
-// Fault is an error as it crosses the wire.
-type Fault struct {
+// ErrorResponse is an error as it crosses the wire.
+type ErrorResponse struct {
 	Code  string `json:"code"`
 	Error string `json:"error"`
 }
@@ -48,33 +48,33 @@
 	Edition uint64 `json:"edition"`
 }
 
-// ReportCall is an agent's report.
-type ReportCall struct {
-	Agent   string         `json:"agent"`
-	Token   uint64         `json:"token"`
-	Epoch   string         `json:"epoch"`
-	Seq     uint64         `json:"seq"`
-	Have    uint64         `json:"have"` // version of the assignments that it works by
-	Full    bool           `json:"full"`
-	Reports []state.Report `json:"reports"`
-	Figures []Figures      `json:"figures,omitempty"`
+// ReportRequest is an agent's report.
+type ReportRequest struct {
+	Agent              string          `json:"agent"`
+	Token              uint64          `json:"token"`
+	Epoch              string          `json:"epoch"`
+	Seq                uint64          `json:"seq"`
+	AssignmentsVersion uint64          `json:"have"` // version of the assignments that it works by
+	Full               bool            `json:"full"`
+	Reports            []state.Report  `json:"reports"`
+	Metrics            []BrokerMetrics `json:"figures,omitempty"`
 }
 
-// Figures are what a broker did lately.
-type Figures struct {
-	Name    string           `json:"name"`
-	Age     int64            `json:"age_us"` // when they are sent, since the broker said them
-	Open    int64            `json:"open"`   // requests taken and not answered
-	Figures *control.Figures `json:"figures"`
+// BrokerMetrics are what a broker did lately.
+type BrokerMetrics struct {
+	Name     string           `json:"name"`
+	Age      int64            `json:"age_us"` // when they are sent, since the broker said them
+	InFlight int64            `json:"open"`   // requests taken and not answered
+	Metrics  *control.Figures `json:"figures"`
 }
 
-// AssignCall asks for assignments newer than Have, and waits for some.
-type AssignCall struct {
-	Agent  string `json:"agent"`
-	Token  uint64 `json:"token"`
-	Epoch  string `json:"epoch"`
-	Have   uint64 `json:"have"`
-	WaitMS int64  `json:"wait_ms"`
+// AssignmentsRequest asks for assignments newer than Have, and waits for some.
+type AssignmentsRequest struct {
+	Agent        string `json:"agent"`
+	Token        uint64 `json:"token"`
+	Epoch        string `json:"epoch"`
+	KnownVersion uint64 `json:"have"`
+	WaitMS       int64  `json:"wait_ms"`
 }
 
 // Assignments is the answer.
@@ -86,34 +86,34 @@
 	Edition uint64              `json:"edition"`
 }
 
-// ApplyCall has the manager want another fleet.
-type ApplyCall struct {
+// ApplyRequest has the manager want another fleet.
+type ApplyRequest struct {
 	state.Command
 	Spec     spec.Spec      `json:"spec"`
 	Strategy state.Strategy `json:"strategy"`
 }
 
-// NodesCall changes the operators' word on storage nodes.
-type NodesCall struct {
+// NodesRequest changes the operators' word on storage nodes.
+type NodesRequest struct {
 	state.Command
 	Changes []state.NodeChange `json:"changes"`
 }
 
-// SetPhaseCall pauses, resumes or aborts a rollout; Rev 0 means the one under way.
-type SetPhaseCall struct {
+// SetPhaseRequest pauses, resumes or aborts a rollout; Rev 0 means the one under way.
+type SetPhaseRequest struct {
 	state.Command
-	Rev uint64      `json:"rev"`
-	To  state.Phase `json:"to"`
+	Revision uint64      `json:"rev"`
+	To       state.Phase `json:"to"`
 }
 
-// RetireCall says that an agent and its machine are gone for good.
-type RetireCall struct {
+// RetireRequest says that an agent and its machine are gone for good.
+type RetireRequest struct {
 	state.Command
 	Agent string `json:"agent"`
 }
 
-// RollbackCall goes back to an earlier revision.
-type RollbackCall struct {
+// RollbackRequest goes back to an earlier revision.
+type RollbackRequest struct {
 	state.Command
 	To        uint64         `json:"to"`
 	WithNodes bool           `json:"with_nodes"`
@@ -128,18 +128,18 @@
 
 // Overview is the fleet for people.
 type Overview struct {
-	Fleet       string                 `json:"fleet"`
-	Rev         uint64                 `json:"rev"`
-	Settled     bool                   `json:"settled"`
-	Unavailable int                    `json:"unavailable"`
-	Enabled     int                    `json:"enabled"`
-	Differing   int                    `json:"differing"`
-	Instances   []state.InstanceStatus `json:"instances"`
-	Agents      []state.AgentStatus    `json:"agents"`
-	Rollouts    []state.RolloutStatus  `json:"rollouts"`
-	Nodes       []spec.NodeOverride    `json:"nodes"`
-	Figures     []Figures              `json:"figures,omitempty"`
-	Journal     string                 `json:"journal,omitempty"` // what is wrong with it
+	Fleet        string                 `json:"fleet"`
+	Revision     uint64                 `json:"rev"`
+	Settled      bool                   `json:"settled"`
+	Unavailable  int                    `json:"unavailable"`
+	Enabled      int                    `json:"enabled"`
+	NotCurrent   int                    `json:"differing"`
+	Instances    []state.InstanceStatus `json:"instances"`
+	Agents       []state.AgentStatus    `json:"agents"`
+	Rollouts     []state.RolloutStatus  `json:"rollouts"`
+	Nodes        []spec.NodeOverride    `json:"nodes"`
+	Metrics      []BrokerMetrics        `json:"figures,omitempty"`
+	JournalFault string                 `json:"journal,omitempty"` // what is wrong with it
 }
 
 // History lists revisions, newest first.
--- a/internal/fleet/api/client.go
+++ b/internal/fleet/api/client.go
@@ -42,8 +42,8 @@
 	tr := &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: 20 * time.Second,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) { return d.DialContext(ctx, network, at) }}
 	return &Client{base: "http://manager/v1/", http: &http.Client{Transport: tr}, timeout: 10 * time.Second,
-		policy: retry.Policy{Tries: 4, First: 100_000, Most: 2_000_000}, budget: retry.NewBudget(10, 0.2),
-		breaker: retry.Breaker{After: 5, First: 200_000, Most: 5_000_000}, start: time.Now()}
+		policy: retry.Policy{Attempts: 4, InitialDelay: 100_000, MaxDelay: 2_000_000}, budget: retry.NewBudget(10, 0.2),
+		breaker: retry.Breaker{Threshold: 5, InitialOpen: 200_000, MaxOpen: 5_000_000}, start: time.Now()}
 }
 
 // Close gives idle connections back.
@@ -58,7 +58,7 @@
 		return fmt.Errorf("%w: %v", ErrRequest, err)
 	}
 	c.mu.Lock()
-	c.budget.Call()
+	c.budget.RecordCall()
 	c.mu.Unlock()
 	for n := 1; ; n++ {
 		c.mu.Lock()
@@ -67,7 +67,7 @@
 		if ok {
 			err = c.once(ctx, path, wait, body, out)
 			c.mu.Lock()
-			c.breaker.Done(c.now(), !errors.Is(err, ErrUnavailable), rand.Float64())
+			c.breaker.Record(c.now(), !errors.Is(err, ErrUnavailable), rand.Float64())
 			c.mu.Unlock()
 			if !errors.Is(err, ErrUnavailable) {
 				return err
@@ -76,12 +76,12 @@
 			err = fmt.Errorf("%w (left alone for %v)", ErrUnavailable, time.Duration(at-c.now())*time.Microsecond)
 		}
 		c.mu.Lock()
-		again := n < c.policy.Tries && c.budget.Repeat()
+		again := n < c.policy.Attempts && c.budget.TakeRetry()
 		c.mu.Unlock()
 		if !again {
 			return err
 		}
-		pause := time.NewTimer(time.Duration(c.policy.Wait(n, rand.Float64())) * time.Microsecond)
+		pause := time.NewTimer(time.Duration(c.policy.Delay(n, rand.Float64())) * time.Microsecond)
 		select {
 		case <-pause.C:
 		case <-ctx.Done():
@@ -114,7 +114,7 @@
 		}
 		return nil
 	}
-	var f Fault
+	var f ErrorResponse
 	if json.Unmarshal(text, &f) != nil || f.Code == "" {
 		return fmt.Errorf("%w: status %d", ErrUnavailable, resp.StatusCode)
 	}
@@ -144,12 +144,12 @@
 }
 
 // Report hands in an agent's report.
-func (c *Client) Report(ctx context.Context, r *ReportCall) error {
+func (c *Client) Report(ctx context.Context, r *ReportRequest) error {
 	return c.Call(ctx, "agents/report", 0, r, &struct{}{})
 }
 
 // Assignments waits for what is new.
-func (c *Client) Assignments(ctx context.Context, a *AssignCall) (out Assignments, err error) {
+func (c *Client) Assignments(ctx context.Context, a *AssignmentsRequest) (out Assignments, err error) {
 	err = c.Call(ctx, "agents/assignments", time.Duration(a.WaitMS)*time.Millisecond, a, &out)
 	return out, err
 }
@@ -166,31 +166,31 @@
 }
 
 // Apply wants another fleet.
-func (c *Client) Apply(ctx context.Context, a *ApplyCall) (r Reply, err error) {
+func (c *Client) Apply(ctx context.Context, a *ApplyRequest) (r Reply, err error) {
 	err = c.Call(ctx, "apply", 0, a, &r)
 	return r, err
 }
 
-// Nodes changes the operators' word on storage nodes.
-func (c *Client) Nodes(ctx context.Context, n *NodesCall) (r Reply, err error) {
+// ChangeNodes changes the operators' word on storage nodes.
+func (c *Client) ChangeNodes(ctx context.Context, n *NodesRequest) (r Reply, err error) {
 	err = c.Call(ctx, "nodes", 0, n, &r)
 	return r, err
 }
 
-// Steer pauses, resumes or aborts a rollout.
-func (c *Client) Steer(ctx context.Context, s *SetPhaseCall) (r Reply, err error) {
+// SetRolloutPhase pauses, resumes or aborts a rollout.
+func (c *Client) SetRolloutPhase(ctx context.Context, s *SetPhaseRequest) (r Reply, err error) {
 	err = c.Call(ctx, "steer", 0, s, &r)
 	return r, err
 }
 
 // Retire says that an agent and its machine are gone for good.
-func (c *Client) Retire(ctx context.Context, a *RetireCall) (r Reply, err error) {
+func (c *Client) Retire(ctx context.Context, a *RetireRequest) (r Reply, err error) {
 	err = c.Call(ctx, "agents/retire", 0, a, &r)
 	return r, err
 }
 
 // Rollback goes back to an earlier revision.
-func (c *Client) Rollback(ctx context.Context, b *RollbackCall) (r Reply, err error) {
+func (c *Client) Rollback(ctx context.Context, b *RollbackRequest) (r Reply, err error) {
 	err = c.Call(ctx, "rollback", 0, b, &r)
 	return r, err
 }
--- a/internal/fleet/manager/http.go
+++ b/internal/fleet/manager/http.go
@@ -40,7 +40,7 @@
 		if err != nil {
 			code := api.Code(err)
 			w.WriteHeader(statuses[code])
-			out = api.Fault{Code: code, Error: err.Error()}
+			out = api.ErrorResponse{Code: code, Error: err.Error()}
 		}
 		json.NewEncoder(w).Encode(out)
 	})
@@ -56,8 +56,8 @@
 	}) (any, error) {
 		return m.Register(in.Agent, in.Seen)
 	})
-	route(mux, "agents/report", func(_ context.Context, in *api.ReportCall) (any, error) { return none{}, m.Report(in) })
-	route(mux, "agents/assignments", func(ctx context.Context, in *api.AssignCall) (any, error) { return m.Assignments(ctx, in) })
+	route(mux, "agents/report", func(_ context.Context, in *api.ReportRequest) (any, error) { return none{}, m.Report(in) })
+	route(mux, "agents/assignments", func(ctx context.Context, in *api.AssignmentsRequest) (any, error) { return m.Assignments(ctx, in) })
 	route(mux, "configs", func(_ context.Context, in *struct {
 		Digest string `json:"digest"`
 	}) (any, error) {
@@ -66,11 +66,11 @@
 			Text string `json:"text"`
 		}{text}, err
 	})
-	route(mux, "apply", func(_ context.Context, in *api.ApplyCall) (any, error) { return m.Apply(in) })
-	route(mux, "rollback", func(_ context.Context, in *api.RollbackCall) (any, error) { return m.Rollback(in) })
-	route(mux, "nodes", func(_ context.Context, in *api.NodesCall) (any, error) { return m.Nodes(in) })
-	route(mux, "agents/retire", func(_ context.Context, in *api.RetireCall) (any, error) { return m.Retire(in) })
-	route(mux, "steer", func(_ context.Context, in *api.SetPhaseCall) (any, error) { return m.Steer(in) })
+	route(mux, "apply", func(_ context.Context, in *api.ApplyRequest) (any, error) { return m.Apply(in) })
+	route(mux, "rollback", func(_ context.Context, in *api.RollbackRequest) (any, error) { return m.Rollback(in) })
+	route(mux, "nodes", func(_ context.Context, in *api.NodesRequest) (any, error) { return m.ChangeNodes(in) })
+	route(mux, "agents/retire", func(_ context.Context, in *api.RetireRequest) (any, error) { return m.Retire(in) })
+	route(mux, "steer", func(_ context.Context, in *api.SetPhaseRequest) (any, error) { return m.SetRolloutPhase(in) })
 	route(mux, "overview", func(_ context.Context, in *struct {
 		Names []string `json:"names"`
 		Terms []string `json:"terms"`
--- a/internal/fleet/manager/manager.go
+++ b/internal/fleet/manager/manager.go
@@ -22,8 +22,8 @@
 // Options sets a manager up.
 type Options struct {
 	Limits       state.Limits
-	Compact      int64         // bytes of the log after which it is compacted; 0: 8 MiB
-	Tick         time.Duration // between two looks at what is due; 0: 50 ms
+	CompactBytes int64         // bytes of the log after which it is compacted; 0: 8 MiB
+	StepInterval time.Duration // between two looks at what is due; 0: 50 ms
 	AcceptDamage bool          // start though records of the journal are lost
 }
 
@@ -47,17 +47,17 @@
 
 // figures are a broker's, with when they were said.
 type figures struct {
-	api.Figures
+	api.BrokerMetrics
 	at int64
 }
 
 // Open reads the journal in fs and returns a manager; Run starts it.
 func Open(fs journal.FS, opt Options, log *slog.Logger) (*Manager, error) {
-	if opt.Compact == 0 {
-		opt.Compact = 8 << 20
+	if opt.CompactBytes == 0 {
+		opt.CompactBytes = 8 << 20
 	}
-	if opt.Tick == 0 {
-		opt.Tick = 50 * time.Millisecond
+	if opt.StepInterval == 0 {
+		opt.StepInterval = 50 * time.Millisecond
 	}
 	if opt.Limits == (state.Limits{}) {
 		opt.Limits = state.DefaultLimits()
@@ -175,7 +175,7 @@
 
 // Run carries out what is due until ctx is done or the journal fails.
 func (m *Manager) Run(ctx context.Context) error {
-	tick := time.NewTicker(m.opt.Tick)
+	tick := time.NewTicker(m.opt.StepInterval)
 	defer tick.Stop()
 	for {
 		m.step()
@@ -210,7 +210,7 @@
 			}
 		}
 	}
-	if m.broken == nil && m.j.Size() > m.opt.Compact {
+	if m.broken == nil && m.j.Size() > m.opt.CompactBytes {
 		b, err := m.s.Snapshot()
 		if err == nil {
 			err = m.j.Compact(b)
@@ -257,16 +257,16 @@
 }
 
 // Report takes in what an agent has seen.
-func (m *Manager) Report(c *api.ReportCall) error {
+func (m *Manager) Report(c *api.ReportRequest) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err := m.sameLife(c.Epoch); err != nil {
 		return err
 	}
-	if err := m.s.Observe(c.Agent, c.Token, c.Seq, c.Have, c.Full, c.Reports, m.clock.Now()); err != nil {
+	if err := m.s.Observe(c.Agent, c.Token, c.Seq, c.AssignmentsVersion, c.Full, c.Reports, m.clock.Now()); err != nil {
 		return err
 	}
-	for _, f := range c.Figures {
+	for _, f := range c.Metrics {
 		m.figures[f.Name] = figures{f, m.clock.Now() - f.Age}
 	}
 	if len(c.Reports) > 0 || c.Full {
@@ -278,7 +278,7 @@
 }
 
 // Assignments waits until an agent has to be told something, and tells it.
-func (m *Manager) Assignments(ctx context.Context, c *api.AssignCall) (api.Assignments, error) {
+func (m *Manager) Assignments(ctx context.Context, c *api.AssignmentsRequest) (api.Assignments, error) {
 	end := time.NewTimer(time.Duration(min(c.WaitMS, 60000)) * time.Millisecond)
 	defer end.Stop()
 	for late := false; ; {
@@ -291,10 +291,10 @@
 			m.mu.Unlock()
 			return api.Assignments{}, err
 		}
-		list, version := m.s.Assignments(c.Agent, c.Have)
-		if version != c.Have || late || c.Have == 0 && len(list) > 0 {
+		list, version := m.s.Assignments(c.Agent, c.KnownVersion)
+		if version != c.KnownVersion || late || c.KnownVersion == 0 && len(list) > 0 {
 			nodes, _ := m.s.NodeOverrides()
-			out := api.Assignments{Version: version, Full: c.Have == 0, List: list, Nodes: nodes, Edition: m.s.Edition()}
+			out := api.Assignments{Version: version, Full: c.KnownVersion == 0, List: list, Nodes: nodes, Edition: m.s.Edition()}
 			m.mu.Unlock()
 			return out, nil
 		}
@@ -350,21 +350,21 @@
 }
 
 // Apply wants another fleet.
-func (m *Manager) Apply(a *api.ApplyCall) (api.Reply, error) {
+func (m *Manager) Apply(a *api.ApplyRequest) (api.Reply, error) {
 	return m.command(&a.Command, func(now int64) (*state.Record, *state.Plan, error) {
 		return m.s.Propose(&a.Command, &a.Spec, a.Strategy, now)
 	})
 }
 
 // Rollback goes back to an earlier revision.
-func (m *Manager) Rollback(b *api.RollbackCall) (api.Reply, error) {
+func (m *Manager) Rollback(b *api.RollbackRequest) (api.Reply, error) {
 	return m.command(&b.Command, func(now int64) (*state.Record, *state.Plan, error) {
 		return m.s.Rollback(&b.Command, b.To, b.Strategy, b.WithNodes, now)
 	})
 }
 
-// Nodes changes the operators' word on storage nodes.
-func (m *Manager) Nodes(n *api.NodesCall) (api.Reply, error) {
+// ChangeNodes changes the operators' word on storage nodes.
+func (m *Manager) ChangeNodes(n *api.NodesRequest) (api.Reply, error) {
 	return m.command(&n.Command, func(now int64) (*state.Record, *state.Plan, error) {
 		r, err := m.s.SetNodes(&n.Command, n.Changes, now)
 		return r, nil, err
@@ -372,20 +372,20 @@
 }
 
 // Retire says that an agent and its machine are gone for good.
-func (m *Manager) Retire(c *api.RetireCall) (api.Reply, error) {
+func (m *Manager) Retire(c *api.RetireRequest) (api.Reply, error) {
 	return m.command(&c.Command, func(now int64) (*state.Record, *state.Plan, error) {
 		r, err := m.s.Retire(&c.Command, c.Agent, now)
 		return r, nil, err
 	})
 }
 
-// Steer pauses, resumes or aborts a rollout.
-func (m *Manager) Steer(c *api.SetPhaseCall) (api.Reply, error) {
+// SetRolloutPhase pauses, resumes or aborts a rollout.
+func (m *Manager) SetRolloutPhase(c *api.SetPhaseRequest) (api.Reply, error) {
 	if c.To != state.Paused && c.To != state.Active && c.To != state.Aborted {
 		return api.Reply{}, fmt.Errorf("%w: to: %q is none of paused, active, aborted", api.ErrRequest, c.To)
 	}
 	return m.command(&c.Command, func(now int64) (*state.Record, *state.Plan, error) {
-		r, err := m.s.SetRolloutPhase(&c.Command, c.Rev, c.To, now)
+		r, err := m.s.SetRolloutPhase(&c.Command, c.Revision, c.To, now)
 		return r, nil, err
 	})
 }
@@ -400,19 +400,19 @@
 	nodes, _ := m.s.NodeOverrides()
 	out, of := m.s.Unavailable()
 	list := m.s.Instances(sel)
-	var figs []api.Figures
+	var figs []api.BrokerMetrics
 	for _, i := range list {
 		if f, ok := m.figures[i.Name]; ok && i.Report.Incarnation != "" {
 			f.Age = m.clock.Now() - f.at
-			figs = append(figs, f.Figures)
+			figs = append(figs, f.BrokerMetrics)
 		}
 	}
 	if len(m.figures) > 2*len(list)+1000 { // of instances that are long gone
 		clear(m.figures)
 	}
-	return api.Overview{Figures: figs, Fleet: m.s.Fleet(), Rev: m.s.NewestRevision(), Settled: m.s.Settled(), Unavailable: out, Enabled: of,
-		Differing: m.s.NotCurrent(), Instances: list, Agents: m.s.Agents(), Rollouts: m.s.Rollouts(5),
-		Nodes: nodes, Journal: m.trouble}, nil
+	return api.Overview{Metrics: figs, Fleet: m.s.Fleet(), Revision: m.s.NewestRevision(), Settled: m.s.Settled(), Unavailable: out, Enabled: of,
+		NotCurrent: m.s.NotCurrent(), Instances: list, Agents: m.s.Agents(), Rollouts: m.s.Rollouts(5),
+		Nodes: nodes, JournalFault: m.trouble}, nil
 }
 
 // History lists revisions, newest first.
--- a/internal/fleet/manager/manager_test.go
+++ b/internal/fleet/manager/manager_test.go
@@ -24,8 +24,8 @@
 	return m
 }
 
-func drain(id, node string) *api.NodesCall {
-	return &api.NodesCall{Command: state.Command{ID: id}, Changes: []state.NodeChange{{ID: node, Override: &spec.NodeOverride{ID: node, State: spec.NodeDraining}}}}
+func drain(id, node string) *api.NodesRequest {
+	return &api.NodesRequest{Command: state.Command{ID: id}, Changes: []state.NodeChange{{ID: node, Override: &spec.NodeOverride{ID: node, State: spec.NodeDraining}}}}
 }
 
 // What was agreed with a manager's former life is void: a report or a wait that comes late from before its restart is refused,
@@ -37,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &api.ReportCall{Agent: "a", Token: reg.Token, Epoch: reg.Epoch, Seq: 1, Full: true}
+	c := &api.ReportRequest{Agent: "a", Token: reg.Token, Epoch: reg.Epoch, Seq: 1, Full: true}
 	if err := m.Report(c); err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 	if err := m.Report(c); !errors.Is(err, api.ErrEpoch) {
 		t.Errorf("a report of a former life: %v", err)
 	}
-	if _, err := m.Assignments(t.Context(), &api.AssignCall{Agent: "a", Token: reg.Token, Epoch: reg.Epoch}); !errors.Is(err, api.ErrEpoch) {
+	if _, err := m.Assignments(t.Context(), &api.AssignmentsRequest{Agent: "a", Token: reg.Token, Epoch: reg.Epoch}); !errors.Is(err, api.ErrEpoch) {
 		t.Errorf("a wait of a former life: %v", err)
 	}
 }
@@ -55,7 +55,7 @@
 // A command asked for many times at once, and again after a restart and a compaction, is carried out once.
 func TestCommandsOnce(t *testing.T) {
 	fs := faultfs.New()
-	m := open(t, fs, Options{Compact: 1})
+	m := open(t, fs, Options{CompactBytes: 1})
 	srv := httptest.NewServer(m.Handler())
 	defer srv.Close()
 	addr := strings.TrimPrefix(srv.URL, "http://")
@@ -64,7 +64,7 @@
 		all.Go(func() {
 			c := api.NewClient(addr)
 			defer c.Close()
-			if _, err := c.Nodes(t.Context(), drain("same", "s-1")); err != nil {
+			if _, err := c.ChangeNodes(t.Context(), drain("same", "s-1")); err != nil {
 				t.Error(err)
 			}
 		})
@@ -76,11 +76,11 @@
 	m.step() // compacts
 	m.Close()
 	m = open(t, fs, Options{})
-	r, err := m.Nodes(drain("same", "s-1"))
+	r, err := m.ChangeNodes(drain("same", "s-1"))
 	if err != nil || !r.Result.Repeated || r.Result.Revision != 1 {
 		t.Errorf("%+v %v", r, err)
 	}
-	if o, err := m.Overview(spec.Selector{}); err != nil || o.Rev != 1 || len(o.Nodes) != 1 {
+	if o, err := m.Overview(spec.Selector{}); err != nil || o.Revision != 1 || len(o.Nodes) != 1 {
 		t.Errorf("%+v %v", o, err)
 	}
 }
@@ -92,9 +92,9 @@
 		fs := faultfs.New()
 		fs.CrashAt(at, at%2 == 0)
 		confirmed := 0
-		m, err := Open(fs, Options{Compact: 600}, slog.New(slog.DiscardHandler))
+		m, err := Open(fs, Options{CompactBytes: 600}, slog.New(slog.DiscardHandler))
 		for n := 0; err == nil && n < 8; n++ {
-			if _, err = m.Nodes(drain(fmt.Sprint("c", n), fmt.Sprint("s-", n))); err == nil {
+			if _, err = m.ChangeNodes(drain(fmt.Sprint("c", n), fmt.Sprint("s-", n))); err == nil {
 				confirmed++
 				m.step()
 			}
@@ -111,7 +111,7 @@
 			t.Fatalf("down at call %d: %d of %d confirmed commands are there", at, len(o.Nodes), confirmed)
 		}
 		for n := range 8 {
-			if _, err := m.Nodes(drain(fmt.Sprint("c", n), fmt.Sprint("s-", n))); err != nil {
+			if _, err := m.ChangeNodes(drain(fmt.Sprint("c", n), fmt.Sprint("s-", n))); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/fleet/reconcile/reconcile_test.go
+++ b/internal/fleet/reconcile/reconcile_test.go
@@ -15,11 +15,11 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
-func mind() *Mind {
-	m := New("n", DefaultTimes(), retry.NewBudget(20, 0.1), func() float64 { return 0.5 })
-	m.Set(Want{Run: true, Digest: "d", Target: 5})
-	m.Starting("mark", "d")
-	m.Running(process.Identity{PID: 7, Start: 1, Boot: "m"}, 1000)
+func mind() *Controller {
+	m := New("n", DefaultConfig(), retry.NewBudget(20, 0.1), func() float64 { return 0.5 })
+	m.SetDesired(Desired{Run: true, StartDigest: "d", TargetEdition: 5})
+	m.RecordStartIntent("mark", "d")
+	m.RecordRunning(process.Identity{PID: 7, StartTicks: 1, BootID: "m"}, 1000)
 	return m
 }
 
@@ -31,48 +31,48 @@
 func TestOldAnswersAreNotBelieved(t *testing.T) {
 	m := mind()
 	now := int64(2000)
-	m.Looked(now, state1("b1", 0), true, nil)
+	m.RecordProbe(now, state1("b1", 0), true, nil)
 	a, _ := m.Next(now)
-	if a.Do != Change || a.Command.Boot != "b1" || a.Command.Target != 5 || a.Command.Base != 0 {
+	if a.Kind != SendCommand || a.Command.Incarnation != "b1" || a.Command.TargetEdition != 5 || a.Command.BaseEdition != 0 {
 		t.Fatalf("%+v", a)
 	}
 	old := *a.Command
 	// Another process answers at the address: it is not this one's word.
-	m.Looked(now, &control.State{Boot: "b9", PID: 99, Started: "d", Applied: 5}, true, nil)
-	m.Looked(now, &control.State{Boot: "b9", PID: 7, Started: "x", Applied: 5}, true, nil)
+	m.RecordProbe(now, &control.State{Boot: "b9", PID: 99, Started: "d", Applied: 5}, true, nil)
+	m.RecordProbe(now, &control.State{Boot: "b9", PID: 7, Started: "x", Applied: 5}, true, nil)
 	if r := m.Report(now); r.Incarnation != "b1" || r.AppliedEdition != 0 {
 		t.Fatalf("another process's word: %+v", r)
 	}
 	// What is wanted moves on while the answer is out: the old command is not asked again, since its id has another content now.
-	m.Set(Want{Run: true, Digest: "d", Target: 8})
-	if a, _ := m.Next(now); a.Do != Look {
+	m.SetDesired(Desired{Run: true, StartDigest: "d", TargetEdition: 8})
+	if a, _ := m.Next(now); a.Kind != Probe {
 		t.Fatalf("%+v", a)
 	}
-	m.Looked(now, state1("b1", 0), true, nil)
+	m.RecordProbe(now, state1("b1", 0), true, nil)
 	a, _ = m.Next(now)
-	if a.Do != Change || a.Command.ID == old.ID || a.Command.Target != 8 {
+	if a.Kind != SendCommand || a.Command.ID == old.ID || a.Command.TargetEdition != 8 {
 		t.Fatalf("%+v", a)
 	}
 	// Now the old answer comes, after the newer command: it must not count as that one's.
-	m.Changed(now, old.ID, &control.Outcome{Code: control.Taken, Boot: "b1", Applied: 5}, nil)
-	if r := m.Report(now); r.AppliedEdition != 0 || m.Pending == nil || m.Pending.Target != 8 {
+	m.RecordOutcome(now, old.ID, &control.Outcome{Code: control.Taken, Boot: "b1", Applied: 5}, nil)
+	if r := m.Report(now); r.AppliedEdition != 0 || m.Pending == nil || m.Pending.TargetEdition != 8 {
 		t.Fatalf("an old answer: %+v, pending %+v", r, m.Pending)
 	}
 	// The broker is back with another boot at the same address: the command meant for the old one is gone.
-	m.Looked(now, state1("b2", 0), true, nil)
+	m.RecordProbe(now, state1("b2", 0), true, nil)
 	if m.Pending != nil || m.Report(now).Incarnation != "b2" {
 		t.Fatalf("%+v", m.Pending)
 	}
 	a, _ = m.Next(now)
-	if a.Do != Change || a.Command.Boot != "b2" {
+	if a.Kind != SendCommand || a.Command.Incarnation != "b2" {
 		t.Fatalf("%+v", a)
 	}
-	m.Changed(now, a.Command.ID, &control.Outcome{Code: control.Taken, Boot: "b2", Applied: 8}, nil)
+	m.RecordOutcome(now, a.Command.ID, &control.Outcome{Code: control.Taken, Boot: "b2", Applied: 8}, nil)
 	if r := m.Report(now); r.AppliedEdition != 8 || r.Incarnation != "b2" {
 		t.Fatalf("%+v", r)
 	}
 	// A boot that says nothing for too long is not reported any more.
-	if r := m.Report(now + DefaultTimes().Deaf + 1); r.Incarnation != "" || r.AppliedEdition != 0 || r.Healthy {
+	if r := m.Report(now + DefaultConfig().StatusTTL + 1); r.Incarnation != "" || r.AppliedEdition != 0 || r.Healthy {
 		t.Fatalf("%+v", r)
 	}
 }
@@ -81,23 +81,23 @@
 func TestRefusedOnce(t *testing.T) {
 	m := mind()
 	now := int64(2000)
-	m.Looked(now, state1("b1", 0), true, nil)
+	m.RecordProbe(now, state1("b1", 0), true, nil)
 	a, _ := m.Next(now)
-	m.Changed(now, a.Command.ID, &control.Outcome{Code: control.Refused, Reason: "live.log: x", Boot: "b1"}, nil)
+	m.RecordOutcome(now, a.Command.ID, &control.Outcome{Code: control.Refused, Reason: "live.log: x", Boot: "b1"}, nil)
 	for k := range int64(50) {
 		now += 100_000
-		if a, _ := m.Next(now); a.Do == Change {
+		if a, _ := m.Next(now); a.Kind == SendCommand {
 			t.Fatalf("asked again at step %d", k)
-		} else if a.Do == Look {
-			m.Looked(now, state1("b1", 0), true, nil)
+		} else if a.Kind == Probe {
+			m.RecordProbe(now, state1("b1", 0), true, nil)
 		}
 	}
 	if r := m.Report(now); r.RejectedEdition != 5 {
 		t.Fatalf("%+v", r)
 	}
-	m.Set(Want{Run: true, Digest: "d", Target: 6})
-	m.Looked(now, state1("b1", 0), true, nil)
-	if a, _ := m.Next(now); a.Do != Change || m.Report(now).RejectedEdition != 0 {
+	m.SetDesired(Desired{Run: true, StartDigest: "d", TargetEdition: 6})
+	m.RecordProbe(now, state1("b1", 0), true, nil)
+	if a, _ := m.Next(now); a.Kind != SendCommand || m.Report(now).RejectedEdition != 0 {
 		t.Fatalf("%+v", a)
 	}
 }
@@ -106,13 +106,13 @@
 func TestDeafBrokerIsLeftAlone(t *testing.T) {
 	m := mind()
 	now := int64(2000)
-	m.Looked(now, state1("b1", 5), true, nil)
+	m.RecordProbe(now, state1("b1", 5), true, nil)
 	calls := 0
 	for end := now + 60_000_000; now < end; {
 		a, wake := m.Next(now)
-		if a.Do == Look {
+		if a.Kind == Probe {
 			calls++
-			m.Looked(now, nil, false, errors.New("connection refused"))
+			m.RecordProbe(now, nil, false, errors.New("connection refused"))
 			continue
 		}
 		now = max(wake, now+1000)
@@ -123,13 +123,13 @@
 	last := now
 	for {
 		a, wake := m.Next(now)
-		if a.Do == Look {
-			m.Looked(now, state1("b1", 5), true, nil)
+		if a.Kind == Probe {
+			m.RecordProbe(now, state1("b1", 5), true, nil)
 			break
 		}
 		now = max(wake, now+1000)
 	}
-	if now-last > DefaultTimes().TripMost+1_000_000 || m.Report(now).Incarnation != "b1" {
+	if now-last > DefaultConfig().MaxBreakerOpen+1_000_000 || m.Report(now).Incarnation != "b1" {
 		t.Errorf("found again after %d µs", now-last)
 	}
 }
@@ -138,7 +138,7 @@
 // looked at last, and no report of what that boot has not said.
 func TestOrderOfThings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := New("n", DefaultTimes(), retry.NewBudget(5, 0.1), func() float64 { return rapid.Float64Range(0, 1).Draw(t, "rnd") })
+		m := New("n", DefaultConfig(), retry.NewBudget(5, 0.1), func() float64 { return rapid.Float64Range(0, 1).Draw(t, "rnd") })
 		now := int64(1)
 		running, draining := false, false
 		boot, applied := 0, uint64(0)
@@ -158,27 +158,27 @@
 			now += rapid.Int64Range(0, 2_000_000).Draw(t, "time")
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				m.Set(Want{Run: rapid.IntRange(0, 4).Draw(t, "run") > 0, Digest: rapid.SampledFrom([]string{"d", "e"}).Draw(t, "digest"),
-					Target: m.Want.Target + uint64(rapid.IntRange(0, 2).Draw(t, "target"))})
+				m.SetDesired(Desired{Run: rapid.IntRange(0, 4).Draw(t, "run") > 0, StartDigest: rapid.SampledFrom([]string{"d", "e"}).Draw(t, "digest"),
+					TargetEdition: m.Desired.TargetEdition + uint64(rapid.IntRange(0, 2).Draw(t, "target"))})
 				continue
 			case 1:
 				if running {
 					running = false
-					m.Ended(now, "killed")
+					m.RecordExit(now, "killed")
 				}
 				continue
 			}
 			a, _ := m.Next(now)
-			switch a.Do {
-			case Start:
-				m.Starting("mark", m.Want.Digest)
+			switch a.Kind {
+			case StartProcess:
+				m.RecordStartIntent("mark", m.Desired.StartDigest)
 				if rapid.IntRange(0, 5).Draw(t, "fails") == 0 {
-					m.StartFailed(now, errors.New("no"))
+					m.RecordStartFailure(now, errors.New("no"))
 					continue
 				}
 				start()
-				m.Running(process.Identity{PID: pid}, now)
-			case Term:
+				m.RecordRunning(process.Identity{PID: pid}, now)
+			case Terminate:
 				if !running || draining {
 					t.Fatalf("told to drain: runs %v, drains %v", running, draining)
 				}
@@ -188,42 +188,42 @@
 					t.Fatal("killed without having been asked to drain")
 				}
 				running = false
-				m.Ended(now, "killed")
-			case Look:
+				m.RecordExit(now, "killed")
+			case Probe:
 				if !running {
 					t.Fatal("looked at nothing")
 				}
 				if rapid.IntRange(0, 3).Draw(t, "deaf") == 0 {
-					m.Looked(now, nil, false, errors.New("time-out"))
+					m.RecordProbe(now, nil, false, errors.New("time-out"))
 					continue
 				}
 				lastLook = "b" + string(rune('0'+boot%10)) + string(rune('0'+boot/10))
-				m.Looked(now, &control.State{Boot: lastLook, PID: pid, Started: m.Started, Applied: applied}, true, nil)
-			case Change:
-				if a.Command.Boot != lastLook || draining {
-					t.Fatalf("a command to %s, looked at %s", a.Command.Boot, lastLook)
+				m.RecordProbe(now, &control.State{Boot: lastLook, PID: pid, Started: m.StartDigest, Applied: applied}, true, nil)
+			case SendCommand:
+				if a.Command.Incarnation != lastLook || draining {
+					t.Fatalf("a command to %s, looked at %s", a.Command.Incarnation, lastLook)
 				}
-				if was, ok := ids[a.Command.ID]; ok && was != a.Command.Target {
+				if was, ok := ids[a.Command.ID]; ok && was != a.Command.TargetEdition {
 					t.Fatal("one id, two targets")
 				}
-				ids[a.Command.ID] = a.Command.Target
+				ids[a.Command.ID] = a.Command.TargetEdition
 				switch rapid.IntRange(0, 3).Draw(t, "answer") {
 				case 0:
-					m.Changed(now, a.Command.ID, nil, errors.New("lost"))
+					m.RecordOutcome(now, a.Command.ID, nil, errors.New("lost"))
 				case 1: // taken, but the answer is lost
-					if a.Command.Base == applied {
-						applied = a.Command.Target
+					if a.Command.BaseEdition == applied {
+						applied = a.Command.TargetEdition
 					}
-					m.Changed(now, a.Command.ID, nil, errors.New("lost"))
+					m.RecordOutcome(now, a.Command.ID, nil, errors.New("lost"))
 				default:
-					o := &control.Outcome{Code: control.Taken, Boot: a.Command.Boot}
-					if a.Command.Base == applied {
-						applied = a.Command.Target
-					} else if applied != a.Command.Target {
+					o := &control.Outcome{Code: control.Taken, Boot: a.Command.Incarnation}
+					if a.Command.BaseEdition == applied {
+						applied = a.Command.TargetEdition
+					} else if applied != a.Command.TargetEdition {
 						o.Code = control.OldBase
 					}
 					o.Applied = applied
-					m.Changed(now, a.Command.ID, o, nil)
+					m.RecordOutcome(now, a.Command.ID, o, nil)
 				}
 			}
 			if r := m.Report(now); r.AppliedEdition > applied || r.Incarnation != "" && !running || r.Process == state.Running && !running {
--- a/internal/fleet/retry/retry.go
+++ b/internal/fleet/retry/retry.go
@@ -4,22 +4,22 @@
 
 // Policy bounds the repeats of one call. Times are microseconds.
 type Policy struct {
-	Tries int   // in all
-	First int64 // wait before the second try; doubles
-	Most  int64
+	Attempts     int   // in all
+	InitialDelay int64 // wait before the second try; doubles
+	MaxDelay     int64
 }
 
-// Wait is how long to wait before try n, counted from 1 for the first repeat. It is spread over the whole of the
+// Delay is how long to wait before try n, counted from 1 for the first repeat. It is spread over the whole of the
 // doubled wait, so that callers that failed together do not come back together.
-func (p Policy) Wait(n int, rnd float64) int64 {
-	w := p.First
+func (p Policy) Delay(n int, rnd float64) int64 {
+	w := p.InitialDelay
 	for range n - 1 {
-		if w >= p.Most {
+		if w >= p.MaxDelay {
 			break
 		}
 		w *= 2
 	}
-	return int64(rnd * float64(min(w, p.Most)))
+	return int64(rnd * float64(min(w, p.MaxDelay)))
 }
 
 // Budget bounds repeats over all calls: each call earns a part of one, each repeat takes one.
@@ -30,11 +30,11 @@
 // NewBudget returns a full budget.
 func NewBudget(most, earn float64) *Budget { return &Budget{most, earn, most} }
 
-// Call counts a first try.
-func (b *Budget) Call() { b.have = min(b.most, b.have+b.earn) }
+// RecordCall counts a first try.
+func (b *Budget) RecordCall() { b.have = min(b.most, b.have+b.earn) }
 
-// Repeat takes a repeat, or reports that there is none left.
-func (b *Budget) Repeat() bool {
+// TakeRetry takes a repeat, or reports that there is none left.
+func (b *Budget) TakeRetry() bool {
 	if b.have < 1 {
 		return false
 	}
@@ -44,41 +44,41 @@
 
 // Breaker stops calls to a peer that fails again and again, and lets a single one through now and then.
 type Breaker struct {
-	After       int   // failures in a row that open it
-	First, Most int64 // how long it stays open; doubles
-	fails       int
-	open        int64 // its present length
-	until       int64
-	probing     bool
+	Threshold            int   // failures in a row that open it
+	InitialOpen, MaxOpen int64 // how long it stays open; doubles
+	fails                int
+	open                 int64 // its present length
+	until                int64
+	probing              bool
 }
 
 // Allow reports whether a call may be made now, and if not, when to ask again.
 func (b *Breaker) Allow(now int64) (ok bool, at int64) {
 	switch {
-	case b.fails < b.After:
+	case b.fails < b.Threshold:
 		return true, 0
 	case now < b.until:
 		return false, b.until
 	case b.probing:
-		return false, now + b.First
+		return false, now + b.InitialOpen
 	}
 	b.probing = true
 	return true, 0
 }
 
-// Release takes an allowed call back that was not made.
-func (b *Breaker) Release() { b.probing = false }
+// Cancel takes an allowed call back that was not made.
+func (b *Breaker) Cancel() { b.probing = false }
 
-// Done takes in how an allowed call went.
-func (b *Breaker) Done(now int64, ok bool, rnd float64) {
+// Record takes in how an allowed call went.
+func (b *Breaker) Record(now int64, ok bool, rnd float64) {
 	b.probing = false
 	if ok {
 		b.fails, b.open = 0, 0
 		return
 	}
 	b.fails++
-	if b.fails >= b.After {
-		b.open = min(max(2*b.open, b.First), b.Most)
+	if b.fails >= b.Threshold {
+		b.open = min(max(2*b.open, b.InitialOpen), b.MaxOpen)
 		b.until = now + b.open/2 + int64(rnd*float64(b.open/2))
 	}
 }
--- a/internal/fleet/supervisor/exec.go
+++ b/internal/fleet/supervisor/exec.go
@@ -18,8 +18,8 @@
 	"poppyarch/internal/host/process"
 )
 
-// Exec runs brokers as processes of this machine. It is both a Machine and its Brokers.
-type Exec struct {
+// LocalBrokers runs brokers as processes of this machine. It is both a Machine and its Brokers.
+type LocalBrokers struct {
 	Program string   // poppyarch itself
 	Args    []string // what makes it a broker; nil: serve
 	Env     []string // besides the agent's own
@@ -32,10 +32,12 @@
 		MemoryMB: in.Start.MemoryMB, Sockets: in.Start.Sockets, Enabled: in.Enabled}
 }
 
-func (e *Exec) control(name string) string { return "unix:" + filepath.Join(e.Dir, name+".ctl") }
+func (e *LocalBrokers) control(name string) string {
+	return "unix:" + filepath.Join(e.Dir, name+".ctl")
+}
 
 // Start starts a broker with the start settings of in. What it takes up live comes later, by its control endpoint.
-func (e *Exec) Start(in *spec.Instance, text, mark string) (Process, error) {
+func (e *LocalBrokers) Start(in *spec.Instance, text, mark string) (Process, error) {
 	file, err := agent.ComposeText(Instance(in), []byte(text), &config.Control{Listen: e.control(in.Name), Started: in.Start.Digest()})
 	if err != nil {
 		return nil, err
@@ -57,7 +59,7 @@
 	cmd.Stdout, cmd.Stderr = out, out
 	for _, v := range os.Environ() {
 		key, _, _ := strings.Cut(v, "=")
-		if key != "LB_NAME" && key != "LB_LISTEN" && key != "LB_DISCOVERY" && key != "LB_CONFIG" && key != process.MarkKey {
+		if key != "LB_NAME" && key != "LB_LISTEN" && key != "LB_DISCOVERY" && key != "LB_CONFIG" && key != process.LaunchIDVariable {
 			cmd.Env = append(cmd.Env, v)
 		}
 	}
@@ -67,7 +69,7 @@
 		return nil, err
 	}
 	p := &child{id: id, done: exited}
-	if p.handle, err = process.Open(id); err != nil && !errors.Is(err, process.ErrGone) {
+	if p.handle, err = process.Open(id); err != nil && !errors.Is(err, process.ErrExited) {
 		cmd.Process.Kill()
 		return nil, err
 	}
@@ -75,7 +77,7 @@
 }
 
 // Adopt takes hold of a broker that an earlier agent started.
-func (e *Exec) Adopt(id process.Identity) (Process, error) {
+func (e *LocalBrokers) Adopt(id process.Identity) (Process, error) {
 	h, err := process.Open(id)
 	if err != nil {
 		return nil, err
@@ -89,7 +91,9 @@
 }
 
 // Find looks for a broker by its mark.
-func (e *Exec) Find(mark string) (process.Identity, bool) { return process.FindMark(mark) }
+func (e *LocalBrokers) Find(mark string) (process.Identity, bool) {
+	return process.FindByLaunchID(mark)
+}
 
 type child struct {
 	id     process.Identity
@@ -104,13 +108,13 @@
 
 func (c *child) signal(sig syscall.Signal) error {
 	if c.handle == nil {
-		return process.ErrGone
+		return process.ErrExited
 	}
 	return c.handle.Signal(sig)
 }
 
-// Look asks a broker what it holds and whether its fronts answer.
-func (e *Exec) Look(ctx context.Context, in *spec.Instance) (*control.State, bool, error) {
+// Probe asks a broker what it holds and whether its fronts answer.
+func (e *LocalBrokers) Probe(ctx context.Context, in *spec.Instance) (*control.State, bool, error) {
 	c, err := control.Dial(e.control(in.Name))
 	if err != nil {
 		return nil, false, err
@@ -122,8 +126,8 @@
 	return st, (&agent.Exec{}).Ready(ctx, Instance(in)), nil
 }
 
-// Change hands a broker a change.
-func (e *Exec) Change(ctx context.Context, in *spec.Instance, ch *control.Change) (*control.Outcome, error) {
+// SendChange hands a broker a change.
+func (e *LocalBrokers) SendChange(ctx context.Context, in *spec.Instance, ch *control.Change) (*control.Outcome, error) {
 	c, err := control.Dial(e.control(in.Name))
 	if err != nil {
 		return nil, err
--- a/internal/fleet/supervisor/supervisor.go
+++ b/internal/fleet/supervisor/supervisor.go
@@ -34,43 +34,43 @@
 	Kill() error
 }
 
-// Machine is where processes run.
-type Machine interface {
+// ProcessRunner is where processes run.
+type ProcessRunner interface {
 	Start(in *spec.Instance, config, mark string) (Process, error)
 	Adopt(process.Identity) (Process, error)
 	Find(mark string) (process.Identity, bool)
 }
 
-// Brokers reaches running brokers.
-type Brokers interface {
-	Look(ctx context.Context, in *spec.Instance) (st *control.State, healthy bool, err error)
-	Change(ctx context.Context, in *spec.Instance, c *control.Change) (*control.Outcome, error)
+// BrokerClient reaches running brokers.
+type BrokerClient interface {
+	Probe(ctx context.Context, in *spec.Instance) (st *control.State, healthy bool, err error)
+	SendChange(ctx context.Context, in *spec.Instance, c *control.Change) (*control.Outcome, error)
 }
 
 // Manager is what an agent needs of its manager.
 type Manager interface {
 	Register(ctx context.Context, agent string, seen uint64) (api.Registration, error)
-	Report(ctx context.Context, r *api.ReportCall) error
-	Assignments(ctx context.Context, a *api.AssignCall) (api.Assignments, error)
+	Report(ctx context.Context, r *api.ReportRequest) error
+	Assignments(ctx context.Context, a *api.AssignmentsRequest) (api.Assignments, error)
 	Config(ctx context.Context, digest string) (string, error)
 }
 
 // Options sets an agent up.
 type Options struct {
-	Name     string
-	Times    reconcile.Times
-	Beat     time.Duration // between two reports without news; 0: 1 s
-	Poll     time.Duration // how long a call for assignments waits; 0: 20 s
-	CallWait time.Duration // for one answer of a broker; 0: 2 s
-	Compact  int64         // bytes of the log after which it is compacted; 0: 1 MiB
-	NewFleet bool          // follow a manager of another fleet, or one that has lost history
+	Name           string
+	Reconcile      reconcile.Config
+	ReportInterval time.Duration // between two reports without news; 0: 1 s
+	LongPollWait   time.Duration // how long a call for assignments waits; 0: 20 s
+	BrokerTimeout  time.Duration // for one answer of a broker; 0: 2 s
+	CompactBytes   int64         // bytes of the log after which it is compacted; 0: 1 MiB
+	AcceptNewFleet bool          // follow a manager of another fleet, or one that has lost history
 }
 
 // Supervisor is a running agent.
 type Supervisor struct {
 	opt     Options
-	machine Machine
-	brokers Brokers
+	machine ProcessRunner
+	brokers BrokerClient
 	manager Manager
 	clock   *clock.Clock
 	log     *slog.Logger
@@ -90,7 +90,7 @@
 
 // mind is an instance with what is under way for it.
 type mind struct {
-	*reconcile.Mind
+	*reconcile.Controller
 	process Process
 	busy    bool // an answer is outstanding
 	wake    int64
@@ -101,21 +101,21 @@
 }
 
 // Open reads the journal in fs. Run starts the agent.
-func Open(fs journal.FS, opt Options, machine Machine, brokers Brokers, manager Manager, log *slog.Logger) (*Supervisor, error) {
-	if opt.Beat == 0 {
-		opt.Beat = time.Second
+func Open(fs journal.FS, opt Options, machine ProcessRunner, brokers BrokerClient, manager Manager, log *slog.Logger) (*Supervisor, error) {
+	if opt.ReportInterval == 0 {
+		opt.ReportInterval = time.Second
 	}
-	if opt.Poll == 0 {
-		opt.Poll = 20 * time.Second
+	if opt.LongPollWait == 0 {
+		opt.LongPollWait = 20 * time.Second
 	}
-	if opt.CallWait == 0 {
-		opt.CallWait = 2 * time.Second
+	if opt.BrokerTimeout == 0 {
+		opt.BrokerTimeout = 2 * time.Second
 	}
-	if opt.Compact == 0 {
-		opt.Compact = 1 << 20
+	if opt.CompactBytes == 0 {
+		opt.CompactBytes = 1 << 20
 	}
-	if opt.Times == (reconcile.Times{}) {
-		opt.Times = reconcile.DefaultTimes()
+	if opt.Reconcile == (reconcile.Config{}) {
+		opt.Reconcile = reconcile.DefaultConfig()
 	}
 	j, o, err := journal.Open(fs, journal.Options{})
 	if err != nil {
@@ -182,7 +182,7 @@
 		if err := s.j.Err(); err != nil {
 			return err // what is on disk is unknown: the next agent reads it anew
 		}
-		if s.j.Size() > s.opt.Compact {
+		if s.j.Size() > s.opt.CompactBytes {
 			b, err := json.Marshal(s.mem)
 			if err == nil {
 				err = s.j.Compact(b)
@@ -245,31 +245,31 @@
 func (s *Supervisor) adopt(name string, now int64) error {
 	c := s.mem.Cases[name]
 	m := s.mind(name)
-	m.Set(s.want(c))
+	m.SetDesired(s.want(c))
 	m.Pending = c.Command
 	if c.Mark == "" {
 		return nil
 	}
-	m.Starting(c.Mark, c.Digest)
+	m.RecordStartIntent(c.Mark, c.Digest)
 	if c.ID == nil {
 		return nil // it will be looked for by its mark
 	}
 	id := *c.ID
 	p, err := s.machine.Adopt(id)
 	if err != nil {
-		if !errors.Is(err, process.ErrGone) {
+		if !errors.Is(err, process.ErrExited) {
 			return fmt.Errorf("%s: adopt pid %d: %w", name, id.PID, err)
 		}
 		s.log.Warn("agent: instance ended while no agent was there", "instance", name, "pid", id.PID)
 		if err := s.put(&record{Kind: recEnded, Name: name}); err != nil && s.j.Err() != nil {
 			return err
 		}
-		m.Running(id, now)
-		m.Ended(now, "ended while no agent was there")
+		m.RecordRunning(id, now)
+		m.RecordExit(now, "ended while no agent was there")
 		return nil
 	}
 	s.log.Info("agent: instance adopted", "instance", name, "pid", id.PID)
-	m.Running(id, now)
+	m.RecordRunning(id, now)
 	s.watch(m, p)
 	return nil
 }
@@ -277,17 +277,17 @@
 func (s *Supervisor) mind(name string) *mind {
 	m := s.minds[name]
 	if m == nil {
-		m = &mind{Mind: reconcile.New(name, s.opt.Times, s.budget, mathrand.Float64)}
+		m = &mind{Controller: reconcile.New(name, s.opt.Reconcile, s.budget, mathrand.Float64)}
 		s.minds[name] = m
 	}
 	return m
 }
 
-func (s *Supervisor) want(c *caseFile) reconcile.Want {
+func (s *Supervisor) want(c *caseFile) reconcile.Desired {
 	a := c.Assignment
-	w := reconcile.Want{Drop: a.Release || a.Desired == nil, Target: a.TargetEdition}
-	if !w.Drop {
-		w.Run, w.Digest = a.Desired.Enabled, a.Desired.Start.Digest()
+	w := reconcile.Desired{Released: a.Release || a.Desired == nil, TargetEdition: a.TargetEdition}
+	if !w.Released {
+		w.Run, w.StartDigest = a.Desired.Enabled, a.Desired.Start.Digest()
 	}
 	return w
 }
@@ -311,12 +311,12 @@
 			text := "exit code 0"
 			if err != nil {
 				text = err.Error()
-			} else if m.Phase != reconcile.Leaving {
+			} else if m.Phase != reconcile.Draining {
 				text = "ended with exit code 0 though it was not asked to"
 			}
 			s.log.Info("agent: instance ended", "instance", m.Name, "pid", p.Identity().PID, "how", text)
 			m.process = nil
-			m.Ended(s.clock.Now(), text)
+			m.RecordExit(s.clock.Now(), text)
 			m.wake = 0
 			s.changed()
 			if err := s.put(&record{Kind: recEnded, Name: m.Name}); err != nil && s.j.Err() != nil {
@@ -367,18 +367,18 @@
 	before := m.Pending
 	a, wake := m.Next(now)
 	m.wake = wake
-	if a.Do == reconcile.Nothing {
+	if a.Kind == reconcile.NoAction {
 		return false, nil
 	}
 	c := s.mem.Cases[m.Name]
-	switch a.Do {
-	case reconcile.Find:
-		id, ok := s.machine.Find(a.Mark)
+	switch a.Kind {
+	case reconcile.FindProcess:
+		id, ok := s.machine.Find(a.LaunchID)
 		if !ok {
 			if err := s.put(&record{Kind: recEnded, Name: m.Name}); err != nil {
 				return false, err
 			}
-			m.NotFound()
+			m.RecordNotFound()
 			return true, nil
 		}
 		p, err := s.machine.Adopt(id)
@@ -389,27 +389,27 @@
 			return false, err
 		}
 		s.log.Info("agent: instance found by its mark", "instance", m.Name, "pid", id.PID)
-		m.Running(id, now)
+		m.RecordRunning(id, now)
 		s.watch(m, p)
-	case reconcile.Start:
+	case reconcile.StartProcess:
 		return true, s.start(m, c, now)
-	case reconcile.Term:
-		s.log.Info("agent: instance told to drain", "instance", m.Name, "pid", m.ID.PID, "why", a.Reason)
+	case reconcile.Terminate:
+		s.log.Info("agent: instance told to drain", "instance", m.Name, "pid", m.Process.PID, "why", a.Reason)
 		m.process.Terminate() // an error means that it has ended, which is told otherwise
 	case reconcile.Kill:
-		s.log.Error("agent: instance killed", "instance", m.Name, "pid", m.ID.PID, "why", a.Reason)
+		s.log.Error("agent: instance killed", "instance", m.Name, "pid", m.Process.PID, "why", a.Reason)
 		m.process.Kill()
-	case reconcile.Look:
+	case reconcile.Probe:
 		s.look(ctx, m, c)
-	case reconcile.Change:
+	case reconcile.SendCommand:
 		if a.Command != before {
 			if err := s.put(&record{Kind: recCommand, Name: m.Name, Command: a.Command}); err != nil {
-				m.NotSent()
+				m.RecordNotSent()
 				return false, err
 			}
 		}
 		s.change(ctx, m, c, a.Command)
-	case reconcile.Forget:
+	case reconcile.ForgetInstance:
 		return false, nil // it is forgotten once the manager has heard of its end
 	}
 	s.changed()
@@ -425,7 +425,7 @@
 	if err := s.put(&record{Kind: recStarting, Name: m.Name, Mark: mark, Digest: digest}); err != nil {
 		return err
 	}
-	m.Starting(mark, digest)
+	m.RecordStartIntent(mark, digest)
 	text, ok := s.mem.Configs[in.Start.Config]
 	p, err := Process(nil), error(nil)
 	if !ok {
@@ -436,12 +436,12 @@
 	defer s.changed()
 	if err != nil {
 		s.log.Error("agent: instance cannot be started", "instance", m.Name, "err", err)
-		m.StartFailed(now, err)
+		m.RecordStartFailure(now, err)
 		return s.put(&record{Kind: recEnded, Name: m.Name})
 	}
 	id := p.Identity()
 	s.log.Info("agent: instance started", "instance", m.Name, "pid", id.PID)
-	m.Running(id, now)
+	m.RecordRunning(id, now)
 	s.watch(m, p)
 	// Should this fail on a full disk, the process is still found by its mark.
 	return s.put(&record{Kind: recStarted, Name: m.Name, ID: &id})
@@ -452,8 +452,8 @@
 	m.busy = true
 	turn, in := m.turn, c.Assignment.Desired
 	go func() {
-		cctx, cancel := context.WithTimeout(ctx, s.opt.CallWait)
-		st, healthy, err := s.brokers.Look(cctx, in)
+		cctx, cancel := context.WithTimeout(ctx, s.opt.BrokerTimeout)
+		st, healthy, err := s.brokers.Probe(cctx, in)
 		cancel()
 		s.later(ctx, func() error {
 			m.busy = false
@@ -461,7 +461,7 @@
 				return nil
 			}
 			was := m.Pending
-			m.Looked(s.clock.Now(), st, healthy, err)
+			m.RecordProbe(s.clock.Now(), st, healthy, err)
 			if err == nil && st.Figures != nil {
 				m.figures, m.open, m.figured = st.Figures, st.Open, s.clock.Now()
 			}
@@ -476,11 +476,11 @@
 func (s *Supervisor) change(ctx context.Context, m *mind, c *caseFile, cmd *reconcile.Command) {
 	m.busy = true
 	turn, in := m.turn, c.Assignment.Desired
-	ch := &control.Change{ID: cmd.ID, Token: s.token, Boot: cmd.Boot, Base: cmd.Base, Revision: cmd.Target,
+	ch := &control.Change{ID: cmd.ID, Token: s.token, Boot: cmd.Incarnation, Base: cmd.BaseEdition, Revision: cmd.TargetEdition,
 		Rev: c.Assignment.Revision, Live: in.Live, Nodes: s.mem.Nodes}
 	go func() {
-		cctx, cancel := context.WithTimeout(ctx, s.opt.CallWait)
-		o, err := s.brokers.Change(cctx, in, ch)
+		cctx, cancel := context.WithTimeout(ctx, s.opt.BrokerTimeout)
+		o, err := s.brokers.SendChange(cctx, in, ch)
 		cancel()
 		s.later(ctx, func() error {
 			m.busy = false
@@ -488,7 +488,7 @@
 				return nil
 			}
 			was := m.Pending
-			m.Changed(s.clock.Now(), cmd.ID, o, err)
+			m.RecordOutcome(s.clock.Now(), cmd.ID, o, err)
 			m.wake = 0
 			if err == nil && o.Code != control.Taken {
 				s.log.Warn("agent: change not taken", "instance", m.Name, "code", o.Code, "reason", o.Reason)
--- a/internal/fleet/supervisor/supervisor_test.go
+++ b/internal/fleet/supervisor/supervisor_test.go
@@ -64,7 +64,7 @@
 	}
 	m.pids++
 	p := &fakeProcess{m: m, name: in.Name, mark: mark, start: in.Start.Digest(), bad: text == "bad", done: make(chan struct{}),
-		id: process.Identity{PID: 100 + m.pids, Start: uint64(m.pids), Boot: "machine"}, ledger: control.NewLedger(fmt.Sprint("boot", m.pids), 100)}
+		id: process.Identity{PID: 100 + m.pids, StartTicks: uint64(m.pids), BootID: "machine"}, ledger: control.NewLedger(fmt.Sprint("boot", m.pids), 100)}
 	m.live[p.id.PID] = p
 	m.starts[in.Name]++
 	if p.bad {
@@ -79,7 +79,7 @@
 	if p := m.live[id.PID]; p != nil && p.id == id {
 		return &hold{p}, nil
 	}
-	return nil, process.ErrGone
+	return nil, process.ErrExited
 }
 
 func (m *machine) Find(mark string) (process.Identity, bool) {
@@ -123,7 +123,7 @@
 	return nil
 }
 
-func (m *machine) Look(_ context.Context, in *spec.Instance) (*control.State, bool, error) {
+func (m *machine) Probe(_ context.Context, in *spec.Instance) (*control.State, bool, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p := m.find(in.Name)
@@ -133,7 +133,7 @@
 	return &control.State{Boot: p.ledger.Boot(), PID: p.id.PID, Started: p.start, Applied: p.ledger.Applied()}, true, nil
 }
 
-func (m *machine) Change(_ context.Context, in *spec.Instance, c *control.Change) (*control.Outcome, error) {
+func (m *machine) SendChange(_ context.Context, in *spec.Instance, c *control.Change) (*control.Outcome, error) {
 	m.mu.Lock()
 	p := m.find(in.Name)
 	if p == nil || m.deaf {
@@ -196,7 +196,7 @@
 	return m.Register(agent, seen)
 }
 
-func (l *line) Report(_ context.Context, r *api.ReportCall) error {
+func (l *line) Report(_ context.Context, r *api.ReportRequest) error {
 	m, err := l.get()
 	if err != nil {
 		return err
@@ -204,7 +204,7 @@
 	return m.Report(r)
 }
 
-func (l *line) Assignments(ctx context.Context, a *api.AssignCall) (api.Assignments, error) {
+func (l *line) Assignments(ctx context.Context, a *api.AssignmentsRequest) (api.Assignments, error) {
 	m, err := l.get()
 	if err != nil {
 		return api.Assignments{}, err
@@ -317,7 +317,7 @@
 	r.t.Helper()
 	st := state.DefaultStrategy()
 	st.SoakTime, st.MaxUnavailable, st.Batch = 100_000, state.CountOrPercent{Count: 1}, state.CountOrPercent{Count: 2}
-	reply, err := r.mgr.Apply(&api.ApplyCall{Command: r.id(), Spec: sp, Strategy: st})
+	reply, err := r.mgr.Apply(&api.ApplyRequest{Command: r.id(), Spec: sp, Strategy: st})
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -510,11 +510,11 @@
 		r.check("after a full disk", sp)
 		// The manager's disk: the command is refused, and nothing of it is known afterwards.
 		r.disk.SetRoom(0)
-		_, err := r.mgr.Nodes(&api.NodesCall{Command: r.id(), Changes: []state.NodeChange{{ID: "s", Override: &spec.NodeOverride{ID: "s", State: spec.NodeDraining}}}})
+		_, err := r.mgr.ChangeNodes(&api.NodesRequest{Command: r.id(), Changes: []state.NodeChange{{ID: "s", Override: &spec.NodeOverride{ID: "s", State: spec.NodeDraining}}}})
 		if !errors.Is(err, api.ErrStorage) {
 			t.Errorf("got %v", err)
 		}
-		if o, _ := r.mgr.Overview(spec.Selector{}); len(o.Nodes) != 0 || o.Journal == "" {
+		if o, _ := r.mgr.Overview(spec.Selector{}); len(o.Nodes) != 0 || o.JournalFault == "" {
 			t.Errorf("%+v", o)
 		}
 		r.disk.SetRoom(-1)
@@ -548,7 +548,7 @@
 		if r.mach.starts["n1"] != 1 || r.mach.starts["n2"] != 1 {
 			t.Errorf("starts: %v", r.mach.starts)
 		}
-		if _, err := r.mgr.Rollback(&api.RollbackCall{Command: r.id(), To: rev - 1, Strategy: state.DefaultStrategy()}); err != nil {
+		if _, err := r.mgr.Rollback(&api.RollbackRequest{Command: r.id(), To: rev - 1, Strategy: state.DefaultStrategy()}); err != nil {
 			t.Fatal(err)
 		}
 		if !r.settled(time.Minute) {
@@ -614,7 +614,7 @@
 			if k%2 == 0 {
 				ch.Override = &spec.NodeOverride{ID: "s-9", State: spec.NodeDraining}
 			}
-			if _, err := r.mgr.Nodes(&api.NodesCall{Command: r.id(), Changes: []state.NodeChange{ch}}); err != nil {
+			if _, err := r.mgr.ChangeNodes(&api.NodesRequest{Command: r.id(), Changes: []state.NodeChange{ch}}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -633,7 +633,7 @@
 		// An operator says that the new one counts, after telling it what is wanted. No broker is ended or started for it, though
 		// only a canary is released at first, and each comes to hold what the new one says.
 		r.apply(sp)
-		kill, _ = r.agentWith(disk, Options{Name: "a1", NewFleet: true})
+		kill, _ = r.agentWith(disk, Options{Name: "a1", AcceptNewFleet: true})
 		if !r.settled(2 * time.Minute) {
 			t.Fatal("never settled with the new fleet")
 		}
@@ -674,7 +674,7 @@
 			t.Fatal("never settled")
 		}
 		retire := func() error {
-			_, err := r.mgr.Retire(&api.RetireCall{Command: r.id(), Agent: "a1"})
+			_, err := r.mgr.Retire(&api.RetireRequest{Command: r.id(), Agent: "a1"})
 			return err
 		}
 		if err := retire(); !errors.Is(err, state.ErrInvalidState) {
--- a/internal/fleet/supervisor/sync.go
+++ b/internal/fleet/supervisor/sync.go
@@ -56,7 +56,7 @@
 	if err := s.inLoop(ctx, func() error {
 		m := s.mem
 		if m.Fleet != "" && (m.Fleet != reg.Fleet || m.Edition > reg.Edition) {
-			if !s.opt.NewFleet {
+			if !s.opt.AcceptNewFleet {
 				return fmt.Errorf("%w: fleet %s at edition %d, this agent follows %s and has seen %d", ErrHistory, reg.Fleet, reg.Edition,
 					m.Fleet, m.Edition)
 			}
@@ -80,8 +80,8 @@
 	}
 	s.log.Info("agent: registered", "token", reg.Token, "epoch", reg.Epoch)
 	for {
-		a, err := s.manager.Assignments(ctx, &api.AssignCall{Agent: s.opt.Name, Token: reg.Token, Epoch: reg.Epoch, Have: have,
-			WaitMS: s.opt.Poll.Milliseconds()})
+		a, err := s.manager.Assignments(ctx, &api.AssignmentsRequest{Agent: s.opt.Name, Token: reg.Token, Epoch: reg.Epoch, KnownVersion: have,
+			WaitMS: s.opt.LongPollWait.Milliseconds()})
 		if err == nil {
 			err = s.assign(ctx, reg, &a)
 		}
@@ -163,7 +163,7 @@
 			if a.Full && !told {
 				drop = true
 			}
-			if drop && m.Want.Drop && m.process == nil && m.Report(s.clock.Now()).Process == state.Absent {
+			if drop && m.Desired.Released && m.process == nil && m.Report(s.clock.Now()).Process == state.Absent {
 				forget = append(forget, name)
 			}
 		}
@@ -176,8 +176,8 @@
 		s.version = a.Version
 		for name, c := range s.mem.Cases {
 			m := s.mind(name)
-			if w := s.want(c); w != m.Want {
-				m.Set(w)
+			if w := s.want(c); w != m.Desired {
+				m.SetDesired(w)
 			}
 			m.wake = 0
 		}
@@ -197,7 +197,7 @@
 
 // reports tells the manager what has changed, at once and at least every beat. It returns when the agent is fenced.
 func (s *Supervisor) reports(ctx context.Context) error {
-	beat := time.NewTicker(s.opt.Beat)
+	beat := time.NewTicker(s.opt.ReportInterval)
 	defer beat.Stop()
 	var told map[string]state.Report // nil: everything has to be told
 	var reg api.Registration
@@ -211,7 +211,7 @@
 		}
 		var now map[string]state.Report
 		var have uint64
-		var figures []api.Figures
+		var figures []api.BrokerMetrics
 		if err := s.inLoop(ctx, func() error {
 			if s.reg != reg {
 				reg, told, seq = s.reg, nil, 0
@@ -221,7 +221,7 @@
 			for name, m := range s.minds {
 				now[name] = m.Report(s.clock.Now())
 				if m.figured > 0 {
-					figures = append(figures, api.Figures{Name: name, Age: s.clock.Now() - m.figured, Open: m.open, Figures: m.figures})
+					figures = append(figures, api.BrokerMetrics{Name: name, Age: s.clock.Now() - m.figured, InFlight: m.open, Metrics: m.figures})
 					m.figured = 0
 				}
 			}
@@ -233,7 +233,7 @@
 			continue
 		}
 		seq++
-		c := &api.ReportCall{Agent: s.opt.Name, Token: reg.Token, Epoch: reg.Epoch, Seq: seq, Have: have, Full: told == nil, Figures: figures}
+		c := &api.ReportRequest{Agent: s.opt.Name, Token: reg.Token, Epoch: reg.Epoch, Seq: seq, AssignmentsVersion: have, Full: told == nil, Metrics: figures}
 		for name, r := range now {
 			if old, ok := told[name]; told == nil || !ok || old != r {
 				c.Reports = append(c.Reports, r)
--- a/internal/host/process/process.go
+++ b/internal/host/process/process.go
@@ -17,30 +17,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrGone says that the process has ended, whoever has its pid now.
-var ErrGone = errors.New("process has ended")
+// ErrExited says that the process has ended, whoever has its pid now.
+var ErrExited = errors.New("process has ended")
 
 // Identity names a process for good: no other on any boot of any machine has the same one.
 type Identity struct {
-	PID   int    `json:"pid"`
-	Start uint64 `json:"start"` // when the kernel started it, in its ticks since boot
-	Boot  string `json:"boot"`  // of the machine
+	PID        int    `json:"pid"`
+	StartTicks uint64 `json:"start"` // when the kernel started it, in its ticks since boot
+	BootID     string `json:"boot"`  // of the machine
 }
 
-// Of identifies a running process.
-func Of(pid int) (Identity, error) {
+// Identify identifies a running process.
+func Identify(pid int) (Identity, error) {
 	start, state, err := stat(pid)
 	if err != nil {
 		return Identity{}, err
 	}
 	if state == 'Z' || state == 'X' {
-		return Identity{}, ErrGone
+		return Identity{}, ErrExited
 	}
 	boot, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
 		return Identity{}, err
 	}
-	return Identity{PID: pid, Start: start, Boot: strings.TrimSpace(string(boot))}, nil
+	return Identity{PID: pid, StartTicks: start, BootID: strings.TrimSpace(string(boot))}, nil
 }
 
 // stat reads a process's start time and state. Its name may hold anything, so fields count from the last ')'.
@@ -48,7 +48,7 @@
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ESRCH) {
-			return 0, 0, ErrGone
+			return 0, 0, ErrExited
 		}
 		return 0, 0, err
 	}
@@ -72,14 +72,14 @@
 	fd, err := unix.PidfdOpen(id.PID, 0)
 	if err != nil {
 		if errors.Is(err, unix.ESRCH) {
-			return nil, ErrGone
+			return nil, ErrExited
 		}
 		return nil, fmt.Errorf("pidfd: %w", err)
 	}
 	// Now the pid cannot change its owner under us: if it is still the one that id names, it stays so.
-	now, err := Of(id.PID)
+	now, err := Identify(id.PID)
 	if err == nil && now != id {
-		err = ErrGone
+		err = ErrExited
 	}
 	if err != nil {
 		unix.Close(fd)
@@ -113,28 +113,28 @@
 func (h *Handle) Signal(sig syscall.Signal) error {
 	select {
 	case <-h.done:
-		return ErrGone
+		return ErrExited
 	default:
 	}
 	// Through a pidfd of its own: the one above may be closed at any moment.
 	fd, err := unix.PidfdOpen(h.ID.PID, 0)
 	if err != nil {
-		return ErrGone
+		return ErrExited
 	}
 	defer unix.Close(fd)
-	if now, err := Of(h.ID.PID); err != nil || now != h.ID {
-		return ErrGone
+	if now, err := Identify(h.ID.PID); err != nil || now != h.ID {
+		return ErrExited
 	}
 	return unix.PidfdSendSignal(fd, sig, nil, 0)
 }
 
-// MarkKey is the environment variable that carries a process's mark.
-const MarkKey = "POPPYARCH_MARK"
+// LaunchIDVariable is the environment variable that carries a process's mark.
+const LaunchIDVariable = "POPPYARCH_MARK"
 
-// FindMark looks for the running process whose environment carries a mark: one that was started and whose identity
+// FindByLaunchID looks for the running process whose environment carries a mark: one that was started and whose identity
 // was not noted any more.
-func FindMark(mark string) (Identity, bool) {
-	want := []byte(MarkKey + "=" + mark)
+func FindByLaunchID(mark string) (Identity, bool) {
+	want := []byte(LaunchIDVariable + "=" + mark)
 	dirs, _ := filepath.Glob("/proc/[0-9]*")
 	for _, dir := range dirs {
 		env, err := os.ReadFile(filepath.Join(dir, "environ"))
@@ -144,7 +144,7 @@
 		for _, v := range bytes.Split(env, []byte{0}) {
 			if bytes.Equal(v, want) {
 				if pid, err := strconv.Atoi(filepath.Base(dir)); err == nil {
-					if id, err := Of(pid); err == nil {
+					if id, err := Identify(pid); err == nil {
 						return id, true
 					}
 				}
@@ -159,17 +159,17 @@
 	if cmd.Env == nil {
 		cmd.Env = os.Environ()
 	}
-	cmd.Env = append(cmd.Env, MarkKey+"="+mark)
+	cmd.Env = append(cmd.Env, LaunchIDVariable+"="+mark)
 	// A session of its own: neither the end of the parent nor a signal to its terminal or group reaches it.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setsid: true}
 	if err := cmd.Start(); err != nil {
 		return Identity{}, nil, err
 	}
 	ch := make(chan error, 1)
-	id, err = Of(cmd.Process.Pid)
+	id, err = Identify(cmd.Process.Pid)
 	go func() { ch <- cmd.Wait() }()
-	if errors.Is(err, ErrGone) { // it has ended already
-		return Identity{PID: cmd.Process.Pid, Boot: "gone"}, ch, nil
+	if errors.Is(err, ErrExited) { // it has ended already
+		return Identity{PID: cmd.Process.Pid, BootID: "gone"}, ch, nil
 	}
 	if err != nil {
 		cmd.Process.Kill()
@@ -189,5 +189,5 @@
 		return 0, err
 	}
 	const ticks = 100 // USER_HZ, the same on all Linux platforms that Go runs on
-	return time.Duration((up - float64(i.Start)/ticks) * float64(time.Second)), nil
+	return time.Duration((up - float64(i.StartTicks)/ticks) * float64(time.Second)), nil
 }
--- a/internal/host/process/process_test.go
+++ b/internal/host/process/process_test.go
@@ -25,21 +25,21 @@
 		t.Fatal(err)
 	}
 	defer cmd.Process.Kill()
-	if found, ok := FindMark("mark-1"); !ok || found != id {
+	if found, ok := FindByLaunchID("mark-1"); !ok || found != id {
 		t.Errorf("found %+v %v, is %+v", found, ok, id)
 	}
-	if _, ok := FindMark("mark-2"); ok {
+	if _, ok := FindByLaunchID("mark-2"); ok {
 		t.Error("found a mark that nobody has")
 	}
 	// The same pid, but another process: the kernel has given the pid away again.
 	reused := id
-	reused.Start++
-	if _, err := Open(reused); !errors.Is(err, ErrGone) {
+	reused.StartTicks++
+	if _, err := Open(reused); !errors.Is(err, ErrExited) {
 		t.Errorf("another start time: %v", err)
 	}
 	rebooted := id
-	rebooted.Boot = "another boot"
-	if _, err := Open(rebooted); !errors.Is(err, ErrGone) {
+	rebooted.BootID = "another boot"
+	if _, err := Open(rebooted); !errors.Is(err, ErrExited) {
 		t.Errorf("another boot: %v", err)
 	}
 	h, err := Open(id)
@@ -56,13 +56,13 @@
 	}
 	<-h.Done()
 	<-exited
-	if err := h.Signal(syscall.SIGKILL); !errors.Is(err, ErrGone) {
+	if err := h.Signal(syscall.SIGKILL); !errors.Is(err, ErrExited) {
 		t.Errorf("a signal to one that has ended: %v", err)
 	}
-	if _, err := Open(id); !errors.Is(err, ErrGone) {
+	if _, err := Open(id); !errors.Is(err, ErrExited) {
 		t.Errorf("open after the end: %v", err)
 	}
-	if me, err := Of(os.Getpid()); err != nil {
+	if me, err := Identify(os.Getpid()); err != nil {
 		t.Error(err)
 	} else if up, err := me.Uptime(); err != nil || up < 0 || up > 24*time.Hour {
 		t.Errorf("up for %v, %v", up, err)
--- a/internal/observability/console/console.go
+++ b/internal/observability/console/console.go
@@ -222,11 +222,11 @@
 		return "poppyarch fleet"
 	}
 	o := &m.o
-	s := fmt.Sprintf("poppyarch fleet  revision %d  %d of %d available", o.Rev, o.Enabled-o.Unavailable, o.Enabled)
+	s := fmt.Sprintf("poppyarch fleet  revision %d  %d of %d available", o.Revision, o.Enabled-o.Unavailable, o.Enabled)
 	if o.Settled {
 		return s + "  settled"
 	}
-	return s + fmt.Sprintf("  %d not as wanted", o.Differing)
+	return s + fmt.Sprintf("  %d not as wanted", o.NotCurrent)
 }
 
 // health says what is wrong with what is shown.
@@ -249,8 +249,8 @@
 	if silent > 0 {
 		parts = append(parts, fmt.Sprintf("! %d of %d agents silent", silent, len(m.o.Agents)))
 	}
-	if m.o.Journal != "" {
-		parts = append(parts, "! journal: "+m.o.Journal)
+	if m.o.JournalFault != "" {
+		parts = append(parts, "! journal: "+m.o.JournalFault)
 	}
 	for _, r := range m.o.Rollouts {
 		if r.Phase == "active" || r.Phase == "paused" {
--- a/internal/observability/console/console_test.go
+++ b/internal/observability/console/console_test.go
@@ -17,14 +17,14 @@
 )
 
 func overview(n int) api.Overview {
-	o := api.Overview{Rev: 7, Enabled: n, Unavailable: 1, Differing: 1, Agents: []state.AgentStatus{{Name: "m1", Silent: true}},
+	o := api.Overview{Revision: 7, Enabled: n, Unavailable: 1, NotCurrent: 1, Agents: []state.AgentStatus{{Name: "m1", Silent: true}},
 		Rollouts: []state.RolloutStatus{{Revision: 7, Phase: state.Paused, Wave: 1, Waves: 3, Size: n, Released: 2, Current: 1, Failed: map[string]string{"n001": "crashed 3 times"},
 			Reason: "1 of 9 instances failed, more than 0"}}}
 	for k := range n {
 		name := fmt.Sprintf("n%03d", k)
 		o.Instances = append(o.Instances, state.InstanceStatus{Name: name, Agent: "m1", Enabled: true, Current: k != 1, Available: k != 1, Age: int64(k) * 3_000_000,
 			Reason: strings.Repeat("because ", k%20), Report: state.Report{Process: state.Running, Incarnation: "b"}})
-		o.Figures = append(o.Figures, api.Figures{Name: name, Age: 400_000, Open: 3, Figures: &control.Figures{Span: 1_000_000,
+		o.Metrics = append(o.Metrics, api.BrokerMetrics{Name: name, Age: 400_000, InFlight: 3, Metrics: &control.Figures{Span: 1_000_000,
 			Groups:  []control.GroupCount{{Class: "artwork-read", Plan: "express", Served: 100, Late: 2, Refused: 3, P50: 12_000, P99: 90_000}},
 			Nodes:   []control.NodeFigure{{Node: "s-5be2a07c", Served: 90, Silent: 1, P50: 11_000, P99: 88_000}},
 			Volumes: []control.VolumeFigure{{Volume: "00000003b4d60021", Count: 50, Error: 4}}}})
--- a/internal/observability/console/table.go
+++ b/internal/observability/console/table.go
@@ -50,8 +50,8 @@
 func instances(o *api.Overview) table {
 	t := table{head: []string{"INSTANCE", "AGENT", "STATE", "HOLDS", "REQ/S", "REF/S", "FAIL/S", "OPEN", "AGE", "WHY"},
 		right: []bool{false, false, false, false, true, true, true, true, true, false}, empty: "no instances"}
-	figs := map[string]api.Figures{}
-	for _, f := range o.Figures {
+	figs := map[string]api.BrokerMetrics{}
+	for _, f := range o.Metrics {
 		figs[f.Name] = f
 	}
 	for _, i := range o.Instances {
@@ -71,19 +71,19 @@
 		}
 		if f, ok := figs[i.Name]; ok {
 			var all, refused, failed uint64
-			for _, g := range f.Figures.Groups {
+			for _, g := range f.Metrics.Groups {
 				all += g.Served + g.Refused + g.Failed
 				refused += g.Refused
 				failed += g.Failed
 			}
-			span := f.Figures.Span
-			req, ref, fail, open = per(rate(all, span)), per(rate(refused, span)), per(rate(failed, span)), fmt.Sprint(f.Open)
-			d = append(d, "", fmt.Sprintf("figures of %.1f s, %s old, %d records dropped since its boot", float64(span)/1e6, age(f.Age), f.Figures.Dropped))
-			for _, g := range f.Figures.Groups {
+			span := f.Metrics.Span
+			req, ref, fail, open = per(rate(all, span)), per(rate(refused, span)), per(rate(failed, span)), fmt.Sprint(f.InFlight)
+			d = append(d, "", fmt.Sprintf("figures of %.1f s, %s old, %d records dropped since its boot", float64(span)/1e6, age(f.Age), f.Metrics.Dropped))
+			for _, g := range f.Metrics.Groups {
 				d = append(d, fmt.Sprintf("  %-14s %-10s %7s/s served, %s late, %s refused, %s failed, p50 %s ms, p99 %s ms", g.Class, g.Plan,
 					per(rate(g.Served, span)), per(rate(g.Late, span)), per(rate(g.Refused, span)), per(rate(g.Failed, span)), millis(g.P50), millis(g.P99)))
 			}
-			for _, n := range f.Figures.Nodes {
+			for _, n := range f.Metrics.Nodes {
 				d = append(d, fmt.Sprintf("  node %-12s %7s/s served, %s silent, %s other, p50 %s ms, p99 %s ms", n.Node, per(rate(n.Served, span)),
 					per(rate(n.Silent, span)), per(rate(n.Other, span)), millis(n.P50), millis(n.P99)))
 			}
@@ -119,14 +119,14 @@
 	t := table{head: []string{"NODE", "SERVED/S", "SILENT/S", "OTHER/S", "P50 MS", "P99 MS", "BROKERS", "OLDEST", "OPERATORS"},
 		right: []bool{false, true, true, true, true, true, true, true, false}, empty: "no figures of nodes: no broker records, or none has asked any"}
 	by := map[string]*merged{}
-	for _, f := range o.Figures {
-		for _, n := range f.Figures.Nodes {
+	for _, f := range o.Metrics {
+		for _, n := range f.Metrics.Nodes {
 			m := by[n.Node]
 			if m == nil {
 				m = &merged{}
 				by[n.Node] = m
 			}
-			span := f.Figures.Span
+			span := f.Metrics.Span
 			m.served += rate(n.Served, span)
 			m.silent += rate(n.Silent, span)
 			m.other += rate(n.Other, span)
@@ -159,14 +159,14 @@
 		error float64
 	}
 	by := map[string]*vol{}
-	for _, f := range o.Figures {
-		for _, v := range f.Figures.Volumes {
+	for _, f := range o.Metrics {
+		for _, v := range f.Metrics.Volumes {
 			m := by[v.Volume]
 			if m == nil {
 				m = &vol{}
 				by[v.Volume] = m
 			}
-			span := f.Figures.Span
+			span := f.Metrics.Span
 			m.served += rate(v.Count, span)
 			m.error += rate(v.Error, span)
 			m.late += rate(v.Late, span)
@@ -194,15 +194,15 @@
 	t := table{head: []string{"CLASS", "PLAN", "SERVED/S", "LATE/S", "REF/S", "FAIL/S", "P50 MS", "P99 MS", "OLDEST"},
 		right: []bool{false, false, true, true, true, true, true, true, true}, empty: "no figures: no broker records, or nothing was asked"}
 	by := map[[2]string]*merged{}
-	for _, f := range o.Figures {
-		for _, g := range f.Figures.Groups {
+	for _, f := range o.Metrics {
+		for _, g := range f.Metrics.Groups {
 			k := [2]string{g.Class, g.Plan}
 			m := by[k]
 			if m == nil {
 				m = &merged{}
 				by[k] = m
 			}
-			span := f.Figures.Span
+			span := f.Metrics.Span
 			m.served += rate(g.Served, span)
 			m.late += rate(g.Late, span)
 			m.refused += rate(g.Refused, span)
--- a/internal/testkit/cluster/cluster.go
+++ b/internal/testkit/cluster/cluster.go
@@ -321,7 +321,7 @@
 	if i.Report.PID == 0 {
 		return process.Identity{}, "", fmt.Errorf("%s: no process", name)
 	}
-	id, err := process.Of(i.Report.PID)
+	id, err := process.Identify(i.Report.PID)
 	return id, i.Report.Incarnation, err
 }
 
@@ -345,7 +345,7 @@
 	var left []process.Identity
 	if o, err := s.Client.Overview(ctx, nil, nil); err == nil {
 		for _, i := range o.Instances {
-			if id, err := process.Of(i.Report.PID); err == nil && i.Report.PID > 0 {
+			if id, err := process.Identify(i.Report.PID); err == nil && i.Report.PID > 0 {
 				left = append(left, id)
 			}
 		}
--- a/tools/measure/fleet.go
+++ b/tools/measure/fleet.go
@@ -86,7 +86,7 @@
 
 func settle(ctx context.Context, s *cluster.Stack) error {
 	for ctx.Err() == nil {
-		if o, err := s.Client.Overview(ctx, nil, nil); err == nil && o.Settled && o.Rev > 0 {
+		if o, err := s.Client.Overview(ctx, nil, nil); err == nil && o.Settled && o.Revision > 0 {
 			return nil
 		}
 		time.Sleep(10 * time.Millisecond)
