--- a/cmd/poppyarch/fleet_nodes.go
+++ b/cmd/poppyarch/fleet_nodes.go
@@ -86,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	reply, err := s.client.Nodes(s.ctx, &api.NodesCall{Command: command, Changes: changes})
+	reply, err := s.client.ChangeNodes(s.ctx, &api.NodesRequest{Command: command, Changes: changes})
 	if err != nil {
 		return err
 	}
--- a/cmd/poppyarch/fleet_output.go
+++ b/cmd/poppyarch/fleet_output.go
@@ -74,14 +74,14 @@
 
 func printOverview(out io.Writer, o api.Overview) error {
 	p := newPrinter(out)
-	p.printf("revision %d, %d of %d enabled instances available", o.Rev, o.Enabled-o.Unavailable, o.Enabled)
+	p.printf("revision %d, %d of %d enabled instances available", o.Revision, o.Enabled-o.Unavailable, o.Enabled)
 	if o.Settled {
 		p.println(", settled")
 	} else {
-		p.printf(", %d not as wanted\n", o.Differing)
+		p.printf(", %d not as wanted\n", o.NotCurrent)
 	}
-	if o.Journal != "" {
-		p.println("the manager's journal:", o.Journal)
+	if o.JournalFault != "" {
+		p.println("the manager's journal:", o.JournalFault)
 	}
 	p.section(func(out io.Writer) error { return printInstanceStatus(out, o.Instances) })
 	for _, a := range o.Agents {
--- a/cmd/poppyarch/fleet_processes.go
+++ b/cmd/poppyarch/fleet_processes.go
@@ -145,15 +145,15 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, dir.Close()) }()
-	times := reconcile.DefaultTimes()
-	times.Drain = set.Agent.Drain.Micros()
-	times.Look = set.Agent.Look.Micros()
-	times.Deaf = max(times.Deaf, probesPerTimeout*times.Look)
-	processes := &supervisor.Exec{Program: program, Dir: runDir}
+	config := reconcile.DefaultConfig()
+	config.DrainTimeout = set.Agent.Drain.Micros()
+	config.HealthyProbeInterval = set.Agent.Look.Micros()
+	config.StatusTTL = max(config.StatusTTL, probesPerTimeout*config.HealthyProbeInterval)
+	brokers := &supervisor.LocalBrokers{Program: program, Dir: runDir}
 	client := api.NewClient(set.Agent.Manager)
 	defer client.Close()
-	options := supervisor.Options{Name: set.Agent.Name, Times: times, NewFleet: set.Agent.NewFleet}
-	agent, err := supervisor.Open(dir, options, processes, processes, client, log)
+	options := supervisor.Options{Name: set.Agent.Name, Reconcile: config, AcceptNewFleet: set.Agent.NewFleet}
+	agent, err := supervisor.Open(dir, options, brokers, brokers, client, log)
 	if err != nil {
 		return err
 	}
--- a/cmd/poppyarch/fleet_rollout.go
+++ b/cmd/poppyarch/fleet_rollout.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return api.Reply{}, err
 	}
-	return s.client.Apply(s.ctx, &api.ApplyCall{Command: command, Spec: *spec, Strategy: s.settings.Strategy.State()})
+	return s.client.Apply(s.ctx, &api.ApplyRequest{Command: command, Spec: *spec, Strategy: s.settings.Strategy.State()})
 }
 
 func addInventoryFlag(c *cobra.Command, file *string) {
@@ -142,7 +142,7 @@
 			if err != nil {
 				return err
 			}
-			reply, err := s.client.Steer(s.ctx, &api.SetPhaseCall{Command: command, Rev: revision, To: phase})
+			reply, err := s.client.SetRolloutPhase(s.ctx, &api.SetPhaseRequest{Command: command, Revision: revision, To: phase})
 			if err != nil {
 				return err
 			}
@@ -165,7 +165,7 @@
 			if err != nil {
 				return err
 			}
-			call := &api.RollbackCall{Command: command, To: target, WithNodes: withNodes, Strategy: s.settings.Strategy.State()}
+			call := &api.RollbackRequest{Command: command, To: target, WithNodes: withNodes, Strategy: s.settings.Strategy.State()}
 			reply, err := s.client.Rollback(s.ctx, call)
 			if err != nil {
 				return err
--- a/cmd/poppyarch/fleet_status.go
+++ b/cmd/poppyarch/fleet_status.go
@@ -118,7 +118,7 @@
 			if err != nil {
 				return err
 			}
-			reply, err := s.client.Retire(s.ctx, &api.RetireCall{Command: command, Agent: s.args[0]})
+			reply, err := s.client.Retire(s.ctx, &api.RetireRequest{Command: command, Agent: s.args[0]})
 			if err != nil {
 				return err
 			}
