--- a/internal/backend/blockstore/client.go
+++ b/internal/backend/blockstore/client.go
@@ -16,10 +16,10 @@
 
 // Command is what a client asked for. It passes on as it came, but for the time left.
 type Command struct {
-	Name, Piece, ID []byte
-	Params          []Param // in the client's order
-	Body            []byte
-	HasBody         bool
+	Name, BlockID, RequestID []byte
+	Params                   []Param // in the client's order
+	Body                     []byte
+	HasBody                  bool
 }
 
 // Param is one name=value of a command.
@@ -40,23 +40,23 @@
 // Attempt makes one attempt. A break before the last byte was written proves that nothing ran; after it nothing is
 // proven. Nothing is ever written twice.
 func (c *Client) Attempt(ctx context.Context, a core.Attempt[*Command]) ([]byte, core.Outcome) {
-	conn, out := c.pool.Lend(ctx, a.Node.Addr, a.NotIdempotent, a.Deadline, a.MayStart)
+	conn, out := c.pool.Acquire(ctx, a.Node.Addr, a.NotIdempotent, a.Deadline, a.MayStart)
 	if conn == nil {
 		return nil, out
 	}
-	stop := conn.EndWith(ctx)
+	stop := conn.InterruptOnDone(ctx)
 	defer stop()
 	sent := c.clock.Now()
 	msg := a.Work.encode((a.Deadline - sent) / 1000)
 	if n, err := conn.Write(msg); err != nil || n < len(msg) {
-		c.pool.Drop(conn)
+		c.pool.Discard(conn)
 		return nil, core.SendIncomplete
 	}
 	rep, err := c.read(ctx, conn, a.Deadline)
 	if err == nil && !rep.spoilt && stop() {
 		c.pool.Put(conn)
 	} else {
-		c.pool.Drop(conn) // also gives the attempt up at the node
+		c.pool.Discard(conn) // also gives the attempt up at the node
 	}
 	switch {
 	case err == nil:
@@ -67,7 +67,7 @@
 		return nil, core.MalformedResponse
 	}
 	if timedOut(err) {
-		c.pool.Quiet(a.Node.Addr, sent)
+		c.pool.RecordTimeout(a.Node.Addr, sent)
 		return nil, core.TimedOut
 	}
 	return nil, core.ConnectionLost
@@ -77,14 +77,14 @@
 // without an end or a length that does not fit would otherwise hold the attempt for all of its time, and then count
 // against the node as silence.
 func (c *Client) read(ctx context.Context, conn *pool.Conn, deadline int64) (reply, error) {
-	if _, err := conn.R.Peek(1); err != nil {
+	if _, err := conn.Reader.Peek(1); err != nil {
 		return reply{}, err
 	}
 	conn.SetReadDeadline(time.Now().Add(clock.Duration(min(c.lim.ResponseCompletionTimeout, deadline-c.clock.Now()))))
 	if ctx.Err() != nil { // its own deadline may just have been overwritten
 		return reply{}, ctx.Err()
 	}
-	rep, err := readReply(conn.R, c.lim.MaxValueBytes)
+	rep, err := readReply(conn.Reader, c.lim.MaxValueBytes)
 	if timedOut(err) {
 		err = errSyntax
 	}
@@ -111,7 +111,7 @@
 			params = append(params, p.Value...)
 		}
 	}
-	words := [][]byte{c.Name, c.Piece, c.ID, params}
+	words := [][]byte{c.Name, c.BlockID, c.RequestID, params}
 	if c.HasBody {
 		words = append(words, c.Body)
 	}
--- a/internal/backend/blockstore/node_test.go
+++ b/internal/backend/blockstore/node_test.go
@@ -71,7 +71,7 @@
 }
 
 func command() *Command {
-	return &Command{Name: []byte("BLK.WRITE"), Piece: []byte("7f3a9c21e0b4d655"), ID: []byte("id1"), HasBody: true,
+	return &Command{Name: []byte("BLK.WRITE"), BlockID: []byte("7f3a9c21e0b4d655"), RequestID: []byte("id1"), HasBody: true,
 		Body: []byte("a\r\nb"), Params: []Param{{"c", "w"}, {"d", "480"}, {"k", "z"}, {"volume", "00"}}}
 }
 
@@ -207,7 +207,7 @@
 	if _, out := r.client.Attempt(t.Context(), a); out != core.NotAttempted {
 		t.Errorf("outcome %d", out)
 	}
-	r.pool.Sweep()
+	r.pool.CloseExpired()
 	a.MayStart = func() bool { return true }
 	a.Deadline = r.clock.Now() - 1
 	if _, out := r.client.Attempt(t.Context(), a); out != core.NotAttempted {
--- a/internal/backend/objectstore/call.go
+++ b/internal/backend/objectstore/call.go
@@ -10,27 +10,27 @@
 	"strings"
 )
 
-// Call is what a front wants of an object server. It keeps what earlier attempts learned, so that a resent read
+// Request is what a front wants of an object server. It keeps what earlier attempts learned, so that a resent read
 // goes on where the last one broke, pinned to the version that one saw.
-type Call struct {
+type Request struct {
 	Method string
 	Target string // escaped path and query
 	Header http.Header
 	Body   []byte
 	// Stream, where it is set, takes answers that are longer than the buffer: it gets the status and header and
 	// returns where the body goes. Once it was called, the answer has begun and nothing is resent.
-	Stream func(*Result) io.Writer
+	Stream func(*Response) io.Writer
 
 	kept *kept
 }
 
-// Result is an object server's answer.
-type Result struct {
+// Response is an object server's answer.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte // whole, unless Streamed
 	Streamed,
-	Broken bool // streamed, and broke before its end
+	Truncated bool // streamed, and broke before its end
 }
 
 // kept is the beginning of an answer whose rest got lost.
@@ -44,7 +44,7 @@
 
 // begin notes an answer whose body will now be read. An answer that cannot be pinned is not kept: without a
 // strong entity tag nothing proves that the rest belongs to the same version.
-func (c *Call) begin(resp *http.Response) {
+func (c *Request) begin(resp *http.Response) {
 	c.kept = nil
 	etag := resp.Header.Get("ETag")
 	if c.Method != http.MethodGet || resp.ContentLength <= 0 || !strings.HasPrefix(etag, `"`) {
@@ -66,7 +66,7 @@
 }
 
 // request is the next attempt's request. With a beginning kept it asks for the rest of that very version.
-func (c *Call) request() (method, target string, h http.Header, body []byte) {
+func (c *Request) request() (method, target string, h http.Header, body []byte) {
 	if c.kept == nil {
 		return c.Method, c.Target, c.Header, c.Body
 	}
--- a/internal/backend/objectstore/client.go
+++ b/internal/backend/objectstore/client.go
@@ -30,25 +30,25 @@
 }
 
 // Attempt makes one attempt: one exchange, written once.
-func (c *Client) Attempt(ctx context.Context, a core.Attempt[*Call]) (*Result, core.Outcome) {
-	conn, out := c.pool.Lend(ctx, a.Node.ObjectAddr, a.NotIdempotent, a.Deadline, a.MayStart)
+func (c *Client) Attempt(ctx context.Context, a core.Attempt[*Request]) (*Response, core.Outcome) {
+	conn, out := c.pool.Acquire(ctx, a.Node.ObjectAddr, a.NotIdempotent, a.Deadline, a.MayStart)
 	if conn == nil {
 		return nil, out
 	}
-	stop := conn.EndWith(ctx)
+	stop := conn.InterruptOnDone(ctx)
 	defer stop()
 	method, target, h, body := a.Work.request()
 	sent := c.clock.Now()
 	msg := encode(a.Node.ObjectAddr, method, target, h, body)
 	if n, err := conn.Write(msg); err != nil || n < len(msg) {
-		c.pool.Drop(conn)
+		c.pool.Discard(conn)
 		return nil, core.SendIncomplete // its last byte was never written
 	}
 	res, keep, err := c.read(ctx, conn, a)
 	if err == nil && keep && stop() {
 		c.pool.Put(conn)
 	} else {
-		c.pool.Drop(conn) // also gives the attempt up at the node
+		c.pool.Discard(conn) // also gives the attempt up at the node
 	}
 	if err == nil {
 		return res, verdict(res, a.NotIdempotent)
@@ -61,7 +61,7 @@
 	case errors.Is(err, errVersion), errors.Is(err, errTooLong):
 		return res, core.NodeError
 	case errors.As(err, &ne) && ne.Timeout():
-		c.pool.Quiet(a.Node.ObjectAddr, sent)
+		c.pool.RecordTimeout(a.Node.ObjectAddr, sent)
 		return res, core.TimedOut
 	case errors.As(err, &ne), errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
 		return res, core.ConnectionLost
@@ -73,7 +73,7 @@
 var errVersion = errors.New("objectstore: the object changed between two attempts")
 
 // read takes in the answer. An error with a Result says that it broke after it had begun to reach the client.
-func (c *Client) read(ctx context.Context, conn *pool.Conn, a core.Attempt[*Call]) (*Result, bool, error) {
+func (c *Client) read(ctx context.Context, conn *pool.Conn, a core.Attempt[*Request]) (*Response, bool, error) {
 	call := a.Work
 	resp, err := head(conn, call.Method, int64(c.lim.MaxHeaderBytes))
 	if err != nil {
@@ -89,7 +89,7 @@
 		call.begin(resp)
 	}
 	keep := !resp.Close && resp.ContentLength >= 0
-	res := &Result{Status: resp.StatusCode, Header: resp.Header}
+	res := &Response{Status: resp.StatusCode, Header: resp.Header}
 	var buf []byte
 	if k := call.kept; k != nil {
 		res.Status, res.Header, buf = k.status, k.header, k.body
@@ -116,16 +116,16 @@
 	a.ResponseStarted()
 	res.Streamed = true
 	err = c.stream(ctx, conn, call.Stream(res), buf, resp.Body)
-	res.Broken = err != nil
+	res.Truncated = err != nil
 	return res, keep, err
 }
 
 // head reads status and header, past interim answers.
 func head(conn *pool.Conn, method string, most int64) (*http.Response, error) {
-	conn.Allow(most)
-	defer conn.Allow(-1)
+	conn.SetReadLimit(most)
+	defer conn.SetReadLimit(-1)
 	for {
-		resp, err := http.ReadResponse(conn.R, &http.Request{Method: method})
+		resp, err := http.ReadResponse(conn.Reader, &http.Request{Method: method})
 		if err != nil {
 			return nil, err
 		}
@@ -190,7 +190,7 @@
 // verdict names the outcome of a whole answer. What the server decided, good or bad, is the answer; what it
 // could not do is not. A server that is busy says so before it runs anything, but only a request that may run
 // twice relies on that.
-func verdict(r *Result, unsafe bool) core.Outcome {
+func verdict(r *Response, unsafe bool) core.Outcome {
 	switch {
 	case r.Status == http.StatusServiceUnavailable || r.Status == http.StatusTooManyRequests:
 		if unsafe {
--- a/internal/broker/core/begin_test.go
+++ b/internal/broker/core/begin_test.go
@@ -60,7 +60,7 @@
 		group   decision.DedupScope
 		connect time.Duration
 		begins  int
-		kind    AnswerKind
+		kind    Status
 	}{
 		{decision.DedupEverywhere, 900 * time.Millisecond, 2, Success},
 		{decision.DedupEverywhere, 1100 * time.Millisecond, 1, Rejection},
@@ -71,8 +71,8 @@
 			defer cancel()
 			be := &lateBackend{connect: []time.Duration{0, x.connect}, outcomes: []Outcome{ConnectionLost, Served}}
 			b := startKeyed(ctx, t, be, x.group)
-			if a := b.Handle(ctx, request(be.clock)); a.Kind != x.kind || len(be.began) != x.begins {
-				t.Errorf("connected after %v: kind %d and %d attempts begun, want %d and %d", x.connect, a.Kind, len(be.began), x.kind, x.begins)
+			if a := b.Handle(ctx, request(be.clock)); a.Status != x.kind || len(be.began) != x.begins {
+				t.Errorf("connected after %v: kind %d and %d attempts begun, want %d and %d", x.connect, a.Status, len(be.began), x.kind, x.begins)
 			}
 		})
 	}
@@ -90,8 +90,8 @@
 			var looks atomic.Int32
 			r.ClientGone = func() bool { return int(looks.Add(1)) > begins }
 			a := b.Handle(ctx, r)
-			if len(be.began) != begins || looks.Load() != int32(begins+1) || a.Kind != Failure {
-				t.Errorf("%d attempts begun after %d looks, want %d; kind %d", len(be.began), looks.Load(), begins, a.Kind)
+			if len(be.began) != begins || looks.Load() != int32(begins+1) || a.Status != Failure {
+				t.Errorf("%d attempts begun after %d looks, want %d; kind %d", len(be.began), looks.Load(), begins, a.Status)
 			}
 			if n := b.open.InFlight(); n != 0 {
 				t.Errorf("%d still open", n)
--- a/internal/broker/core/core.go
+++ b/internal/broker/core/core.go
@@ -77,19 +77,19 @@
 	Attempt(ctx context.Context, a Attempt[W]) (V, Outcome)
 }
 
-// AnswerKind is the kind of a final answer.
-type AnswerKind uint8
+// Status is the kind of a final answer.
+type Status uint8
 
 // The kinds of answers.
 const (
-	Success   AnswerKind = iota
-	Rejection            // nothing ran; trying again is harmless
-	Failure              // it may have run
+	Success   Status = iota
+	Rejection        // nothing ran; trying again is harmless
+	Failure          // it may have run
 )
 
-// Answer is the one final answer of a request.
-type Answer[V any] struct {
-	Kind             AnswerKind
+// Response is the one final answer of a request.
+type Response[V any] struct {
+	Status           Status
 	Value            V     // of a Success, or of a Failure whose answer had begun
 	RetryAfter       int64 // of a Refusal: come again after so many microseconds; 0: no advice
 	DeadlineExceeded bool  // of a Failure or a Refusal: the client's time ran out
@@ -120,7 +120,7 @@
 
 // Handle carries a request to its final answer, which comes before the request is due. Where ctx is done earlier
 // the client has left and the answer reaches nobody.
-func (b *Broker[W, V]) Handle(ctx context.Context, r Request[W]) Answer[V] {
+func (b *Broker[W, V]) Handle(ctx context.Context, r Request[W]) Response[V] {
 	if b.rec == nil {
 		return b.do(ctx, r, nil, 0)
 	}
@@ -130,11 +130,11 @@
 	a := b.do(ctx, r, q, at)
 	q.Took, q.Hint = b.clock.Now()-at, a.RetryAfter
 	switch {
-	case a.Kind == Success:
+	case a.Status == Success:
 		q.Answer = record.Served
 	case errors.Is(context.Cause(ctx), ErrClientDisconnected):
 		q.Answer = record.Left
-	case a.Kind == Rejection:
+	case a.Status == Rejection:
 		q.Answer = record.Refused
 	case a.DeadlineExceeded:
 		q.Answer = record.Overdue
@@ -147,9 +147,9 @@
 }
 
 // do is Do; q, where it is not nil, takes the attempts of a request that came at at.
-func (b *Broker[W, V]) do(ctx context.Context, r Request[W], q *record.Request, at int64) Answer[V] {
+func (b *Broker[W, V]) do(ctx context.Context, r Request[W], q *record.Request, at int64) Response[V] {
 	if !b.open.Acquire() {
-		return Answer[V]{Kind: Rejection, RetryAfter: b.lim.BusyRetryAfter} // the process is full: nothing ran
+		return Response[V]{Status: Rejection, RetryAfter: b.lim.BusyRetryAfter} // the process is full: nothing ran
 	}
 	defer b.open.Release()
 	last := r.Deadline - b.lim.AnswerMargin
@@ -182,16 +182,16 @@
 		d = b.facade.Report(ctx, id, out)
 		if out == Served || d.Verdict == dispatcher.Ended {
 			// One that began and broke has a value as well: it tells the front that nothing more can be said.
-			return Answer[V]{Kind: kind(out), Value: v, DeadlineExceeded: out != Served && ctx.Err() != nil}
+			return Response[V]{Status: kind(out), Value: v, DeadlineExceeded: out != Served && ctx.Err() != nil}
 		}
 	}
 	switch {
 	case d.Verdict == dispatcher.Rejected:
-		return Answer[V]{Kind: Rejection, RetryAfter: d.RetryAfter}
+		return Response[V]{Status: Rejection, RetryAfter: d.RetryAfter}
 	case d.Verdict == dispatcher.Ended && context.Cause(ctx) == ErrDeadlineExceeded:
-		return Answer[V]{Kind: Rejection, RetryAfter: b.lim.BusyRetryAfter, DeadlineExceeded: true} // held until its time was up: nothing ran
+		return Response[V]{Status: Rejection, RetryAfter: b.lim.BusyRetryAfter, DeadlineExceeded: true} // held until its time was up: nothing ran
 	}
-	return Answer[V]{Kind: Failure, DeadlineExceeded: d.Verdict == dispatcher.Ended}
+	return Response[V]{Status: Failure, DeadlineExceeded: d.Verdict == dispatcher.Ended}
 }
 
 // mayBegin reports whether an attempt may begin now: its node takes new work, and the module's time for it is not over.
@@ -208,7 +208,7 @@
 	return true
 }
 
-func kind(o Outcome) AnswerKind {
+func kind(o Outcome) Status {
 	if o == Served {
 		return Success
 	}
--- a/internal/broker/core/core_test.go
+++ b/internal/broker/core/core_test.go
@@ -67,7 +67,7 @@
 		name     string
 		repeat   decision.Idempotency
 		outcomes []Outcome
-		kind     AnswerKind
+		kind     Status
 		calls    int
 	}{
 		{"served", decision.NotIdempotent, []Outcome{Served}, Success, 1},
@@ -87,10 +87,10 @@
 				be := &backend{outcomes: x.outcomes, takes: time.Millisecond}
 				b, c, _ := start(ctx, t, be, x.repeat, "a")
 				a := b.Handle(ctx, request(c))
-				if a.Kind != x.kind || be.calls != x.calls {
-					t.Fatalf("kind %d after %d attempts, want %d after %d", a.Kind, be.calls, x.kind, x.calls)
+				if a.Status != x.kind || be.calls != x.calls {
+					t.Fatalf("kind %d after %d attempts, want %d after %d", a.Status, be.calls, x.kind, x.calls)
 				}
-				if a.Kind == Success && a.Value != "value of w" {
+				if a.Status == Success && a.Value != "value of w" {
 					t.Errorf("value %q", a.Value)
 				}
 				if n := b.open.InFlight(); n != 0 {
@@ -114,10 +114,10 @@
 			a := b.Handle(ctx, r)
 			be.mu.Lock()
 			defer be.mu.Unlock()
-			if a.Kind == Success || c.Now() > r.Deadline {
-				t.Errorf("kind %d, %d us after it was due", a.Kind, c.Now()-r.Deadline)
+			if a.Status == Success || c.Now() > r.Deadline {
+				t.Errorf("kind %d, %d us after it was due", a.Status, c.Now()-r.Deadline)
 			}
-			if a.Kind == Rejection && repeat == decision.NotIdempotent {
+			if a.Status == Rejection && repeat == decision.NotIdempotent {
 				t.Error("a refusal of what may have run")
 			}
 			if be.ended != TimedOut {
@@ -135,8 +135,8 @@
 		be := &backend{outcomes: []Outcome{Rejected, Served}, takes: 500 * time.Millisecond}
 		b, c, n := start(ctx, t, be, decision.Idempotent, "a")
 		r := request(c)
-		if a := b.Handle(ctx, r); a.Kind != Success {
-			t.Fatalf("kind %d", a.Kind)
+		if a := b.Handle(ctx, r); a.Status != Success {
+			t.Fatalf("kind %d", a.Status)
 		}
 		if be.last.Deadline > r.Deadline || be.last.Deadline < c.Now() {
 			t.Errorf("the attempt ends at %d, its client at %d", be.last.Deadline, r.Deadline)
@@ -161,8 +161,8 @@
 		client, leave := context.WithCancelCause(ctx)
 		began := c.Now()
 		time.AfterFunc(time.Second, func() { leave(ErrClientDisconnected) })
-		if a := b.Handle(client, request(c)); a.Kind == Success || c.Now()-began != 1_000_000 {
-			t.Errorf("kind %d after %d us", a.Kind, c.Now()-began)
+		if a := b.Handle(client, request(c)); a.Status == Success || c.Now()-began != 1_000_000 {
+			t.Errorf("kind %d after %d us", a.Status, c.Now()-began)
 		}
 		if be.ended != Cancelled {
 			t.Errorf("outcome %d: it tells nothing of the node", be.ended)
@@ -178,8 +178,8 @@
 		be := &backend{outcomes: []Outcome{Served}, takes: time.Second}
 		b, c, n := start(ctx, t, be, decision.Idempotent, "a")
 		n.Update([]Node{{ID: "a", State: decision.Removed}, {ID: "b"}}, false) // the module has not heard of it yet
-		if a := b.Handle(ctx, request(c)); a.Kind != Rejection || be.calls != 0 {
-			t.Errorf("kind %d after %d attempts", a.Kind, be.calls)
+		if a := b.Handle(ctx, request(c)); a.Status != Rejection || be.calls != 0 {
+			t.Errorf("kind %d after %d attempts", a.Status, be.calls)
 		}
 		n.Update([]Node{{ID: "c"}}, true)
 		if len(n.byID) != 1 {
@@ -195,11 +195,11 @@
 		defer cancel()
 		be := &backend{outcomes: []Outcome{Served}, takes: time.Second}
 		b, c, _ := start(ctx, t, be, decision.Idempotent, "a")
-		kinds := make(chan AnswerKind, 3)
+		kinds := make(chan Status, 3)
 		for range 3 {
-			go func() { kinds <- b.Handle(ctx, request(c)).Kind }()
+			go func() { kinds <- b.Handle(ctx, request(c)).Status }()
 		}
-		count := map[AnswerKind]int{}
+		count := map[Status]int{}
 		for range 3 {
 			count[<-kinds]++
 		}
--- a/internal/broker/server/server.go
+++ b/internal/broker/server/server.go
@@ -98,7 +98,7 @@
 		behind.Go(func() { conns.Run(back) })
 		b := core.NewBroker(facade, table, gate, blockstore.New(conns, c, lim), c, lim)
 		b.SetRecorder(rec.recorder())
-		fronts[cfg.Listen] = block.New(b, block.NewNames(&cfg.Policy, cfg.Shards, lim), clients, c, lim, log)
+		fronts[cfg.Listen] = block.New(b, block.NewSchema(&cfg.Policy, cfg.Shards, lim), clients, c, lim, log)
 	}
 	if cfg.Object != nil {
 		conns := pool.New(lim, nodes, c) // a pool of its own: its connections speak HTTP
--- a/internal/frontend/block/answer.go
+++ b/internal/frontend/block/answer.go
@@ -8,8 +8,8 @@
 )
 
 // encode writes an answer. A value goes out byte for byte as its node gave it.
-func encode(a core.Answer[[]byte]) []byte {
-	switch a.Kind {
+func encode(a core.Response[[]byte]) []byte {
+	switch a.Status {
 	case core.Success:
 		b := make([]byte, 0, len(a.Value)+16)
 		b = append(strconv.AppendInt(append(b, '$'), int64(len(a.Value)), 10), "\r\n"...)
--- a/internal/frontend/block/client.go
+++ b/internal/frontend/block/client.go
@@ -14,7 +14,7 @@
 
 // client is one connection.
 type client struct {
-	front *Front
+	front *Server
 	net   *guarded
 	slots chan *slot   // answers owed, in order
 	came  int64        // when it connected
--- a/internal/frontend/block/command.go
+++ b/internal/frontend/block/command.go
@@ -12,20 +12,20 @@
 	"poppyarch/internal/broker/limits"
 )
 
-// Names is what the settings say of a command's words. Classes and plans are numbered as the settings name them.
-type Names struct {
-	Classes  map[string]int
-	Plans    map[string]int
-	Unsafe   []bool  // by class: it must never run twice
-	Shards   int     // 0: not told
-	MaxUnits float64 // 0: not told
+// Schema is what the settings say of a command's words. Classes and plans are numbered as the settings name them.
+type Schema struct {
+	Classes       map[string]int
+	Plans         map[string]int
+	NotIdempotent []bool  // by class: it must never run twice
+	Shards        int     // 0: not told
+	MaxUnits      float64 // 0: not told
 
 	lim *limits.Limits
 }
 
 // parse turns the words of a command into a request. d counts from its sending, of which its arrival is the
 // nearest that the broker can see.
-func parse(args [][]byte, names *Names, now int64) (core.Request[*blockstore.Command], error) {
+func parse(args [][]byte, names *Schema, now int64) (core.Request[*blockstore.Command], error) {
 	var r core.Request[*blockstore.Command]
 	write := bytes.EqualFold(args[0], []byte("BLK.WRITE"))
 	want := 4
@@ -45,7 +45,7 @@
 	if len(args[3]) > names.lim.MaxParams {
 		return r, fmt.Errorf("fields over %d bytes", names.lim.MaxParams)
 	}
-	c := &blockstore.Command{Name: args[0], Piece: args[1], ID: args[2], HasBody: write}
+	c := &blockstore.Command{Name: args[0], BlockID: args[1], RequestID: args[2], HasBody: write}
 	if write {
 		c.Body = args[4]
 	}
@@ -67,12 +67,12 @@
 			return r, fmt.Errorf("%s is missing", name)
 		}
 	}
-	r.NotIdempotent = names.Unsafe[r.Class]
+	r.NotIdempotent = names.NotIdempotent[r.Class]
 	return r, nil
 }
 
 // field takes in one name=value. Names it does not know pass on to the node unseen.
-func field(r *core.Request[*blockstore.Command], name, value string, names *Names, now int64) (err error) {
+func field(r *core.Request[*blockstore.Command], name, value string, names *Schema, now int64) (err error) {
 	known := true
 	switch name {
 	case "c":
@@ -147,12 +147,12 @@
 	return s
 }
 
-// NewNames numbers the names of a configuration.
-func NewNames(cfg *decision.Config, shards int, lim *limits.Limits) *Names {
-	n := &Names{Classes: map[string]int{}, Plans: map[string]int{}, Shards: shards, MaxUnits: cfg.MaxUnits, lim: lim}
+// NewSchema numbers the names of a configuration.
+func NewSchema(cfg *decision.Config, shards int, lim *limits.Limits) *Schema {
+	n := &Schema{Classes: map[string]int{}, Plans: map[string]int{}, Shards: shards, MaxUnits: cfg.MaxUnits, lim: lim}
 	for i, c := range cfg.Classes {
 		n.Classes[c.Name] = i
-		n.Unsafe = append(n.Unsafe, c.Idempotency == decision.NotIdempotent)
+		n.NotIdempotent = append(n.NotIdempotent, c.Idempotency == decision.NotIdempotent)
 	}
 	for i, p := range cfg.Plans {
 		n.Plans[p.Name] = i
--- a/internal/frontend/block/conn.go
+++ b/internal/frontend/block/conn.go
@@ -17,7 +17,7 @@
 )
 
 // handle gets a connection's first command and keeps the connection until its end.
-func (f *Front) handle(rc redcon.Conn, first redcon.Command) {
+func (f *Server) handle(rc redcon.Conn, first redcon.Command) {
 	w := rc.NetConn().(*wrapped)
 	dc := rc.Detach()
 	ctx, cancel := context.WithCancelCause(w.front.base)
@@ -46,7 +46,7 @@
 
 // answerOnItsWay reports whether the client's system may still lack a part of the last answer.
 func (c *client) answerOnItsWay() bool {
-	if n, ok := socket.Unsent(c.net.Conn); ok {
+	if n, ok := socket.UnsentBytes(c.net.Conn); ok {
 		return n > 0
 	}
 	return c.front.clock.Now()-c.since.Load() < lateAnswer
@@ -105,12 +105,12 @@
 		}
 		// What a client wrote before it went is read after it has gone where this process was late or more than one
 		// command came at once.
-		left := func() bool { return socket.Left(w.net.Conn) }
+		left := func() bool { return socket.PeerClosed(w.net.Conn) }
 		if (!w.asked.Load() || w.owed.Load() > 0) && left() {
 			return core.ErrClientDisconnected
 		}
 		r.ClientGone = left
-		s := &slot{id: string(r.Work.ID)}
+		s := &slot{id: string(r.Work.RequestID)}
 		if !f.open(s.id) {
 			w.put("-ERR id: a request of that id is open\r\n")
 			break
@@ -141,7 +141,7 @@
 
 // open notes a request's id until its answer is sent, or reports that another request has it. Nodes answer by id: a
 // second request under an open one's would get the other's answer or spoil it.
-func (f *Front) open(id string) bool {
+func (f *Server) open(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, ok := f.ids[id]; ok {
@@ -153,7 +153,7 @@
 
 // hold counts a request's bytes until its answer is sent, or reports that there are too many. Answers that clients are
 // slow to take count too.
-func (f *Front) hold(s *slot, size int64) bool {
+func (f *Server) hold(s *slot, size int64) bool {
 	if f.held.Add(size) > f.lim.MaxBodyBytes {
 		f.held.Add(-size)
 		return false
@@ -163,7 +163,7 @@
 }
 
 // close forgets a request whose answer is sent.
-func (f *Front) close(s *slot) {
+func (f *Server) close(s *slot) {
 	f.held.Add(-s.bytes.Load())
 	if s.id != "" {
 		f.mu.Lock()
--- a/internal/frontend/block/crossing_test.go
+++ b/internal/frontend/block/crossing_test.go
@@ -38,7 +38,7 @@
 // newStepRig is a rig whose front gets what accepted makes of each connection.
 func newStepRig(t *testing.T, lim *limits.Limits, accepted func(*net.TCPConn) net.Conn) *rig {
 	t.Helper()
-	b := &broker{waiting: map[string]chan core.Answer[[]byte]{}, came: make(chan core.Request[*blockstore.Command], 64), left: make(chan string, 64)}
+	b := &broker{waiting: map[string]chan core.Response[[]byte]{}, came: make(chan core.Request[*blockstore.Command], 64), left: make(chan string, 64)}
 	f := New(b, testNames(lim), 8, clock.New(), lim, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -65,7 +65,7 @@
 func TestRequestOfAClientThatHasGoneIsNotTaken(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		r := newStepRig(t, testLimits(), func(c *net.TCPConn) net.Conn {
-			await(t, "the client's end", func() bool { return socket.Left(c) })
+			await(t, "the client's end", func() bool { return socket.PeerClosed(c) })
 			return c
 		})
 		c, err := net.Dial("tcp", r.ln.Addr().String())
@@ -183,7 +183,7 @@
 		return &crossedConn{TCPConn: c, ended: over, cross: func() {
 			<-cross
 			io.WriteString(client, read("late"))
-			await(t, "the request that crosses", func() bool { return socket.Peek(c) == socket.Data })
+			await(t, "the request that crosses", func() bool { return socket.Peek(c) == socket.Readable })
 		}}
 	})
 	slow := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
--- a/internal/frontend/block/eviction.go
+++ b/internal/frontend/block/eviction.go
@@ -3,7 +3,7 @@
 import "time"
 
 // crowded reports whether descriptors for clients run short.
-func (f *Front) crowded() bool {
+func (f *Server) crowded() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.conns) > f.most/2
@@ -39,7 +39,7 @@
 
 // evictable is the client whose end costs least, the longest quiet one first, among those of ranks from least to under
 // most; nil: none. The caller holds mu.
-func (f *Front) evictable(least, most int) *client {
+func (f *Server) evictable(least, most int) *client {
 	var idle *client
 	now, rank, since := f.clock.Now(), most, int64(0)
 	for c := range f.conns {
@@ -54,7 +54,7 @@
 // makeRoom returns once another client fits. It begins to clear places while some are left: with each client waiting for
 // another to go, they stood in line for seconds. In a drain those that have asked stay as long as they can: they are
 // all that clients have left.
-func (f *Front) makeRoom() {
+func (f *Server) makeRoom() {
 	for {
 		f.mu.Lock()
 		n := len(f.conns)
@@ -84,7 +84,7 @@
 }
 
 // anyClosing reports whether some client has been told to go and is not gone yet.
-func (f *Front) anyClosing() bool {
+func (f *Server) anyClosing() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
@@ -99,7 +99,7 @@
 // stay use up what all clients together may hold for requests, and then cannot even connect; so one end for each that
 // comes is not enough: nobody would come any more to bring the number down. Connections that carry no request do not
 // count there, and must not push out those that do.
-func (f *Front) evictSurplus() {
+func (f *Server) evictSurplus() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.asked <= f.keep || f.draining.Load() {
--- a/internal/frontend/block/front.go
+++ b/internal/frontend/block/front.go
@@ -19,18 +19,18 @@
 
 // Broker is what stands behind this front.
 type Broker interface {
-	Handle(ctx context.Context, r core.Request[*blockstore.Command]) core.Answer[[]byte]
+	Handle(ctx context.Context, r core.Request[*blockstore.Command]) core.Response[[]byte]
 }
 
-// Front serves clients.
+// Server serves clients.
 //
 // redcon calls its handler on the connection's own goroutine. A handler that blocks there until the answer is
 // known would not read on: it could neither notice that the client leaves nor start the commands pipelined
 // behind. So the first command detaches the connection; its goroutine goes on reading, every request has one of
 // its own, and a writer sends the answers in the order of the commands.
-type Front struct {
+type Server struct {
 	broker Broker
-	names  *Names
+	names  *Schema
 	clock  *clock.Clock
 	lim    *limits.Limits
 	log    *slog.Logger
@@ -54,19 +54,19 @@
 }
 
 // New returns a front for at most conns clients at once.
-func New(b Broker, names *Names, conns int, c *clock.Clock, lim *limits.Limits, log *slog.Logger) *Front {
+func New(b Broker, names *Schema, conns int, c *clock.Clock, lim *limits.Limits, log *slog.Logger) *Server {
 	spare := conns - conns/8
 	keep := spare
 	if lim.ClientIdleConns > 0 {
 		keep = min(keep, lim.ClientIdleConns)
 	}
 	base, expire := context.WithCancelCause(context.Background())
-	return &Front{broker: b, names: names, clock: c, lim: lim, log: log, most: conns, spare: spare, keep: keep,
+	return &Server{broker: b, names: names, clock: c, lim: lim, log: log, most: conns, spare: spare, keep: keep,
 		base: base, expire: expire, conns: map[*client]struct{}{}, ids: map[string]struct{}{}, gone: make(chan struct{}, 1), drained: make(chan struct{})}
 }
 
 // Serve accepts clients until the listener is closed.
-func (f *Front) Serve(ln net.Listener) error {
+func (f *Server) Serve(ln net.Listener) error {
 	f.mu.Lock()
 	f.ln = ln
 	f.mu.Unlock()
@@ -74,7 +74,7 @@
 }
 
 // closed is redcon's word that it is done with a connection.
-func (f *Front) closed(rc redcon.Conn, _ error) {
+func (f *Server) closed(rc redcon.Conn, _ error) {
 	w, ok := rc.NetConn().(*wrapped)
 	if !ok {
 		return
@@ -96,7 +96,7 @@
 // closes them at once leaves them without a broker until the next is up. Then it closes the listener, ends clients as
 // soon as they are owed nothing, and returns when none is left. What was taken is answered by Limits.DrainAnswer, however
 // long its client would wait: the process may be killed after that. ctx bounds the wait.
-func (f *Front) Drain(ctx context.Context) error {
+func (f *Server) Drain(ctx context.Context) error {
 	began := f.clock.Now()
 	f.until.Store(began + f.lim.DrainAnswerTime)
 	f.draining.Store(true)
--- a/internal/frontend/block/front_test.go
+++ b/internal/frontend/block/front_test.go
@@ -30,43 +30,43 @@
 		ClientIdleTimeoutUnderPressure: hour, ClientIdleTimeout: hour, ClientLingerTimeout: 200_000, BusyRetryAfter: 150_000, DrainAnswerTime: hour}
 }
 
-func testNames(lim *limits.Limits) *Names {
-	return NewNames(&decision.Config{Classes: []decision.Class{{Name: "read"}, {Name: "new", Idempotency: decision.NotIdempotent}},
+func testNames(lim *limits.Limits) *Schema {
+	return NewSchema(&decision.Config{Classes: []decision.Class{{Name: "read"}, {Name: "new", Idempotency: decision.NotIdempotent}},
 		Plans: []decision.Plan{{Name: "gold"}}, MaxUnits: 8}, 10, lim)
 }
 
 // broker answers each request when the test says so; its id is the key.
 type broker struct {
 	mu      sync.Mutex
-	waiting map[string]chan core.Answer[[]byte]
+	waiting map[string]chan core.Response[[]byte]
 	came    chan core.Request[*blockstore.Command]
 	left    chan string
 }
 
-func (b *broker) ask(id string) chan core.Answer[[]byte] {
+func (b *broker) ask(id string) chan core.Response[[]byte] {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.waiting[id] == nil {
-		b.waiting[id] = make(chan core.Answer[[]byte], 1)
+		b.waiting[id] = make(chan core.Response[[]byte], 1)
 	}
 	return b.waiting[id]
 }
 
-func (b *broker) Handle(ctx context.Context, r core.Request[*blockstore.Command]) core.Answer[[]byte] {
-	id := string(r.Work.ID)
+func (b *broker) Handle(ctx context.Context, r core.Request[*blockstore.Command]) core.Response[[]byte] {
+	id := string(r.Work.RequestID)
 	b.came <- r
 	select {
 	case a := <-b.ask(id):
 		return a
 	case <-ctx.Done():
 		b.left <- id
-		return core.Answer[[]byte]{Kind: core.Failure}
+		return core.Response[[]byte]{Status: core.Failure}
 	}
 }
 
 type rig struct {
 	t      *testing.T
-	front  *Front
+	front  *Server
 	broker *broker
 	ln     net.Listener
 	asks   int
@@ -74,7 +74,7 @@
 
 func newRig(t *testing.T, lim *limits.Limits, conns int) *rig {
 	t.Helper()
-	b := &broker{waiting: map[string]chan core.Answer[[]byte]{}, came: make(chan core.Request[*blockstore.Command], 64),
+	b := &broker{waiting: map[string]chan core.Response[[]byte]{}, came: make(chan core.Request[*blockstore.Command], 64),
 		left: make(chan string, 64)}
 	f := New(b, testNames(lim), conns, clock.New(), lim, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -176,7 +176,7 @@
 	}
 }
 
-func value(s string) core.Answer[[]byte] { return core.Answer[[]byte]{Value: []byte(s)} }
+func value(s string) core.Response[[]byte] { return core.Response[[]byte]{Value: []byte(s)} }
 
 // Commands written behind each other all start at once; their answers keep the order, whichever is ready first.
 func TestPipelinedCommandsAreAnsweredInOrder(t *testing.T) {
@@ -186,8 +186,8 @@
 	for range 3 {
 		<-r.broker.came
 	}
-	r.broker.ask("c") <- core.Answer[[]byte]{Kind: core.Rejection, RetryAfter: 1500}
-	r.broker.ask("b") <- core.Answer[[]byte]{Kind: core.Failure}
+	r.broker.ask("c") <- core.Response[[]byte]{Status: core.Rejection, RetryAfter: 1500}
+	r.broker.ask("b") <- core.Response[[]byte]{Status: core.Failure}
 	r.broker.ask("a") <- value("v\r\n1")
 	expectText(t, in, "$4\r\nv\r\n1\r\n+PONG\r\n-ERR failed\r\n-BUSY 2\r\n")
 }
@@ -203,7 +203,7 @@
 		len(q.Work.Params) != 8 || q.Work.Params[7] != (blockstore.Param{Name: "k", Value: "x"}) {
 		t.Errorf("%+v, %+v", q.RequestInfo, q.Work)
 	}
-	r.broker.ask("id9") <- core.Answer[[]byte]{Kind: core.Rejection}
+	r.broker.ask("id9") <- core.Response[[]byte]{Status: core.Rejection}
 	expectText(t, in, "-BUSY\r\n")
 }
 
@@ -305,8 +305,8 @@
 	<-r.broker.came
 	other, otherIn := r.dial()
 	io.WriteString(other, read("a")+read("b"))
-	if q := <-r.broker.came; string(q.Work.ID) != "b" {
-		t.Errorf("the broker got %s", q.Work.ID)
+	if q := <-r.broker.came; string(q.Work.RequestID) != "b" {
+		t.Errorf("the broker got %s", q.Work.RequestID)
 	}
 	r.broker.ask("b") <- value("w")
 	expectText(t, otherIn, "-ERR id: a request of that id is open\r\n$1\r\nw\r\n")
@@ -391,7 +391,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	for socket.Peek(c) != socket.Data {
+	for socket.Peek(c) != socket.Readable {
 		time.Sleep(time.Millisecond)
 	}
 	cl := &client{front: r.front, came: -1 << 60} // silent for ages
--- a/internal/frontend/block/guard.go
+++ b/internal/frontend/block/guard.go
@@ -190,7 +190,7 @@
 		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return n, err
 		}
-		if socket.Peek(g.Conn) != socket.Quiet {
+		if socket.Peek(g.Conn) != socket.Empty {
 			g.woken.Store(false) // whoever still wants it to end will ask again
 			continue
 		}
--- a/internal/frontend/block/listener.go
+++ b/internal/frontend/block/listener.go
@@ -9,7 +9,7 @@
 // listener wraps each connection and keeps their number within bounds.
 type listener struct {
 	net.Listener
-	front *Front
+	front *Server
 }
 
 // Accept returns the next client. It outlives passing errors, on which redcon would spin. At the bound it first
--- a/internal/frontend/object/front.go
+++ b/internal/frontend/object/front.go
@@ -29,11 +29,11 @@
 
 // Broker is what stands behind this front.
 type Broker interface {
-	Handle(ctx context.Context, r core.Request[*objectstore.Call]) core.Answer[*objectstore.Result]
+	Handle(ctx context.Context, r core.Request[*objectstore.Request]) core.Response[*objectstore.Response]
 }
 
-// Front serves the object API.
-type Front struct {
+// Server serves the object API.
+type Server struct {
 	broker Broker
 	cfg    *config.Config
 	clock  *clock.Clock
@@ -49,8 +49,8 @@
 }
 
 // New returns a front for at most conns clients at once.
-func New(b Broker, cfg *config.Config, conns int, c *clock.Clock, log *slog.Logger) *Front {
-	f := &Front{broker: b, cfg: cfg, clock: c, lim: &cfg.Limits, log: log, conns: conns}
+func New(b Broker, cfg *config.Config, conns int, c *clock.Clock, log *slog.Logger) *Server {
+	f := &Server{broker: b, cfg: cfg, clock: c, lim: &cfg.Limits, log: log, conns: conns}
 	f.base, f.expire = context.WithCancel(context.Background())
 	f.server = &http.Server{
 		Handler: f, MaxHeaderBytes: f.lim.MaxHeaderBytes, ReadHeaderTimeout: clock.Duration(f.lim.ObjectStallTimeout),
@@ -60,7 +60,7 @@
 }
 
 // Serve accepts clients until the listener is closed, and returns when Drain is over.
-func (f *Front) Serve(ln net.Listener) error {
+func (f *Server) Serve(ln net.Listener) error {
 	err := f.server.Serve(newListener(ln, f.conns, f.lim.ClientStallTimeout, f.clock))
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
@@ -70,7 +70,7 @@
 
 // Drain takes new connections for a while longer, closes idle ones and returns when all requests are answered. What was
 // taken is answered by Limits.DrainAnswer, unless its answer has begun: the process may be killed after that.
-func (f *Front) Drain(ctx context.Context) error {
+func (f *Server) Drain(ctx context.Context) error {
 	f.until.Store(f.clock.Now() + f.lim.DrainAnswerTime)
 	last := time.AfterFunc(clock.Duration(f.lim.DrainAnswerTime), f.expire)
 	defer last.Stop()
@@ -88,7 +88,7 @@
 
 // exchange is one client request on its way.
 type exchange struct {
-	*Front
+	*Server
 	w           http.ResponseWriter
 	r           *http.Request
 	rc          *http.ResponseController
@@ -100,8 +100,8 @@
 }
 
 // ServeHTTP answers one request.
-func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	x := &exchange{Front: f, w: w, r: r, rc: http.NewResponseController(w), came: f.clock.Now()}
+func (f *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	x := &exchange{Server: f, w: w, r: r, rc: http.NewResponseController(w), came: f.clock.Now()}
 	x.id = fmt.Sprintf("%s-%x-%d", f.cfg.Name, uint64(x.came), f.seq.Add(1))
 	w.Header().Set("X-Amz-Request-Id", x.id)
 	if r.URL.Path == "/_health" {
@@ -220,7 +220,7 @@
 }
 
 // request words one request for the module and the object server.
-func (x *exchange) request(class, shard int, method, query string, due int64) core.Request[*objectstore.Call] {
+func (x *exchange) request(class, shard int, method, query string, due int64) core.Request[*objectstore.Request] {
 	h := http.Header{}
 	for _, name := range passOn {
 		if v := x.r.Header.Values(name); len(v) > 0 {
@@ -240,14 +240,14 @@
 	if !ok {
 		plan = o.Plan
 	}
-	return core.Request[*objectstore.Call]{
+	return core.Request[*objectstore.Request]{
 		RequestInfo: dispatcher.RequestInfo{
 			Class: class, Plan: x.cfg.Plan(plan), Volume: x.bucket, Key: x.key, Units: x.units(), Shard: shard,
 			Brokers: x.cfg.Policy.Brokers, Deadline: due,
 		},
 		NotIdempotent: x.cfg.Policy.Classes[class].Idempotency == decision.NotIdempotent,
 		ClientGone:    clientLeft(x.r.Context()),
-		Work: &objectstore.Call{Method: method, Target: (&url.URL{Path: "/" + x.bucket + "/" + x.key}).EscapedPath() +
+		Work: &objectstore.Request{Method: method, Target: (&url.URL{Path: "/" + x.bucket + "/" + x.key}).EscapedPath() +
 			query, Header: h, Body: x.body},
 	}
 }
@@ -295,7 +295,7 @@
 }
 
 // ask carries a request out and turns what is no answer of an object server into an error.
-func (x *exchange) ask(q core.Request[*objectstore.Call]) (*objectstore.Result, error) {
+func (x *exchange) ask(q core.Request[*objectstore.Request]) (*objectstore.Response, error) {
 	ctx, cancel := context.WithCancelCause(x.r.Context())
 	defer cancel(nil)
 	defer context.AfterFunc(x.base, func() {
@@ -305,11 +305,11 @@
 	})()
 	a := x.broker.Handle(ctx, q)
 	switch {
-	case a.Kind == core.Success:
+	case a.Status == core.Success:
 		return a.Value, nil
 	case x.clock.Now() >= q.Deadline-2*x.lim.AnswerMargin:
 		return nil, errTimeout // whatever the last attempt's end was, the client's time is up
-	case a.Kind == core.Rejection:
+	case a.Status == core.Rejection:
 		// Whole seconds are all that this header has; rounded up, since the advice is not to come earlier.
 		x.w.Header().Set("Retry-After", strconv.FormatInt(max((a.RetryAfter+999_999)/1_000_000, 1), 10))
 		return nil, errSlowDown
@@ -373,7 +373,7 @@
 }
 
 // header passes an answer's header on.
-func (x *exchange) header(res *objectstore.Result, length int) {
+func (x *exchange) header(res *objectstore.Response, length int) {
 	h := x.w.Header()
 	for _, name := range handBack {
 		if v := res.Header.Values(name); len(v) > 0 {
@@ -393,7 +393,7 @@
 }
 
 // stream starts an answer that does not fit the buffer.
-func (x *exchange) stream(res *objectstore.Result) io.Writer {
+func (x *exchange) stream(res *objectstore.Response) io.Writer {
 	x.began.Store(true)
 	x.header(res, -1)
 	x.w.WriteHeader(res.Status)
@@ -409,7 +409,7 @@
 }
 
 // answer passes a whole answer on; the body of a streamed one is with the client already.
-func (x *exchange) answer(res *objectstore.Result) error {
+func (x *exchange) answer(res *objectstore.Response) error {
 	if res.Streamed {
 		return nil
 	}
--- a/internal/frontend/object/listener.go
+++ b/internal/frontend/object/listener.go
@@ -78,7 +78,7 @@
 	now := l.clock.Now()
 	for c := range l.conns {
 		rests := c.state == http.StateIdle || c.state == http.StateNew && now >= c.since+l.quiet
-		if rests && (idle == nil || c.since < idle.since) && socket.Peek(c.Conn) != socket.Data {
+		if rests && (idle == nil || c.since < idle.since) && socket.Peek(c.Conn) != socket.Readable {
 			idle = c
 		}
 	}
@@ -129,5 +129,5 @@
 	if !ok {
 		return nil
 	}
-	return func() bool { return socket.Left(c) }
+	return func() bool { return socket.PeerClosed(c) }
 }
--- a/internal/frontend/object/multipart.go
+++ b/internal/frontend/object/multipart.go
@@ -31,7 +31,7 @@
 }
 
 // document answers with a document of this front's.
-func (x *exchange) document(res *objectstore.Result, v any) error {
+func (x *exchange) document(res *objectstore.Response, v any) error {
 	b, err := marshal(v)
 	if err != nil {
 		return errInternal
--- a/internal/timing/backoff/backoff.go
+++ b/internal/timing/backoff/backoff.go
@@ -26,12 +26,14 @@
 	return Backoff{first: max(least, min(most, n*eachFirst)), last: max(2*least, min(4*most, 4*eachFirst*n)), cap: cap}
 }
 
-// Start is the wait before the first call of all. lot is a random number from 0 to 1.
-func (b Backoff) Start(lot float64) time.Duration { return time.Duration(float64(b.first-least) * lot) }
+// InitialDelay is the wait before the first call of all. lot is a random number from 0 to 1.
+func (b Backoff) InitialDelay(lot float64) time.Duration {
+	return time.Duration(float64(b.first-least) * lot)
+}
 
-// Next is the wait after so many failures before this one, from a third of the longest to the longest. bound, where it is
+// RetryDelay is the wait after so many failures before this one, from a third of the longest to the longest. bound, where it is
 // above 0, is the longest that the caller allows.
-func (b Backoff) Next(failures int, bound time.Duration, lot float64) time.Duration {
+func (b Backoff) RetryDelay(failures int, bound time.Duration, lot float64) time.Duration {
 	longest := min(b.first<<min(failures, doublings), b.last, b.cap) * 3 / 2
 	if bound > 0 {
 		longest = min(longest, bound)
--- a/internal/timing/backoff/backoff_test.go
+++ b/internal/timing/backoff/backoff_test.go
@@ -22,11 +22,11 @@
 		{4, 0, 0, 60 * ms, 20 * ms, 60 * ms},
 	} {
 		b := New(x.callers, x.cap)
-		if low, high := b.Next(x.failures, x.bound, 0), b.Next(x.failures, x.bound, 1); low != x.least || high != x.most {
+		if low, high := b.RetryDelay(x.failures, x.bound, 0), b.RetryDelay(x.failures, x.bound, 1); low != x.least || high != x.most {
 			t.Errorf("%+v: from %v to %v", x, low, high)
 		}
 	}
-	if one, many := New(4, 0).Start(1), New(300, 0).Start(1); one != 0 || many != 1500*ms {
+	if one, many := New(4, 0).InitialDelay(1), New(300, 0).InitialDelay(1); one != 0 || many != 1500*ms {
 		t.Errorf("first calls are spread over %v and %v", one, many)
 	}
 }
--- a/internal/timing/rate/rate_test.go
+++ b/internal/timing/rate/rate_test.go
@@ -15,19 +15,19 @@
 	if r := m.Rate(time.Minute); math.Abs(r-20) > 0.5 {
 		t.Errorf("20 units a second are measured as %v", r)
 	}
-	if r := m.Rate(time.Minute + Age); math.Abs(r-20/math.E) > 0.5 {
+	if r := m.Rate(time.Minute + DecayTime); math.Abs(r-20/math.E) > 0.5 {
 		t.Errorf("after one time constant it is %v", r)
 	}
 }
 
 // A bucket fills at its rate, never over its bound, and may be overdrawn.
 func TestBucket(t *testing.T) {
-	b := Bucket{Level: -4, Rate: 2, Max: 10}
+	b := TokenBucket{Tokens: -4, RefillRate: 2, Burst: 10}
 	for _, x := range []struct {
 		at   time.Duration
 		want float64
 	}{{0, -4}, {time.Second, -2}, {7 * time.Second, 10}, {time.Hour, 10}} {
-		if got := b.Fill(x.at); got != x.want {
+		if got := b.Refill(x.at); got != x.want {
 			t.Errorf("at %v: %v, want %v", x.at, got, x.want)
 		}
 	}
@@ -35,7 +35,7 @@
 
 // A window allows so many events, and the next as many again.
 func TestWindow(t *testing.T) {
-	var w Window
+	var w FixedWindow
 	allowed := 0
 	for now := time.Hour; now < time.Hour+2*time.Minute; now += time.Second {
 		if w.Allow(now, time.Minute, 10) {
@@ -49,11 +49,11 @@
 
 // A history sums what is asked for and keeps no more.
 func TestHistory(t *testing.T) {
-	var h History
+	var h SlidingWindow
 	for i := range 10 {
 		h.Add(time.Duration(i)*time.Second, 2)
 	}
-	if got := h.Since(7 * time.Second); got != 6 || len(h.entries) != 3 {
-		t.Errorf("%v units in %d entries", got, len(h.entries))
+	if got := h.SumSince(7 * time.Second); got != 6 || len(h.samples) != 3 {
+		t.Errorf("%v units in %d entries", got, len(h.samples))
 	}
 }
--- a/internal/transport/pool/pool.go
+++ b/internal/transport/pool/pool.go
@@ -17,20 +17,20 @@
 	"poppyarch/internal/transport/socket"
 )
 
-// ErrFull says that every descriptor set aside for nodes is in use.
-var ErrFull = errors.New("pool: no descriptor left for another node connection")
+// ErrExhausted says that every descriptor set aside for nodes is in use.
+var ErrExhausted = errors.New("pool: no descriptor left for another node connection")
 
 // Conn is one connection to a node.
 type Conn struct {
 	net.Conn
-	R    *bufio.Reader
-	in   *bounded
-	addr string
-	used int64 // when its last answer came
+	Reader *bufio.Reader
+	in     *bounded
+	addr   string
+	used   int64 // when its last answer came
 }
 
-// Allow bounds how many more bytes are read from the peer; -1 lifts the bound.
-func (c *Conn) Allow(n int64) { c.in.left = n }
+// SetReadLimit bounds how many more bytes are read from the peer; -1 lifts the bound.
+func (c *Conn) SetReadLimit(n int64) { c.in.left = n }
 
 // errBound says that a peer sent more than was allowed.
 var errBound = errors.New("pool: peer sent too much")
@@ -83,13 +83,13 @@
 		if c == nil {
 			break
 		}
-		if socket.Peek(c.Conn) == socket.Quiet { // neither closed by the node nor spoilt by what nobody asked for
+		if socket.Peek(c.Conn) == socket.Empty { // neither closed by the node nor spoilt by what nobody asked for
 			return c, nil
 		}
-		p.Drop(c)
+		p.Discard(c)
 	}
 	if !p.reserve() {
-		return nil, ErrFull
+		return nil, ErrExhausted
 	}
 	ctx, cancel := context.WithTimeout(ctx, clock.Duration(p.lim.ConnectTimeout))
 	defer cancel()
@@ -99,7 +99,7 @@
 		return nil, err
 	}
 	in := &bounded{Conn: conn, left: -1}
-	return &Conn{Conn: conn, R: bufio.NewReaderSize(in, 4096), in: in, addr: addr}, nil
+	return &Conn{Conn: conn, Reader: bufio.NewReaderSize(in, 4096), in: in, addr: addr}, nil
 }
 
 // wait is Get, but where every descriptor is in use it waits for one, as long as a connection may take to come up. There
@@ -107,19 +107,19 @@
 // five away of a thousand requests for as many nodes.
 func (p *Pool) wait(ctx context.Context, addr string, fresh bool) (*Conn, error) {
 	c, err := p.Get(ctx, addr, fresh)
-	if !errors.Is(err, ErrFull) {
+	if !errors.Is(err, ErrExhausted) {
 		return c, err
 	}
 	enough := time.NewTimer(clock.Duration(p.lim.ConnectTimeout)) // of waiting; the dialling has its own time
 	defer enough.Stop()
-	for errors.Is(err, ErrFull) {
+	for errors.Is(err, ErrExhausted) {
 		select {
 		case <-p.freed:
 			c, err = p.Get(ctx, addr, fresh)
 		case <-enough.C:
-			return nil, ErrFull
+			return nil, ErrExhausted
 		case <-ctx.Done():
-			return nil, ErrFull
+			return nil, ErrExhausted
 		}
 	}
 	return c, err
@@ -133,10 +133,10 @@
 	}
 }
 
-// Lend gets a connection for one attempt, whose deadline becomes the connection's, or names the outcome where there
+// Acquire gets a connection for one attempt, whose deadline becomes the connection's, or names the outcome where there
 // is none. open is asked once the connection is up: its node may have begun to drain meanwhile, and nothing new may
 // go there. Nothing has been written in any case.
-func (p *Pool) Lend(ctx context.Context, addr string, fresh bool, deadline int64, open func() bool) (*Conn, core.Outcome) {
+func (p *Pool) Acquire(ctx context.Context, addr string, fresh bool, deadline int64, open func() bool) (*Conn, core.Outcome) {
 	left := deadline - p.clock.Now()
 	if ctx.Err() != nil || left <= 0 {
 		return nil, core.NotAttempted
@@ -145,7 +145,7 @@
 	defer cancel()
 	c, err := p.wait(dialling, addr, fresh)
 	if err != nil {
-		if errors.Is(err, ErrFull) || ctx.Err() != nil {
+		if errors.Is(err, ErrExhausted) || ctx.Err() != nil {
 			return nil, core.NotAttempted // tells nothing of the node
 		}
 		return nil, core.ConnectFailed
@@ -158,9 +158,9 @@
 	return c, core.Served
 }
 
-// EndWith ends the attempt on c when ctx is done, as when its client leaves: the connection's time is up at once.
+// InterruptOnDone ends the attempt on c when ctx is done, as when its client leaves: the connection's time is up at once.
 // stop ends that and reports whether it did so in time. Call it after Lend, whose deadline it must not precede.
-func (c *Conn) EndWith(ctx context.Context) (stop func() bool) {
+func (c *Conn) InterruptOnDone(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 }
 
@@ -227,8 +227,8 @@
 
 // Put gives back a connection whose answer was read to its end.
 func (p *Pool) Put(c *Conn) {
-	if c.R.Buffered() > 0 || c.SetDeadline(time.Time{}) != nil {
-		p.Drop(c) // bytes that nobody asked for would be taken for the next answer
+	if c.Reader.Buffered() > 0 || c.SetDeadline(time.Time{}) != nil {
+		p.Discard(c) // bytes that nobody asked for would be taken for the next answer
 		return
 	}
 	c.used = p.clock.Now()
@@ -241,29 +241,29 @@
 	p.idle[c.addr] = list
 	p.mu.Unlock()
 	if surplus != nil {
-		p.Drop(surplus)
+		p.Discard(surplus)
 	} else {
 		p.free() // at its cost another may be opened
 	}
 }
 
-// Drop closes a connection.
-func (p *Pool) Drop(c *Conn) {
+// Discard closes a connection.
+func (p *Pool) Discard(c *Conn) {
 	c.Close()
 	p.release()
 }
 
-// Quiet notes that an attempt at a node, sent then, ended in silence: connections that have not answered since may be dead
+// RecordTimeout notes that an attempt at a node, sent then, ended in silence: connections that have not answered since may be dead
 // by now, as where the machine went away. One that broke is no such sign: its end is told, and so is the others'.
-func (p *Pool) Quiet(addr string, sent int64) {
+func (p *Pool) RecordTimeout(addr string, sent int64) {
 	p.mu.Lock()
 	p.quiet[addr] = max(p.quiet[addr], sent)
 	p.mu.Unlock()
 }
 
-// Sweep closes what has been idle for too long. The nodes close such connections by themselves a good while
+// CloseExpired closes what has been idle for too long. The nodes close such connections by themselves a good while
 // later; a request must not cross that.
-func (p *Pool) Sweep() {
+func (p *Pool) CloseExpired() {
 	now := p.clock.Now()
 	var old []*Conn
 	p.mu.Lock()
@@ -285,7 +285,7 @@
 	}
 	p.mu.Unlock()
 	for _, c := range old {
-		p.Drop(c)
+		p.Discard(c)
 	}
 }
 
@@ -298,7 +298,7 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			p.Sweep()
+			p.CloseExpired()
 		}
 	}
 }
--- a/internal/transport/pool/pool_test.go
+++ b/internal/transport/pool/pool_test.go
@@ -54,14 +54,14 @@
 			t.Errorf("%d dials, want 2: silent for 6 s", *dials)
 		}
 		p.Put(c)
-		p.Quiet("a", p.clock.Now()-1)
+		p.RecordTimeout("a", p.clock.Now()-1)
 		time.Sleep(time.Millisecond)
 		c = get(t, p, "a", true)
 		if *dials != 2 {
 			t.Errorf("%d dials, want 2: it answered after the silent attempt was sent", *dials)
 		}
 		p.Put(c)
-		p.Quiet("a", p.clock.Now())
+		p.RecordTimeout("a", p.clock.Now())
 		c = get(t, p, "a", true)
 		if *dials != 3 {
 			t.Errorf("%d dials, want 3: an attempt got no answer since", *dials)
@@ -108,11 +108,11 @@
 		if *dials != 2 {
 			t.Errorf("%d dials, want 2", *dials)
 		}
-		p.Sweep()
+		p.CloseExpired()
 		if p.open != 1 {
 			t.Errorf("%d connections open, want 1", p.open)
 		}
-		p.Drop(c)
+		p.Discard(c)
 		if p.open != 0 {
 			t.Errorf("%d connections open, want 0", p.open)
 		}
@@ -130,7 +130,7 @@
 		if p.open != 3 || len(p.idle["a"]) != 0 {
 			t.Errorf("%d open, %d idle", p.open, len(p.idle["a"]))
 		}
-		if _, err := p.Get(t.Context(), "b", false); err != ErrFull {
+		if _, err := p.Get(t.Context(), "b", false); err != ErrExhausted {
 			t.Errorf("got %v", err)
 		}
 	})
@@ -160,17 +160,17 @@
 		c := get(t, p, ln.Addr().String(), false)
 		p.Put(c)
 		peer := <-peers
-		if socket.Peek(c.Conn) != socket.Quiet {
+		if socket.Peek(c.Conn) != socket.Empty {
 			t.Fatal("a sound connection counts as dead")
 		}
 		spoil(peer)
-		for socket.Peek(c.Conn) == socket.Quiet { // the news takes its time
+		for socket.Peek(c.Conn) == socket.Empty { // the news takes its time
 			time.Sleep(time.Millisecond)
 		}
 		if again := get(t, p, ln.Addr().String(), false); again == c {
 			t.Error("a dead connection was lent")
 		} else {
-			p.Drop(again)
+			p.Discard(again)
 		}
 		<-peers
 	}
@@ -186,7 +186,7 @@
 			return a, nil
 		}
 		lend := func() (*Conn, core.Outcome) {
-			return p.Lend(t.Context(), "b", false, p.clock.Now()+9_000_000, func() bool { return true })
+			return p.Acquire(t.Context(), "b", false, p.clock.Now()+9_000_000, func() bool { return true })
 		}
 		var held []*Conn
 		for _, addr := range []string{"a", "b", "c"} {
@@ -204,7 +204,7 @@
 			t.Fatal("did not wait")
 		}
 		p.Put(held[0]) // idle: its place goes to one that waits
-		p.Drop(held[1])
+		p.Discard(held[1])
 		synctest.Wait()
 		if len(got) != 2 || <-got != core.Served || <-got != core.Served {
 			t.Fatal("two places came free, and not both were taken")
--- a/internal/transport/socket/socket.go
+++ b/internal/transport/socket/socket.go
@@ -14,9 +14,9 @@
 
 // The states.
 const (
-	Quiet State = iota // nothing has come
-	Data               // bytes are there to be read
-	Ended              // the peer has closed, or the connection is broken
+	Empty    State = iota // nothing has come
+	Readable              // bytes are there to be read
+	Closed                // the peer has closed, or the connection is broken
 )
 
 // Peek tells, without waiting or taking anything, what there is to read. A connection that has no descriptor of its own
@@ -24,26 +24,26 @@
 func Peek(c net.Conn) State {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
-		return Quiet
+		return Empty
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
-		return Ended
+		return Closed
 	}
-	state := Ended
+	state := Closed
 	// Control and not Read: the latter fails at once where the read deadline has passed.
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case errors.Is(err, syscall.EAGAIN):
-			state = Quiet
+			state = Empty
 		case err == nil && n > 0:
-			state = Data
+			state = Readable
 		}
 	})
 	if err != nil {
-		return Ended
+		return Closed
 	}
 	return state
 }
@@ -57,9 +57,9 @@
 	tcpFinWait2    = 5
 )
 
-// Left reports whether the peer has closed its side of a connection or reset it. It sees this also where bytes that came
+// PeerClosed reports whether the peer has closed its side of a connection or reset it. It sees this also where bytes that came
 // before are still to be read, which hide the end from Peek.
-func Left(c net.Conn) bool {
+func PeerClosed(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return false
@@ -79,7 +79,7 @@
 	case err != nil:
 		return true // closed on this side
 	case !known:
-		return Peek(c) == Ended
+		return Peek(c) == Closed
 	}
 	switch state {
 	case tcpEstablished, tcpSynReceived, tcpFinWait1, tcpFinWait2:
@@ -88,9 +88,9 @@
 	return true
 }
 
-// Unsent is how many bytes were written to a connection that its peer's system has not yet got; ok is false where that is
+// UnsentBytes is how many bytes were written to a connection that its peer's system has not yet got; ok is false where that is
 // not known.
-func Unsent(c net.Conn) (n int, ok bool) {
+func UnsentBytes(c net.Conn) (n int, ok bool) {
 	sc, isRaw := c.(syscall.Conn)
 	if !isRaw {
 		return 0, false
--- a/internal/transport/socket/socket_test.go
+++ b/internal/transport/socket/socket_test.go
@@ -46,12 +46,12 @@
 	} {
 		here, peer := pair(t)
 		io.WriteString(peer, "unread")
-		eventually(t, "the bytes", func() bool { return Peek(here) == Data })
-		if Left(here) {
+		eventually(t, "the bytes", func() bool { return Peek(here) == Readable })
+		if PeerClosed(here) {
 			t.Errorf("%s: the peer is there", name)
 		}
 		end(peer)
-		eventually(t, name, func() bool { return Left(here) })
+		eventually(t, name, func() bool { return PeerClosed(here) })
 	}
 }
 
@@ -59,11 +59,11 @@
 func TestLeftAfterOwnClose(t *testing.T) {
 	here, _ := pair(t)
 	here.CloseWrite()
-	if Left(here) {
+	if PeerClosed(here) {
 		t.Error("the peer is there after a half close of this side")
 	}
 	here.Close()
-	if !Left(here) {
+	if !PeerClosed(here) {
 		t.Error("nobody is at the other end of a closed connection")
 	}
 }
@@ -72,10 +72,10 @@
 func TestConnectionsWithoutDescriptor(t *testing.T) {
 	here, peer := net.Pipe()
 	peer.Close()
-	if Left(here) || Peek(here) != Quiet {
+	if PeerClosed(here) || Peek(here) != Empty {
 		t.Error("a pipe has no state of its own")
 	}
-	if _, ok := Unsent(here); ok {
+	if _, ok := UnsentBytes(here); ok {
 		t.Error("nor a count of bytes")
 	}
 }
@@ -83,14 +83,14 @@
 // What the peer's system has no room for is counted.
 func TestUnsent(t *testing.T) {
 	here, peer := pair(t)
-	if n, ok := Unsent(here); n != 0 || !ok {
+	if n, ok := UnsentBytes(here); n != 0 || !ok {
 		t.Errorf("%d bytes, %v, before anything was written", n, ok)
 	}
 	peer.SetReadBuffer(4096)
 	here.SetWriteBuffer(4 << 20)
 	here.SetWriteDeadline(time.Now().Add(200 * time.Millisecond))
 	here.Write(make([]byte, 16<<20)) // more than both sides hold
-	if n, ok := Unsent(here); n == 0 || !ok {
+	if n, ok := UnsentBytes(here); n == 0 || !ok {
 		t.Errorf("%d bytes, %v, of 16 MiB that nobody reads", n, ok)
 	}
 }
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -12,7 +12,7 @@
 // volume is what this host knows of a tenant's volume over all nodes.
 type volume struct {
 	plan          *decision.Plan
-	limit         rate.Bucket
+	limit         rate.TokenBucket
 	waiting       float64    // units held for all nodes
 	credit        float64    // units that may be labelled
 	asked, served rate.Meter // of this host
@@ -32,8 +32,11 @@
 	v := &volume{plan: plan, seen: s.now, credit: plan.ReservedRate + max(s.cfg.MaxUnits, 1)}
 	// This host may be a restart that has already spent its part of the limit. So the store starts at its birth,
 	// not full but with its part of the slack, which ordinary sending never touches.
-	v.limit = rate.Bucket{
-		Rate: plan.RateLimit / h, Max: plan.RateLimitBurst / h, Level: plan.RateLimitTolerance / h, At: s.born,
+	v.limit = rate.TokenBucket{
+		RefillRate: plan.RateLimit / h,
+		Burst:      plan.RateLimitBurst / h,
+		Tokens:     plan.RateLimitTolerance / h,
+		RefilledAt: s.born,
 	}
 	s.vols[a.Volume] = v
 	return v
--- a/policy/depth.go
+++ b/policy/depth.go
@@ -18,14 +18,14 @@
 	out          []*request
 	queued       float64 // units waiting
 	history
-	aim                      float64       // mean aim of what was sent
-	errors                   float64       // part of its answers of late that were errors
-	suspect                  bool          // it let an attempt time out and has served none since
-	held                     float64       // how long that took, if nothing else has told of its load yet
-	refused                  int           // connections that could not be made since it last served
-	heardAt, leftAt          time.Duration // its last answer; when it left the list
-	retryAt, doubtAt, sentAt time.Duration // nothing goes before; sign of a restart not yet listed
-	recent                   rate.History  // sends within the tip window
+	aim                      float64            // mean aim of what was sent
+	errors                   float64            // part of its answers of late that were errors
+	suspect                  bool               // it let an attempt time out and has served none since
+	held                     float64            // how long that took, if nothing else has told of its load yet
+	refused                  int                // connections that could not be made since it last served
+	heardAt, leftAt          time.Duration      // its last answer; when it left the list
+	retryAt, doubtAt, sentAt time.Duration      // nothing goes before; sign of a restart not yet listed
+	recent                   rate.SlidingWindow // sends within the tip window
 }
 
 // history is what outcomes told of latency, in seconds, and the depth that follows.
--- a/policy/nodelist.go
+++ b/policy/nodelist.go
@@ -11,7 +11,7 @@
 func (s *Scheduler) learn(ev *decision.Event) {
 	if ev.Kind == decision.EndpointWatchFailed {
 		// Asked again at once by all, a queue that has got long never empties.
-		s.askAt = s.now + s.backoff.Next(s.failed, ev.RetryWithin, s.jitter.Float64())
+		s.askAt = s.now + s.backoff.RetryDelay(s.failed, ev.RetryWithin, s.jitter.Float64())
 		s.watching, s.failed = false, s.failed+1
 		return
 	}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -59,7 +59,7 @@
 	rng, jitter       *rand.Rand
 	now, born, stood  time.Duration // stood: how long this host stood still before this step
 	wakeAt, periodAt  time.Duration // next timer, end of a period
-	logs              rate.Window
+	logs              rate.FixedWindow
 	askAt             time.Duration // next list call
 	backoff           backoff.Backoff
 	started, watching bool
@@ -71,7 +71,7 @@
 	turns             map[string]*turn
 	ends, todo        []*request // what waits, by its end; news of this batch, decided on once all is in
 	act               []decision.Action
-	taken, further    rate.History            // arrivals and further attempts within the budget's window
+	taken, further    rate.SlidingWindow      // arrivals and further attempts within the budget's window
 	unserved          map[piece]time.Duration // refused or failed; until when its client may try again
 	failed            int                     // list calls that failed in a row
 	trust             float64                 // part of the trials at suspect nodes that were served
@@ -114,7 +114,7 @@
 	s.now, s.act = now, act
 	if !s.started {
 		s.started, s.born, s.wakeAt, s.periodAt = true, now, -1, now+period
-		s.askAt = now + s.backoff.Start(s.jitter.Float64())
+		s.askAt = now + s.backoff.InitialDelay(s.jitter.Float64())
 	}
 	for i := range events {
 		s.takeIn(&events[i])
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -123,7 +123,7 @@
 	maps.DeleteFunc(s.turns, func(_ string, t *turn) bool { return len(t.queue) == 0 && t.rest <= s.now })
 	maps.DeleteFunc(s.vols, func(_ string, v *volume) bool {
 		return v.waiting == 0 && s.now > v.seen+forget && // and full when it is met again:
-			v.limit.Rate*forget.Seconds() >= v.limit.Max
+			v.limit.RefillRate*forget.Seconds() >= v.limit.Burst
 	})
 }
 
--- a/policy/request.go
+++ b/policy/request.go
@@ -82,7 +82,7 @@
 	}
 	demand, own := v.asked.Rate(s.now), v.served.Rate(s.now)
 	total := own + v.others.Rate(s.now)
-	if s.now < v.usedAt+rate.Age {
+	if s.now < v.usedAt+rate.DecayTime {
 		total = max(total, v.used)
 	}
 	if own > 0 {
--- a/policy/rules.go
+++ b/policy/rules.go
@@ -38,13 +38,13 @@
 		return true
 	}
 	from := s.now - s.cfg.RetryBudgetWindow
-	taken, further := s.taken.Since(from+tickBusy), s.further.Since(from-tickBusy)
+	taken, further := s.taken.SumSince(from+tickBusy), s.further.SumSince(from-tickBusy)
 	return further+1 <= s.cfg.RetryBudgetBase+s.cfg.RetryBudgetRatio*taken
 }
 
 // withinLimit: this host's even part of the volume's limit has the units.
 func (s *Scheduler) withinLimit(r *request) bool {
-	return r.vol.plan.RateLimit <= 0 || r.drawn || r.vol.limit.Fill(s.now) >= r.a.Units
+	return r.vol.plan.RateLimit <= 0 || r.drawn || r.vol.limit.Refill(s.now) >= r.a.Units
 }
 
 // coldSince is the latest start that the list or a lost connection suggests; ok is false for a warm node.
@@ -71,7 +71,7 @@
 	sum := s.cfg.SlowStartCapacity(s.now - s.cfg.OverloadWindow - at)
 	used, part := s.inWindow(n)+r.a.Units, sum/float64(s.cfg.Brokers)
 	if part < s.cfg.MeanUnits || part < r.a.Units && used == r.a.Units {
-		known := 1 - math.Exp(-age.Seconds()/rate.Age.Seconds()) // of the rate, this host being so young
+		known := 1 - math.Exp(-age.Seconds()/rate.DecayTime.Seconds()) // of the rate, this host being so young
 		asked := s.asked.Rate(s.now) * float64(s.cfg.Brokers) / float64(len(s.list))
 		asked += s.askedOf[n.Shard].Rate(s.now) * float64(max(r.a.Brokers, 1))
 		wins := r.lot*window*asked*r.a.Units/known < coldShare*sum*s.cfg.MeanUnits
@@ -82,7 +82,7 @@
 
 // inWindow sums the units sent within the rule's window and forgets older sends.
 func (s *Scheduler) inWindow(n *node) (units float64) {
-	return n.recent.Since(s.now - s.cfg.OverloadWindow - tickBusy)
+	return n.recent.SumSince(s.now - s.cfg.OverloadWindow - tickBusy)
 }
 
 // send starts an attempt and books it with every rule that counts sends.
@@ -92,7 +92,7 @@
 		s.further.Add(s.now, 1)
 	}
 	if r.vol.plan.RateLimit > 0 && !r.drawn {
-		r.vol.limit.Level -= r.a.Units
+		r.vol.limit.Tokens -= r.a.Units
 	}
 	r.drawn = true
 	n.recent.Add(s.now, r.a.Units)
