--- a/examples/tour/main.go
+++ b/examples/tour/main.go
@@ -26,8 +26,9 @@
 	pace := flag.Duration("pace", 700*time.Millisecond, "pause between the steps, for reading along")
 	flag.Parse()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	defer stop()
-	if err := run(ctx, *program, *pace); err != nil {
+	err := run(ctx, *program, *pace)
+	stop()
+	if err != nil {
 		fmt.Fprintln(os.Stderr, "tour:", err)
 		os.Exit(1)
 	}
--- a/internal/lab/chart/chart.go
+++ b/internal/lab/chart/chart.go
@@ -235,7 +235,8 @@
 		return nil, err
 	}
 	r, g, b, _ := col.RGBA()
-	poly.Color, poly.LineStyle.Width = color.NRGBA{uint8(r >> 8), uint8(g >> 8), uint8(b >> 8), 45}, 0
+	poly.Color = color.NRGBA{uint8(r >> 8), uint8(g >> 8), uint8(b >> 8), 45}
+	poly.Width = 0
 	return poly, nil
 }
 
@@ -269,7 +270,8 @@
 		if err != nil {
 			return fmt.Errorf("chart %q: band %s: %w", c.Title, b.Name, err)
 		}
-		poly.Color, poly.LineStyle.Width = color.NRGBA{120, 120, 120, 35}, 0
+		poly.Color = color.NRGBA{120, 120, 120, 35}
+		poly.Width = 0
 		p.Add(poly)
 		// Names of bands that overlap stand above each other.
 		labels, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: b.From, Y: low + (high-low)*0.045*float64(i%6)}}, Labels: []string{b.Name}})
--- a/internal/lab/model/broker.go
+++ b/internal/lab/model/broker.go
@@ -182,7 +182,7 @@
 		return
 	}
 	delete(b.open, id)
-	b.r.heard(b, q, a, hint)
+	b.r.heard(q, a, hint)
 }
 
 // send begins an attempt.
--- a/internal/lab/model/client.go
+++ b/internal/lab/model/client.go
@@ -363,7 +363,7 @@
 }
 
 // heard is what a client hears. It comes again once after a refusal or a failure, if it is one that does.
-func (r *run) heard(b *broker, q *request, a history.Answer, hint time.Duration) {
+func (r *run) heard(q *request, a history.Answer, hint time.Duration) {
 	q.over = true
 	now := r.e.Now()
 	class := &r.classes[q.class]
--- a/internal/nodes/filewatch/filewatch.go
+++ b/internal/nodes/filewatch/filewatch.go
@@ -59,7 +59,7 @@
 	}
 	m := mark{size: info.Size(), at: info.ModTime().UnixNano(), there: true}
 	if st, ok := info.Sys().(*syscall.Stat_t); ok {
-		m.dev, m.ino = uint64(st.Dev), st.Ino
+		m.dev, m.ino = st.Dev, st.Ino
 	}
 	return m
 }
@@ -170,7 +170,8 @@
 			t.Stop()
 			return Change{}, false
 		case <-events:
-		case _ = <-errs: // notifications were lost: poll
+		case err := <-errs:
+			_ = err // notifications were lost: the files are looked at
 		case <-t.C:
 		}
 		t.Stop()
--- a/internal/nodes/nodefile/nodefile.go
+++ b/internal/nodes/nodefile/nodefile.go
@@ -310,7 +310,8 @@
 		return false
 	}
 	for _, c := range s {
-		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || strings.ContainsRune("-_.:", c)) {
+		alphanumeric := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
+		if !alphanumeric && !strings.ContainsRune("-_.:", c) {
 			return false
 		}
 	}
--- a/internal/nodes/nodefile/write.go
+++ b/internal/nodes/nodefile/write.go
@@ -34,7 +34,7 @@
 func CSV(rows []Row) []byte {
 	used := []string{"id"}
 	for _, key := range known {
-		if slices.ContainsFunc(rows, func(r Row) bool { v := r.values()[key]; return v != "" && !(key == "state" && v == "up") }) {
+		if slices.ContainsFunc(rows, func(r Row) bool { v := r.values()[key]; return v != "" && (key != "state" || v != "up") }) {
 			used = append(used, key)
 		}
 	}
@@ -88,7 +88,7 @@
 		h.Style = yaml.FlowStyle
 		v := r.values()
 		for _, key := range known {
-			if v[key] != "" && !(key == "state" && v[key] == "up") {
+			if v[key] != "" && (key != "state" || v[key] != "up") {
 				x := text(v[key])
 				if key == "shard" || key == "cores" || key == "speed" {
 					x = &yaml.Node{Kind: yaml.ScalarNode, Value: v[key]}
--- a/internal/nodes/nodefile/yaml.go
+++ b/internal/nodes/nodefile/yaml.go
@@ -64,7 +64,7 @@
 		case "include":
 			t.include(v)
 		default:
-			t.group(key, k, v)
+			t.group(key, v)
 		}
 	})
 	t.resolve()
@@ -146,7 +146,7 @@
 	}
 }
 
-func (t *tree) group(name string, k, n *yaml.Node) {
+func (t *tree) group(name string, n *yaml.Node) {
 	g := t.groups[name]
 	if g == nil {
 		g = &group{name: name, vars: map[string]field{}}
@@ -160,7 +160,7 @@
 		case "children":
 			t.each(v, at, func(child string, k, v *yaml.Node) {
 				g.children = append(g.children, child)
-				t.group(child, k, v)
+				t.group(child, v)
 			})
 		case "hosts":
 			t.each(v, at, func(host string, k, v *yaml.Node) { t.hosts(name, host, at+"."+host, k, v) })
--- a/internal/observability/incident/incident_test.go
+++ b/internal/observability/incident/incident_test.go
@@ -62,8 +62,8 @@
 	return slices.ContainsFunc(list, func(s span) bool { return s.from > t && s.from <= to })
 }
 
-// serve is one request at broker b at t: its attempts go to nodes as the world has them.
-func (w *world) serve(b int, t int64, volume string) (record.Event, int64) {
+// serve is one request at t: its attempts go to nodes as the world has them.
+func (w *world) serve(t int64, volume string) (record.Event, int64) {
 	q := &record.Request{Class: 0, Plan: 0, Volume: volume, Units: 1}
 	at := t
 	for n := 0; n < 3; n++ {
@@ -126,14 +126,14 @@
 		}
 	}
 	for t := up; t < down; t += int64(w.r.ExpFloat64() / w.rate * float64(sec)) {
-		e, end := w.serve(b, t, fmt.Sprintf("v%d", w.r.IntN(6)))
+		e, end := w.serve(t, fmt.Sprintf("v%d", w.r.IntN(6)))
 		if end < down {
 			items = append(items, item{end, e})
 		}
 	}
 	for volume, s := range w.surge {
 		for t := max(s.from, up); t < min(s.to, down); t += int64(w.r.ExpFloat64() / (w.rate * 2) * float64(sec)) {
-			e, end := w.serve(b, t, volume)
+			e, end := w.serve(t, volume)
 			if end < down {
 				items = append(items, item{end, e})
 			}
@@ -248,7 +248,7 @@
 var kinds = []incident.Kind{incident.BrokerDead, incident.NodeSilent, incident.NodeCold, incident.NodeDown, incident.NodeSlow, incident.NodeDrain, incident.VolumeSurge,
 	incident.DiscoveryDown, incident.Refusals, incident.Rollout}
 
-func (w *world) check(t *testing.T, what string) *incident.Analysis {
+func (w *world) check(t *testing.T, what string) {
 	t.Helper()
 	o := incident.DefaultOptions()
 	a := incident.Analyse(w.streams(), o)
@@ -271,7 +271,6 @@
 	if err := report.Text(io.Discard, a); err != nil {
 		t.Error(err)
 	}
-	return a
 }
 
 // Overlapping failures as the issue names them, each for itself and together: every one is reported within its bounds, none is
--- a/internal/observability/record/recorder.go
+++ b/internal/observability/record/recorder.go
@@ -353,9 +353,9 @@
 }
 
 // frame hands events to the sink. What it does not take is remembered, to be told once it takes something again.
-func (r *Recorder) frame(events []byte, base, now int64) bool {
+func (r *Recorder) frame(events []byte, base, now int64) {
 	if r.write(events, base) {
-		return true
+		return
 	}
 	d := NewDecoder()
 	d.Reset(events, base)
@@ -380,7 +380,6 @@
 		}
 		r.diskLost.From, r.diskLost.To = min(r.diskLost.From, e.At), max(r.diskLost.To, e.At)
 	}
-	return false
 }
 
 // Latest is the last summary; nil before the first. It must not be changed.
--- a/internal/observability/sketch/sketch_test.go
+++ b/internal/observability/sketch/sketch_test.go
@@ -139,11 +139,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		places := rapid.IntRange(2, 10).Draw(t, "places")
 		a, b := NewTop(places), NewTop(places)
-		true_ := map[string]uint64{}
+		exact := map[string]uint64{}
 		total := uint64(0)
 		for range rapid.IntRange(0, 300).Draw(t, "n") {
 			key := rapid.SampledFrom([]string{"a", "a", "a", "b", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k"}).Draw(t, "key")
-			true_[key]++
+			exact[key]++
 			total++
 			to := a
 			if rapid.Bool().Draw(t, "which") {
@@ -155,11 +155,11 @@
 		got := map[string]bool{}
 		for _, c := range a.List(places) {
 			got[c.Key] = true
-			if c.Count < true_[c.Key] || c.Count-c.Error > true_[c.Key] || c.Extra[0] > true_[c.Key] {
-				t.Fatalf("%+v, is %d", c, true_[c.Key])
+			if c.Count < exact[c.Key] || c.Count-c.Error > exact[c.Key] || c.Extra[0] > exact[c.Key] {
+				t.Fatalf("%+v, is %d", c, exact[c.Key])
 			}
 		}
-		for key, n := range true_ {
+		for key, n := range exact {
 			if !got[key] && n > 2*total/uint64(places) {
 				t.Fatalf("%s with %d of %d is not among %d", key, n, total, places)
 			}
--- a/internal/testkit/compat/stored_test.go
+++ b/internal/testkit/compat/stored_test.go
@@ -17,7 +17,7 @@
 )
 
 // openJournal opens a journal folder that holds the given files and returns what was read and the folder.
-func openJournal(t *testing.T, files map[string][]byte, options journal.Options) (*journal.Opened, string, error) {
+func openJournal(t *testing.T, files map[string][]byte) (*journal.Opened, string, error) {
 	t.Helper()
 	folder := t.TempDir()
 	for name, content := range files {
@@ -34,7 +34,7 @@
 			t.Error(err)
 		}
 	})
-	log, opened, err := journal.Open(fs, options)
+	log, opened, err := journal.Open(fs, journal.Options{})
 	if err == nil {
 		t.Cleanup(func() {
 			if err := log.Close(); err != nil {
@@ -53,7 +53,7 @@
 // replayManagerLog applies the stored log to an empty state.
 func replayManagerLog(t *testing.T) *state.State {
 	t.Helper()
-	opened, _, err := openJournal(t, map[string][]byte{"log-0": managerLog(t)}, journal.Options{})
+	opened, _, err := openJournal(t, map[string][]byte{"log-0": managerLog(t)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,7 +106,7 @@
 
 // TestJournalFilesAreWrittenAlike appends the stored log's records to an empty journal.
 func TestJournalFilesAreWrittenAlike(t *testing.T) {
-	opened, _, err := openJournal(t, map[string][]byte{"log-0": managerLog(t)}, journal.Options{})
+	opened, _, err := openJournal(t, map[string][]byte{"log-0": managerLog(t)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,7 +135,7 @@
 }
 
 func TestJournalSnapshotFileIsRead(t *testing.T) {
-	opened, _, err := openJournal(t, map[string][]byte{"snap-1": readFile(t, "testdata/manager/snap-1")}, journal.Options{})
+	opened, _, err := openJournal(t, map[string][]byte{"snap-1": readFile(t, "testdata/manager/snap-1")})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -145,12 +145,12 @@
 }
 
 func TestTornManagerLogLosesOnlyTheUnfinishedRecord(t *testing.T) {
-	whole, _, err := openJournal(t, map[string][]byte{"log-0": managerLog(t)}, journal.Options{})
+	whole, _, err := openJournal(t, map[string][]byte{"log-0": managerLog(t)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	log := managerLog(t)
-	torn, _, err := openJournal(t, map[string][]byte{"log-0": log[:len(log)-1]}, journal.Options{})
+	torn, _, err := openJournal(t, map[string][]byte{"log-0": log[:len(log)-1]})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -165,7 +165,7 @@
 func TestDamagedManagerLogIsRefusedAndLeftAsItIs(t *testing.T) {
 	log := managerLog(t)
 	log[len(log)/2] ^= 1
-	opened, folder, err := openJournal(t, map[string][]byte{"log-0": log}, journal.Options{})
+	opened, folder, err := openJournal(t, map[string][]byte{"log-0": log})
 	if !errors.Is(err, journal.ErrDamaged) {
 		t.Fatalf("error is %v, want ErrDamaged", err)
 	}
--- a/internal/testkit/fake/traffic.go
+++ b/internal/testkit/fake/traffic.go
@@ -164,7 +164,7 @@
 	_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
 	_, err := c.r.Peek(1)
 	var ne net.Error
-	return !(errors.As(err, &ne) && ne.Timeout())
+	return !errors.As(err, &ne) || !ne.Timeout()
 }
 
 // ask sends one command and reads its answer. It reports whether the connection can go on.
--- a/tools/measure/fleet.go
+++ b/tools/measure/fleet.go
@@ -171,8 +171,8 @@
 
 func alone(ctx context.Context, s *cluster.Stack, load *fake.Traffic, program string, kill bool) (start, change time.Duration, err error) {
 	dir := filepath.Join(filepath.Dir(s.Config), "single")
-	if err = os.Mkdir(dir, 0o700); err != nil {
-		return
+	if err := os.Mkdir(dir, 0o700); err != nil {
+		return 0, 0, err
 	}
 	write := func(memory string) error {
 		if err := s.Inventory(map[string]string{"memory_mb": memory}); err != nil {
@@ -185,13 +185,13 @@
 		}
 		return os.WriteFile(path, agentKey.ReplaceAll(b, nil), 0o600) // an earlier agent does not know the key
 	}
-	if err = write("96"); err != nil {
-		return
+	if err := write("96"); err != nil {
+		return 0, 0, err
 	}
 	at := time.Now()
 	cmd, err := agent(s, program, dir)
 	if err != nil {
-		return
+		return 0, 0, err
 	}
 	start = time.Since(at)
 	defer func() {
@@ -216,11 +216,11 @@
 		time.Sleep(time.Second)
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
-		_ = <-done // it was killed
+		err := <-done
+		_ = err // it was killed
 		time.Sleep(time.Second)
-		var err error
 		cmd, err = agent(s, program, dir)
 		return err
 	})
-	return
+	return start, change, err
 }
