--- a/cmd/poppyarch/fleet.go
+++ b/cmd/poppyarch/fleet.go
@@ -150,13 +150,13 @@
 			if err != nil {
 				return err
 			}
-			dir, err := journal.OpenDir(s.Manager.Journal)
+			dir, err := journal.OpenDir(s.Manager.JournalDir)
 			if err != nil {
 				return err
 			}
 			defer dir.Close()
 			lim := state.DefaultLimits()
-			lim.AgentTimeout, lim.MaxRevisions = s.Manager.Silence.Micros(), s.Manager.Revisions
+			lim.AgentTimeout, lim.MaxRevisions = s.Manager.AgentTimeout.Micros(), s.Manager.MaxRevisions
 			m, err := manager.Open(dir, manager.Options{Limits: lim, AcceptDamage: s.Manager.AcceptDamage}, log)
 			if err != nil {
 				return err
@@ -210,18 +210,18 @@
 			if err != nil {
 				return err
 			}
-			dir, err := journal.OpenDir(s.Agent.Journal)
+			dir, err := journal.OpenDir(s.Agent.JournalDir)
 			if err != nil {
 				return err
 			}
 			defer dir.Close()
 			times := reconcile.DefaultTimes()
-			times.Drain, times.Look = s.Agent.Drain.Micros(), s.Agent.Look.Micros()
+			times.Drain, times.Look = s.Agent.DrainTimeout.Micros(), s.Agent.PollInterval.Micros()
 			times.Deaf = max(times.Deaf, 3*times.Look)
 			x := &supervisor.Exec{Program: self, Dir: run}
 			client := api.NewClient(s.Agent.Manager)
 			defer client.Close()
-			sv, err := supervisor.Open(dir, supervisor.Options{Name: s.Agent.Name, Times: times, NewFleet: s.Agent.NewFleet}, x, x, client, log)
+			sv, err := supervisor.Open(dir, supervisor.Options{Name: s.Agent.Name, Times: times, NewFleet: s.Agent.AcceptNewFleet}, x, x, client, log)
 			if err != nil {
 				return err
 			}
@@ -231,7 +231,7 @@
 			err = sv.Run(ctx)
 			if drain && ctx.Err() != nil {
 				log.Info("agent: draining all instances")
-				end, cancel := context.WithTimeout(context.Background(), time.Duration(s.Agent.Drain)+5*time.Second)
+				end, cancel := context.WithTimeout(context.Background(), time.Duration(s.Agent.DrainTimeout)+5*time.Second)
 				defer cancel()
 				sv.Drain(end)
 			}
@@ -261,12 +261,12 @@
 			if file == "" {
 				return &exit{exitUsage, errors.New("no inventory: --inventory, or fleet.inventory in the file")}
 			}
-			want, err := desired.Load(file, s.Fleet.Agent)
+			want, err := desired.Load(file, s.Fleet.DefaultAgent)
 			if err != nil {
 				return &exit{exitUsage, err}
 			}
 			dry = dry || what != "apply"
-			r, err := in.client.Apply(in.ctx, &api.ApplyCall{Command: f.command(note, expect, dry), Spec: *want, Strategy: s.Strategy.State()})
+			r, err := in.client.Apply(in.ctx, &api.ApplyCall{Command: f.command(note, expect, dry), Spec: *want, Strategy: s.Strategy.RolloutStrategy()})
 			if err != nil {
 				return err
 			}
@@ -337,7 +337,7 @@
 		Use: "rollback --to REVISION", Short: "Go back to an earlier revision; a rollout under way ends", Args: usage(cobra.NoArgs),
 		RunE: f.with(func(in *session) error {
 			s := in.set
-			r, err := in.client.Rollback(in.ctx, &api.RollbackCall{Command: f.command(note, expect, dry), To: to, WithNodes: nodes, Strategy: s.Strategy.State()})
+			r, err := in.client.Rollback(in.ctx, &api.RollbackCall{Command: f.command(note, expect, dry), To: to, WithNodes: nodes, Strategy: s.Strategy.RolloutStrategy()})
 			if err != nil {
 				return err
 			}
--- a/cmd/poppyarch/fleet_show.go
+++ b/cmd/poppyarch/fleet_show.go
@@ -109,7 +109,7 @@
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "INSTANCE\tAGENT\tSTATE\tREV\tHOLDS\tBOOT\tNODES\tAGE\tWHY")
 	for _, i := range o.Instances {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%.8s\t%d\t%s\t%s\n", i.Name, i.Agent, i.Proc(), i.Revision, i.Holds(), dash(i.Report.Incarnation), i.Report.NodeCount,
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%.8s\t%d\t%s\t%s\n", i.Name, i.Agent, i.ProcessText(), i.Revision, i.ConfigurationText(), dash(i.Report.Incarnation), i.Report.NodeCount,
 			age(i.Age), i.Reason)
 	}
 	t.Flush()
--- a/internal/broker/server/live.go
+++ b/internal/broker/server/live.go
@@ -128,7 +128,7 @@
 	}
 	seen := map[string]bool{}
 	for i, n := range nodes {
-		if err := n.Check(); err != nil {
+		if err := n.Validate(); err != nil {
 			return fmt.Errorf("nodes[%d]: %w", i, err)
 		}
 		if seen[n.ID] {
--- a/internal/fleet/desired/desired.go
+++ b/internal/fleet/desired/desired.go
@@ -19,15 +19,15 @@
 	if err != nil {
 		return nil, err
 	}
-	out, err := From(list, byDefault, os.ReadFile)
+	out, err := FromInventory(list, byDefault, os.ReadFile)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return out, nil
 }
 
-// From does it with the instances at hand.
-func From(list []inventory.Instance, byDefault string, read func(string) ([]byte, error)) (*spec.Spec, error) {
+// FromInventory does it with the instances at hand.
+func FromInventory(list []inventory.Instance, byDefault string, read func(string) ([]byte, error)) (*spec.Spec, error) {
 	out := &spec.Spec{Instances: map[string]*spec.Instance{}, Configs: map[string]string{}}
 	texts := map[string][]byte{}
 	for _, in := range list {
@@ -66,7 +66,7 @@
 		}
 		out.Instances[in.Name] = i
 	}
-	return out, out.Check()
+	return out, out.Validate()
 }
 
 // settle brings a configuration's text into one form, so that another layout is no change.
--- a/internal/fleet/journal/journal.go
+++ b/internal/fleet/journal/journal.go
@@ -27,8 +27,8 @@
 	ErrDamaged = errors.New("journal: damaged")
 	// ErrLocked says that another process has it open.
 	ErrLocked = errors.New("journal: in use by another process")
-	// ErrTooLong says that a record is over the bound.
-	ErrTooLong = errors.New("journal: record too long")
+	// ErrRecordSize says that a record is over the bound.
+	ErrRecordSize = errors.New("journal: record too long")
 )
 
 // File is what the journal needs of a file that is appended to.
@@ -52,15 +52,15 @@
 
 // Options bounds a journal.
 type Options struct {
-	MaxRecord    int  // bytes of one record; 0: 64 MiB
-	AcceptDamage bool // open though records in the middle are lost
+	MaxRecordBytes int  // bytes of one record; 0: 64 MiB
+	AcceptDamage   bool // open though records in the middle are lost
 }
 
-// Report tells what Open found.
-type Report struct {
+// RecoveryReport tells what Open found.
+type RecoveryReport struct {
 	Generation uint64   `json:"generation"`
 	Records    int      `json:"records"`           // after the snapshot
-	Torn       int      `json:"torn,omitempty"`    // bytes of an unfinished last record, cut off
+	TornBytes  int      `json:"torn,omitempty"`    // bytes of an unfinished last record, cut off
 	Damaged    []Damage `json:"damaged,omitempty"` // what cannot be read
 }
 
@@ -69,8 +69,8 @@
 	File   string `json:"file"`
 	Offset int64  `json:"offset"`
 	Bytes  int64  `json:"bytes"`
-	Kept   string `json:"kept,omitempty"` // the file that has them now
-	Text   string `json:"text"`
+	KeptAs string `json:"kept,omitempty"` // the file that has them now
+	Reason string `json:"text"`
 }
 
 // Journal is an open journal. Not safe for use by several goroutines.
@@ -94,17 +94,17 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Opened is what a journal held.
-type Opened struct {
+// Contents is what a journal held.
+type Contents struct {
 	Snapshot []byte // nil: none
 	Records  [][]byte
-	Report   Report
+	Report   RecoveryReport
 }
 
 // Open reads what there is and makes the journal ready for appending.
-func Open(fs FS, opt Options) (*Journal, *Opened, error) {
-	if opt.MaxRecord == 0 {
-		opt.MaxRecord = 64 << 20
+func Open(fs FS, opt Options) (*Journal, *Contents, error) {
+	if opt.MaxRecordBytes == 0 {
+		opt.MaxRecordBytes = 64 << 20
 	}
 	names, err := fs.List()
 	if err != nil {
@@ -112,7 +112,7 @@
 	}
 	snaps, logs := numbered(names, "snap-"), numbered(names, "log-")
 	j := &Journal{fs: fs, opt: opt}
-	out := &Opened{}
+	out := &Contents{}
 	// The newest snapshot that can be read, and every log from its generation on.
 	first := uint64(0)
 	for k := len(snaps) - 1; k >= 0; k-- {
@@ -125,7 +125,7 @@
 			}
 			break
 		}
-		out.Report.Damaged = append(out.Report.Damaged, Damage{File: name, Text: err.Error()})
+		out.Report.Damaged = append(out.Report.Damaged, Damage{File: name, Reason: err.Error()})
 		if k == 0 && len(logs) > 0 && logs[0] > 0 {
 			return nil, out, fmt.Errorf("%w: no snapshot can be read: %v", ErrDamaged, err)
 		}
@@ -147,7 +147,7 @@
 		}
 		last := g == newest
 		if lost { // behind a gap, nothing can be joined on
-			out.Report.Damaged = append(out.Report.Damaged, Damage{File: logName(g), Text: "stands behind damage"})
+			out.Report.Damaged = append(out.Report.Damaged, Damage{File: logName(g), Reason: "stands behind damage"})
 			continue
 		}
 		ok, err := j.read(g, last, out)
@@ -272,28 +272,28 @@
 }
 
 // read takes in one log. It reports whether all of it could be read. last is the log that is appended to.
-func (j *Journal) read(g uint64, last bool, out *Opened) (bool, error) {
+func (j *Journal) read(g uint64, last bool, out *Contents) (bool, error) {
 	name := logName(g)
 	b, err := j.fs.ReadFile(name)
 	if err != nil {
 		return false, fmt.Errorf("journal: %w", err)
 	}
-	records, good, seq, bad := parse(b, j.seq, j.opt.MaxRecord)
+	records, good, seq, bad := parse(b, j.seq, j.opt.MaxRecordBytes)
 	for _, r := range records {
 		out.Records = append(out.Records, bytes.Clone(r))
 	}
 	j.seq = seq
 	rest := b[good:]
-	torn := bad != "" && last && (good > 0 || len(b) < headSize) && !whole(rest, seq, j.opt.MaxRecord)
+	torn := bad != "" && last && (good > 0 || len(b) < headSize) && !whole(rest, seq, j.opt.MaxRecordBytes)
 	if bad != "" && !torn {
-		out.Report.Damaged = append(out.Report.Damaged, Damage{File: name, Offset: good, Bytes: int64(len(rest)), Text: bad})
+		out.Report.Damaged = append(out.Report.Damaged, Damage{File: name, Offset: good, Bytes: int64(len(rest)), Reason: bad})
 		return false, nil
 	}
 	if !last {
 		return true, nil
 	}
 	if bad != "" {
-		out.Report.Torn = len(rest)
+		out.Report.TornBytes = len(rest)
 	}
 	if good == 0 { // it died before its head was whole
 		return true, j.create(g)
@@ -338,12 +338,12 @@
 
 // fresh sets files in doubt aside and writes what could be read as a generation of its own: what was a snapshot and
 // records becomes the same snapshot and the same records, in files without damage.
-func (j *Journal) fresh(g uint64, out *Opened) error {
+func (j *Journal) fresh(g uint64, out *Contents) error {
 	base := j.seq - uint64(len(out.Records))
 	for k := range out.Report.Damaged {
 		d := &out.Report.Damaged[k]
-		d.Kept = "damaged-" + d.File
-		if err := j.fs.Rename(d.File, d.Kept); err != nil {
+		d.KeptAs = "damaged-" + d.File
+		if err := j.fs.Rename(d.File, d.KeptAs); err != nil {
 			return fmt.Errorf("journal: %w", err)
 		}
 	}
@@ -371,8 +371,8 @@
 	}
 	j.buf = j.buf[:0]
 	for k, r := range records {
-		if len(r) == 0 || len(r) > j.opt.MaxRecord {
-			return fmt.Errorf("%w: %d bytes", ErrTooLong, len(r))
+		if len(r) == 0 || len(r) > j.opt.MaxRecordBytes {
+			return fmt.Errorf("%w: %d bytes", ErrRecordSize, len(r))
 		}
 		var h [recHead]byte
 		binary.LittleEndian.PutUint32(h[:], uint32(len(r)))
@@ -464,8 +464,8 @@
 // Size is the log's length in bytes; it starts small after each compaction.
 func (j *Journal) Size() int64 { return j.size }
 
-// Seq is the number of the last record that counts.
-func (j *Journal) Seq() uint64 { return j.seq }
+// LastSequence is the number of the last record that counts.
+func (j *Journal) LastSequence() uint64 { return j.seq }
 
 // Err is why nothing more can be written, or nil.
 func (j *Journal) Err() error { return j.broken }
@@ -473,5 +473,7 @@
 // Close ends it. Everything that counts is on disk already.
 func (j *Journal) Close() error { return j.log.Close() }
 
-// Full reports whether an error is that of a full disk, after which the journal is as it was.
-func Full(err error) bool { return errors.Is(err, errNoSpace) || errors.Is(err, os.ErrPermission) }
+// IsRetryable reports whether an error is that of a full disk, after which the journal is as it was.
+func IsRetryable(err error) bool {
+	return errors.Is(err, errNoSpace) || errors.Is(err, os.ErrPermission)
+}
--- a/internal/fleet/journal/journal_test.go
+++ b/internal/fleet/journal/journal_test.go
@@ -41,7 +41,7 @@
 }
 
 // content is all that a journal holds.
-func content(o *journal.Opened) (all []string) {
+func content(o *journal.Contents) (all []string) {
 	if o.Snapshot != nil {
 		json.Unmarshal(o.Snapshot, &all)
 	}
@@ -104,7 +104,7 @@
 		}
 		fs.SetRoom(room)
 		err = j.Append([]byte("0123456789012345678901234567890123456789012345678901234567890123456789"))
-		if !journal.Full(err) {
+		if !journal.IsRetryable(err) {
 			t.Fatalf("room for %d: %v", room, err)
 		}
 		if err := j.Compact([]byte("a snapshot that has no room either, since it is rather longer than that")); err == nil {
@@ -169,7 +169,7 @@
 			t.Fatalf("byte %d: %q", at, got)
 		}
 		last := len(got) == len(want)-1
-		if last != (err == nil) || last != (o.Report.Torn > 0) || last == (len(o.Report.Damaged) > 0) {
+		if last != (err == nil) || last != (o.Report.TornBytes > 0) || last == (len(o.Report.Damaged) > 0) {
 			t.Fatalf("byte %d, %d records: %v %+v", at, len(got), err, o.Report)
 		}
 		if last {
@@ -177,7 +177,7 @@
 		}
 		// Opened all the same, it goes on in files of its own, and the damaged ones are kept.
 		j, o, err := journal.Open(fs, journal.Options{AcceptDamage: true})
-		if err != nil || o.Report.Damaged[0].Kept == "" {
+		if err != nil || o.Report.Damaged[0].KeptAs == "" {
 			t.Fatalf("byte %d: %v %+v", at, err, o.Report)
 		}
 		if err := j.Append([]byte("more")); err != nil {
--- a/internal/fleet/manager/manager.go
+++ b/internal/fleet/manager/manager.go
@@ -68,12 +68,12 @@
 	}
 	m := &Manager{opt: opt, log: log, clock: clock.New(), epoch: random(), j: j, news: make(chan struct{}),
 		figures: map[string]figures{}, fatal: make(chan struct{}), wake: make(chan struct{}, 1)}
-	if o.Report.Torn > 0 {
-		log.Warn("manager: the journal's last record was unfinished and is cut off", "bytes", o.Report.Torn)
+	if o.Report.TornBytes > 0 {
+		log.Warn("manager: the journal's last record was unfinished and is cut off", "bytes", o.Report.TornBytes)
 	}
 	for _, d := range o.Report.Damaged {
-		log.Error("manager: damaged journal", "file", d.File, "offset", d.Offset, "bytes", d.Bytes, "kept", d.Kept, "what", d.Text)
-		m.trouble = "records were lost: " + d.File + ": " + d.Text
+		log.Error("manager: damaged journal", "file", d.File, "offset", d.Offset, "bytes", d.Bytes, "kept", d.KeptAs, "what", d.Reason)
+		m.trouble = "records were lost: " + d.File + ": " + d.Reason
 	}
 	m.s = state.New(opt.Limits)
 	if o.Snapshot != nil {
@@ -91,12 +91,12 @@
 		}
 	}
 	m.s.FinishReplay()
-	if m.s.Fleet() == "" {
-		if err := m.put(&state.Record{Kind: state.RecordFleet, Fleet: random()}); err != nil {
+	if m.s.FleetID() == "" {
+		if err := m.put(&state.Record{Kind: state.RecordFleetCreated, FleetID: random()}); err != nil {
 			return nil, err
 		}
 	}
-	log.Info("manager: journal read", "fleet", m.s.Fleet(), "revision", m.s.NewestRevision(), "edition", m.s.Edition(),
+	log.Info("manager: journal read", "fleet", m.s.FleetID(), "revision", m.s.NewestRevision(), "edition", m.s.Edition(),
 		"records", o.Report.Records, "generation", o.Report.Generation)
 	return m, nil
 }
@@ -150,25 +150,25 @@
 // tell logs what a record means.
 func (m *Manager) tell(r *state.Record) {
 	switch r.Kind {
-	case state.RecordAgent:
+	case state.RecordAgentRegistered:
 		m.log.Info("manager: agent registered", "agent", r.Agent, "token", r.Token)
-	case state.RecordRevision:
+	case state.RecordRevisionCreated:
 		m.log.Info("manager: new revision", "revision", r.Revision, "changes", len(r.Changes), "back_to", r.RollbackTo, "by", r.Author, "note", r.Note)
-	case state.RecordNodes:
+	case state.RecordNodeOverridesSet:
 		m.log.Info("manager: node changes", "revision", r.Revision, "in_force", len(r.Nodes), "by", r.Author, "note", r.Note)
 	case state.RecordRolloutStarted:
 		m.log.Info("manager: rollout begins", "rollout", r.Revision, "waves", len(r.Waves))
-	case state.RecordRelease:
+	case state.RecordInstancesReleased:
 		m.log.Info("manager: instances released", "rollout", r.Revision, "instances", r.Instances)
-	case state.RecordFailure:
+	case state.RecordInstanceFailed:
 		m.log.Error("manager: instance failed", "rollout", r.Revision, "instance", r.Instances[0], "reason", r.Reason)
 	case state.RecordWaveFinished:
 		m.log.Info("manager: wave is over", "rollout", r.Revision)
-	case state.RecordPhase:
+	case state.RecordPhaseChanged:
 		m.log.Info("manager: rollout", "rollout", r.Revision, "phase", r.Phase, "reason", r.Reason, "by", r.Author)
 	case state.RecordAgentRetired:
 		m.log.Warn("manager: agent retired, what it held is free", "agent", r.Agent, "by", r.Author, "note", r.Note)
-	case state.RecordHandover, state.RecordInstanceRemoved:
+	case state.RecordInstanceHandedOver, state.RecordInstanceRemoved:
 		m.log.Info("manager: instance let go", "instance", r.Instances[0], "why", r.Kind)
 	}
 }
@@ -202,7 +202,7 @@
 			break
 		}
 		for _, r := range list {
-			if r.Kind == state.RecordRevision { // a rollback by itself
+			if r.Kind == state.RecordRevisionCreated { // a rollback by itself
 				r.At = m.clock.Now()
 			}
 			if m.put(r) != nil {
@@ -246,7 +246,7 @@
 	if err := m.put(r); err != nil {
 		return api.Registration{}, err
 	}
-	return api.Registration{Token: r.Token, Epoch: m.epoch, Fleet: m.s.Fleet(), Edition: m.s.Edition()}, nil
+	return api.Registration{Token: r.Token, Epoch: m.epoch, Fleet: m.s.FleetID(), Edition: m.s.Edition()}, nil
 }
 
 func (m *Manager) sameLife(epoch string) error {
@@ -314,7 +314,7 @@
 func (m *Manager) Config(digest string) (string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if text, ok := m.s.Config(digest); ok {
+	if text, ok := m.s.ConfigText(digest); ok {
 		return text, nil
 	}
 	return "", fmt.Errorf("configuration %s: %w", digest, state.ErrNotFound)
@@ -392,7 +392,7 @@
 
 // Overview is the fleet as it is known now.
 func (m *Manager) Overview(sel spec.Selector) (api.Overview, error) {
-	if err := sel.Check(); err != nil {
+	if err := sel.Validate(); err != nil {
 		return api.Overview{}, fmt.Errorf("%w: %v", api.ErrRequest, err)
 	}
 	m.mu.Lock()
@@ -410,7 +410,7 @@
 	if len(m.figures) > 2*len(list)+1000 { // of instances that are long gone
 		clear(m.figures)
 	}
-	return api.Overview{Figures: figs, Fleet: m.s.Fleet(), Rev: m.s.NewestRevision(), Settled: m.s.Settled(), Unavailable: out, Enabled: of,
+	return api.Overview{Figures: figs, Fleet: m.s.FleetID(), Rev: m.s.NewestRevision(), Settled: m.s.Settled(), Unavailable: out, Enabled: of,
 		Differing: m.s.NotCurrent(), Instances: list, Agents: m.s.Agents(), Rollouts: m.s.Rollouts(5),
 		Nodes: nodes, Journal: m.trouble}, nil
 }
--- a/internal/fleet/settings/settings.go
+++ b/internal/fleet/settings/settings.go
@@ -48,47 +48,47 @@
 // Manager sets the manager up.
 type Manager struct {
 	Listen       string   `toml:"listen"`        // unix:PATH or HOST:PORT
-	Journal      string   `toml:"journal"`       // its folder
-	Silence      Duration `toml:"silence"`       // an agent not heard of for so long is silent
-	Revisions    int      `toml:"revisions"`     // kept for rollback
+	JournalDir   string   `toml:"journal"`       // its folder
+	AgentTimeout Duration `toml:"silence"`       // an agent not heard of for so long is silent
+	MaxRevisions int      `toml:"revisions"`     // kept for rollback
 	AcceptDamage bool     `toml:"accept_damage"` // start though records of the journal are lost
 }
 
 // Agent sets an agent up.
 type Agent struct {
-	Name     string   `toml:"name"`
-	Manager  string   `toml:"manager"`   // where the manager listens
-	Journal  string   `toml:"journal"`   // its folder
-	RunDir   string   `toml:"run_dir"`   // the brokers' configurations, sockets and logs
-	Drain    Duration `toml:"drain"`     // from SIGTERM to SIGKILL
-	Look     Duration `toml:"look"`      // between two looks at a broker
-	NewFleet bool     `toml:"new_fleet"` // follow another manager than before, or one that has lost history
+	Name           string   `toml:"name"`
+	Manager        string   `toml:"manager"`   // where the manager listens
+	JournalDir     string   `toml:"journal"`   // its folder
+	RunDir         string   `toml:"run_dir"`   // the brokers' configurations, sockets and logs
+	DrainTimeout   Duration `toml:"drain"`     // from SIGTERM to SIGKILL
+	PollInterval   Duration `toml:"look"`      // between two looks at a broker
+	AcceptNewFleet bool     `toml:"new_fleet"` // follow another manager than before, or one that has lost history
 }
 
 // Fleet is for the command line.
 type Fleet struct {
-	Manager   string `toml:"manager"`
-	Inventory string `toml:"inventory"`
-	Agent     string `toml:"agent"` // of instances whose inventory names none
+	Manager      string `toml:"manager"`
+	Inventory    string `toml:"inventory"`
+	DefaultAgent string `toml:"agent"` // of instances whose inventory names none
 }
 
 // Strategy is how revisions roll out.
 type Strategy struct {
-	Canary         int                  `toml:"canary"`
-	Batch          state.CountOrPercent `toml:"batch"`
-	MaxUnavailable state.CountOrPercent `toml:"max_unavailable"`
-	ByDomain       bool                 `toml:"by_domain"`
-	Soak           Duration             `toml:"soak"`
-	Deadline       Duration             `toml:"deadline"`
-	FailureBudget  state.CountOrPercent `toml:"failure_budget"`
-	OnFailure      string               `toml:"on_failure"`
-	Overlap        string               `toml:"overlap"`
+	Canary           int                  `toml:"canary"`
+	Batch            state.CountOrPercent `toml:"batch"`
+	MaxUnavailable   state.CountOrPercent `toml:"max_unavailable"`
+	OneDomainPerWave bool                 `toml:"by_domain"`
+	SoakTime         Duration             `toml:"soak"`
+	ProgressDeadline Duration             `toml:"deadline"`
+	FailureBudget    state.CountOrPercent `toml:"failure_budget"`
+	OnFailure        string               `toml:"on_failure"`
+	Overlap          string               `toml:"overlap"`
 }
 
-// State turns it into the planner's form.
-func (s Strategy) State() state.Strategy {
-	return state.Strategy{Canary: s.Canary, Batch: s.Batch, MaxUnavailable: s.MaxUnavailable, OneDomainPerWave: s.ByDomain,
-		SoakTime: s.Soak.Micros(), ProgressDeadline: s.Deadline.Micros(), FailureBudget: s.FailureBudget, OnFailure: s.OnFailure, Overlap: s.Overlap}
+// RolloutStrategy turns it into the planner's form.
+func (s Strategy) RolloutStrategy() state.Strategy {
+	return state.Strategy{Canary: s.Canary, Batch: s.Batch, MaxUnavailable: s.MaxUnavailable, OneDomainPerWave: s.OneDomainPerWave,
+		SoakTime: s.SoakTime.Micros(), ProgressDeadline: s.ProgressDeadline.Micros(), FailureBudget: s.FailureBudget, OnFailure: s.OnFailure, Overlap: s.Overlap}
 }
 
 // Default is what holds without a file. dir is where journals and sockets go.
@@ -97,13 +97,13 @@
 	listen := "127.0.0.1:7700"
 	us := func(v int64) Duration { return Duration(time.Duration(v) * time.Microsecond) }
 	return File{
-		Manager: Manager{Listen: listen, Journal: filepath.Join(dir, "manager"), Silence: us(state.DefaultLimits().AgentTimeout),
-			Revisions: state.DefaultLimits().MaxRevisions},
-		Agent: Agent{Name: "local", Manager: listen, Journal: filepath.Join(dir, "agent"), RunDir: dir, Drain: Duration(15 * time.Second),
-			Look: Duration(time.Second)},
-		Fleet: Fleet{Manager: listen, Agent: "local"},
-		Strategy: Strategy{Canary: d.Canary, Batch: d.Batch, MaxUnavailable: d.MaxUnavailable, ByDomain: d.OneDomainPerWave, Soak: us(d.SoakTime),
-			Deadline: us(d.ProgressDeadline), FailureBudget: d.FailureBudget, OnFailure: d.OnFailure, Overlap: d.Overlap},
+		Manager: Manager{Listen: listen, JournalDir: filepath.Join(dir, "manager"), AgentTimeout: us(state.DefaultLimits().AgentTimeout),
+			MaxRevisions: state.DefaultLimits().MaxRevisions},
+		Agent: Agent{Name: "local", Manager: listen, JournalDir: filepath.Join(dir, "agent"), RunDir: dir, DrainTimeout: Duration(15 * time.Second),
+			PollInterval: Duration(time.Second)},
+		Fleet: Fleet{Manager: listen, DefaultAgent: "local"},
+		Strategy: Strategy{Canary: d.Canary, Batch: d.Batch, MaxUnavailable: d.MaxUnavailable, OneDomainPerWave: d.OneDomainPerWave, SoakTime: us(d.SoakTime),
+			ProgressDeadline: us(d.ProgressDeadline), FailureBudget: d.FailureBudget, OnFailure: d.OnFailure, Overlap: d.Overlap},
 	}
 }
 
@@ -123,7 +123,7 @@
 		return f, tomlerror.Error(path, err)
 	}
 	base := filepath.Dir(path)
-	for _, p := range []*string{&f.Manager.Journal, &f.Agent.Journal, &f.Agent.RunDir, &f.Fleet.Inventory} {
+	for _, p := range []*string{&f.Manager.JournalDir, &f.Agent.JournalDir, &f.Agent.RunDir, &f.Fleet.Inventory} {
 		if *p != "" && !filepath.IsAbs(*p) {
 			*p = filepath.Join(base, *p)
 		}
@@ -143,20 +143,20 @@
 			return fmt.Errorf("%s: %q is neither unix:PATH nor HOST:PORT", key, addr)
 		}
 	}
-	if f.Manager.Silence <= 0 {
+	if f.Manager.AgentTimeout <= 0 {
 		return errors.New("manager.silence: must be above 0")
 	}
-	if f.Manager.Revisions < 2 {
-		return fmt.Errorf("manager.revisions: %d is under 2", f.Manager.Revisions)
+	if f.Manager.MaxRevisions < 2 {
+		return fmt.Errorf("manager.revisions: %d is under 2", f.Manager.MaxRevisions)
 	}
 	if f.Agent.Name == "" {
 		return errors.New("agent.name: missing")
 	}
-	if f.Agent.Drain <= 0 || f.Agent.Look <= 0 {
+	if f.Agent.DrainTimeout <= 0 || f.Agent.PollInterval <= 0 {
 		return errors.New("agent.drain and agent.look: must be above 0")
 	}
-	st := f.Strategy.State()
-	if err := st.Check(); err != nil {
+	st := f.Strategy.RolloutStrategy()
+	if err := st.Validate(); err != nil {
 		return fmt.Errorf("strategy.%w", err)
 	}
 	return nil
--- a/internal/fleet/settings/settings_test.go
+++ b/internal/fleet/settings/settings_test.go
@@ -26,8 +26,8 @@
 		}
 		f, err := Load(path, "/base")
 		if x.want == "" {
-			if err != nil || f.Strategy.State().SoakTime != (2*time.Second).Microseconds() || f.Strategy.Batch.Of(50) != 5 ||
-				f.Agent.RunDir != filepath.Join(dir, "run") || f.Manager.Journal != "/base/manager" {
+			if err != nil || f.Strategy.RolloutStrategy().SoakTime != (2*time.Second).Microseconds() || f.Strategy.Batch.Of(50) != 5 ||
+				f.Agent.RunDir != filepath.Join(dir, "run") || f.Manager.JournalDir != "/base/manager" {
 				t.Errorf("%v %+v", err, f)
 			}
 			continue
--- a/internal/fleet/spec/spec.go
+++ b/internal/fleet/spec/spec.go
@@ -101,8 +101,8 @@
 	Zone       string            `json:"zone,omitempty"`
 }
 
-// Check reports what is wrong with it, naming the field.
-func (n NodeOverride) Check() error {
+// Validate reports what is wrong with it, naming the field.
+func (n NodeOverride) Validate() error {
 	switch {
 	case n.ID == "":
 		return errors.New("node.id: missing")
@@ -122,8 +122,8 @@
 	Configs   map[string]string    `json:"configs,omitempty"` // texts by their digests
 }
 
-// Check reports the first thing that cannot be, naming instance and field.
-func (s *Spec) Check() error {
+// Validate reports the first thing that cannot be, naming instance and field.
+func (s *Spec) Validate() error {
 	at := map[string]string{}
 	for _, name := range slices.Sorted(maps.Keys(s.Instances)) {
 		i := s.Instances[name]
@@ -241,8 +241,8 @@
 	Terms []string
 }
 
-// Check reports the first term that cannot be.
-func (s Selector) Check() error {
+// Validate reports the first term that cannot be.
+func (s Selector) Validate() error {
 	for _, t := range s.Terms {
 		key, _, ok := strings.Cut(t, "=")
 		known := key == "group" || key == "agent" || key == "domain" ||
--- a/internal/fleet/state/agent.go
+++ b/internal/fleet/state/agent.go
@@ -83,8 +83,8 @@
 	return a
 }
 
-// Fleet names the journal that this state is of; empty: it has not begun.
-func (s *State) Fleet() string { return s.fleet }
+// FleetID names the journal that this state is of; empty: it has not begun.
+func (s *State) FleetID() string { return s.fleet }
 
 // Edition counts the records so far. It only rises as long as no history is lost.
 func (s *State) Edition() uint64 { return s.edition }
@@ -92,7 +92,7 @@
 // Register is the record that makes the caller the newest agent of that name. seen is 0, or the highest edition that it
 // followed before it came to this fleet.
 func (s *State) Register(name string, seen uint64, at int64) *Record {
-	return &Record{Kind: RecordAgent, Agent: name, Token: s.token + 1, KnownEdition: seen, At: at}
+	return &Record{Kind: RecordAgentRegistered, Agent: name, Token: s.token + 1, KnownEdition: seen, At: at}
 }
 
 // Retire is the record of an operator's word that an agent and its machine are gone for good: what it held and should not
--- a/internal/fleet/state/assignment.go
+++ b/internal/fleet/state/assignment.go
@@ -60,8 +60,8 @@
 // NodeOverrides are the operators' changes to the node list, and the revision they are of.
 func (s *State) NodeOverrides() ([]spec.NodeOverride, uint64) { return s.nodes, s.nodesRev }
 
-// Config returns a configuration text by its digest.
-func (s *State) Config(digest string) (string, bool) {
+// ConfigText returns a configuration text by its digest.
+func (s *State) ConfigText(digest string) (string, bool) {
 	t, ok := s.configs[digest]
 	return t, ok
 }
--- a/internal/fleet/state/command.go
+++ b/internal/fleet/state/command.go
@@ -26,7 +26,7 @@
 }
 
 func (s *State) fill(r *Record, c *Command, at int64) *Record {
-	r.Command, r.Author, r.At = c.ID, c.Author, at
+	r.CommandID, r.Author, r.At = c.ID, c.Author, at
 	if r.Note == "" {
 		r.Note = c.Note
 	}
@@ -46,13 +46,13 @@
 	if err := s.open(c); err != nil {
 		return nil, nil, err
 	}
-	if err := st.Check(); err != nil {
+	if err := st.Validate(); err != nil {
 		return nil, nil, err
 	}
-	if err := want.Check(); err != nil {
+	if err := want.Validate(); err != nil {
 		return nil, nil, err
 	}
-	r := &Record{Kind: RecordRevision, Revision: s.rev + 1, Strategy: &st, Configs: map[string]string{}}
+	r := &Record{Kind: RecordRevisionCreated, Revision: s.rev + 1, Strategy: &st, Configs: map[string]string{}}
 	for _, ch := range spec.Diff(s.head, want.Instances) {
 		r.Changes = append(r.Changes, InstanceChange{ch.Name, ch.New})
 		if ch.New == nil {
@@ -118,7 +118,7 @@
 	if err := s.open(c); err != nil {
 		return nil, nil, err
 	}
-	if err := st.Check(); err != nil {
+	if err := st.Validate(); err != nil {
 		return nil, nil, err
 	}
 	r, err := s.rollback(to, st, withNodes)
@@ -136,7 +136,7 @@
 		}
 		rev = s.active.rev
 	}
-	r := s.fill(&Record{Kind: RecordPhase, Revision: rev, Phase: to, Reason: c.Note}, c, at)
+	r := s.fill(&Record{Kind: RecordPhaseChanged, Revision: rev, Phase: to, Reason: c.Note}, c, at)
 	if s.active == nil || s.active.rev != rev {
 		for _, q := range s.queue {
 			if q.rev == rev && to == Aborted {
@@ -184,7 +184,7 @@
 			// Draining or taking out a node that was added keeps where it is.
 			n.Addr, n.ObjectAddr, n.Shard, n.Zone = was.Addr, was.ObjectAddr, was.Shard, was.Zone
 		}
-		if err := n.Check(); err != nil {
+		if err := n.Validate(); err != nil {
 			return nil, err
 		}
 		byID[ch.ID] = n
@@ -197,5 +197,5 @@
 	if slices.Equal(list, s.nodes) {
 		return nil, nil
 	}
-	return s.fill(&Record{Kind: RecordNodes, Revision: s.rev + 1, Nodes: list}, c, at), nil
+	return s.fill(&Record{Kind: RecordNodeOverridesSet, Revision: s.rev + 1, Nodes: list}, c, at), nil
 }
--- a/internal/fleet/state/property_test.go
+++ b/internal/fleet/state/property_test.go
@@ -122,7 +122,7 @@
 				most = max(w.s.active.strategy.MaxUnavailable.Of(of), 1)
 			}
 			w.put(r)
-			if after, _, _ := w.exposed(all); r.Kind == RecordRelease && after > max(before, most) {
+			if after, _, _ := w.exposed(all); r.Kind == RecordInstancesReleased && after > max(before, most) {
 				w.t.Fatalf("release of %v takes %d of %d out of service, %d before, at most %d may", r.Instances, after, of, before, most)
 			}
 		}
--- a/internal/fleet/state/revision.go
+++ b/internal/fleet/state/revision.go
@@ -20,7 +20,7 @@
 		s.nodes, s.nodesRev, s.nodesEd = r.Nodes, r.Revision, s.edition
 		s.retarget()
 	}
-	v := &Revision{Number: r.Revision, At: r.At, Author: r.Author, Note: r.Note, Command: r.Command, IsRollback: r.IsRollback, RollbackTo: r.RollbackTo, Nodes: s.nodes}
+	v := &Revision{Number: r.Revision, At: r.At, Author: r.Author, Note: r.Note, CommandID: r.CommandID, IsRollback: r.IsRollback, RollbackTo: r.RollbackTo, Nodes: s.nodes}
 	for _, c := range r.Changes {
 		v.Changes = append(v.Changes, Step{Name: c.Name, Old: s.head[c.Name], New: c.Desired})
 		if c.Desired == nil {
--- a/internal/fleet/state/rollout.go
+++ b/internal/fleet/state/rollout.go
@@ -176,7 +176,7 @@
 	if a == nil || a.rev != r.Revision {
 		// A queued one may be aborted before its turn.
 		for k, q := range s.queue {
-			if r.Kind == RecordPhase && r.Phase == Aborted && q.rev == r.Revision {
+			if r.Kind == RecordPhaseChanged && r.Phase == Aborted && q.rev == r.Revision {
 				s.queue = slices.Delete(s.queue, k, k+1)
 				q.phase, q.reason = Aborted, r.Reason
 				s.advance(q) // its content is in the newest revision, so the next rollout brings it
@@ -187,7 +187,7 @@
 		return fmt.Errorf("record %s: rollout %d is not the active one", r.Kind, r.Revision)
 	}
 	switch r.Kind {
-	case RecordRelease:
+	case RecordInstancesReleased:
 		for _, name := range r.Instances {
 			m := a.members[name]
 			if m == nil || m.released {
@@ -196,7 +196,7 @@
 			s.release(m)
 		}
 		a.pending = slices.DeleteFunc(a.pending, func(n string) bool { return a.members[n].released })
-	case RecordFailure:
+	case RecordInstanceFailed:
 		for _, name := range r.Instances {
 			m := a.members[name]
 			if m == nil || m.failed != "" {
@@ -215,7 +215,7 @@
 		}
 	case RecordWaveFinished:
 		s.startWave(a.wave + 1)
-	case RecordPhase:
+	case RecordPhaseChanged:
 		switch r.Phase {
 		case Paused, Active:
 			a.phase, a.reason = r.Phase, r.Reason
@@ -408,10 +408,10 @@
 				return []*Record{r}
 			}
 		}
-		return []*Record{{Kind: RecordPhase, Revision: a.rev, Phase: Paused, Reason: reason}}
+		return []*Record{{Kind: RecordPhaseChanged, Revision: a.rev, Phase: Paused, Reason: reason}}
 	}
 	if a.wave >= len(a.waves) {
-		return []*Record{{Kind: RecordPhase, Revision: a.rev, Phase: Done}}
+		return []*Record{{Kind: RecordPhaseChanged, Revision: a.rev, Phase: Done}}
 	}
 	if r := s.releases(); r != nil {
 		return []*Record{r}
@@ -431,7 +431,7 @@
 func (s *State) ended() (out []*Record) {
 	for _, name := range slices.Sorted(maps.Keys(s.gone)) {
 		i := s.gone[name]
-		kind := RecordHandover
+		kind := RecordInstanceHandedOver
 		if i.want == nil {
 			kind = RecordInstanceRemoved
 		}
@@ -444,7 +444,7 @@
 func (s *State) failures() (out []*Record) {
 	a := s.active
 	for _, name := range slices.Sorted(maps.Keys(a.suspect)) {
-		out = append(out, &Record{Kind: RecordFailure, Revision: a.rev, Instances: []string{name}, Reason: a.suspect[name]})
+		out = append(out, &Record{Kind: RecordInstanceFailed, Revision: a.rev, Instances: []string{name}, Reason: a.suspect[name]})
 	}
 	if len(out) > 0 {
 		return out
@@ -460,7 +460,7 @@
 	}
 	slices.Sort(late)
 	for _, name := range late {
-		out = append(out, &Record{Kind: RecordFailure, Revision: a.rev, Instances: []string{name}, Reason: "not current in time: " + s.why(s.inst[name])})
+		out = append(out, &Record{Kind: RecordInstanceFailed, Revision: a.rev, Instances: []string{name}, Reason: "not current in time: " + s.why(s.inst[name])})
 	}
 	return out
 }
@@ -506,7 +506,7 @@
 	if len(list) == 0 {
 		return nil
 	}
-	return &Record{Kind: RecordRelease, Revision: a.rev, Instances: list}
+	return &Record{Kind: RecordInstancesReleased, Revision: a.rev, Instances: list}
 }
 
 // rollback is the record that brings the fleet back to an earlier revision, or nil where nothing would change.
@@ -516,7 +516,7 @@
 		return nil, err
 	}
 	st.OnFailure = "pause" // a way back that fails must not lead forward again by itself
-	r := &Record{Kind: RecordRevision, Revision: s.rev + 1, Strategy: &st, IsRollback: true, RollbackTo: to}
+	r := &Record{Kind: RecordRevisionCreated, Revision: s.rev + 1, Strategy: &st, IsRollback: true, RollbackTo: to}
 	for _, c := range spec.Diff(s.head, old) {
 		r.Changes = append(r.Changes, InstanceChange{c.Name, c.New})
 	}
--- a/internal/fleet/state/state.go
+++ b/internal/fleet/state/state.go
@@ -47,7 +47,7 @@
 	At         int64               `json:"at"`
 	Author     string              `json:"by,omitempty"`
 	Note       string              `json:"note,omitempty"`
-	Command    string              `json:"command,omitempty"`
+	CommandID  string              `json:"command,omitempty"`
 	IsRollback bool                `json:"back,omitempty"` // a rollback to revision From
 	RollbackTo uint64              `json:"from,omitempty"`
 	Changes    []Step              `json:"changes,omitempty"`
@@ -73,26 +73,26 @@
 func (s *State) Apply(r *Record) error {
 	s.edition++
 	switch r.Kind {
-	case RecordFleet:
-		s.fleet = r.Fleet
-	case RecordAgent:
+	case RecordFleetCreated:
+		s.fleet = r.FleetID
+	case RecordAgentRegistered:
 		s.applyAgent(r)
-	case RecordRevision:
+	case RecordRevisionCreated:
 		if err := s.applyRevision(r); err != nil {
 			return err
 		}
-	case RecordNodes:
+	case RecordNodeOverridesSet:
 		if r.Revision != s.rev+1 {
 			return fmt.Errorf("record nodes: revision %d after %d", r.Revision, s.rev)
 		}
 		s.rev, s.nodes, s.nodesRev, s.nodesEd = r.Revision, r.Nodes, r.Revision, s.edition
-		s.remember(&Revision{Number: r.Revision, At: r.At, Author: r.Author, Note: r.Note, Command: r.Command, Nodes: r.Nodes})
+		s.remember(&Revision{Number: r.Revision, At: r.At, Author: r.Author, Note: r.Note, CommandID: r.CommandID, Nodes: r.Nodes})
 		s.retarget()
 	case RecordAgentRetired:
 		if err := s.applyRetire(r); err != nil {
 			return err
 		}
-	case RecordHandover, RecordInstanceRemoved:
+	case RecordInstanceHandedOver, RecordInstanceRemoved:
 		if len(r.Instances) != 1 || s.inst[r.Instances[0]] == nil {
 			return fmt.Errorf("record %s: no such instance %q", r.Kind, r.Instances)
 		}
@@ -112,14 +112,14 @@
 			return err
 		}
 	}
-	if r.Command != "" {
-		s.recall(r.Command, Result{Revision: r.Revision, Rollout: s.rolloutOf(r)})
+	if r.CommandID != "" {
+		s.recall(r.CommandID, Result{Revision: r.Revision, Rollout: s.rolloutOf(r)})
 	}
 	return nil
 }
 
 func (s *State) rolloutOf(r *Record) uint64 {
-	if r.Kind == RecordNodes {
+	if r.Kind == RecordNodeOverridesSet {
 		return 0
 	}
 	return r.Revision
--- a/internal/fleet/state/types.go
+++ b/internal/fleet/state/types.go
@@ -89,8 +89,8 @@
 		ProgressDeadline: 60 * s, OnFailure: "pause", Overlap: "queue"}
 }
 
-// Check reports the first figure that cannot be, by its name.
-func (s *Strategy) Check() error {
+// Validate reports the first figure that cannot be, by its name.
+func (s *Strategy) Validate() error {
 	switch {
 	case s.Canary < 0:
 		return fmt.Errorf("canary: %d is negative", s.Canary)
@@ -154,24 +154,24 @@
 
 // The kinds of records.
 const (
-	RecordFleet           RecordKind = "fleet"    // the first of a journal: it is Fleet's
-	RecordAgent           RecordKind = "agent"    // Agent registered and got Token
-	RecordRevision        RecordKind = "revision" // Rev changes Set and begins a rollout
-	RecordNodes           RecordKind = "nodes"    // Rev changes the operators' node changes to Nodes
-	RecordRolloutStarted  RecordKind = "begin"    // the rollout of Rev is the active one, in Waves
-	RecordRelease         RecordKind = "release"  // Names of it are told to change
-	RecordFailure         RecordKind = "fail"     // Names[0] of it failed, for Reason
-	RecordWaveFinished    RecordKind = "wave"     // its wave is over
-	RecordPhase           RecordKind = "phase"    // it is now in Phase, for Reason
-	RecordHandover        RecordKind = "handover" // Names[0] is now the agent's that it is wanted at
-	RecordInstanceRemoved RecordKind = "gone"     // Names[0], not wanted any more, has ended
-	RecordAgentRetired    RecordKind = "retire"   // Agent will not come back: what it held is free
+	RecordFleetCreated       RecordKind = "fleet"    // the first of a journal: it is Fleet's
+	RecordAgentRegistered    RecordKind = "agent"    // Agent registered and got Token
+	RecordRevisionCreated    RecordKind = "revision" // Rev changes Set and begins a rollout
+	RecordNodeOverridesSet   RecordKind = "nodes"    // Rev changes the operators' node changes to Nodes
+	RecordRolloutStarted     RecordKind = "begin"    // the rollout of Rev is the active one, in Waves
+	RecordInstancesReleased  RecordKind = "release"  // Names of it are told to change
+	RecordInstanceFailed     RecordKind = "fail"     // Names[0] of it failed, for Reason
+	RecordWaveFinished       RecordKind = "wave"     // its wave is over
+	RecordPhaseChanged       RecordKind = "phase"    // it is now in Phase, for Reason
+	RecordInstanceHandedOver RecordKind = "handover" // Names[0] is now the agent's that it is wanted at
+	RecordInstanceRemoved    RecordKind = "gone"     // Names[0], not wanted any more, has ended
+	RecordAgentRetired       RecordKind = "retire"   // Agent will not come back: what it held is free
 )
 
 // Record is one fact that survives. Replaying a journal's records in order gives the state again.
 type Record struct {
 	Kind         RecordKind          `json:"kind"`
-	Command      string              `json:"command,omitempty"` // id of the command it comes from
+	CommandID    string              `json:"command,omitempty"` // id of the command it comes from
 	At           int64               `json:"at,omitempty"`      // Unix time in microseconds, for people
 	Author       string              `json:"by,omitempty"`
 	Note         string              `json:"note,omitempty"`
@@ -188,7 +188,7 @@
 	Phase        Phase               `json:"phase,omitempty"`
 	Reason       string              `json:"reason,omitempty"`
 	Agent        string              `json:"agent,omitempty"`
-	Fleet        string              `json:"fleet,omitempty"`
+	FleetID      string              `json:"fleet,omitempty"`
 	Token        uint64              `json:"token,omitempty"`
 	KnownEdition uint64              `json:"seen,omitempty"` // edition that the agent's brokers may hold, of another fleet or of lost history
 }
--- a/internal/fleet/state/view.go
+++ b/internal/fleet/state/view.go
@@ -23,16 +23,16 @@
 	Report        Report `json:"seen"`
 }
 
-// Proc words what the process does.
-func (s *InstanceStatus) Proc() string {
+// ProcessText words what the process does.
+func (s *InstanceStatus) ProcessText() string {
 	if s.Report.Process == Unknown {
 		return "unknown"
 	}
 	return string(s.Report.Process)
 }
 
-// Holds words whether the broker holds what is wanted: current, old, or unknown.
-func (s *InstanceStatus) Holds() string {
+// ConfigurationText words whether the broker holds what is wanted: current, old, or unknown.
+func (s *InstanceStatus) ConfigurationText() string {
 	switch {
 	case s.Current:
 		return "current"
--- a/internal/fleet/supervisor/supervisor.go
+++ b/internal/fleet/supervisor/supervisor.go
@@ -121,8 +121,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if o.Report.Torn > 0 {
-		log.Warn("agent: the journal's last record was unfinished and is cut off", "bytes", o.Report.Torn)
+	if o.Report.TornBytes > 0 {
+		log.Warn("agent: the journal's last record was unfinished and is cut off", "bytes", o.Report.TornBytes)
 	}
 	mem, err := decode(o.Snapshot, o.Records)
 	if err != nil {
--- a/internal/observability/console/table.go
+++ b/internal/observability/console/table.go
@@ -55,7 +55,7 @@
 		figs[f.Name] = f
 	}
 	for _, i := range o.Instances {
-		st, holds := i.Proc(), i.Holds()
+		st, holds := i.ProcessText(), i.ConfigurationText()
 		req, ref, fail, open := "-", "-", "-", "-"
 		d := []string{
 			fmt.Sprintf("agent %s, domain %s, revision %d, edition %d wanted and %d held", i.Agent, i.Domain, i.Revision, i.TargetEdition, i.Report.AppliedEdition),
--- a/internal/testkit/compat/json_test.go
+++ b/internal/testkit/compat/json_test.go
@@ -69,7 +69,7 @@
 		"incident-impact":         &incident.Impact{},
 		"incident-span":           &incident.Span{},
 		"inventory-instance":      &inventory.Instance{},
-		"journal-report":          &journal.Report{},
+		"journal-report":          &journal.RecoveryReport{},
 		"lab-figure":              &statistics.Figure{},
 		"lab-result":              &model.Result{},
 		"lab-violation":           &rules.Broken{},
--- a/internal/testkit/compat/stored_test.go
+++ b/internal/testkit/compat/stored_test.go
@@ -17,7 +17,7 @@
 )
 
 // openJournal opens a journal folder that holds the given files and returns what was read and the folder.
-func openJournal(t *testing.T, files map[string][]byte, options journal.Options) (*journal.Opened, string, error) {
+func openJournal(t *testing.T, files map[string][]byte, options journal.Options) (*journal.Contents, string, error) {
 	t.Helper()
 	folder := t.TempDir()
 	for name, content := range files {
@@ -57,7 +57,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if opened.Report.Torn > 0 || len(opened.Report.Damaged) > 0 {
+	if opened.Report.TornBytes > 0 || len(opened.Report.Damaged) > 0 {
 		t.Fatalf("stored log is reported as damaged: %+v", opened.Report)
 	}
 	fleet := state.New(state.DefaultLimits())
@@ -157,7 +157,7 @@
 	if got, want := len(torn.Records), len(whole.Records)-1; got != want {
 		t.Errorf("%d records were read, want %d", got, want)
 	}
-	if torn.Report.Torn == 0 {
+	if torn.Report.TornBytes == 0 {
 		t.Error("the unfinished record is not reported")
 	}
 }
