--- a/cmd/poppyarch/fleet_processes.go
+++ b/cmd/poppyarch/fleet_processes.go
@@ -66,14 +66,14 @@
 
 // runManager serves until SIGTERM or SIGINT.
 func runManager(ctx context.Context, set settings.File, log *slog.Logger) (err error) {
-	dir, err := journal.OpenDir(set.Manager.Journal)
+	dir, err := journal.OpenDir(set.Manager.JournalDir)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, dir.Close()) }()
 	limits := state.DefaultLimits()
-	limits.AgentTimeout = set.Manager.Silence.Micros()
-	limits.MaxRevisions = set.Manager.Revisions
+	limits.AgentTimeout = set.Manager.AgentTimeout.Micros()
+	limits.MaxRevisions = set.Manager.MaxRevisions
 	m, err := manager.Open(dir, manager.Options{Limits: limits, AcceptDamage: set.Manager.AcceptDamage}, log)
 	if err != nil {
 		return err
@@ -140,19 +140,19 @@
 	if err != nil {
 		return err
 	}
-	dir, err := journal.OpenDir(set.Agent.Journal)
+	dir, err := journal.OpenDir(set.Agent.JournalDir)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, dir.Close()) }()
 	config := reconcile.DefaultConfig()
-	config.DrainTimeout = set.Agent.Drain.Micros()
-	config.HealthyProbeInterval = set.Agent.Look.Micros()
+	config.DrainTimeout = set.Agent.DrainTimeout.Micros()
+	config.HealthyProbeInterval = set.Agent.PollInterval.Micros()
 	config.StatusTTL = max(config.StatusTTL, probesPerTimeout*config.HealthyProbeInterval)
 	brokers := &supervisor.LocalBrokers{Program: program, Dir: runDir}
 	client := api.NewClient(set.Agent.Manager)
 	defer client.Close()
-	options := supervisor.Options{Name: set.Agent.Name, Reconcile: config, AcceptNewFleet: set.Agent.NewFleet}
+	options := supervisor.Options{Name: set.Agent.Name, Reconcile: config, AcceptNewFleet: set.Agent.AcceptNewFleet}
 	agent, err := supervisor.Open(dir, options, brokers, brokers, client, log)
 	if err != nil {
 		return err
@@ -163,7 +163,7 @@
 	err = agent.Run(ctx)
 	if drain && ctx.Err() != nil {
 		log.Info("agent: draining all instances")
-		end, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Duration(set.Agent.Drain)+drainSlack)
+		end, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Duration(set.Agent.DrainTimeout)+drainSlack)
 		defer cancel()
 		agent.Drain(end)
 	}
--- a/cmd/poppyarch/fleet_rollout.go
+++ b/cmd/poppyarch/fleet_rollout.go
@@ -21,7 +21,7 @@
 	if file == "" {
 		return api.Reply{}, &exit{exitUsage, errors.New("no inventory: --inventory, or fleet.inventory in the file")}
 	}
-	spec, err := desired.Load(file, s.settings.Fleet.Agent)
+	spec, err := desired.Load(file, s.settings.Fleet.DefaultAgent)
 	if err != nil {
 		return api.Reply{}, &exit{exitUsage, err}
 	}
@@ -29,7 +29,7 @@
 	if err != nil {
 		return api.Reply{}, err
 	}
-	return s.client.Apply(s.ctx, &api.ApplyRequest{Command: command, Spec: *spec, Strategy: s.settings.Strategy.State()})
+	return s.client.Apply(s.ctx, &api.ApplyRequest{Command: command, Spec: *spec, Strategy: s.settings.Strategy.RolloutStrategy()})
 }
 
 func addInventoryFlag(c *cobra.Command, file *string) {
@@ -165,7 +165,7 @@
 			if err != nil {
 				return err
 			}
-			call := &api.RollbackRequest{Command: command, To: target, WithNodes: withNodes, Strategy: s.settings.Strategy.State()}
+			call := &api.RollbackRequest{Command: command, To: target, WithNodes: withNodes, Strategy: s.settings.Strategy.RolloutStrategy()}
 			reply, err := s.client.Rollback(s.ctx, call)
 			if err != nil {
 				return err
