--- a/internal/testkit/knownred/knownred.go
+++ b/internal/testkit/knownred/knownred.go
@@ -1,62 +1,88 @@
-// Package knownred reads the list of tests that are known to fail for a fault that is not mended yet.
+// Package knownred reads KNOWN-RED.txt, the list of tests that are known to fail because of a fault that is not fixed yet.
+//
+// Each line is an entry of four fields:
+//
+//	PACKAGE TEST | COMMAND WITH SEED | WHAT WAS SEEN | issue N
+//
+// Blank lines and lines that begin with # are ignored. A test is listed as a whole; subtests cannot be.
 package knownred
 
 import (
+	"errors"
 	"fmt"
 	"regexp"
 	"strings"
 )
 
-// Most is how many tests may be listed at once.
-const Most = 3
+// MaxEntries is how many tests may be listed at once.
+const MaxEntries = 3
 
-// Test is one listed test.
-type Test struct {
-	Package string // its import path
-	Name    string
-	Cause   string
-	Issue   string
+// Errors of a list. Parse returns them in a LineError.
+var (
+	ErrMalformed = errors.New("not in the form PACKAGE TEST | COMMAND WITH SEED | WHAT WAS SEEN | issue N")
+	ErrDuplicate = errors.New("listed twice")
+	ErrTooMany   = fmt.Errorf("more than %d tests are listed", MaxEntries)
+)
+
+// LineError names the line of a list that is wrong.
+type LineError struct {
+	Line int // from 1
+	Text string
+	Err  error
 }
 
-func (t Test) String() string {
-	return fmt.Sprintf("%s %s: %s (issue %s)", t.Package, t.Name, t.Cause, t.Issue)
+func (e *LineError) Error() string { return fmt.Sprintf("line %d: %v: %q", e.Line, e.Err, e.Text) }
+
+// Unwrap returns the reason.
+func (e *LineError) Unwrap() error { return e.Err }
+
+// Entry is one listed test.
+type Entry struct {
+	Package string // import path
+	Test    string
+	Command string // that shows the failure, with its seed
+	Seen    string
+	Issue   string // number
 }
 
-// line is "PACKAGE TEST: CAUSE (issue N)". Subtests cannot be listed: a test is passed over as a whole.
-var line = regexp.MustCompile(`^(\S+) (Test\w+|Fuzz\w+): (\S.*) \(issue (\d+)\)$`)
-
-// Parse reads the text of a list. Blank lines and lines that begin with # do not count. Whatever else is not in the form, is
-// listed twice or is one too many is an error that names the line.
-func Parse(text string) ([]Test, error) {
-	var list []Test
-	seen := map[string]bool{}
-	for i, s := range strings.Split(text, "\n") {
-		s = strings.TrimRight(s, " \t\r")
-		if s == "" || strings.HasPrefix(s, "#") {
+func (e Entry) String() string {
+	return fmt.Sprintf("%s %s | %s | %s | issue %s", e.Package, e.Test, e.Command, e.Seen, e.Issue)
+}
+
+var entryPattern = regexp.MustCompile(`^(\S+) (Test\w+|Fuzz\w+) \| (\S[^|]*) \| (\S[^|]*) \| issue (\d+)$`)
+
+// Parse reads the text of a list. The error is a *LineError.
+func Parse(text string) ([]Entry, error) {
+	var entries []Entry
+	listed := map[string]bool{}
+	for i, line := range strings.Split(text, "\n") {
+		line = strings.TrimRight(line, " \t\r")
+		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		m := line.FindStringSubmatch(s)
-		if m == nil {
-			return nil, fmt.Errorf("line %d: not in the form PACKAGE TEST: CAUSE (issue N): %q", i+1, s)
+		fields := entryPattern.FindStringSubmatch(line)
+		if fields == nil {
+			return nil, &LineError{Line: i + 1, Text: line, Err: ErrMalformed}
 		}
-		t := Test{Package: m[1], Name: m[2], Cause: m[3], Issue: m[4]}
-		if seen[t.Package+" "+t.Name] {
-			return nil, fmt.Errorf("line %d: %s %s is listed twice", i+1, t.Package, t.Name)
+		entry := Entry{Package: fields[1], Test: fields[2], Command: fields[3], Seen: fields[4], Issue: fields[5]}
+		name := entry.Package + " " + entry.Test
+		if listed[name] {
+			return nil, &LineError{Line: i + 1, Text: line, Err: ErrDuplicate}
 		}
-		seen[t.Package+" "+t.Name] = true
-		if len(list) == Most {
-			return nil, fmt.Errorf("line %d: more than %d tests are listed", i+1, Most)
+		listed[name] = true
+		if len(entries) == MaxEntries {
+			return nil, &LineError{Line: i + 1, Text: line, Err: ErrTooMany}
 		}
-		list = append(list, t)
+		entries = append(entries, entry)
 	}
-	return list, nil
+	return entries, nil
 }
 
-// ByPackage groups the names of listed tests by their package.
-func ByPackage(list []Test) map[string][]string {
-	out := map[string][]string{}
-	for _, t := range list {
-		out[t.Package] = append(out[t.Package], t.Name)
+// TestsByPackage groups the names of listed tests by their package.
+func TestsByPackage(entries []Entry) map[string][]string {
+	tests := map[string][]string{}
+	for _, e := range entries {
+		tests[e.Package] = append(tests[e.Package], e.Test)
 	}
-	return out
+	return tests
 }
--- a/internal/testkit/knownred/knownred_test.go
+++ b/internal/testkit/knownred/knownred_test.go
@@ -1,35 +1,58 @@
 package knownred
 
 import (
-	"strings"
+	"errors"
+	"slices"
 	"testing"
 )
 
+const sampleEntry = "poppyarch/policy TestA | go test ./policy -run TestA -seed 7 | 6.003 s, want at most 6 s | issue 21"
+
 func TestParse(t *testing.T) {
-	const a = "poppyarch/policy TestA: stays open (issue 21)"
 	for _, x := range []struct {
-		name, text string
-		tests      int
-		err        string
+		name    string
+		text    string
+		entries int
+		err     error
+		line    int
 	}{
-		{"empty", "", 0, ""},
-		{"comments", "# none\n\n", 0, ""},
-		{"one", a + "\n", 1, ""},
-		{"three", a + "\nx TestB: b (issue 1)\nx FuzzC: c (issue 2)", 3, ""},
-		{"four", a + "\nx TestB: b (issue 1)\nx TestC: c (issue 2)\nx TestD: d (issue 2)", 0, "line 4: more than 3"},
-		{"twice", a + "\n" + a, 0, "line 2: poppyarch/policy TestA is listed twice"},
-		{"no cause", "poppyarch/policy TestA:  (issue 21)", 0, "line 1: not in the form"},
-		{"no issue", "\npoppyarch/policy TestA: stays open", 0, "line 2: not in the form"},
-		{"a subtest", "poppyarch/policy TestA/b: stays open (issue 21)", 0, "line 1: not in the form"},
-		{"no test", "poppyarch/policy: stays open (issue 21)", 0, "line 1: not in the form"},
+		{name: "empty"},
+		{name: "comments", text: "# none\n\n"},
+		{name: "one", text: sampleEntry + "\n", entries: 1},
+		{name: "three", text: sampleEntry + "\nx TestB | c | s | issue 1\nx FuzzC | c | s | issue 2", entries: 3},
+		{name: "four", text: sampleEntry + "\nx TestB | c | s | issue 1\nx TestC | c | s | issue 2\nx TestD | c | s | issue 2", err: ErrTooMany, line: 4},
+		{name: "twice", text: sampleEntry + "\n" + sampleEntry, err: ErrDuplicate, line: 2},
+		{name: "no command", text: "poppyarch/policy TestA |  | s | issue 21", err: ErrMalformed, line: 1},
+		{name: "nothing seen", text: "poppyarch/policy TestA | c |  | issue 21", err: ErrMalformed, line: 1},
+		{name: "no issue", text: "\npoppyarch/policy TestA | c | s", err: ErrMalformed, line: 2},
+		{name: "a subtest", text: "poppyarch/policy TestA/b | c | s | issue 21", err: ErrMalformed, line: 1},
+		{name: "no test", text: "poppyarch/policy | c | s | issue 21", err: ErrMalformed, line: 1},
 	} {
-		list, err := Parse(x.text)
-		if len(list) != x.tests || (err == nil) != (x.err == "") || err != nil && !strings.Contains(err.Error(), x.err) {
-			t.Errorf("%s: %v, %v", x.name, list, err)
-		}
+		t.Run(x.name, func(t *testing.T) {
+			entries, err := Parse(x.text)
+			if !errors.Is(err, x.err) {
+				t.Fatalf("error is %v, want %v", err, x.err)
+			}
+			if len(entries) != x.entries {
+				t.Errorf("%d entries, want %d", len(entries), x.entries)
+			}
+			var lineError *LineError
+			if errors.As(err, &lineError) && lineError.Line != x.line {
+				t.Errorf("the error names line %d, want %d", lineError.Line, x.line)
+			}
+		})
+	}
+}
+
+func TestEntryIsPrintedAsItIsWritten(t *testing.T) {
+	entries, err := Parse(sampleEntry)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got := entries[0].String(); got != sampleEntry {
+		t.Errorf("printed as %q, written as %q", got, sampleEntry)
 	}
-	list, err := Parse(a)
-	if err != nil || list[0].String() != a {
-		t.Errorf("%v, %v", list, err)
+	if got := TestsByPackage(entries)["poppyarch/policy"]; !slices.Equal(got, []string{"TestA"}) {
+		t.Errorf("tests of the package are %v", got)
 	}
 }
--- a/tools/runtests/main.go
+++ b/tools/runtests/main.go
@@ -1,5 +1,6 @@
-// Command runtests runs the tests of the packages that it is given, or of all, with the race detector. Tests that KNOWN-RED.txt lists are passed over and printed; a list
-// that is malformed, too long or names a test that does not exist is a failure.
+// Command runtests runs the tests of the packages that it is given, or of all, with the race detector, and every benchmark
+// once. Tests that KNOWN-RED.txt lists are skipped and printed. A list that is malformed, too long or names a test that does
+// not exist is a failure.
 package main
 
 import (
@@ -14,93 +15,102 @@
 	"poppyarch/internal/testkit/knownred"
 )
 
-const list = "KNOWN-RED.txt"
+// knownRedFile lists the tests that are known to fail.
+const knownRedFile = "KNOWN-RED.txt"
 
 func main() {
-	packages := os.Args[1:]
-	if len(packages) == 0 {
-		packages = []string{"./..."}
+	patterns := os.Args[1:]
+	if len(patterns) == 0 {
+		patterns = []string{"./..."}
 	}
-	if err := run(packages); err != nil {
+	if err := run(patterns); err != nil {
 		fmt.Fprintln(os.Stderr, "runtests:", err)
 		os.Exit(1)
 	}
 }
 
 func run(patterns []string) error {
-	known, err := read()
+	knownRed, err := readKnownRed()
 	if err != nil {
 		return err
 	}
-	found, err := output("go", append([]string{"list"}, patterns...)...)
+	packages, err := output("go", append([]string{"list"}, patterns...)...)
 	if err != nil {
 		return err
 	}
-	skipped := knownred.ByPackage(known)
-	var whole []string
+	err = errors.Join(testPackages(strings.Fields(packages), knownRed), runBenchmarks(patterns))
+	for _, entry := range knownRed {
+		fmt.Println("KNOWN RED, skipped:", entry)
+	}
+	return err
+}
+
+// testPackages runs all tests but the listed ones. Packages with listed tests are run one by one.
+func testPackages(packages []string, knownRed []knownred.Entry) error {
+	skipped := knownred.TestsByPackage(knownRed)
+	var complete []string
 	var failed error
-	for _, p := range strings.Fields(found) {
-		if names := skipped[p]; names != nil {
-			failed = errors.Join(failed, test([]string{p}, "-skip", "^("+strings.Join(names, "|")+")$"))
+	for _, p := range packages {
+		if tests := skipped[p]; tests != nil {
+			failed = errors.Join(failed, test([]string{p}, "-skip", "^("+strings.Join(tests, "|")+")$"))
 		} else {
-			whole = append(whole, p)
+			complete = append(complete, p)
 		}
 	}
-	if len(whole) > 0 {
-		failed = errors.Join(failed, test(whole))
-	}
-	failed = errors.Join(failed, benchmarks(patterns))
-	for _, t := range known {
-		fmt.Println("KNOWN RED, passed over:", t)
+	if len(complete) > 0 {
+		failed = errors.Join(failed, test(complete))
 	}
 	return failed
 }
 
-// read returns the listed tests, each of which exists.
-func read() ([]knownred.Test, error) {
-	text, err := os.ReadFile(list)
+// readKnownRed returns the listed tests and checks that each exists.
+func readKnownRed() ([]knownred.Entry, error) {
+	text, err := os.ReadFile(knownRedFile)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	known, err := knownred.Parse(string(text))
+	entries, err := knownred.Parse(string(text))
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", list, err)
+		return nil, fmt.Errorf("%s: %w", knownRedFile, err)
 	}
-	for _, t := range known {
-		names, err := output("go", "test", "-list", "^"+t.Name+"$", t.Package)
+	for _, entry := range entries {
+		names, err := output("go", "test", "-list", "^"+entry.Test+"$", entry.Package)
 		if err != nil {
-			return nil, fmt.Errorf("%s: %s: %w", list, t.Package, err)
+			return nil, fmt.Errorf("%s: %s: %w", knownRedFile, entry.Package, err)
 		}
-		if !slices.Contains(strings.Fields(names), t.Name) {
-			return nil, fmt.Errorf("%s: %s has no test %s", list, t.Package, t.Name)
+		if !slices.Contains(strings.Fields(names), entry.Test) {
+			return nil, fmt.Errorf("%s: %s has no test %s", knownRedFile, entry.Package, entry.Test)
 		}
 	}
-	return known, nil
+	return entries, nil
 }
 
+// test runs the tests of packages with the race detector.
 func test(packages []string, flags ...string) error {
 	args := append([]string{"test", "-race", "-timeout", "5m"}, flags...)
 	cmd := exec.Command("go", append(args, packages...)...)
-	cmd.Stdout, cmd.Stderr = os.Stdout, os.Stderr
+	cmd.Stdout = os.Stdout
+	cmd.Stderr = os.Stderr
 	return cmd.Run()
 }
 
-// benchmarks runs every benchmark once at its smallest size, so that none stops working unnoticed.
-func benchmarks(patterns []string) error {
+// runBenchmarks runs every benchmark once at its smallest size, so that none stops working unnoticed. Its output is printed
+// only if one fails: figures of a single run mean nothing.
+func runBenchmarks(patterns []string) error {
 	args := []string{"test", "-short", "-run", "^$", "-bench", ".", "-benchtime", "1x", "-timeout", "5m"}
-	cmd := exec.Command("go", append(args, patterns...)...)
-	out, err := cmd.CombinedOutput()
+	out, err := exec.Command("go", append(args, patterns...)...).CombinedOutput()
 	if err != nil {
-		_, _ = os.Stderr.Write(out)
+		fmt.Fprintf(os.Stderr, "%s", out)
 		return fmt.Errorf("benchmarks: %w", err)
 	}
 	fmt.Println("benchmarks: each ran once")
 	return nil
 }
 
+// output runs a command and returns its standard output.
 func output(name string, args ...string) (string, error) {
 	cmd := exec.Command(name, args...)
 	cmd.Stderr = os.Stderr
