--- a/internal/fleet/manager/http.go
+++ b/internal/fleet/manager/http.go
@@ -18,12 +18,6 @@
 // maxBody bounds a call: a fleet of 100,000 instances fits.
 const maxBody = 256 << 20
 
-var statuses = map[string]int{
-	"epoch": http.StatusGone, "storage": http.StatusInsufficientStorage, "request": http.StatusBadRequest,
-	"conflict": http.StatusConflict, "overlap": http.StatusConflict, "unknown": http.StatusNotFound,
-	"fenced": http.StatusForbidden, "state": http.StatusConflict,
-}
-
 // route serves one call.
 func route[In any](mux *http.ServeMux, path string, f func(context.Context, *In) (any, error)) {
 	mux.HandleFunc("POST /v1/"+path, func(w http.ResponseWriter, r *http.Request) {
@@ -38,9 +32,9 @@
 		}
 		w.Header().Set("Content-Type", "application/json")
 		if err != nil {
-			code := api.Code(err)
-			w.WriteHeader(statuses[code])
-			out = api.ErrorResponse{Code: code, Error: err.Error()}
+			response, status := api.NewErrorResponse(err)
+			w.WriteHeader(status)
+			out = response
 		}
 		json.NewEncoder(w).Encode(out)
 	})
--- /dev/null
+++ b/internal/fleet/reconcile/property_test.go
@@ -0,0 +1,178 @@
+package reconcile
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"poppyarch/internal/broker/control"
+	"poppyarch/internal/fleet/retry"
+	"poppyarch/internal/fleet/state"
+	"poppyarch/internal/host/process"
+	"poppyarch/internal/timing/clock"
+)
+
+// simulation carries out a controller's actions on a simulated process and broker, with failures drawn at random, and
+// checks each of them.
+type simulation struct {
+	t          *rapid.T
+	controller *Controller
+	now        clock.Micros
+
+	running  bool
+	draining bool
+	pid      int
+
+	incarnation int
+	probed      string // incarnation that was probed last
+	applied     uint64 // edition that the present incarnation holds
+
+	targetOfCommand map[string]uint64 // by command id
+}
+
+func newSimulation(t *rapid.T) *simulation {
+	random := func() float64 { return rapid.Float64Range(0, 1).Draw(t, "random") }
+	return &simulation{
+		t:               t,
+		controller:      New("n", DefaultConfig(), retry.NewBudget(5, 0.1), random),
+		now:             1,
+		pid:             100,
+		targetOfCommand: map[string]uint64{},
+	}
+}
+
+// step lets some time pass; then the desired state changes, the process dies, or the next action is carried out.
+func (s *simulation) step() {
+	s.now += rapid.Int64Range(0, 2_000_000).Draw(s.t, "time")
+	switch rapid.IntRange(0, 9).Draw(s.t, "event") {
+	case 0:
+		s.changeDesired()
+	case 1:
+		if s.running {
+			s.exit()
+		}
+	default:
+		s.act()
+		s.checkReport()
+	}
+}
+
+func (s *simulation) changeDesired() {
+	advance := uint64(rapid.IntRange(0, 2).Draw(s.t, "target"))
+	s.controller.SetDesired(Desired{
+		Run:           rapid.IntRange(0, 4).Draw(s.t, "run") > 0,
+		StartDigest:   rapid.SampledFrom([]string{"d", "e"}).Draw(s.t, "digest"),
+		TargetEdition: s.controller.Desired.TargetEdition + advance,
+	})
+}
+
+func (s *simulation) exit() {
+	s.running = false
+	s.controller.RecordExit(s.now, "killed")
+}
+
+func (s *simulation) act() {
+	switch action, _ := s.controller.Next(s.now); action.Kind {
+	case StartProcess:
+		s.start()
+	case Terminate:
+		if !s.running || s.draining {
+			s.t.Fatalf("asked to drain: running %v, draining %v", s.running, s.draining)
+		}
+		s.draining = true
+	case Kill:
+		if !s.draining {
+			s.t.Fatal("killed without having been asked to drain")
+		}
+		s.exit()
+	case Probe:
+		s.probe()
+	case SendCommand:
+		s.send(action.Command)
+	}
+}
+
+func (s *simulation) start() {
+	if s.running {
+		s.t.Fatal("started while it runs")
+	}
+	s.controller.RecordStartIntent("launch", s.controller.Desired.StartDigest)
+	if rapid.IntRange(0, 5).Draw(s.t, "start fails") == 0 {
+		s.controller.RecordStartFailure(s.now, errors.New("no such program"))
+		return
+	}
+	s.running = true
+	s.draining = false
+	s.pid++
+	s.incarnation++
+	s.applied = 0
+	s.controller.RecordRunning(process.Identity{PID: s.pid}, s.now)
+}
+
+func (s *simulation) probe() {
+	if !s.running {
+		s.t.Fatal("probed while nothing runs")
+	}
+	if rapid.IntRange(0, 3).Draw(s.t, "probe fails") == 0 {
+		s.controller.RecordProbe(s.now, nil, false, errors.New("time-out"))
+		return
+	}
+	s.probed = fmt.Sprint("b", s.incarnation)
+	answer := &control.State{Boot: s.probed, PID: s.pid, Started: s.controller.StartDigest, Applied: s.applied}
+	s.controller.RecordProbe(s.now, answer, true, nil)
+}
+
+func (s *simulation) send(command *Command) {
+	if command.Incarnation != s.probed || s.draining {
+		s.t.Fatalf("a command to %s, probed last was %s, draining %v", command.Incarnation, s.probed, s.draining)
+	}
+	if target, sent := s.targetOfCommand[command.ID]; sent && target != command.TargetEdition {
+		s.t.Fatalf("command %s for the editions %d and %d", command.ID, target, command.TargetEdition)
+	}
+	s.targetOfCommand[command.ID] = command.TargetEdition
+	lost := errors.New("connection reset")
+	switch rapid.IntRange(0, 3).Draw(s.t, "answer") {
+	case 0: // the command is lost
+		s.controller.RecordOutcome(s.now, command.ID, nil, lost)
+	case 1: // the answer is lost
+		s.apply(command)
+		s.controller.RecordOutcome(s.now, command.ID, nil, lost)
+	default:
+		s.controller.RecordOutcome(s.now, command.ID, s.apply(command), nil)
+	}
+}
+
+// apply is the broker's side of a command.
+func (s *simulation) apply(command *Command) *control.Outcome {
+	outcome := &control.Outcome{Code: control.Taken, Boot: command.Incarnation}
+	if command.BaseEdition == s.applied {
+		s.applied = command.TargetEdition
+	} else if s.applied != command.TargetEdition {
+		outcome.Code = control.OldBase
+	}
+	outcome.Applied = s.applied
+	return outcome
+}
+
+func (s *simulation) checkReport() {
+	report := s.controller.Report(s.now)
+	if report.AppliedEdition > s.applied {
+		s.t.Fatalf("reported %+v, applied is %d", report, s.applied)
+	}
+	if !s.running && (report.Incarnation != "" || report.Process == state.Running) {
+		s.t.Fatalf("reported %+v, and nothing runs", report)
+	}
+}
+
+// Whatever happens in whatever order: no start while a process runs, no second drain, no kill without a drain, no command
+// but to the incarnation that was probed last, and no report of what that incarnation has not said.
+func TestActionsAndReportsAreSafeInAnyOrderOfEvents(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		s := newSimulation(t)
+		for range rapid.IntRange(1, 120).Draw(t, "steps") {
+			s.step()
+		}
+	})
+}
--- /dev/null
+++ b/internal/fleet/reconcile/report.go
@@ -0,0 +1,60 @@
+package reconcile
+
+import (
+	"poppyarch/internal/fleet/state"
+	"poppyarch/internal/timing/clock"
+)
+
+// Report returns what the manager may be told of the instance: of its broker no more than the present incarnation has
+// said within the status TTL.
+func (c *Controller) Report(now clock.Micros) state.Report {
+	report := state.Report{
+		Name:            c.Name,
+		Crashes:         c.crashes.total,
+		Flapping:        c.flapping(now),
+		Error:           c.lastError,
+		RejectedEdition: c.rejectedEdition,
+	}
+	switch c.Phase {
+	case NoProcess:
+		report.Process = c.stoppedState()
+	case StartIntended:
+		report.Process = state.Unknown
+	case Draining:
+		report.Process = state.Draining
+		report.PID = c.Process.PID
+	case Running:
+		report.Process = state.Starting
+		if c.calls.answered {
+			report.Process = state.Running
+		}
+		report.PID = c.Process.PID
+		report.StartDigest = c.StartDigest
+		if c.status.known() && now-c.status.observedAt <= c.config.StatusTTL {
+			report.Incarnation = c.status.incarnation
+			report.AppliedEdition = c.status.appliedEdition
+			report.Healthy = c.status.healthy
+			report.ListRevision = c.status.listRevision
+			report.NodeCount = c.status.nodeCount
+		}
+	}
+	return report
+}
+
+func (c *Controller) stoppedState() state.ProcessState {
+	switch {
+	case c.Desired.Released:
+		return state.Absent
+	case c.Desired.Run && len(c.crashes.recent) > 0:
+		return state.Backoff
+	}
+	return state.Stopped
+}
+
+// flapping drops crashes that are older than the window, and reports whether too many are left.
+func (c *Controller) flapping(now clock.Micros) bool {
+	for len(c.crashes.recent) > 0 && now-c.crashes.recent[0] > c.config.CrashWindow {
+		c.crashes.recent = c.crashes.recent[1:]
+	}
+	return len(c.crashes.recent) >= c.config.FlappingThreshold
+}
--- a/internal/fleet/retry/retry.go
+++ b/internal/fleet/retry/retry.go
@@ -1,84 +1,62 @@
-// Package retry decides on repeats of calls between the parts of a fleet: how long to wait, whether the budget
-// allows another, and when to stop calling for a while. No I/O, no clock: times come in as microseconds.
+// Package retry decides on retries of calls between the parts of a fleet: the delay before an attempt, whether the retry
+// budget allows it, and when a circuit breaker holds calls back. Its decisions read no clock and draw no random numbers:
+// times come in as microseconds, random numbers from 0 to 1.
 package retry
 
-// Policy bounds the repeats of one call. Times are microseconds.
+import (
+	"context"
+	"time"
+
+	"poppyarch/internal/timing/clock"
+)
+
+// Policy bounds the attempts of one call.
 type Policy struct {
-	Attempts     int   // in all
-	InitialDelay int64 // wait before the second try; doubles
-	MaxDelay     int64
+	Attempts     int          // in all, the first one included
+	InitialDelay clock.Micros // longest delay before the first retry; doubles with each further one
+	MaxDelay     clock.Micros // bound of the doubling
 }
 
-// Delay is how long to wait before try n, counted from 1 for the first repeat. It is spread over the whole of the
-// doubled wait, so that callers that failed together do not come back together.
-func (p Policy) Delay(n int, rnd float64) int64 {
-	w := p.InitialDelay
-	for range n - 1 {
-		if w >= p.MaxDelay {
-			break
-		}
-		w *= 2
+// Delay returns the delay before retry n, counted from 1. It is spread over the whole of the doubled delay by random, so
+// that callers that failed together do not come back together.
+func (p Policy) Delay(n int, random float64) clock.Micros {
+	backoff := Backoff{Initial: p.InitialDelay, Max: p.MaxDelay}
+	var longest clock.Micros
+	for range n {
+		longest = backoff.Next()
 	}
-	return int64(rnd * float64(min(w, p.MaxDelay)))
+	return clock.Micros(random * float64(longest))
 }
 
-// Budget bounds repeats over all calls: each call earns a part of one, each repeat takes one.
-type Budget struct {
-	most, earn, have float64
+// Backoff gives delays that double from Initial up to Max. The zero state gives Initial first.
+type Backoff struct {
+	Initial clock.Micros
+	Max     clock.Micros
+	last    clock.Micros // 0 before the first
 }
 
-// NewBudget returns a full budget.
-func NewBudget(most, earn float64) *Budget { return &Budget{most, earn, most} }
-
-// RecordCall counts a first try.
-func (b *Budget) RecordCall() { b.have = min(b.most, b.have+b.earn) }
-
-// TakeRetry takes a repeat, or reports that there is none left.
-func (b *Budget) TakeRetry() bool {
-	if b.have < 1 {
-		return false
-	}
-	b.have--
-	return true
+// Next returns the next delay.
+func (b *Backoff) Next() clock.Micros {
+	b.last = min(max(2*b.last, b.Initial), b.Max)
+	return b.last
 }
 
-// Breaker stops calls to a peer that fails again and again, and lets a single one through now and then.
-type Breaker struct {
-	Threshold            int   // failures in a row that open it
-	InitialOpen, MaxOpen int64 // how long it stays open; doubles
-	fails                int
-	open                 int64 // its present length
-	until                int64
-	probing              bool
-}
+// Reset makes Initial the next delay again.
+func (b *Backoff) Reset() { b.last = 0 }
 
-// Allow reports whether a call may be made now, and if not, when to ask again.
-func (b *Breaker) Allow(now int64) (ok bool, at int64) {
-	switch {
-	case b.fails < b.Threshold:
-		return true, 0
-	case now < b.until:
-		return false, b.until
-	case b.probing:
-		return false, now + b.InitialOpen
-	}
-	b.probing = true
-	return true, 0
+// Jitter spreads a delay over its second half.
+func Jitter(delay clock.Micros, random float64) clock.Micros {
+	return delay/2 + clock.Micros(random*float64(delay/2))
 }
 
-// Cancel takes an allowed call back that was not made.
-func (b *Breaker) Cancel() { b.probing = false }
-
-// Record takes in how an allowed call went.
-func (b *Breaker) Record(now int64, ok bool, rnd float64) {
-	b.probing = false
-	if ok {
-		b.fails, b.open = 0, 0
-		return
-	}
-	b.fails++
-	if b.fails >= b.Threshold {
-		b.open = min(max(2*b.open, b.InitialOpen), b.MaxOpen)
-		b.until = now + b.open/2 + int64(rnd*float64(b.open/2))
+// Sleep waits for a delay, or returns the error of ctx as soon as that is done.
+func Sleep(ctx context.Context, delay clock.Micros) error {
+	timer := time.NewTimer(clock.Duration(delay))
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
 	}
 }
--- a/internal/fleet/retry/retry_test.go
+++ b/internal/fleet/retry/retry_test.go
@@ -6,65 +6,109 @@
 	"pgregory.net/rapid"
 
 	"poppyarch/internal/testkit/fixedseed"
+	"poppyarch/internal/timing/clock"
 )
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
-// A peer that is down for long is asked a number of times that grows with the logarithm of the time only, is found
-// again within the longest wait, and calls are never held back while it answers.
-func TestBreaker(t *testing.T) {
+// breakerTrial drives a breaker through an outage of a peer.
+type breakerTrial struct {
+	t              *rapid.T
+	breaker        Breaker
+	maxOpen        clock.Micros
+	now            clock.Micros
+	callsWhileDown int
+	lastCallDown   clock.Micros
+	recoveredAt    clock.Micros
+	recovered      bool
+}
+
+// step moves on by some time, in which the peer may recover, and calls it if the breaker allows.
+func (s *breakerTrial) step() {
+	s.now += int64(rapid.IntRange(1, 2000).Draw(s.t, "wait"))
+	if !s.recovered && rapid.IntRange(0, 100).Draw(s.t, "recovery") == 0 {
+		s.recovered = true
+		s.recoveredAt = s.now
+	}
+	allowed, retryAt := s.breaker.Allow(s.now)
+	if !allowed {
+		s.checkRefusal(retryAt)
+		return
+	}
+	if !s.recovered {
+		s.callsWhileDown++
+		s.lastCallDown = s.now
+	}
+	s.breaker.Record(s.now, s.recovered, rapid.Float64Range(0, 1).Draw(s.t, "random"))
+	if s.recovered {
+		if allowed, _ := s.breaker.Allow(s.now + 1); !allowed {
+			s.t.Fatal("call held back right after a success")
+		}
+		s.breaker.Record(s.now+1, true, 0)
+	}
+}
+
+func (s *breakerTrial) checkRefusal(retryAt clock.Micros) {
+	if retryAt <= s.now || retryAt > s.now+s.maxOpen {
+		s.t.Fatalf("held back at %d until %d", s.now, retryAt)
+	}
+	if s.recovered && s.now-s.recoveredAt > s.maxOpen+2000 {
+		s.t.Fatal("held back though the peer answers")
+	}
+}
+
+// The number of calls to a peer that is down grows with the logarithm of the time only, the peer is found again within
+// the longest open period, and calls are never held back while it answers.
+func TestBreakerBoundsCallsToAPeerThatIsDown(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := &Breaker{Threshold: rapid.IntRange(1, 5).Draw(t, "after"), InitialOpen: 1000, MaxOpen: 64000}
-		now, asked, down, up := int64(0), 0, int64(0), int64(0)
+		threshold := rapid.IntRange(1, 5).Draw(t, "threshold")
+		config := BreakerConfig{Threshold: threshold, InitialOpen: 1000, MaxOpen: 64000}
+		trial := breakerTrial{t: t, breaker: NewBreaker(config), maxOpen: config.MaxOpen}
 		for range rapid.IntRange(10, 400).Draw(t, "steps") {
-			now += int64(rapid.IntRange(1, 2000).Draw(t, "wait"))
-			if up == 0 && rapid.IntRange(0, 100).Draw(t, "mended") == 0 {
-				up = now
-			}
-			ok, at := b.Allow(now)
-			if !ok {
-				if at <= now || at > now+b.MaxOpen {
-					t.Fatalf("told at %d to come again at %d", now, at)
-				}
-				if up > 0 && now-up > b.MaxOpen+2000 {
-					t.Fatal("held back though it answers")
-				}
-				continue
-			}
-			if up == 0 {
-				asked++
-				down = now
-			}
-			b.Record(now, up > 0, rapid.Float64Range(0, 1).Draw(t, "rnd"))
-			if up > 0 {
-				if ok, _ := b.Allow(now + 1); !ok {
-					t.Fatal("held back right after a success")
-				}
-				b.Record(now+1, true, 0)
-			}
+			trial.step()
 		}
-		if most := b.Threshold + 8 + int(down/(b.MaxOpen/2)); asked > most {
-			t.Fatalf("asked %d times in %d µs of silence, more than %d", asked, down, most)
+		if limit := threshold + 8 + int(trial.lastCallDown/(config.MaxOpen/2)); trial.callsWhileDown > limit {
+			t.Fatalf("%d calls in %d µs without an answer, more than %d", trial.callsWhileDown, trial.lastCallDown, limit)
 		}
 	})
 }
 
-func TestBudget(t *testing.T) {
-	b := NewBudget(3, 0.1)
-	repeats := 0
-	for range 1000 { // a fault that hits every call
-		b.RecordCall()
-		if b.TakeRetry() {
-			repeats++
+func TestBudgetBoundsRetriesWhenEveryCallFails(t *testing.T) {
+	budget := NewBudget(3, 0.1)
+	retries := 0
+	for range 1000 {
+		budget.RecordCall()
+		if budget.TakeRetry() {
+			retries++
 		}
 	}
-	if repeats > 103 || repeats < 100 {
-		t.Errorf("%d repeats for 1000 calls that fail", repeats)
+	if retries > 103 || retries < 100 {
+		t.Errorf("%d retries for 1000 calls that fail", retries)
+	}
+}
+
+func TestDelayDoublesUpToTheMaximum(t *testing.T) {
+	policy := Policy{Attempts: 5, InitialDelay: 100, MaxDelay: 1000}
+	for i, longest := range []clock.Micros{100, 200, 400, 800, 1000, 1000} {
+		retry := i + 1
+		if got := policy.Delay(retry, 1); got != longest {
+			t.Errorf("the longest delay before retry %d is %d, want %d", retry, got, longest)
+		}
+		if got := policy.Delay(retry, 0); got != 0 {
+			t.Errorf("the shortest delay before retry %d is %d, want 0", retry, got)
+		}
 	}
-	p := Policy{Attempts: 5, InitialDelay: 100, MaxDelay: 1000}
-	for n, want := range []int64{0, 100, 200, 400, 800, 1000, 1000} {
-		if n > 0 && (p.Delay(n, 1) != want || p.Delay(n, 0) != 0) {
-			t.Errorf("repeat %d waits up to %d, want %d", n, p.Delay(n, 1), want)
+}
+
+func TestBackoffStartsAnewAfterReset(t *testing.T) {
+	backoff := Backoff{Initial: 100, Max: 250}
+	for i, want := range []clock.Micros{100, 200, 250, 250} {
+		if got := backoff.Next(); got != want {
+			t.Errorf("delay %d is %d, want %d", i+1, got, want)
 		}
 	}
+	backoff.Reset()
+	if got := backoff.Next(); got != 100 {
+		t.Errorf("the delay after a reset is %d, want 100", got)
+	}
 }
