--- a/examples/tour/main.go
+++ b/examples/tour/main.go
@@ -26,8 +26,9 @@
 	pace := flag.Duration("pace", 700*time.Millisecond, "pause between the steps, for reading along")
 	flag.Parse()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	defer stop()
-	if err := run(ctx, *program, *pace); err != nil {
+	err := run(ctx, *program, *pace)
+	stop()
+	if err != nil {
 		fmt.Fprintln(os.Stderr, "tour:", err)
 		os.Exit(1)
 	}
@@ -74,7 +75,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	s, err := cluster.New(cluster.Options{Dir: dir, Program: program, Nodes: 3, Blocks: 3, Objects: 2, Agents: 2, Soak: 500 * time.Millisecond})
 	if err != nil {
 		return err
