--- a/internal/frontend/block/command.go
+++ b/internal/frontend/block/command.go
@@ -10,120 +10,208 @@
 	"poppyarch/internal/broker/core"
 	"poppyarch/internal/broker/decision"
 	"poppyarch/internal/broker/limits"
+	"poppyarch/internal/timing/clock"
 )
 
-// Schema is what the settings say of a command's words. Classes and plans are numbered as the settings name them.
+const (
+	readCommandArgs   = 4
+	writeCommandArgs  = 5
+	maxDeadlineMillis = 1e8
+	maxDecimalLen     = 16 // digits and point
+	maxQuotedInputLen = 32 // bytes of a client's input in an error
+)
+
+// The parameters of a command, by their names on the wire.
+const (
+	paramClass    = "c"
+	paramPlan     = "t"
+	paramDeadline = "d" // milliseconds
+	paramVolume   = "volume"
+	paramUnits    = "units"
+	paramShard    = "shard"
+	paramBrokers  = "hosts"
+)
+
+var requiredParams = []string{paramClass, paramPlan, paramDeadline, paramVolume, paramUnits, paramShard}
+
+// Schema is what the settings allow in a command. Classes and plans are numbered in the order of the settings.
 type Schema struct {
-	Classes       map[string]int
-	Plans         map[string]int
-	NotIdempotent []bool  // by class: it must never run twice
-	Shards        int     // 0: not told
-	MaxUnits      float64 // 0: not told
+	Classes       map[string]int // class names
+	Plans         map[string]int // plan names
+	NotIdempotent []bool         // by class: a request must not be executed twice
+	Shards        int            // 0: unknown
+	MaxUnits      float64        // 0: no limit
 
 	lim *limits.Limits
 }
 
-// parse turns the words of a command into a request. d counts from its sending, of which its arrival is the
-// nearest that the broker can see.
-func parse(args [][]byte, names *Schema, now int64) (core.Request[*blockstore.Command], error) {
-	var r core.Request[*blockstore.Command]
-	write := bytes.EqualFold(args[0], []byte("BLK.WRITE"))
-	want := 4
-	if write {
-		want = 5
+// NewSchema returns the schema of a configuration.
+func NewSchema(cfg *decision.Config, shards int, lim *limits.Limits) *Schema {
+	s := &Schema{
+		Classes:  map[string]int{},
+		Plans:    map[string]int{},
+		Shards:   shards,
+		MaxUnits: cfg.MaxUnits,
+		lim:      lim,
 	}
-	if len(args) != want {
-		return r, fmt.Errorf("%s takes %d words, got %d", args[0], want, len(args))
+	for i := range cfg.Classes {
+		class := &cfg.Classes[i]
+		s.Classes[class.Name] = i
+		s.NotIdempotent = append(s.NotIdempotent, class.Idempotency == decision.NotIdempotent)
 	}
-	// Whatever is wrong is told here: a node turns it away at the cost of an attempt, or closes the connection on it.
-	if !hex16(string(args[1])) {
-		return r, fmt.Errorf("piece is not 16 hex digits")
+	for i := range cfg.Plans {
+		s.Plans[cfg.Plans[i].Name] = i
 	}
-	if !token(args[2], names.lim.MaxID) {
-		return r, fmt.Errorf("id is not 1 to %d letters, digits or -_.: characters", names.lim.MaxID)
+	return s
+}
+
+// commandError reports a command that cannot be a request. Its text is sent to the client.
+type commandError struct {
+	part    string // of the command
+	problem string
+}
+
+func (e *commandError) Error() string { return e.part + " " + e.problem }
+
+// paramError reports a parameter whose value is malformed or out of range. Its text is sent to the client.
+type paramError struct {
+	name  string
+	value string
+}
+
+func (e *paramError) Error() string { return fmt.Sprintf("%s: cannot be %q", e.name, e.value) }
+
+type request = core.Request[*blockstore.Command]
+
+// parseCommand returns the request of a BLK command that arrived at now. The deadline counts from when the client sent
+// the command, of which its arrival is the best estimate. Everything is checked here: a node would reject a malformed
+// command at the cost of an attempt, or close its connection.
+func parseCommand(args [][]byte, schema *Schema, now clock.Micros) (request, error) {
+	isWrite := bytes.EqualFold(args[0], []byte("BLK.WRITE"))
+	if err := checkArgs(args, isWrite, schema.lim); err != nil {
+		return request{}, err
+	}
+	cmd := &blockstore.Command{
+		Name:      args[0],
+		BlockID:   args[1],
+		RequestID: args[2],
+		HasBody:   isWrite,
+	}
+	if isWrite {
+		cmd.Body = args[4]
+	}
+	req := request{Work: cmd}
+	req.Key = string(cmd.BlockID)
+	if err := parseParams(&req, string(args[3]), schema, now); err != nil {
+		return request{}, err
+	}
+	req.NotIdempotent = schema.NotIdempotent[req.Class]
+	return req, nil
+}
+
+// checkArgs checks the arguments of a command, except for what its parameters say.
+func checkArgs(args [][]byte, isWrite bool, lim *limits.Limits) error {
+	want := readCommandArgs
+	if isWrite {
+		want = writeCommandArgs
 	}
-	if len(args[3]) > names.lim.MaxParams {
-		return r, fmt.Errorf("fields over %d bytes", names.lim.MaxParams)
+	if len(args) != want {
+		return &commandError{string(args[0]), fmt.Sprintf("takes %d words, got %d", want, len(args))}
 	}
-	c := &blockstore.Command{Name: args[0], BlockID: args[1], RequestID: args[2], HasBody: write}
-	if write {
-		c.Body = args[4]
+	if !isHex16(string(args[1])) {
+		return &commandError{"piece", "is not 16 hex digits"}
 	}
-	r.Work, r.Key, r.Shard, r.Class, r.Plan = c, string(args[1]), -1, -1, -1
+	if !isRequestID(args[2], lim.MaxID) {
+		return &commandError{"id", fmt.Sprintf("is not 1 to %d letters, digits or -_.: characters", lim.MaxID)}
+	}
+	if len(args[3]) > lim.MaxParams {
+		return &commandError{"fields", fmt.Sprintf("over %d bytes", lim.MaxParams)}
+	}
+	return nil
+}
+
+// parseParams sets a request's attributes from a list of the form name=value,name=value.
+func parseParams(req *request, list string, schema *Schema, now clock.Micros) error {
 	seen := map[string]bool{}
-	for _, part := range strings.Split(string(args[3]), ",") {
-		name, value, ok := strings.Cut(part, "=")
-		if !ok || name == "" || seen[name] || !printed(part) {
-			return r, fmt.Errorf("malformed or repeated field %q", clip(part))
+	for _, param := range strings.Split(list, ",") {
+		name, value, ok := strings.Cut(param, "=")
+		if !ok || name == "" || seen[name] || !isVisibleASCII(param) {
+			return &commandError{"malformed or repeated field", strconv.Quote(clip(param))}
 		}
 		seen[name] = true
-		c.Params = append(c.Params, blockstore.Param{Name: name, Value: value})
-		if err := field(&r, name, value, names, now); err != nil {
-			return r, err
+		req.Work.Params = append(req.Work.Params, blockstore.Param{Name: name, Value: value})
+		if !setParam(req, name, value, schema, now) {
+			return &paramError{name, clip(value)}
 		}
 	}
-	for _, name := range []string{"c", "t", "d", "volume", "units", "shard"} {
+	for _, name := range requiredParams {
 		if !seen[name] {
-			return r, fmt.Errorf("%s is missing", name)
+			return &commandError{name, "is missing"}
 		}
 	}
-	r.NotIdempotent = names.NotIdempotent[r.Class]
-	return r, nil
+	return nil
 }
 
-// field takes in one name=value. Names it does not know pass on to the node unseen.
-func field(r *core.Request[*blockstore.Command], name, value string, names *Schema, now int64) (err error) {
-	known := true
+// setParam sets the attribute of one parameter and reports whether its value is valid. Unknown parameters are valid and
+// passed on to the node.
+func setParam(req *request, name, value string, schema *Schema, now clock.Micros) (ok bool) {
 	switch name {
-	case "c":
-		r.Class, known = names.Classes[value]
-	case "t":
-		r.Plan, known = names.Plans[value]
-	case "volume":
-		r.Volume, known = value, hex16(value)
-	case "d":
+	case paramClass:
+		req.Class, ok = schema.Classes[value]
+	case paramPlan:
+		req.Plan, ok = schema.Plans[value]
+	case paramVolume:
+		req.Volume = value
+		ok = isHex16(value)
+	case paramDeadline:
 		var ms float64
-		ms, err = decimal(value)
-		known = ms > 0 && ms <= 1e8
-		r.Deadline = now + int64(ms*1000)
-	case "units":
-		r.Units, err = decimal(value)
-		known = r.Units > 0 && (names.MaxUnits <= 0 || r.Units <= names.MaxUnits)
-	case "shard":
-		r.Shard, err = strconv.Atoi(value)
-		known = r.Shard >= -1 && !strings.HasPrefix(value, "+") && (names.Shards <= 0 || r.Shard < names.Shards)
-	case "hosts":
-		r.Brokers, err = strconv.Atoi(value)
-		known = r.Brokers >= 0 && !strings.HasPrefix(value, "+")
-	}
-	if err != nil || !known {
-		return fmt.Errorf("%s: cannot be %q", name, clip(value))
-	}
-	return nil
+		ms, ok = parseDecimal(value)
+		ok = ok && ms > 0 && ms <= maxDeadlineMillis
+		req.Deadline = now + clock.Micros(ms*1000)
+	case paramUnits:
+		req.Units, ok = parseDecimal(value)
+		ok = ok && req.Units > 0 && (schema.MaxUnits <= 0 || req.Units <= schema.MaxUnits)
+	case paramShard:
+		req.Shard, ok = parseInt(value)
+		ok = ok && req.Shard >= -1 && (schema.Shards <= 0 || req.Shard < schema.Shards)
+	case paramBrokers:
+		req.Brokers, ok = parseInt(value)
+		ok = ok && req.Brokers >= 0
+	default:
+		ok = true
+	}
+	return ok
 }
 
-// decimal reads a plain number: digits, perhaps with a fraction. The forms that ParseFloat takes beside that are no
-// client's.
-func decimal(s string) (float64, error) {
-	if strings.Trim(s, "0123456789.") != "" || len(s) > 16 {
-		return 0, strconv.ErrSyntax
-	}
-	return strconv.ParseFloat(s, 64)
+// parseInt parses an integer without a plus sign.
+func parseInt(s string) (n int, ok bool) {
+	n, err := strconv.Atoi(s)
+	return n, err == nil && !strings.HasPrefix(s, "+")
 }
 
-// token reports whether b can be an id.
-func token(b []byte, most int) bool {
+// parseDecimal parses digits with an optional fraction. The other forms that ParseFloat accepts are not part of the
+// protocol.
+func parseDecimal(s string) (v float64, ok bool) {
+	if strings.Trim(s, "0123456789.") != "" || len(s) > maxDecimalLen {
+		return 0, false
+	}
+	v, err := strconv.ParseFloat(s, 64)
+	return v, err == nil
+}
+
+// isRequestID reports whether b is 1 to maxLen letters, digits or -_.: characters.
+func isRequestID(b []byte, maxLen int) bool {
 	for _, c := range b {
-		ok := c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || strings.IndexByte("-_.:", c) >= 0
-		if !ok {
+		isDigit := c >= '0' && c <= '9'
+		isLetter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
+		if !isDigit && !isLetter && strings.IndexByte("-_.:", c) < 0 {
 			return false
 		}
 	}
-	return len(b) > 0 && len(b) <= most
+	return len(b) > 0 && len(b) <= maxLen
 }
 
-// printed reports whether s is visible ASCII.
-func printed(s string) bool {
+func isVisibleASCII(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] > '~' {
 			return false
@@ -132,30 +220,13 @@
 	return true
 }
 
-func hex16(s string) bool {
+func isHex16(s string) bool {
 	if len(s) != 16 {
 		return false
 	}
-	_, err := strconv.ParseUint(s, 16, 64)
-	return err == nil // it takes no sign
-}
-
-func clip(s string) string {
-	if len(s) > 32 {
-		return s[:32]
-	}
-	return s
+	_, err := strconv.ParseUint(s, 16, 64) // accepts no sign
+	return err == nil
 }
 
-// NewSchema numbers the names of a configuration.
-func NewSchema(cfg *decision.Config, shards int, lim *limits.Limits) *Schema {
-	n := &Schema{Classes: map[string]int{}, Plans: map[string]int{}, Shards: shards, MaxUnits: cfg.MaxUnits, lim: lim}
-	for i, c := range cfg.Classes {
-		n.Classes[c.Name] = i
-		n.NotIdempotent = append(n.NotIdempotent, c.Idempotency == decision.NotIdempotent)
-	}
-	for i, p := range cfg.Plans {
-		n.Plans[p.Name] = i
-	}
-	return n
-}
+// clip shortens a client's input for an error.
+func clip(s string) string { return s[:min(len(s), maxQuotedInputLen)] }
--- a/internal/frontend/block/conn.go
+++ b/internal/frontend/block/conn.go
@@ -3,10 +3,11 @@
 import (
 	"context"
 	"errors"
+	"net"
 	"os"
-	"strconv"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"github.com/tidwall/redcon"
@@ -16,182 +17,220 @@
 	"poppyarch/internal/transport/socket"
 )
 
-// handle gets a connection's first command and keeps the connection until its end.
-func (f *Server) handle(rc redcon.Conn, first redcon.Command) {
-	w := rc.NetConn().(*wrapped)
-	dc := rc.Detach()
-	ctx, cancel := context.WithCancelCause(w.front.base)
-	var requests, writer sync.WaitGroup
-	writer.Go(func() { w.write(cancel) })
-	cmd, err := first, error(nil)
-	for err == nil {
-		if err = w.take(ctx, cmd, &requests); err == nil {
-			cmd, err = dc.ReadCommand()
-		}
+// deliveryTime is how long a written reply may take to arrive, where the system does not report what it still holds.
+const deliveryTime clock.Micros = 1_000_000
+
+// errQuit ends a connection on its client's QUIT, after the pending replies.
+var errQuit = errors.New("client quit")
+
+// conn is one client connection. Reads go through its commandReader, everything else to the network connection.
+//
+// Three kinds of goroutines work on it: the one that runs serve reads commands, one for each request waits for its
+// response, and one writes replies in the order of the commands. serve waits for the others.
+type conn struct {
+	net.Conn
+	activity
+	server  *Server
+	reader  commandReader
+	replies chan *reply // pending, in the order of the commands
+}
+
+func newConn(s *Server, nc net.Conn) *conn {
+	now := s.clock.Now()
+	c := &conn{
+		Conn:     nc,
+		activity: activity{acceptedAt: now},
+		server:   s,
+		replies:  make(chan *reply, s.lim.MaxPipeline),
 	}
+	c.reader = commandReader{net: nc, clock: s.clock, client: c, scanner: scanner{lim: s.lim}}
+	c.idleSince.Store(now)
+	return c
+}
+
+// Read implements net.Conn for redcon.
+func (c *conn) Read(b []byte) (int, error) { return c.reader.Read(b) }
+
+// reply is the pending reply to one command.
+type reply struct {
+	encoded   chan []byte // holds one
+	requestID string      // empty for commands that are no requests
+	bytes     atomic.Int64
+}
+
+// enqueue adds a pending reply. Where too many are pending it blocks, and no more commands are read.
+func (c *conn) enqueue(r *reply) {
+	r.encoded = make(chan []byte, 1)
+	c.pending.Add(1)
+	c.replies <- r
+}
+
+// replyNow enqueues a reply that is known already.
+func (c *conn) replyNow(encoded []byte) {
+	r := &reply{}
+	c.enqueue(r)
+	r.encoded <- encoded
+}
+
+// serve executes the commands of a connection, of which redcon has read the first, until the connection ends.
+func (c *conn) serve(first redcon.Command, commands redcon.DetachedConn) {
+	ctx, cancel := context.WithCancelCause(c.server.drain.base)
+	var requests, writer sync.WaitGroup
+	defer requests.Wait()
+	defer cancel(nil)
+	writer.Go(func() { c.writeReplies(cancel) })
+
+	err := c.executeAll(ctx, first, commands, &requests)
+	protocolFailure := isProtocolError(err)
 	switch {
-	case errors.Is(err, errProtocol):
-		w.put("-ERR " + err.Error() + "\r\n")
+	case protocolFailure:
+		c.replyNow([]byte("-ERR " + err.Error() + "\r\n"))
 	case !errors.Is(err, errIdle) && !errors.Is(err, errQuit):
 		cancel(core.ErrClientDisconnected) // end of stream or reset
 	}
-	close(w.slots)
+	close(c.replies)
 	writer.Wait()
-	if errors.Is(err, errProtocol) || !errors.Is(context.Cause(ctx), core.ErrClientDisconnected) && w.answerOnItsWay() {
-		w.closeGently()
+	disconnected := errors.Is(context.Cause(ctx), core.ErrClientDisconnected)
+	if protocolFailure || !disconnected && c.replyInTransit() {
+		c.lingerClose()
 	}
-	cancel(nil)
-	requests.Wait()
 }
 
-// answerOnItsWay reports whether the client's system may still lack a part of the last answer.
-func (c *client) answerOnItsWay() bool {
-	if n, ok := socket.UnsentBytes(c.net.Conn); ok {
-		return n > 0
-	}
-	return c.front.clock.Now()-c.since.Load() < lateAnswer
-}
-
-// lateAnswer is for how long an answer that was written may not have reached its client, in microseconds.
-const lateAnswer = 1_000_000
-
-// closeGently ends this side of the connection and waits a moment for the client to end its own. Closing over unread input
-// resets the connection, and what the client has not yet taken of its answers goes with it. What it sends meanwhile has
-// crossed the end of the connection and is dropped: the client asks again elsewhere.
-func (c *client) closeGently() {
-	if half, ok := c.net.Conn.(interface{ CloseWrite() error }); ok {
-		half.CloseWrite()
-	}
-	end := time.Now().Add(clock.Duration(c.front.lim.ClientLingerTimeout))
-	buf := make([]byte, 4096)
-	for left := c.front.lim.MaxMessageBytes; left > 0 && time.Now().Before(end); {
-		c.net.SetReadDeadline(end)
-		n, err := c.net.Conn.Read(buf)
-		left -= n
-		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) { // a wake-up ends a read too soon
-			return
+// executeAll starts commands until the connection ends, and returns why it ends.
+func (c *conn) executeAll(ctx context.Context, first redcon.Command, commands redcon.DetachedConn, requests *sync.WaitGroup) error {
+	cmd := first
+	for {
+		if err := c.execute(ctx, cmd, requests); err != nil {
+			return err
+		}
+		var err error
+		if cmd, err = commands.ReadCommand(); err != nil {
+			return err
 		}
 	}
 }
 
-// errQuit ends a connection at its client's wish, behind the answers owed.
-var errQuit = errors.New("quit")
-
-// take starts one command. An error says that the connection ends behind it.
-func (w *wrapped) take(ctx context.Context, cmd redcon.Command, requests *sync.WaitGroup) error {
-	f := w.front
+// execute starts one command. An error ends the connection after the pending replies.
+func (c *conn) execute(ctx context.Context, cmd redcon.Command, requests *sync.WaitGroup) error {
 	switch strings.ToUpper(string(cmd.Args[0])) {
 	case "PING":
 		if len(cmd.Args) > 1 {
-			w.put("$" + strconv.Itoa(len(cmd.Args[1])) + "\r\n" + string(cmd.Args[1]) + "\r\n")
+			c.replyNow(bulkString(cmd.Args[1]))
 		} else {
-			w.put("+PONG\r\n")
+			c.replyNow([]byte(replyPong))
 		}
 	case "QUIT":
-		w.put("+OK\r\n")
+		c.replyNow([]byte(replyOK))
 		return errQuit
 	case "BLK.READ", "BLK.WRITE":
-		r, err := parse(cmd.Args, f.names, f.clock.Now())
-		if err != nil {
-			w.put("-ERR " + printable(err.Error()) + "\r\n")
-			break
-		}
-		if until := f.until.Load(); until > 0 {
-			if f.clock.Now() >= until {
-				w.put(string(busy(f.lim.BusyRetryAfter))) // nothing ran, and nothing would come back in time
-				break
-			}
-			r.Deadline = min(r.Deadline, until) // this process may be killed right after
-		}
-		// What a client wrote before it went is read after it has gone where this process was late or more than one
-		// command came at once.
-		left := func() bool { return socket.PeerClosed(w.net.Conn) }
-		if (!w.asked.Load() || w.owed.Load() > 0) && left() {
-			return core.ErrClientDisconnected
-		}
-		r.ClientGone = left
-		s := &slot{id: string(r.Work.RequestID)}
-		if !f.open(s.id) {
-			w.put("-ERR id: a request of that id is open\r\n")
-			break
-		}
-		if !f.hold(s, int64(len(cmd.Raw))) {
-			f.close(s)
-			w.put(string(busy(f.lim.BusyRetryAfter))) // nothing ran
-			break
-		}
-		w.owe(s)
-		if !w.asked.Swap(true) {
-			f.mu.Lock()
-			f.asked++
-			f.mu.Unlock()
-			f.evictSurplus()
-		}
-		requests.Go(func() {
-			b := encode(f.broker.Handle(ctx, r))
-			s.bytes.Add(int64(len(b)))
-			f.held.Add(int64(len(b)))
-			s.answer <- b
-		})
+		return c.startRequest(ctx, cmd, requests)
 	default:
-		w.put("-ERR unknown command\r\n")
+		c.replyNow([]byte(replyUnknownCommand))
 	}
 	return nil
 }
 
-// open notes a request's id until its answer is sent, or reports that another request has it. Nodes answer by id: a
-// second request under an open one's would get the other's answer or spoil it.
-func (f *Server) open(id string) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if _, ok := f.ids[id]; ok {
-		return false
+// startRequest hands a request to the broker, or rejects it. It returns core.ErrClientDisconnected if the client has
+// gone.
+func (c *conn) startRequest(ctx context.Context, cmd redcon.Command, requests *sync.WaitGroup) error {
+	s := c.server
+	req, err := parseCommand(cmd.Args, s.schema, s.clock.Now())
+	if err != nil {
+		c.replyNow(errorReply(err))
+		return nil
+	}
+	if !s.drain.limitDeadline(&req.Deadline, s.clock.Now()) {
+		c.replyNow(busyReply(s.lim.BusyRetryAfter))
+		return nil
+	}
+	// Commands that a client sent before it disconnected can still be read afterwards, if this process was late or
+	// several commands arrived at once.
+	req.ClientGone = func() bool { return socket.PeerClosed(c.Conn) }
+	if (!c.hasRequested.Load() || c.pending.Load() > 0) && req.ClientGone() {
+		return core.ErrClientDisconnected
 	}
-	f.ids[id] = struct{}{}
-	return true
+	r := &reply{requestID: string(req.Work.RequestID)}
+	if !s.inFlight.addID(r.requestID) {
+		c.replyNow([]byte(replyDuplicateID))
+		return nil
+	}
+	if !s.inFlight.reserve(r, int64(len(cmd.Raw))) {
+		s.inFlight.remove(r)
+		c.replyNow(busyReply(s.lim.BusyRetryAfter))
+		return nil
+	}
+	c.enqueue(r)
+	if !c.hasRequested.Swap(true) {
+		s.conns.countRequesting()
+		s.conns.evictSurplus()
+	}
+	requests.Go(func() {
+		encoded := encodeResponse(s.broker.Handle(ctx, req))
+		s.inFlight.addReply(r, int64(len(encoded)))
+		r.encoded <- encoded
+	})
+	return nil
 }
 
-// hold counts a request's bytes until its answer is sent, or reports that there are too many. Answers that clients are
-// slow to take count too.
-func (f *Server) hold(s *slot, size int64) bool {
-	if f.held.Add(size) > f.lim.MaxBodyBytes {
-		f.held.Add(-size)
-		return false
+// writeReplies sends the replies in the order of their commands. After a failed write the rest is discarded.
+func (c *conn) writeReplies(cancel context.CancelCauseFunc) {
+	s := c.server
+	writeFailed := false
+	for r := range c.replies {
+		encoded := <-r.encoded
+		if !writeFailed {
+			if err := c.write(encoded); err != nil {
+				writeFailed = true
+				cancel(core.ErrClientDisconnected)
+				_ = c.Close() // ends the reader; the write has failed already
+			}
+		}
+		s.inFlight.remove(r)
+		c.idleSince.Store(s.clock.Now())
+		if c.pending.Add(-1) == 0 {
+			if s.drain.listenerClosed.Load() {
+				c.reader.wake()
+			}
+			s.conns.evictSurplus() // all may have been busy before
+		}
 	}
-	s.bytes.Store(size)
-	return true
 }
 
-// close forgets a request whose answer is sent.
-func (f *Server) close(s *slot) {
-	f.held.Add(-s.bytes.Load())
-	if s.id != "" {
-		f.mu.Lock()
-		delete(f.ids, s.id)
-		f.mu.Unlock()
+// write sends one reply, within the client's write timeout.
+func (c *conn) write(encoded []byte) error {
+	timeout := clock.Duration(c.server.lim.ClientWriteTimeout)
+	if err := c.SetWriteDeadline(time.Now().Add(timeout)); err != nil {
+		return err
 	}
+	_, err := c.Write(encoded)
+	return err
 }
 
-// write sends the answers in the order of their commands. After a failed write the rest is not wanted.
-func (w *wrapped) write(cancel context.CancelCauseFunc) {
-	broken := false
-	for s := range w.slots {
-		b := <-s.answer
-		if !broken {
-			w.net.SetWriteDeadline(time.Now().Add(clock.Duration(w.front.lim.ClientWriteTimeout)))
-			if _, err := w.net.Write(b); err != nil {
-				broken = true
-				cancel(core.ErrClientDisconnected)
-				w.net.Close()
-			}
+// replyInTransit reports whether the client's system may lack a part of the last reply.
+func (c *conn) replyInTransit() bool {
+	if n, ok := socket.UnsentBytes(c.Conn); ok {
+		return n > 0
+	}
+	return c.server.clock.Now()-c.idleSince.Load() < deliveryTime
+}
+
+// lingerClose closes the sending side and waits a moment for the client to close its own. Closing a connection with
+// unread input resets it, and the client loses the replies that it has not read. Input that arrives meanwhile is
+// discarded: none of it was executed, and the client sends it again elsewhere.
+func (c *conn) lingerClose() {
+	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		_ = half.CloseWrite() // the connection is closed in any case
+	}
+	deadline := time.Now().Add(clock.Duration(c.server.lim.ClientLingerTimeout))
+	buf := make([]byte, 4096)
+	for left := c.server.lim.MaxMessageBytes; left > 0 && time.Now().Before(deadline); {
+		if c.SetReadDeadline(deadline) != nil {
+			return
 		}
-		w.front.close(s)
-		w.since.Store(w.front.clock.Now())
-		if w.owed.Add(-1) == 0 {
-			if w.front.shut.Load() {
-				w.net.wake()
-			}
-			w.front.evictSurplus() // where all were busy before
+		n, err := c.Conn.Read(buf)
+		left -= n
+		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) { // wake ends a read before the deadline
+			return
 		}
 	}
 }
--- a/internal/frontend/block/eviction.go
+++ b/internal/frontend/block/eviction.go
@@ -1,121 +1,202 @@
 package block
 
-import "time"
+import (
+	"log/slog"
+	"sync"
+	"sync/atomic"
+	"time"
 
-// crowded reports whether descriptors for clients run short.
-func (f *Server) crowded() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return len(f.conns) > f.most/2
+	"poppyarch/internal/timing/clock"
+)
+
+// makeRoomInterval is how often makeRoom looks again while all connections are in use.
+const makeRoomInterval = 5 * time.Millisecond
+
+// connTable holds the client connections and keeps their number within its limits.
+type connTable struct {
+	clock *clock.Clock
+	log   *slog.Logger
+
+	maxConns      int // connections at once
+	evictAbove    int // connections from which on idle ones are evicted for new ones
+	maxRequesting int // connections that have carried a request, at once
+
+	draining atomic.Bool   // connections that have carried a request are kept while that is possible
+	freed    chan struct{} // a connection has ended; holds one
+
+	mu         sync.Mutex
+	conns      map[*conn]struct{}
+	requesting int // of conns, those that have carried a request
+}
+
+// add registers an accepted connection.
+func (t *connTable) add(c *conn) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.conns[c] = struct{}{}
 }
 
-// evictionRank orders clients by how little it costs to close them: those that got their error or have not said a word for
-// some time, those that have stopped within a command, those that have only connected or said PING, those between two
-// requests, those that are far too slow within a command. All others stay, and so do those told to go a moment ago, which
-// would be waited for in vain where something has come from them meanwhile.
-func (c *client) evictionRank(now int64) int {
+// remove forgets a connection that has ended.
+func (t *connTable) remove(c *conn) {
+	t.mu.Lock()
+	if _, ok := t.conns[c]; ok && c.hasRequested.Load() {
+		t.requesting--
+	}
+	delete(t.conns, c)
+	t.mu.Unlock()
+	select {
+	case t.freed <- struct{}{}:
+	default:
+	}
+}
+
+// countRequesting counts a connection that has carried its first request.
+func (t *connTable) countRequesting() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.requesting++
+}
+
+// count is how many connections there are.
+func (t *connTable) count() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.conns)
+}
+
+// crowded reports whether more than half of the connections are in use.
+func (t *connTable) crowded() bool { return t.count() > t.maxConns/2 }
+
+// wakeIdle wakes the readers of all connections without pending replies, which ends those connections.
+func (t *connTable) wakeIdle() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for c := range t.conns {
+		if c.pending.Load() == 0 {
+			c.reader.wake()
+		}
+	}
+}
+
+// evictionRank orders connections by how little is lost when they are closed. Lower ranks go first.
+type evictionRank int
+
+const (
+	evictUnused          evictionRank = iota // got a protocol error, or has sent nothing for some time
+	evictStalled                             // has stopped within a command
+	evictNeverRequested                      // has only connected or sent PING
+	evictBetweenRequests                     // is between two requests
+	evictSlow                                // is far too slow within a command
+	notEvictable                             // busy, or about to end already
+)
+
+// evictionRank is the connection's rank. One that is about to end is not evictable: had it received something
+// meanwhile, it would stay, and the wait for it would be in vain.
+func (c *conn) evictionRank(now clock.Micros) evictionRank {
+	silent := c.lastReadAt.Load() == 0 && now >= c.acceptedAt+c.server.lim.ClientStallTimeout/4
 	switch {
-	case c.owed.Load() > 0, c.closing():
+	case c.pending.Load() > 0, c.isClosing():
 		return notEvictable
-	case c.net.over.Load(), c.last.Load() == 0 && now >= c.came+c.front.lim.ClientStallTimeout/4:
-		return 0
+	case c.reader.failed.Load(), silent:
+		return evictUnused
 	case c.stalled(now, true):
-		return 1
+		return evictStalled
 	case c.tooSlow(now):
-		return slow
-	case c.mid.Load():
+		return evictSlow
+	case c.inCommand.Load():
 		return notEvictable
-	case !c.asked.Load():
-		return 2
+	case !c.hasRequested.Load():
+		return evictNeverRequested
 	}
-	return between
+	return evictBetweenRequests
 }
 
-const (
-	between      = 3 // two requests
-	slow         = 4 // within a command
-	notEvictable = 5
-)
-
-// evictable is the client whose end costs least, the longest quiet one first, among those of ranks from least to under
-// most; nil: none. The caller holds mu.
-func (f *Server) evictable(least, most int) *client {
-	var idle *client
-	now, rank, since := f.clock.Now(), most, int64(0)
-	for c := range f.conns {
-		r, q := c.evictionRank(now), c.quietSince()
-		if r >= least && (r < rank || r == rank && idle != nil && q < since) {
-			idle, rank, since = c, r, q
+// evictionCandidate is the connection of the lowest rank, and among these the one that has been inactive for longest,
+// of those ranked from first to before end; nil if there is none. The caller holds mu.
+func (t *connTable) evictionCandidate(first, end evictionRank) *conn {
+	var candidate *conn
+	var candidateRank evictionRank
+	var inactiveSince clock.Micros
+	now := t.clock.Now()
+	for c := range t.conns {
+		rank := c.evictionRank(now)
+		if rank < first || rank >= end {
+			continue
+		}
+		since := c.lastActivity()
+		if candidate == nil || rank < candidateRank || rank == candidateRank && since < inactiveSince {
+			candidate = c
+			candidateRank = rank
+			inactiveSince = since
 		}
 	}
-	return idle
+	return candidate
 }
 
-// makeRoom returns once another client fits. It begins to clear places while some are left: with each client waiting for
-// another to go, they stood in line for seconds. In a drain those that have asked stay as long as they can: they are
-// all that clients have left.
-func (f *Server) makeRoom() {
+// makeRoom returns once another connection fits. It evicts ahead of the limit, so that new clients need not wait one by
+// one for another to end. In a drain connections that have carried a request are evicted at the limit only: their
+// clients cannot connect anew.
+func (t *connTable) makeRoom() {
 	for {
-		f.mu.Lock()
-		n := len(f.conns)
-		most := notEvictable
-		if f.draining.Load() && n < f.most {
-			most = between
+		t.mu.Lock()
+		count := len(t.conns)
+		end := notEvictable
+		if t.draining.Load() && count < t.maxConns {
+			end = evictBetweenRequests
 		}
-		var idle *client
-		if n >= f.spare {
-			idle = f.evictable(0, most)
+		var candidate *conn
+		if count >= t.evictAbove {
+			candidate = t.evictionCandidate(evictUnused, end)
 		}
-		f.mu.Unlock()
-		if idle != nil {
-			idle.net.wake()
+		t.mu.Unlock()
+		if candidate != nil {
+			candidate.reader.wake()
 		}
-		if n < f.most {
+		if count < t.maxConns {
 			return
 		}
-		if idle == nil && !f.anyClosing() {
-			f.log.Warn("clients: all connections busy", "conns", n)
+		if candidate == nil && !t.anyClosing() {
+			t.log.Warn("all client connections busy, new client waits", "conns", count)
 		}
 		select {
-		case <-f.gone:
-		case <-time.After(5 * time.Millisecond):
+		case <-t.freed:
+		case <-time.After(makeRoomInterval):
 		}
 	}
 }
 
-// anyClosing reports whether some client has been told to go and is not gone yet.
-func (f *Server) anyClosing() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for c := range f.conns {
-		if c.closing() {
+// anyClosing reports whether some connection is about to end.
+func (t *connTable) anyClosing() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for c := range t.conns {
+		if c.isClosing() {
 			return true
 		}
 	}
 	return false
 }
 
-// evictSurplus ends the longest idle clients that have asked until as many are left as may be kept. Clients that ask once and
-// stay use up what all clients together may hold for requests, and then cannot even connect; so one end for each that
-// comes is not enough: nobody would come any more to bring the number down. Connections that carry no request do not
-// count there, and must not push out those that do.
-func (f *Server) evictSurplus() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.asked <= f.keep || f.draining.Load() {
+// evictSurplus evicts connections between two requests while more than maxRequesting have carried one. Clients that
+// send one request and stay would use up what the clients' hosts may hold, until nobody can connect any more, so it
+// evicts the whole surplus and not one for each new client. Connections that carry no request do not count here.
+func (t *connTable) evictSurplus() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.requesting <= t.maxRequesting || t.draining.Load() {
 		return
 	}
-	over := f.asked - f.keep
-	for c := range f.conns {
-		if c.asked.Load() && c.closing() {
-			over--
+	surplus := t.requesting - t.maxRequesting
+	for c := range t.conns {
+		if c.hasRequested.Load() && c.isClosing() {
+			surplus--
 		}
 	}
-	for ; over > 0; over-- {
-		idle := f.evictable(between, slow)
-		if idle == nil {
+	for ; surplus > 0; surplus-- {
+		candidate := t.evictionCandidate(evictBetweenRequests, evictSlow)
+		if candidate == nil {
 			return
 		}
-		idle.net.wake()
+		candidate.reader.wake()
 	}
 }
--- /dev/null
+++ b/internal/frontend/block/in_flight.go
@@ -0,0 +1,61 @@
+package block
+
+import (
+	"sync"
+	"sync/atomic"
+)
+
+// inFlight tracks the requests whose replies are not sent: their ids, and the bytes of their commands and replies.
+type inFlight struct {
+	maxBytes int64
+	bytes    atomic.Int64
+
+	mu  sync.Mutex
+	ids map[string]struct{}
+}
+
+// addID registers a request's id until remove. It reports false if another request in flight has that id: nodes answer
+// by id, so one of two requests with the same id could get the other's answer.
+func (f *inFlight) addID(id string) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if _, exists := f.ids[id]; exists {
+		return false
+	}
+	f.ids[id] = struct{}{}
+	return true
+}
+
+// reserve counts a command's bytes until remove. It reports false if the bytes in flight would exceed their limit.
+func (f *inFlight) reserve(r *reply, size int64) bool {
+	if f.bytes.Add(size) > f.maxBytes {
+		f.bytes.Add(-size)
+		return false
+	}
+	r.bytes.Store(size)
+	return true
+}
+
+// addReply counts the bytes of a reply until remove. They are never refused.
+func (f *inFlight) addReply(r *reply, size int64) {
+	r.bytes.Add(size)
+	f.bytes.Add(size)
+}
+
+// remove forgets a request whose reply was sent or discarded.
+func (f *inFlight) remove(r *reply) {
+	f.bytes.Add(-r.bytes.Load())
+	if r.requestID == "" {
+		return
+	}
+	f.mu.Lock()
+	delete(f.ids, r.requestID)
+	f.mu.Unlock()
+}
+
+// count is how many requests are in flight.
+func (f *inFlight) count() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return len(f.ids)
+}
--- /dev/null
+++ b/internal/frontend/block/reply.go
@@ -0,0 +1,66 @@
+package block
+
+import (
+	"strconv"
+	"strings"
+
+	"poppyarch/internal/broker/core"
+	"poppyarch/internal/timing/clock"
+)
+
+const (
+	replyOK             = "+OK\r\n"
+	replyPong           = "+PONG\r\n"
+	replyFailed         = "-ERR failed\r\n"
+	replyTimedOut       = "-ERR out of time\r\n"
+	replyUnknownCommand = "-ERR unknown command\r\n"
+	replyDuplicateID    = "-ERR id: a request of that id is open\r\n"
+)
+
+// encodeResponse returns the RESP2 reply for a response. A value is passed on byte for byte as its node sent it.
+func encodeResponse(r core.Response[[]byte]) []byte {
+	switch r.Status {
+	case core.Success:
+		return bulkString(r.Value)
+	case core.Rejection:
+		return busyReply(r.RetryAfter)
+	}
+	if r.DeadlineExceeded {
+		return []byte(replyTimedOut)
+	}
+	return []byte(replyFailed)
+}
+
+// bulkString returns b as a RESP2 bulk string.
+func bulkString(b []byte) []byte {
+	out := make([]byte, 0, len(b)+16)
+	out = append(out, '$')
+	out = strconv.AppendInt(out, int64(len(b)), 10)
+	out = append(out, "\r\n"...)
+	out = append(out, b...)
+	return append(out, "\r\n"...)
+}
+
+// busyReply returns a rejection. A retryAfter above 0 is sent along in whole milliseconds, rounded up.
+func busyReply(retryAfter clock.Micros) []byte {
+	if retryAfter <= 0 {
+		return []byte("-BUSY\r\n")
+	}
+	ms := clock.Duration(retryAfter + 999).Milliseconds()
+	return []byte("-BUSY " + strconv.FormatInt(ms, 10) + "\r\n")
+}
+
+// errorReply returns an error whose text may contain bytes of the client.
+func errorReply(err error) []byte {
+	return []byte("-ERR " + printable(err.Error()) + "\r\n")
+}
+
+// printable replaces control characters, which could end the line of an error.
+func printable(s string) string {
+	return strings.Map(func(r rune) rune {
+		if r < ' ' || r == 0x7f {
+			return '?'
+		}
+		return r
+	}, s)
+}
--- /dev/null
+++ b/internal/frontend/block/server_test.go
@@ -0,0 +1,152 @@
+package block
+
+import (
+	"strings"
+	"testing"
+
+	"poppyarch/internal/backend/blockstore"
+	"poppyarch/internal/broker/core"
+)
+
+// Pipelined commands are all started at once and answered in their order, whichever response is ready first.
+func TestPipelinedCommandsAreAnsweredInOrder(t *testing.T) {
+	r := newRig(t, testLimits(), 4)
+	c, in := r.dial()
+	send(c, readCommand("a")+encodeCommand("PING")+readCommand("b")+readCommand("c"))
+	for range 3 {
+		<-r.broker.requests
+	}
+	r.broker.response("c") <- core.Response[[]byte]{Status: core.Rejection, RetryAfter: 1500}
+	r.broker.response("b") <- core.Response[[]byte]{Status: core.Failure}
+	r.broker.response("a") <- success("v\r\n1")
+	expectText(t, in, "$4\r\nv\r\n1\r\n+PONG\r\n-ERR failed\r\n-BUSY 2\r\n")
+}
+
+func TestCommandParametersReachTheBroker(t *testing.T) {
+	r := newRig(t, testLimits(), 4)
+	c, in := r.dial()
+	send(c, encodeCommand("blk.write", testBlockID, "id9", strings.Replace(testParams, "c=read", "c=new", 1), "b\r\ny"))
+	q := <-r.broker.requests
+	left := q.Deadline - r.server.clock.Now()
+	if q.Class != 1 || !q.NotIdempotent || q.Plan != 0 || q.Volume != "00000003b4d60021" || q.Key != testBlockID ||
+		q.Units != 2 || q.Shard != 5 || q.Brokers != 3 || left > 480_000 || string(q.Work.Body) != "b\r\ny" ||
+		len(q.Work.Params) != 8 || q.Work.Params[7] != (blockstore.Param{Name: "k", Value: "x"}) {
+		t.Errorf("%+v, %+v", q.RequestInfo, q.Work)
+	}
+	r.broker.response("id9") <- core.Response[[]byte]{Status: core.Rejection}
+	expectText(t, in, "-BUSY\r\n")
+}
+
+func TestDisconnectCancelsRequestsInFlight(t *testing.T) {
+	r := newRig(t, testLimits(), 4)
+	c, _ := r.dial()
+	send(c, readCommand("a")+readCommand("b"))
+	<-r.broker.requests
+	<-r.broker.requests
+	disconnect(c)
+	if ids := <-r.broker.cancelled + <-r.broker.cancelled; ids != "ab" && ids != "ba" {
+		t.Errorf("cancelled: %q", ids)
+	}
+}
+
+func TestMalformedInputGetsAnErrorAndClosesTheConnection(t *testing.T) {
+	for _, x := range []struct{ in, want string }{
+		{"GET / HTTP/1.1\r\n", "-ERR Protocol error: expected '*'\r\n"},
+		{"*2\r\n:1\r\n", "-ERR Protocol error: expected '$'\r\n"},
+		{"*9\r\n", "-ERR Protocol error: length over 8\r\n"},
+		{"*0\r\n", "-ERR Protocol error: bad length\r\n"},
+		{"*-1\r\n", "-ERR Protocol error: bad length\r\n"},
+		{"*1\r\n$99999999999999999999\r\n", "-ERR Protocol error: length over 2048\r\n"},
+		{"*1\r\n$1\r\nab", "-ERR Protocol error: bulk string longer than announced\r\n"},
+		{"*3\r\n" + strings.Repeat("$2000\r\n"+strings.Repeat("x", 2000)+"\r\n", 3), "-ERR Protocol error: command over 4096 bytes\r\n"},
+		// Complete commands before the malformed one are answered first.
+		{encodeCommand("PING") + "x", "+PONG\r\n-ERR Protocol error: expected '*'\r\n"},
+		{encodeCommand("PING") + encodeCommand("PING") + "*x\r\n", "+PONG\r\n+PONG\r\n-ERR Protocol error: bad length\r\n"},
+	} {
+		r := newRig(t, testLimits(), 4)
+		c, in := r.dial()
+		send(c, x.in)
+		expectText(t, in, x.want)
+		expectEnd(t, in)
+	}
+}
+
+func TestMalformedInputIsAnsweredAfterPendingReplies(t *testing.T) {
+	r := newRig(t, testLimits(), 4)
+	c, in := r.dial()
+	send(c, readCommand("a")+"garbage")
+	<-r.broker.requests
+	r.broker.response("a") <- success("v")
+	expectText(t, in, "$1\r\nv\r\n-ERR Protocol error: expected '*'\r\n")
+	expectEnd(t, in)
+}
+
+func TestInvalidCommandsKeepTheConnection(t *testing.T) {
+	r := newRig(t, testLimits(), 4)
+	c, in := r.dial()
+	for _, x := range []struct{ in, want string }{
+		{encodeCommand("FLUSHALL"), "-ERR unknown command\r\n"},
+		{encodeCommand("BLK.READ", "x"), "-ERR BLK.READ takes 4 words, got 2\r\n"},
+		{encodeCommand("BLK.READ", "zz", "id", testParams), "-ERR piece is not 16 hex digits\r\n"},
+		{encodeCommand("BLK.READ", testBlockID, "id", "c=no,"+testParams[7:]), "-ERR c: cannot be \"no\"\r\n"},
+		{encodeCommand("BLK.READ", testBlockID, "id", strings.Replace(testParams, "d=480", "d=-1", 1)), "-ERR d: cannot be \"-1\"\r\n"},
+		{encodeCommand("BLK.READ", testBlockID, "id", strings.Replace(testParams, "units=2", "units=NaN", 1)), "-ERR units: cannot be \"NaN\"\r\n"},
+		{encodeCommand("BLK.READ", testBlockID, "id", strings.Replace(testParams, "d=480,", "", 1)), "-ERR d is missing\r\n"},
+		{encodeCommand("BLK.READ", testBlockID, "id", testParams+",c=read"), "-ERR malformed or repeated field \"c=read\"\r\n"},
+		{encodeCommand("PING", "hi"), "$2\r\nhi\r\n"},
+		{encodeCommand("BLK.READ", testBlockID, "", testParams), "-ERR id is not 1 to 16 letters, digits or -_.: characters\r\n"},
+		{encodeCommand("BLK.READ", testBlockID, "a b", testParams), "-ERR id is not 1 to 16 letters, digits or -_.: characters\r\n"},
+		{encodeCommand("BLK.READ", testBlockID, "12345678901234567", testParams), "-ERR id is not 1 to 16 letters, digits or -_.: characters\r\n"},
+		{encodeCommand("BLK.READ", testBlockID, "id", testParams+strings.Repeat(",", 200)), "-ERR fields over 200 bytes\r\n"},
+		{encodeCommand("BLK.READ", testBlockID, "id", testParams+",y=\x00"), "-ERR malformed or repeated field \"y=\\x00\"\r\n"},
+		{encodeCommand("BLK.READ", testBlockID, "id", strings.Replace(testParams, "shard=5", "shard=10", 1)), "-ERR shard: cannot be \"10\"\r\n"},
+		{encodeCommand("BLK.READ", testBlockID, "id", strings.Replace(testParams, "shard=5", "shard=", 1)), "-ERR shard: cannot be \"\"\r\n"},
+		{encodeCommand("BLK.READ", testBlockID, "id", strings.Replace(testParams, "units=2", "units=9", 1)), "-ERR units: cannot be \"9\"\r\n"},
+		{encodeCommand("BLK.READ", testBlockID, "id", strings.Replace(testParams, "d=480", "d=0x1p4", 1)), "-ERR d: cannot be \"0x1p4\"\r\n"},
+	} {
+		send(c, x.in)
+		expectText(t, in, x.want)
+	}
+}
+
+func TestRequestBeyondTheLimitOnBytesInFlightIsRejected(t *testing.T) {
+	lim := testLimits()
+	lim.MaxBodyBytes = int64(len(readCommand("a"))) + 10
+	r := newRig(t, lim, 4)
+	c, in := r.dial()
+	send(c, readCommand("a"))
+	<-r.broker.requests
+	other, otherIn := r.dial()
+	send(other, readCommand("b"))
+	expectText(t, otherIn, "-BUSY 150\r\n")
+	r.broker.response("a") <- success("v")
+	expectText(t, in, "$1\r\nv\r\n")
+	r.waitUntil("no bytes are in flight", func() bool { return r.server.inFlight.bytes.Load() == 0 })
+}
+
+func TestRequestIDIsRejectedWhileInFlightAndFreeAfterwards(t *testing.T) {
+	r := newRig(t, testLimits(), 4)
+	c, in := r.dial()
+	send(c, readCommand("a"))
+	<-r.broker.requests
+	other, otherIn := r.dial()
+	send(other, readCommand("a")+readCommand("b"))
+	if q := <-r.broker.requests; string(q.Work.RequestID) != "b" {
+		t.Errorf("the broker got %s", q.Work.RequestID)
+	}
+	r.broker.response("b") <- success("w")
+	expectText(t, otherIn, "-ERR id: a request of that id is open\r\n$1\r\nw\r\n")
+	r.broker.response("a") <- success("v")
+	expectText(t, in, "$1\r\nv\r\n")
+	r.waitUntil("the id is free", func() bool { return r.server.inFlight.count() == 0 }) // the client may see its reply sooner
+	send(other, encodeCommand("PING")+readCommand("a"))
+	<-r.broker.requests
+	r.broker.response("a") <- success("x")
+	expectText(t, otherIn, "+PONG\r\n$1\r\nx\r\n")
+	leaving, _ := r.dial() // a disconnect frees the id, too
+	send(leaving, readCommand("c"))
+	<-r.broker.requests
+	disconnect(leaving)
+	<-r.broker.cancelled
+	r.waitUntil("no id is in flight", func() bool { return r.server.inFlight.count() == 0 })
+}
--- a/internal/timing/clock/clock.go
+++ b/internal/timing/clock/clock.go
@@ -1,26 +1,46 @@
-// Package clock is the broker's time: whole microseconds on the monotonic clock.
+// Package clock is the program's time: whole microseconds on the monotonic clock.
 package clock
 
-import "time"
+import (
+	"sync/atomic"
+	"time"
+)
 
-// Micros is a time or a duration in microseconds. Times count from the zero of Unix time.
+// Micros is a point in time or a duration in microseconds. Points in time count from the Unix epoch.
 type Micros = int64
 
-// Clock tells the time. Its zero is that of Unix time, so that the start times of storage nodes can be compared with it,
-// but it runs on the monotonic clock: a step of the wall clock does not move it.
+// Duration converts microseconds to the standard library's type.
+func Duration(m Micros) time.Duration { return time.Duration(m) * time.Microsecond }
+
+// FromDuration converts a duration to whole microseconds, rounded towards zero.
+func FromDuration(d time.Duration) Micros { return d.Microseconds() }
+
+// AtomicMicros is a Micros that several goroutines may use at once. Its zero value is 0.
+type AtomicMicros struct {
+	v atomic.Int64
+}
+
+// Load returns the value.
+func (a *AtomicMicros) Load() Micros { return a.v.Load() }
+
+// Store sets the value.
+func (a *AtomicMicros) Store(m Micros) { a.v.Store(m) }
+
+// Add adds to the value and returns the new one.
+func (a *AtomicMicros) Add(delta Micros) Micros { return a.v.Add(delta) }
+
+// Clock reads the time. It is set by the wall clock once, so that its times can be compared with those of other
+// machines, and then runs on the monotonic clock: later steps of the wall clock do not move it.
 type Clock struct {
 	start time.Time
-	zero  Micros
+	epoch Micros // start in Unix time
 }
 
-// New returns a clock set by the wall clock once.
+// New returns a clock set by the wall clock.
 func New() *Clock {
 	now := time.Now()
-	return &Clock{start: now, zero: now.UnixMicro()}
+	return &Clock{start: now, epoch: now.UnixMicro()}
 }
 
 // Now returns the present time.
-func (c *Clock) Now() Micros { return c.zero + time.Since(c.start).Microseconds() }
-
-// Duration converts microseconds to the standard library's type.
-func Duration(m Micros) time.Duration { return time.Duration(m) * time.Microsecond }
+func (c *Clock) Now() Micros { return c.epoch + FromDuration(time.Since(c.start)) }
