--- /dev/null
+++ b/cmd/poppyarch/output.go
@@ -0,0 +1,30 @@
+package main
+
+import (
+	"encoding/json"
+	"io"
+	"time"
+)
+
+// printJSON writes a value for scripts.
+func printJSON(out io.Writer, v any) error {
+	encoder := json.NewEncoder(out)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(v)
+}
+
+// dash stands for an empty cell.
+func dash(s string) string {
+	if s == "" {
+		return "-"
+	}
+	return s
+}
+
+// formatAge returns the age of a figure; a negative one means that there is no figure yet.
+func formatAge(micros int64) string {
+	if micros < 0 {
+		return "never"
+	}
+	return (time.Duration(micros) * time.Microsecond).Round(100 * time.Millisecond).String()
+}
--- a/internal/nodes/nodefile/write.go
+++ b/internal/nodes/nodefile/write.go
@@ -34,7 +34,7 @@
 func CSV(rows []Row) []byte {
 	used := []string{"id"}
 	for _, key := range known {
-		if slices.ContainsFunc(rows, func(r Row) bool { v := r.values()[key]; return v != "" && !(key == "state" && v == "up") }) {
+		if slices.ContainsFunc(rows, func(r Row) bool { v := r.values()[key]; return v != "" && (key != "state" || v != "up") }) {
 			used = append(used, key)
 		}
 	}
@@ -44,7 +44,7 @@
 	}
 	var b bytes.Buffer
 	w := csv.NewWriter(&b)
-	w.Write(used)
+	_ = w.Write(used) // a buffer takes all
 	for i := range rows {
 		v := rows[i].values()
 		v["id"] = rows[i].ID
@@ -55,7 +55,7 @@
 		for _, key := range used {
 			line = append(line, v[key])
 		}
-		w.Write(line)
+		_ = w.Write(line)
 	}
 	w.Flush()
 	return b.Bytes()
@@ -88,7 +88,7 @@
 		h.Style = yaml.FlowStyle
 		v := r.values()
 		for _, key := range known {
-			if v[key] != "" && !(key == "state" && v[key] == "up") {
+			if v[key] != "" && (key != "state" || v[key] != "up") {
 				x := text(v[key])
 				if key == "shard" || key == "cores" || key == "speed" {
 					x = &yaml.Node{Kind: yaml.ScalarNode, Value: v[key]}
--- a/tools/measure/fleet.go
+++ b/tools/measure/fleet.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	s, err := cluster.New(cluster.Options{Dir: dir, Program: program, Nodes: 3, Blocks: 5, Objects: 3, Agents: 1, Soak: 100 * time.Millisecond})
 	if err != nil {
 		return err
@@ -86,7 +86,7 @@
 
 func settle(ctx context.Context, s *cluster.Stack) error {
 	for ctx.Err() == nil {
-		if o, err := s.Client.Overview(ctx, nil, nil); err == nil && o.Settled && o.Rev > 0 {
+		if o, err := s.Client.Overview(ctx, nil, nil); err == nil && o.Settled && o.Revision > 0 {
 			return nil
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -171,8 +171,8 @@
 
 func alone(ctx context.Context, s *cluster.Stack, load *fake.Traffic, program string, kill bool) (start, change time.Duration, err error) {
 	dir := filepath.Join(filepath.Dir(s.Config), "single")
-	if err = os.Mkdir(dir, 0o700); err != nil {
-		return
+	if err := os.Mkdir(dir, 0o700); err != nil {
+		return 0, 0, err
 	}
 	write := func(memory string) error {
 		if err := s.Inventory(map[string]string{"memory_mb": memory}); err != nil {
@@ -185,18 +185,18 @@
 		}
 		return os.WriteFile(path, agentKey.ReplaceAll(b, nil), 0o600) // an earlier agent does not know the key
 	}
-	if err = write("96"); err != nil {
-		return
+	if err := write("96"); err != nil {
+		return 0, 0, err
 	}
 	at := time.Now()
 	cmd, err := agent(s, program, dir)
 	if err != nil {
-		return
+		return 0, 0, err
 	}
 	start = time.Since(at)
 	defer func() {
-		cmd.Process.Signal(syscall.SIGTERM)
-		cmd.Wait()
+		_ = cmd.Process.Signal(syscall.SIGTERM)
+		_ = cmd.Wait()
 	}()
 	change, err = under(ctx, load, func() error {
 		if err := write("128"); err != nil {
@@ -214,13 +214,13 @@
 			return <-done
 		}
 		time.Sleep(time.Second)
-		cmd.Process.Kill()
-		cmd.Wait()
-		<-done
+		_ = cmd.Process.Kill()
+		_ = cmd.Wait()
+		err := <-done
+		_ = err // it was killed
 		time.Sleep(time.Second)
-		var err error
 		cmd, err = agent(s, program, dir)
 		return err
 	})
-	return
+	return start, change, err
 }
