--- /dev/null
+++ b/internal/observability/record/decode.go
@@ -0,0 +1,232 @@
+package record
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"math"
+
+	"poppyarch/internal/observability/sketch"
+)
+
+// ErrMalformed says that the bytes of an event cannot be decoded.
+var ErrMalformed = errors.New("record: malformed event")
+
+// Bounds on what malformed input can make the decoder allocate.
+const (
+	maxStringBytes   = 1 << 12
+	maxSharedStrings = 1 << 16
+)
+
+// Least encoded sizes of list entries, in bytes. A list that claims more entries than its bytes can hold is malformed.
+const (
+	minAttemptBytes = 4
+	minClassBytes   = 4
+	minPlanBytes    = 2
+	minGroupBytes   = 9
+	minNodeBytes    = 3
+	minVolumeBytes  = 6
+)
+
+// Decoder decodes the events of frames. Equal strings are shared.
+type Decoder struct {
+	rest      []byte
+	base      int64
+	malformed bool
+	shared    map[string]string
+}
+
+// NewDecoder returns a decoder without input; Reset gives it some.
+func NewDecoder() *Decoder { return &Decoder{shared: map[string]string{}} }
+
+// Reset makes the decoder read the events of a frame, whose times count from base.
+func (d *Decoder) Reset(events []byte, base int64) {
+	d.rest = events
+	d.base = base
+	d.malformed = false
+}
+
+// Next decodes the next event into e and reports whether there was one. The request in e and its attempts are
+// overwritten by the next call; everything else stays valid. The error wraps ErrMalformed.
+func (d *Decoder) Next(e *Event) (bool, error) {
+	if len(d.rest) == 0 {
+		return false, nil
+	}
+	request := e.Request
+	*e = Event{Kind: Kind(d.byte())}
+	e.At = d.base + d.varint()
+	switch e.Kind {
+	case KindRequest:
+		if request == nil {
+			request = &Request{}
+		}
+		d.request(request)
+		e.Request = request
+	case KindBoot:
+		e.Boot = d.boot()
+	case KindBeat:
+		e.Beat = d.heartbeat()
+	case KindSummary:
+		e.Summary = d.summary()
+	case KindLost:
+		e.Lost = d.lost(e.At)
+	case KindNode, KindList, KindDiscovery, KindControl, KindDrain, KindStop:
+		e.Note = &Note{Subject: d.string(), Text: d.string(), Value: d.varint()}
+	default:
+		d.malformed = true
+	}
+	if d.malformed {
+		return false, fmt.Errorf("%w: kind %d", ErrMalformed, e.Kind)
+	}
+	return true, nil
+}
+
+// request overwrites r and reuses its attempts.
+func (d *Decoder) request(r *Request) {
+	attempts := r.Tries[:0]
+	*r = Request{Class: d.byte(), Plan: d.byte(), Answer: Answer(d.byte()), Volume: d.string()}
+	r.Units = float64(d.uvarint()) / unitsScale
+	r.Shard = d.varint()
+	r.Took = int64(d.uvarint())
+	r.Hint = int64(d.uvarint())
+	for range d.count(minAttemptBytes) {
+		attempts = append(attempts, Try{Node: d.string(), Sent: int64(d.uvarint()), Took: int64(d.uvarint()), Outcome: d.byte()})
+	}
+	r.Tries = attempts
+}
+
+func (d *Decoder) boot() *Boot {
+	boot := &Boot{Name: d.string(), ID: d.string(), Began: d.varint(), Wall: d.varint(), Beat: d.varint(), Sample: d.float()}
+	for range d.count(minClassBytes) {
+		boot.Classes = append(boot.Classes, Class{Name: d.string(), Aim: d.varint(), Due: d.varint(), Worth: d.float()})
+	}
+	for range d.count(minPlanBytes) {
+		boot.Plans = append(boot.Plans, Plan{Name: d.string(), Price: d.float()})
+	}
+	return boot
+}
+
+func (d *Decoder) heartbeat() *Beat {
+	return &Beat{
+		Wall:    d.varint(),
+		Open:    d.varint(),
+		Heap:    uint64(d.varint()),
+		Threads: d.varint(),
+		Nodes:   d.varint(),
+		List:    d.varint(),
+	}
+}
+
+func (d *Decoder) summary() *Summary {
+	summary := &Summary{Span: d.varint()}
+	for range d.count(minGroupBytes) {
+		group := Group{Class: d.byte(), Plan: d.byte()}
+		for k := range group.Count {
+			group.Count[k] = d.uvarint()
+		}
+		group.Late = d.uvarint()
+		d.sketch(&group.Latency)
+		summary.Groups = append(summary.Groups, group)
+	}
+	for range d.count(minNodeBytes) {
+		node := NodeCount{Node: d.string()}
+		for range d.byte() {
+			outcome := d.byte()
+			node.Outcomes[int(outcome)%len(node.Outcomes)] = d.uvarint()
+		}
+		d.sketch(&node.Latency)
+		summary.Nodes = append(summary.Nodes, node)
+	}
+	for range d.count(minVolumeBytes) {
+		summary.Volumes = append(summary.Volumes, VolumeCount{
+			Volume:  d.string(),
+			Count:   d.uvarint(),
+			Error:   d.uvarint(),
+			Refused: d.uvarint(),
+			Failed:  d.uvarint(),
+			Late:    d.uvarint(),
+		})
+	}
+	return summary
+}
+
+func (d *Decoder) lost(at int64) *Lost {
+	from := d.varint()
+	to := d.varint()
+	return &Lost{From: at + from, To: at + to, Events: d.uvarint(), Requests: d.uvarint(), Why: d.string()}
+}
+
+// fail marks the input as malformed and drops what is left of it.
+func (d *Decoder) fail() {
+	d.malformed = true
+	d.rest = nil
+}
+
+func (d *Decoder) uvarint() uint64 {
+	v, n := binary.Uvarint(d.rest)
+	if n <= 0 {
+		d.fail()
+		return 0
+	}
+	d.rest = d.rest[n:]
+	return v
+}
+
+func (d *Decoder) varint() int64 {
+	v, n := binary.Varint(d.rest)
+	if n <= 0 {
+		d.fail()
+		return 0
+	}
+	d.rest = d.rest[n:]
+	return v
+}
+
+func (d *Decoder) byte() byte {
+	if len(d.rest) == 0 {
+		d.malformed = true
+		return 0
+	}
+	v := d.rest[0]
+	d.rest = d.rest[1:]
+	return v
+}
+
+func (d *Decoder) float() float64 { return math.Float64frombits(d.uvarint()) }
+
+func (d *Decoder) string() string {
+	n := d.uvarint()
+	if n > uint64(len(d.rest)) || n > maxStringBytes {
+		d.fail()
+		return ""
+	}
+	raw := d.rest[:n]
+	d.rest = d.rest[n:]
+	if s, ok := d.shared[string(raw)]; ok {
+		return s
+	}
+	s := string(raw)
+	if len(d.shared) < maxSharedStrings {
+		d.shared[s] = s
+	}
+	return s
+}
+
+// count reads the length of a list whose entries take at least minBytes each.
+func (d *Decoder) count(minBytes int) int {
+	n := d.uvarint()
+	if n > uint64(len(d.rest)/minBytes) {
+		d.fail()
+		return 0
+	}
+	return int(n)
+}
+
+func (d *Decoder) sketch(s *sketch.Sketch) {
+	rest, err := s.Read(d.rest)
+	if err != nil {
+		d.fail()
+		return
+	}
+	d.rest = rest
+}
--- a/internal/observability/record/record_test.go
+++ b/internal/observability/record/record_test.go
@@ -50,85 +50,116 @@
 	return e
 }
 
-// Events come back as they were written. A segment with any bytes changed or cut off gives no event that was not
-// written, in order, and says how many bytes it could not read.
-func TestSegmentsGiveBackWhatWasWritten(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		b := SegmentHead("n1", "boot", 1)
-		head := len(b)
-		var want []Event
-		var frames []int
-		for k := range rapid.IntRange(1, 6).Draw(t, "frames") {
-			base := rapid.Int64Range(1, 1<<50).Draw(t, "base")
-			var events []byte
-			for range rapid.IntRange(1, 4).Draw(t, "events") {
-				e := drawEvent(t)
-				events = e.Append(events, base)
-				want = append(want, e)
-			}
-			f := Frame{Seq: uint64(k + 1), At: base, Now: 5, Events: events}
-			frames = append(frames, len(want))
-			b = f.Append(b)
+// drawSegment returns a segment, its events, and its number of frames.
+func drawSegment(t *rapid.T) (segment []byte, events []Event, frames int) {
+	segment = SegmentHead("n1", "boot", 1)
+	frames = rapid.IntRange(1, 6).Draw(t, "frames")
+	for k := range frames {
+		base := rapid.Int64Range(1, 1<<50).Draw(t, "base")
+		var encoded []byte
+		for range rapid.IntRange(1, 4).Draw(t, "events") {
+			e := drawEvent(t)
+			encoded = e.Append(encoded, base)
+			events = append(events, e)
 		}
-		read := func(b []byte) (got []Event, seqs []uint64, damaged int) {
-			_, _, err := Segment(b, func(p Part) {
-				damaged += p.Damaged
-				if p.Last {
-					return
-				}
-				seqs = append(seqs, p.Frame.Seq)
-				d := NewDecoder()
-				d.Reset(p.Frame.Events, p.Frame.At)
-				for {
-					var e Event
-					ok, err := d.Next(&e)
-					if err != nil {
-						t.Fatal(err)
-					}
-					if !ok {
-						return
-					}
-					got = append(got, e)
-				}
-			})
-			if err != nil {
-				t.Fatal(err)
-			}
-			return got, seqs, damaged
+		f := Frame{Seq: uint64(k + 1), At: base, Now: 5, Events: encoded}
+		segment = f.Append(segment)
+	}
+	return segment, events, frames
+}
+
+// decoded is what a reader found in a segment.
+type decoded struct {
+	events  []Event
+	seqs    []uint64 // of the frames
+	damaged int      // bytes
+}
+
+func decodeSegment(t *rapid.T, segment []byte) decoded {
+	t.Helper()
+	var got decoded
+	_, _, err := Segment(segment, func(p Part) {
+		got.damaged += p.Damaged
+		if !p.Last {
+			got.seqs = append(got.seqs, p.Frame.Seq)
+			got.events = append(got.events, decodeFrameEvents(t, p.Frame)...)
+		}
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return got
+}
+
+func decodeFrameEvents(t *rapid.T, f Frame) (events []Event) {
+	t.Helper()
+	d := NewDecoder()
+	d.Reset(f.Events, f.At)
+	for {
+		var e Event
+		more, err := d.Next(&e)
+		if err != nil {
+			t.Fatal(err)
 		}
-		got, _, damaged := read(b)
-		if damaged != 0 || len(got) != len(want) {
-			t.Fatalf("%d events of %d, %d bytes damaged", len(got), len(want), damaged)
+		if !more {
+			return events
 		}
-		for i := range got {
-			x, y := got[i], want[i]
-			if x.Kind == KindSummary { // capacities of sketches differ
-				if x.Summary.Groups[0].Latency.Quantile(0.5) != y.Summary.Groups[0].Latency.Quantile(0.5) || x.Summary.Nodes[0].Outcomes != y.Summary.Nodes[0].Outcomes || x.Summary.Volumes[0] != y.Summary.Volumes[0] {
-					t.Fatalf("%+v\n%+v", x.Summary, y.Summary)
-				}
-				continue
-			}
-			if x.Kind == KindRequest && len(x.Request.Tries) == 0 {
-				x.Request.Tries, y.Request.Tries = nil, nil
-			}
-			if !reflect.DeepEqual(x, y) {
-				t.Fatalf("%+v\n%+v", x, y)
+		events = append(events, e)
+	}
+}
+
+// sameEvent compares events. Sketches with different capacities may be equal, so summaries are compared by their figures.
+func sameEvent(x, y Event) bool {
+	if x.Kind == KindSummary {
+		return x.Summary.Groups[0].Latency.Quantile(0.5) == y.Summary.Groups[0].Latency.Quantile(0.5) &&
+			x.Summary.Nodes[0].Outcomes == y.Summary.Nodes[0].Outcomes &&
+			x.Summary.Volumes[0] == y.Summary.Volumes[0]
+	}
+	if x.Kind == KindRequest && len(x.Request.Tries) == 0 {
+		x.Request.Tries = nil
+		y.Request.Tries = nil
+	}
+	return reflect.DeepEqual(x, y)
+}
+
+func TestSegmentsAreDecodedAsTheyWereEncoded(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		segment, want, _ := drawSegment(t)
+		got := decodeSegment(t, segment)
+		if got.damaged != 0 || len(got.events) != len(want) {
+			t.Fatalf("%d events of %d, %d bytes damaged", len(got.events), len(want), got.damaged)
+		}
+		for i := range want {
+			if !sameEvent(got.events[i], want[i]) {
+				t.Fatalf("event %d is\n%+v\nwant\n%+v", i, got.events[i], want[i])
 			}
 		}
-		bad := bytes.Clone(b)
-		at := rapid.IntRange(head, len(b)-1).Draw(t, "damage")
-		if rapid.Bool().Draw(t, "cut") {
-			bad = bad[:at]
+	})
+}
+
+// TestDamagedSegmentsReportUnreadableBytes changes a bit behind the header, or cuts the segment off there.
+func TestDamagedSegmentsReportUnreadableBytes(t *testing.T) {
+	headerSize := len(SegmentHead("n1", "boot", 1))
+	rapid.Check(t, func(t *rapid.T) {
+		segment, _, frames := drawSegment(t)
+		at := rapid.IntRange(headerSize, len(segment)-1).Draw(t, "damage")
+		cut := rapid.Bool().Draw(t, "cut")
+		damaged := bytes.Clone(segment)
+		if cut {
+			damaged = damaged[:at]
 		} else {
-			bad[at] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
+			damaged[at] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
+		}
+		got := decodeSegment(t, damaged)
+		if cut && at > headerSize && got.damaged == 0 && len(got.seqs) == frames {
+			t.Fatalf("cut at %d of %d bytes: all %d frames were read", at, len(segment), frames)
 		}
-		_, seqs, damaged := read(bad)
-		if len(bad) < len(b) && at > head && damaged == 0 && len(seqs) == len(frames) || len(bad) == len(b) && (damaged == 0 || len(seqs) != len(frames)-1) {
-			t.Fatalf("%d of %d bytes, damage at %d: frames %v, %d bytes damaged", len(bad), len(b), at, seqs, damaged)
+		if !cut && (got.damaged == 0 || len(got.seqs) != frames-1) {
+			t.Fatalf("damage at %d of %d bytes: %d of %d frames, %d bytes damaged", at, len(segment), len(got.seqs), frames, got.damaged)
 		}
-		for i := 1; i < len(seqs); i++ {
-			if seqs[i] <= seqs[i-1] {
-				t.Fatalf("frames out of order: %v", seqs)
+		for i := 1; i < len(got.seqs); i++ {
+			if got.seqs[i] <= got.seqs[i-1] {
+				t.Fatalf("frames out of order: %v", got.seqs)
 			}
 		}
 	})
@@ -138,7 +169,7 @@
 	e := Event{At: 7, Kind: KindNode, Note: &Note{Subject: "s", Text: "silent"}}
 	fr := Frame{Seq: 1, At: 5, Events: e.Append(nil, 5)}
 	f.Add(fr.Append(SegmentHead("n", "b", 1)))
-	f.Add([]byte(segMagic))
+	f.Add([]byte(segmentMagic))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		_, _, _ = Segment(b, func(p Part) {
 			d := NewDecoder()
@@ -348,5 +379,5 @@
 
 type counter struct{ bytes int64 }
 
-func (c *counter) Write(f *Frame) error { c.bytes += int64(len(f.Events)) + frameHead; return nil }
+func (c *counter) Write(f *Frame) error { c.bytes += int64(len(f.Events)) + frameHeaderSize; return nil }
 func (c *counter) Close() error         { return nil }
