--- a/cmd/poppyarch/control.go
+++ b/cmd/poppyarch/control.go
@@ -50,7 +50,7 @@
 			hup := make(chan os.Signal, 1)
 			signal.Notify(hup, syscall.SIGHUP)
 			a := agent.New(func() ([]inventory.Instance, error) { return load(file) },
-				&agent.Exec{Program: self, Dir: dir}, agent.DefaultTimes(), log)
+				&agent.ProcessLauncher{Program: self, StateDir: dir}, agent.DefaultTiming(), log)
 			defer a.Close()
 			if _, err := a.Reload(ctx); err != nil {
 				return &exit{exitUsage, err}
@@ -89,7 +89,7 @@
 		return nil, err
 	}
 	for _, in := range list {
-		if _, err := agent.Compose(in); err != nil {
+		if _, err := agent.ComposeFile(in); err != nil {
 			return nil, fmt.Errorf("%s: %w", file, err)
 		}
 	}
@@ -215,7 +215,7 @@
 			}
 		}
 		if len(out) == n {
-			return nil, fmt.Errorf("%s: %w", name, agent.ErrUnknown)
+			return nil, fmt.Errorf("%s: %w", name, agent.ErrUnknownInstance)
 		}
 	}
 	return out, nil
@@ -228,7 +228,7 @@
 	}
 	bad := 0
 	for _, s := range all {
-		if s.Wanted && s.State != agent.Running {
+		if s.ShouldRun && s.State != agent.Running {
 			bad++
 		}
 	}
@@ -250,7 +250,7 @@
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "NAME\tSTATE\tPID\tLISTEN\tRESTARTS\tSINCE\tLAST ERROR")
 	for _, s := range r.Instances {
-		at := strings.Trim(s.Listen+" "+s.Objects, " ")
+		at := strings.Trim(s.Listen+" "+s.ObjectListen, " ")
 		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%d\t%s\t%s\n", s.Name, s.State, s.PID, at, s.Restarts,
 			s.Since.Format(time.RFC3339), s.Error)
 	}
--- a/cmd/poppyarch/inventory.go
+++ b/cmd/poppyarch/inventory.go
@@ -179,10 +179,10 @@
 				fmt.Fprintf(w, "%s is %s (%s)\n", x.ID, x.State, x.Phase)
 				for _, f := range x.Facts {
 					held := ""
-					if f.Held {
+					if f.HeldBack {
 						held = ", held back: it says nothing any more"
 					}
-					fmt.Fprintf(w, "  %s says %s  %s%s\n", f.Source, f.Says, f.Where, held)
+					fmt.Fprintf(w, "  %s says %s  %s%s\n", f.Source, f.Statement, f.Origin, held)
 				}
 				for _, n := range x.Notes {
 					fmt.Fprintln(w, "  note:", n)
@@ -212,10 +212,10 @@
 				for _, n := range x.Nodes {
 					by, where := map[string]string{}, ""
 					for _, f := range n.Facts {
-						word, _, _ := strings.Cut(f.Says, " ")
+						word, _, _ := strings.Cut(f.Statement, " ")
 						by[f.Source] = strings.TrimRight(word, ",")
-						if f.Where != "" {
-							where = f.Where
+						if f.Origin != "" {
+							where = f.Origin
 						}
 					}
 					fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\n", n.ID, n.Phase, dash(by["discovery"]), dash(by["files"]), dash(by["operators"]), where)
@@ -234,7 +234,7 @@
 		Use: "accept", Short: "Have a broker believe the omissions that it holds back", Args: usage(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return broker(func(ctx context.Context, cl *control.Client) error {
-				n, err := cl.Accept(ctx)
+				n, err := cl.AcceptRemovals(ctx)
 				if err == nil {
 					fmt.Fprintf(cmd.OutOrStdout(), "%d nodes changed\n", n)
 				}
--- a/cmd/poppyarch/root.go
+++ b/cmd/poppyarch/root.go
@@ -47,7 +47,7 @@
 		return exitMoved
 	case errors.Is(err, state.ErrNotFound), errors.Is(err, api.ErrRequest):
 		return exitUsage
-	case errors.Is(err, agent.ErrUnknown):
+	case errors.Is(err, agent.ErrUnknownInstance):
 		return exitUsage
 	case strings.HasPrefix(err.Error(), "unknown command"), strings.HasPrefix(err.Error(), "required flag"):
 		return exitUsage // cobra's own, which have no type
--- a/examples/toystore/main.go
+++ b/examples/toystore/main.go
@@ -50,8 +50,8 @@
 		if err := serve(objects, srv.Serve); err != nil {
 			return err
 		}
-		d.Set(discovery.Target{UID: fmt.Sprintf("s-toy%d", i), Endpoint: block, ObjectEndpoint: objects, AZ: "room",
-			Model: "toy", PodGroup: i, State: "up", CapacityHint: 1})
+		d.Set(discovery.Endpoint{ID: fmt.Sprintf("s-toy%d", i), Addr: block, ObjectAddr: objects, Zone: "room",
+			Model: "toy", Shard: i, State: "up", Capacity: 1})
 		fmt.Printf("node s-toy%d: shard %d, blocks at %s, objects at %s\n", i, i, block, objects)
 	}
 	srv := &http.Server{Handler: d}
--- a/internal/broker/config/config.go
+++ b/internal/broker/config/config.go
@@ -24,20 +24,20 @@
 
 // Config is a checked configuration.
 type Config struct {
-	Name      string
-	Listen    string // of the platform's protocol; empty: that front is off
-	Discovery string
-	Seed      uint64
-	Known     discovery.List
-	Policy    decision.Config
-	Zones     []string
-	Shards    int // 0: not told
-	Limits    limits.Limits
-	Object    *Object  // nil: the object front is off
-	Control   *Control // nil: there is no control endpoint
-	Record    *Record  // nil: nothing is recorded
-	Nodes     *Nodes   // nil: the node list is discovery's alone
-	LogLevel  string
+	Name          string
+	Listen        string // of the platform's protocol; empty: that front is off
+	DiscoveryAddr string
+	Seed          uint64
+	InitialList   discovery.List
+	Policy        decision.Config
+	Zones         []string
+	Shards        int // 0: not told
+	Limits        limits.Limits
+	Object        *Object    // nil: the object front is off
+	Control       *Control   // nil: there is no control endpoint
+	Record        *Record    // nil: nothing is recorded
+	Nodes         *NodeFiles // nil: the node list is discovery's alone
+	LogLevel      string
 
 	fileDiscovery string            // as the file has it, whatever LB_DISCOVERY says
 	keys          map[string]string // the file's text by key
@@ -59,7 +59,7 @@
 	Object   *Object         `json:"object"`
 	Control  *Control        `json:"control"`
 	Record   *Record         `json:"record"`
-	Nodes    *Nodes          `json:"nodes"`
+	Nodes    *NodeFiles      `json:"nodes"`
 	Log      string          `json:"log"`
 	Tuning   json.RawMessage `json:"tuning"` // single figures of limits.Limits, in its words
 }
@@ -118,7 +118,7 @@
 			*to = v
 		}
 	}
-	c := &Config{Name: in.Name, Listen: in.Listen, Discovery: in.Discovery, Known: discovery.List{Rev: discovery.NoList}, Object: in.Object, Control: in.Control, Record: in.Record, Nodes: in.Nodes,
+	c := &Config{Name: in.Name, Listen: in.Listen, DiscoveryAddr: in.Discovery, InitialList: discovery.List{Revision: discovery.NoRevision}, Object: in.Object, Control: in.Control, Record: in.Record, Nodes: in.Nodes,
 		LogLevel: in.Log, fileDiscovery: fileDiscovery}
 	var err error
 	if c.keys, err = keys(text); err != nil {
@@ -128,21 +128,21 @@
 		c.Name = "broker"
 	}
 	if in.Known != nil {
-		c.Known = *in.Known
+		c.InitialList = *in.Known
 	}
 	if c.Listen == "" && c.Object == nil {
 		return nil, errors.New("listen: missing (and no object front is set up)")
 	}
-	for key, v := range map[string]string{"listen": c.Listen, "discovery": c.Discovery} {
+	for key, v := range map[string]string{"listen": c.Listen, "discovery": c.DiscoveryAddr} {
 		if v == "" && key == "listen" {
 			continue
 		}
-		if err := Address(v); err != nil {
+		if err := CheckAddress(v); err != nil {
 			return nil, fmt.Errorf("%s: %w", key, err)
 		}
 	}
 	if v := c.fileDiscovery; v != "" { // a reload may turn to it, whatever LB_DISCOVERY said at the start
-		if err := Address(v); err != nil {
+		if err := CheckAddress(v); err != nil {
 			return nil, fmt.Errorf("discovery: %w", err)
 		}
 	}
@@ -186,7 +186,7 @@
 		return nil, fmt.Errorf("settings: %w", named(err))
 	}
 	c.Zones, c.Shards = ex.Zones, ex.Specifics.Shards
-	if _, err := c.Known.Nodes(c.Zones); err != nil {
+	if _, err := c.InitialList.Nodes(c.Zones); err != nil {
 		return nil, fmt.Errorf("known.%w", err)
 	}
 	if err := c.fillLimits(&in, &ex); err != nil {
@@ -201,11 +201,11 @@
 		if err := n.check(); err != nil {
 			return nil, fmt.Errorf("nodes.%w", err)
 		}
-		if n.Zone != "" {
-			if c.Policy.LocalZone = slices.Index(c.Zones, n.Zone) + 1; c.Policy.LocalZone == 0 {
-				return nil, fmt.Errorf("nodes.zone: %q is none of settings.zones", n.Zone)
+		if n.LocalZone != "" {
+			if c.Policy.LocalZone = slices.Index(c.Zones, n.LocalZone) + 1; c.Policy.LocalZone == 0 {
+				return nil, fmt.Errorf("nodes.zone: %q is none of settings.zones", n.LocalZone)
 			}
-			c.Policy.RemoteZonePenalty = time.Duration(cmp.Or(n.FarMS, 50)) * time.Millisecond
+			c.Policy.RemoteZonePenalty = time.Duration(cmp.Or(n.RemoteZonePenaltyMS, 50)) * time.Millisecond
 		}
 	}
 	if c.Record != nil {
@@ -221,8 +221,8 @@
 	return c, nil
 }
 
-// Class is the number of a class, or -1.
-func (c *Config) Class(name string) int {
+// ClassIndex is the number of a class, or -1.
+func (c *Config) ClassIndex(name string) int {
 	for i, k := range c.Policy.Classes {
 		if k.Name == name {
 			return i
@@ -231,8 +231,8 @@
 	return -1
 }
 
-// Plan is the number of a plan, or -1.
-func (c *Config) Plan(name string) int {
+// PlanIndex is the number of a plan, or -1.
+func (c *Config) PlanIndex(name string) int {
 	for i, p := range c.Policy.Plans {
 		if p.Name == name {
 			return i
@@ -241,8 +241,8 @@
 	return -1
 }
 
-// Address checks HOST:PORT.
-func Address(s string) error {
+// CheckAddress checks HOST:PORT.
+func CheckAddress(s string) error {
 	if s == "" {
 		return errors.New("missing")
 	}
--- a/internal/broker/config/config_test.go
+++ b/internal/broker/config/config_test.go
@@ -69,7 +69,7 @@
 	}
 	env := map[string]string{"LB_CONFIG": path, "LB_NAME": "x", "LB_LISTEN": "127.0.0.1:9", "LB_DISCOVERY": "127.0.0.1:8"}
 	c, err := Load(func(k string) string { return env[k] })
-	if err != nil || c.Name != "x" || c.Listen != "127.0.0.1:9" || c.Discovery != "127.0.0.1:8" {
+	if err != nil || c.Name != "x" || c.Listen != "127.0.0.1:9" || c.DiscoveryAddr != "127.0.0.1:8" {
 		t.Errorf("%+v, %v", c, err)
 	}
 	if _, err := Load(none); err == nil || !strings.HasPrefix(err.Error(), "LB_CONFIG") {
@@ -113,8 +113,8 @@
 			}
 			continue
 		}
-		if err != nil || next.Discovery != x.discovery || next.LogLevel != x.log || strings.Join(restart, " ") != x.restart {
-			t.Errorf("%q: %v, %s, %s, restart %q", x.replace, err, next.Discovery, next.LogLevel, restart)
+		if err != nil || next.DiscoveryAddr != x.discovery || next.LogLevel != x.log || strings.Join(restart, " ") != x.restart {
+			t.Errorf("%q: %v, %s, %s, restart %q", x.replace, err, next.DiscoveryAddr, next.LogLevel, restart)
 			continue
 		}
 		c = next
--- a/internal/broker/config/reload.go
+++ b/internal/broker/config/reload.go
@@ -31,7 +31,7 @@
 	now := *c
 	now.LogLevel = file.LogLevel
 	if f := file.fileDiscovery; f != "" && f != c.fileDiscovery {
-		now.Discovery, now.fileDiscovery = f, f
+		now.DiscoveryAddr, now.fileDiscovery = f, f
 	}
 	return &now, restart, nil
 }
--- a/internal/broker/control/ledger.go
+++ b/internal/broker/control/ledger.go
@@ -13,14 +13,14 @@
 
 // Change is what an agent wants a boot to hold, whole and not as a difference.
 type Change struct {
-	ID       string              `json:"id"`       // of the command; asked again with the same id, the same answer comes
-	Token    uint64              `json:"token"`    // of the agent; lower ones than the highest seen are refused
-	Boot     string              `json:"boot"`     // the boot that it is meant for
-	Base     uint64              `json:"base"`     // the revision that the boot must hold
-	Revision uint64              `json:"revision"` // and the one it holds then; greater than Base
-	Rev      uint64              `json:"rev"`      // the fleet's revision that it is of, for people
-	Live     spec.LiveSettings   `json:"live"`
-	Nodes    []spec.NodeOverride `json:"nodes"`
+	ID            string              `json:"id"`       // of the command; asked again with the same id, the same answer comes
+	FencingToken  uint64              `json:"token"`    // of the agent; lower ones than the highest seen are refused
+	Boot          string              `json:"boot"`     // the boot that it is meant for
+	BaseRevision  uint64              `json:"base"`     // the revision that the boot must hold
+	Revision      uint64              `json:"revision"` // and the one it holds then; greater than Base
+	FleetRevision uint64              `json:"rev"`      // the fleet's revision that it is of, for people
+	Live          spec.LiveSettings   `json:"live"`
+	NodeOverrides []spec.NodeOverride `json:"nodes"`
 }
 
 // Code tells what became of a change.
@@ -28,30 +28,30 @@
 
 // The codes.
 const (
-	Taken    Code = "taken"
-	Fenced   Code = "fenced"   // a newer agent is in charge
-	OldBoot  Code = "boot"     // it was meant for another boot
-	OldBase  Code = "base"     // the boot holds another revision than it builds on
-	Refused  Code = "refused"  // it cannot be taken up, for Reason
-	Misnamed Code = "misnamed" // its id belongs to another change
-	Draining Code = "draining" // the broker is on its way out
+	CodeApplied    Code = "taken"
+	CodeFenced     Code = "fenced"   // a newer agent is in charge
+	CodeWrongBoot  Code = "boot"     // it was meant for another boot
+	CodeStaleBase  Code = "base"     // the boot holds another revision than it builds on
+	CodeRejected   Code = "refused"  // it cannot be taken up, for Reason
+	CodeIDConflict Code = "misnamed" // its id belongs to another change
+	CodeDraining   Code = "draining" // the broker is on its way out
 )
 
 // Outcome answers a change.
 type Outcome struct {
-	Code     Code     `json:"code"`
-	Reason   string   `json:"reason,omitempty"`
-	Repeated bool     `json:"repeated,omitempty"` // it had been decided on before
-	Boot     string   `json:"boot"`
-	Applied  uint64   `json:"applied"` // the revision that the boot holds now
-	Did      []Effect `json:"did,omitempty"`
+	Code            Code     `json:"code"`
+	Reason          string   `json:"reason,omitempty"`
+	Repeated        bool     `json:"repeated,omitempty"` // it had been decided on before
+	Boot            string   `json:"boot"`
+	AppliedRevision uint64   `json:"applied"` // the revision that the boot holds now
+	Effects         []Effect `json:"did,omitempty"`
 }
 
 // Effect is one thing that a change did.
 type Effect struct {
-	What string `json:"what"`
-	From string `json:"from"`
-	To   string `json:"to"`
+	Setting  string `json:"what"`
+	OldValue string `json:"from"`
+	NewValue string `json:"to"`
 }
 
 // Ledger remembers what one boot holds and which commands it has decided on.
@@ -84,35 +84,35 @@
 func (l *Ledger) Token() uint64 { return l.token }
 
 func (l *Ledger) say(code Code, format string, args ...any) *Outcome {
-	return &Outcome{Code: code, Reason: fmt.Sprintf(format, args...), Boot: l.boot, Applied: l.applied}
+	return &Outcome{Code: code, Reason: fmt.Sprintf(format, args...), Boot: l.boot, AppliedRevision: l.applied}
 }
 
 // Admit decides on a change. nil says that it is to be carried out and then recorded with Record; else the outcome is
 // final. A change whose id was decided on before gets the outcome of that time: it is never carried out twice.
 func (l *Ledger) Admit(c *Change) *Outcome {
 	if c.ID == "" {
-		return l.say(Refused, "id: missing")
+		return l.say(CodeRejected, "id: missing")
 	}
-	if c.Token < l.token {
-		return l.say(Fenced, "token %d is older than %d", c.Token, l.token)
+	if c.FencingToken < l.token {
+		return l.say(CodeFenced, "token %d is older than %d", c.FencingToken, l.token)
 	}
-	l.token = c.Token
+	l.token = c.FencingToken
 	if c.Boot != l.boot {
-		return l.say(OldBoot, "meant for boot %s, this is %s", c.Boot, l.boot)
+		return l.say(CodeWrongBoot, "meant for boot %s, this is %s", c.Boot, l.boot)
 	}
 	if d, ok := l.seen[c.ID]; ok {
 		if d.digest != digest(c) {
-			return l.say(Misnamed, "id %s belongs to another change", c.ID)
+			return l.say(CodeIDConflict, "id %s belongs to another change", c.ID)
 		}
 		o := d.outcome
-		o.Repeated, o.Applied = true, l.applied
+		o.Repeated, o.AppliedRevision = true, l.applied
 		return &o
 	}
-	if c.Base != l.applied {
-		return l.say(OldBase, "builds on revision %d, this boot holds %d", c.Base, l.applied)
+	if c.BaseRevision != l.applied {
+		return l.say(CodeStaleBase, "builds on revision %d, this boot holds %d", c.BaseRevision, l.applied)
 	}
-	if c.Revision <= c.Base {
-		return l.say(Refused, "revision: %d is not above %d", c.Revision, c.Base)
+	if c.Revision <= c.BaseRevision {
+		return l.say(CodeRejected, "revision: %d is not above %d", c.Revision, c.BaseRevision)
 	}
 	return nil
 }
@@ -121,10 +121,10 @@
 func (l *Ledger) Record(c *Change, did []Effect, err error) *Outcome {
 	var o *Outcome
 	if err != nil {
-		o = l.say(Refused, "%v", err)
+		o = l.say(CodeRejected, "%v", err)
 	} else {
 		l.applied = c.Revision
-		o = &Outcome{Code: Taken, Boot: l.boot, Applied: l.applied, Did: did}
+		o = &Outcome{Code: CodeApplied, Boot: l.boot, AppliedRevision: l.applied, Effects: did}
 	}
 	l.seen[c.ID] = decided{digest(c), *o}
 	if l.order = append(l.order, c.ID); len(l.order) > l.most {
@@ -137,7 +137,7 @@
 // digest tells changes apart; the token may differ, since a newer agent may finish what an older one began.
 func digest(c *Change) string {
 	d := *c
-	d.Token = 0
+	d.FencingToken = 0
 	b, _ := json.Marshal(&d) // plain values always marshal
 	sum := sha256.Sum256(b)
 	return hex.EncodeToString(sum[:])
--- a/internal/broker/control/ledger_test.go
+++ b/internal/broker/control/ledger_test.go
@@ -40,20 +40,20 @@
 				}
 				c = rapid.SampledFrom(sent).Draw(t, "again")
 				if rapid.Bool().Draw(t, "other agent") {
-					c.Token = uint64(rapid.IntRange(1, 3).Draw(t, "token"))
+					c.FencingToken = uint64(rapid.IntRange(1, 3).Draw(t, "token"))
 				}
 			default:
-				c = Change{ID: fmt.Sprint("c", n), Token: uint64(rapid.IntRange(1, 3).Draw(t, "token")), Boot: l.Boot(),
-					Base: l.Applied(), Revision: l.Applied() + uint64(rapid.IntRange(0, 2).Draw(t, "up"))}
+				c = Change{ID: fmt.Sprint("c", n), FencingToken: uint64(rapid.IntRange(1, 3).Draw(t, "token")), Boot: l.Boot(),
+					BaseRevision: l.Applied(), Revision: l.Applied() + uint64(rapid.IntRange(0, 2).Draw(t, "up"))}
 				if rapid.IntRange(0, 3).Draw(t, "stale") == 0 {
-					c.Base++
+					c.BaseRevision++
 				}
 				sent = append(sent, c)
 			}
 			before := l.Applied()
 			o := l.Admit(&c)
 			if o == nil {
-				if c.Token < highest || c.Boot != l.Boot() || c.Base != before || c.Revision <= before {
+				if c.FencingToken < highest || c.Boot != l.Boot() || c.BaseRevision != before || c.Revision <= before {
 					t.Fatalf("%+v was admitted at revision %d", c, before)
 				}
 				var err error
@@ -65,14 +65,14 @@
 				if taken[c.ID] > 1 {
 					t.Fatalf("%s was carried out twice", c.ID)
 				}
-				if (err == nil) != (o.Code == Taken) || err == nil && l.Applied() != c.Revision || err != nil && l.Applied() != before {
+				if (err == nil) != (o.Code == CodeApplied) || err == nil && l.Applied() != c.Revision || err != nil && l.Applied() != before {
 					t.Fatalf("%+v %d", o, l.Applied())
 				}
-			} else if l.Applied() != before || o.Code == Taken && !o.Repeated {
+			} else if l.Applied() != before || o.Code == CodeApplied && !o.Repeated {
 				t.Fatalf("%+v", o)
 			}
-			if o.Code != Refused || o.Reason != "id: missing" {
-				highest = max(highest, c.Token)
+			if o.Code != CodeRejected || o.Reason != "id: missing" {
+				highest = max(highest, c.FencingToken)
 			}
 		}
 	})
@@ -86,11 +86,11 @@
 	}
 	return nil
 }
-func (f *fake) Take(spec.LiveSettings, []spec.NodeOverride) []Effect {
+func (f *fake) Apply(spec.LiveSettings, []spec.NodeOverride) []Effect {
 	f.taken++
 	return []Effect{{"x", "1", "2"}}
 }
-func (f *fake) Describe(st *State) { st.Nodes = 7 }
+func (f *fake) FillState(st *State) { st.NodeCount = 7 }
 
 // The endpoint on a socket: an answer that got lost is asked for again with the same id.
 func TestLostAnswerIsAskedForAgain(t *testing.T) {
@@ -115,24 +115,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ch := &Change{ID: "c1", Token: 1, Boot: "b1", Revision: 5}
+	ch := &Change{ID: "c1", FencingToken: 1, Boot: "b1", Revision: 5}
 	if _, err := c.Change(t.Context(), ch); err == nil {
 		t.Fatal("an answer though the connection broke")
 	}
 	o, err := c.Change(t.Context(), ch)
-	if err != nil || o.Code != Taken || !o.Repeated || o.Applied != 5 || f.taken != 1 {
+	if err != nil || o.Code != CodeApplied || !o.Repeated || o.AppliedRevision != 5 || f.taken != 1 {
 		t.Fatalf("%v %+v, taken %d times", err, o, f.taken)
 	}
-	o, err = c.Change(t.Context(), &Change{ID: "c2", Token: 1, Boot: "b1", Base: 5, Revision: 6, Live: spec.LiveSettings{MaxInFlight: -1}})
-	if err != nil || o.Code != Refused || o.Applied != 5 {
+	o, err = c.Change(t.Context(), &Change{ID: "c2", FencingToken: 1, Boot: "b1", BaseRevision: 5, Revision: 6, Live: spec.LiveSettings{MaxInFlight: -1}})
+	if err != nil || o.Code != CodeRejected || o.AppliedRevision != 5 {
 		t.Fatalf("%v %+v", err, o)
 	}
 	s.Drain()
-	if o, err = c.Change(t.Context(), &Change{ID: "c3", Token: 1, Boot: "b1", Base: 5, Revision: 6}); err != nil || o.Code != Draining {
+	if o, err = c.Change(t.Context(), &Change{ID: "c3", FencingToken: 1, Boot: "b1", BaseRevision: 5, Revision: 6}); err != nil || o.Code != CodeDraining {
 		t.Fatalf("%v %+v", err, o)
 	}
 	st, err := c.State(t.Context())
-	if err != nil || st.Applied != 5 || st.Nodes != 7 || !st.Draining || st.Started != "d1" {
+	if err != nil || st.AppliedRevision != 5 || st.NodeCount != 7 || !st.Draining || st.StartDigest != "d1" {
 		t.Fatalf("%v %+v", err, st)
 	}
 	cancel()
--- a/internal/broker/control/server.go
+++ b/internal/broker/control/server.go
@@ -20,71 +20,71 @@
 
 // State is what a boot says of itself.
 type State struct {
-	Name     string            `json:"name"`
-	Boot     string            `json:"boot"`
-	PID      int               `json:"pid"`
-	Started  string            `json:"started"` // digest of its start settings, as its configuration names it
-	Applied  uint64            `json:"applied"` // revision that it holds; 0: what it started with
-	Rev      uint64            `json:"rev"`     // the fleet's revision that this is of
-	Token    uint64            `json:"token"`
-	Since    time.Time         `json:"since"`
-	Draining bool              `json:"draining,omitempty"`
-	ListRev  int64             `json:"list_rev"` // version of discovery's list that it works by; -1: none yet
-	Nodes    int               `json:"nodes"`
-	Open     int64             `json:"open"`              // requests taken and not answered
-	Live     spec.LiveSettings `json:"live"`              // in force
-	Figures  *Figures          `json:"figures,omitempty"` // of the last second, where the broker records
+	Name                 string            `json:"name"`
+	Boot                 string            `json:"boot"`
+	PID                  int               `json:"pid"`
+	StartDigest          string            `json:"started"` // digest of its start settings, as its configuration names it
+	AppliedRevision      uint64            `json:"applied"` // revision that it holds; 0: what it started with
+	FleetRevision        uint64            `json:"rev"`     // the fleet's revision that this is of
+	FencingToken         uint64            `json:"token"`
+	StartedAt            time.Time         `json:"since"`
+	Draining             bool              `json:"draining,omitempty"`
+	EndpointListRevision int64             `json:"list_rev"` // version of discovery's list that it works by; -1: none yet
+	NodeCount            int               `json:"nodes"`
+	InFlight             int64             `json:"open"`              // requests taken and not answered
+	Live                 spec.LiveSettings `json:"live"`              // in force
+	Stats                *Stats            `json:"figures,omitempty"` // of the last second, where the broker records
 }
 
-// Figures are what a broker did in a span of time. Times are microseconds.
-type Figures struct {
-	Span    int64          `json:"span"`
-	Groups  []GroupCount   `json:"groups"`
-	Nodes   []NodeFigure   `json:"nodes"`
-	Volumes []VolumeFigure `json:"volumes"`           // those that came most often
-	Dropped uint64         `json:"dropped,omitempty"` // records that found no room, since the boot
+// Stats are what a broker did in a span of time. Times are microseconds.
+type Stats struct {
+	Span     int64          `json:"span"`
+	Requests []RequestStats `json:"groups"`
+	Nodes    []NodeStats    `json:"nodes"`
+	Volumes  []VolumeStats  `json:"volumes"`           // those that came most often
+	Dropped  uint64         `json:"dropped,omitempty"` // records that found no room, since the boot
 }
 
-// GroupCount is the requests of one class and plan.
-type GroupCount struct {
-	Class   string `json:"class"`
-	Plan    string `json:"plan"`
-	Served  uint64 `json:"served"`
-	Late    uint64 `json:"late"` // of the served, after the aim
-	Refused uint64 `json:"refused"`
-	Failed  uint64 `json:"failed"`
-	P50     int64  `json:"p50"`
-	P99     int64  `json:"p99"`
+// RequestStats is the requests of one class and plan.
+type RequestStats struct {
+	Class    string `json:"class"`
+	Plan     string `json:"plan"`
+	Served   uint64 `json:"served"`
+	Late     uint64 `json:"late"` // of the served, after the aim
+	Rejected uint64 `json:"refused"`
+	Failed   uint64 `json:"failed"`
+	P50      int64  `json:"p50"`
+	P99      int64  `json:"p99"`
 }
 
-// VolumeFigure is the requests of a volume. Count may be too high by Error.
-type VolumeFigure struct {
-	Volume  string `json:"volume"`
-	Count   uint64 `json:"count"`
-	Error   uint64 `json:"error,omitempty"`
-	Refused uint64 `json:"refused"`
-	Failed  uint64 `json:"failed"`
-	Late    uint64 `json:"late"`
+// VolumeStats is the requests of a volume. Count may be too high by Error.
+type VolumeStats struct {
+	Volume     string `json:"volume"`
+	Count      uint64 `json:"count"`
+	CountError uint64 `json:"error,omitempty"`
+	Rejected   uint64 `json:"refused"`
+	Failed     uint64 `json:"failed"`
+	Late       uint64 `json:"late"`
 }
 
-// NodeFigure is the attempts at one node.
-type NodeFigure struct {
-	Node   string `json:"node"`
-	Served uint64 `json:"served"`
-	Silent uint64 `json:"silent"` // no answer in time
-	Other  uint64 `json:"other"`
-	P50    int64  `json:"p50"`
-	P99    int64  `json:"p99"`
+// NodeStats is the attempts at one node.
+type NodeStats struct {
+	Node     string `json:"node"`
+	Served   uint64 `json:"served"`
+	TimedOut uint64 `json:"silent"` // no answer in time
+	Other    uint64 `json:"other"`
+	P50      int64  `json:"p50"`
+	P99      int64  `json:"p99"`
 }
 
 // Broker is the running broker behind the endpoint.
 type Broker interface {
 	// Check reports what in a change cannot be taken up, naming the field.
 	Check(spec.LiveSettings, []spec.NodeOverride) error
-	// Take takes a checked change up and tells what that did.
-	Take(spec.LiveSettings, []spec.NodeOverride) []Effect
-	// Describe fills in what the broker knows: list, nodes, open requests, settings in force.
-	Describe(*State)
+	// Apply takes a checked change up and tells what that did.
+	Apply(spec.LiveSettings, []spec.NodeOverride) []Effect
+	// FillState fills in what the broker knows: list, nodes, open requests, settings in force.
+	FillState(*State)
 }
 
 // Server serves one boot's endpoint.
@@ -114,16 +114,16 @@
 // SetHook has f called with "admitted" before a change is taken up and with "recorded" after, before it is answered.
 func (s *Server) SetHook(f func(point string)) { s.hook = f }
 
-// Observe has f called with every change and what became of it.
-func (s *Server) Observe(f func(*Change, *Outcome)) { s.observe = f }
+// OnChange has f called with every change and what became of it.
+func (s *Server) OnChange(f func(*Change, *Outcome)) { s.observe = f }
 
-// Nodes has GET /v1/nodes tell what explain returns (of one node with ?id=), and POST /v1/nodes/accept call accept.
-func (s *Server) Nodes(explain func(id string) any, accept func() int) {
+// HandleNodes has GET /v1/nodes tell what explain returns (of one node with ?id=), and POST /v1/nodes/accept call accept.
+func (s *Server) HandleNodes(explain func(id string) any, accept func() int) {
 	s.explain, s.accept = explain, accept
 }
 
-// Records has GET /v1/records give what f returns: the broker's records where it keeps them in memory.
-func (s *Server) Records(f func() []byte) { s.records = f }
+// HandleRecords has GET /v1/records give what f returns: the broker's records where it keeps them in memory.
+func (s *Server) HandleRecords(f func() []byte) { s.records = f }
 
 func (s *Server) at(point string) {
 	if s.hook != nil {
@@ -142,9 +142,9 @@
 func (s *Server) State() State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	st := State{Name: s.name, Boot: s.ledger.Boot(), PID: os.Getpid(), Started: s.start, Applied: s.ledger.Applied(),
-		Rev: s.rev, Token: s.ledger.Token(), Since: s.since, Draining: s.draining}
-	s.broker.Describe(&st)
+	st := State{Name: s.name, Boot: s.ledger.Boot(), PID: os.Getpid(), StartDigest: s.start, AppliedRevision: s.ledger.Applied(),
+		FleetRevision: s.rev, FencingToken: s.ledger.Token(), StartedAt: s.since, Draining: s.draining}
+	s.broker.FillState(&st)
 	return st
 }
 
@@ -161,7 +161,7 @@
 
 func (s *Server) change(c *Change) *Outcome {
 	if s.draining {
-		return s.ledger.say(Draining, "the broker is draining")
+		return s.ledger.say(CodeDraining, "the broker is draining")
 	}
 	if o := s.ledger.Admit(c); o != nil {
 		s.log.Warn("control: change not taken", "id", c.ID, "code", o.Code, "reason", o.Reason, "repeated", o.Repeated)
@@ -169,10 +169,10 @@
 	}
 	s.at("admitted")
 	var did []Effect
-	err := s.broker.Check(c.Live, c.Nodes)
+	err := s.broker.Check(c.Live, c.NodeOverrides)
 	if err == nil {
-		did = s.broker.Take(c.Live, c.Nodes)
-		s.rev = c.Rev
+		did = s.broker.Apply(c.Live, c.NodeOverrides)
+		s.rev = c.FleetRevision
 	}
 	o := s.ledger.Record(c, did, err)
 	s.at("recorded")
@@ -223,17 +223,17 @@
 		d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxChange))
 		d.DisallowUnknownFields() // a field that is not known cannot be promised
 		if err := d.Decode(&c); err != nil {
-			reply(w, http.StatusBadRequest, Outcome{Code: Refused, Reason: err.Error()})
+			reply(w, http.StatusBadRequest, Outcome{Code: CodeRejected, Reason: err.Error()})
 			return
 		}
 		o := s.Change(&c)
 		status := http.StatusConflict
 		switch o.Code {
-		case Taken:
+		case CodeApplied:
 			status = http.StatusOK
-		case Refused:
+		case CodeRejected:
 			status = http.StatusUnprocessableEntity
-		case Draining:
+		case CodeDraining:
 			status = http.StatusServiceUnavailable
 		}
 		reply(w, status, o)
@@ -360,8 +360,8 @@
 	return b, err
 }
 
-// Accept has the broker believe the omissions that its guard holds back.
-func (c *Client) Accept(ctx context.Context) (changed int, err error) {
+// AcceptRemovals has the broker believe the omissions that its guard holds back.
+func (c *Client) AcceptRemovals(ctx context.Context) (changed int, err error) {
 	var out struct{ Changed int }
 	err = c.call(ctx, http.MethodPost, "nodes/accept", nil, &out)
 	return out.Changed, err
--- a/internal/broker/server/block_test.go
+++ b/internal/broker/server/block_test.go
@@ -28,7 +28,7 @@
 	}
 	t.Cleanup(func() { ln.Close() })
 	go b.Serve(ln)
-	r.disc.Set(discovery.Target{UID: "s-0", Endpoint: ln.Addr().String(), AZ: "room", PodGroup: 0, State: "up"})
+	r.disc.Set(discovery.Endpoint{ID: "s-0", Addr: ln.Addr().String(), Zone: "room", Shard: 0, State: "up"})
 	base, stop := r.broker(`,"listen":"127.0.0.1:0","object":null`)
 	c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
 	if err != nil {
--- a/internal/broker/server/control_test.go
+++ b/internal/broker/server/control_test.go
@@ -32,7 +32,7 @@
 		return st
 	}
 	st := state()
-	if st.Applied != 0 || st.Started != "d1" || st.Boot == "" {
+	if st.AppliedRevision != 0 || st.StartDigest != "d1" || st.Boot == "" {
 		t.Fatalf("%+v", st)
 	}
 	calls := 0
@@ -40,8 +40,8 @@
 		t.Helper()
 		st := state()
 		calls++
-		o, err := cl.Change(t.Context(), &control.Change{ID: fmt.Sprint("c", calls), Token: 1, Boot: st.Boot, Base: st.Applied,
-			Revision: st.Applied + 1, Nodes: nodes, Live: live})
+		o, err := cl.Change(t.Context(), &control.Change{ID: fmt.Sprint("c", calls), FencingToken: 1, Boot: st.Boot, BaseRevision: st.AppliedRevision,
+			Revision: st.AppliedRevision + 1, NodeOverrides: nodes, Live: live})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -50,7 +50,7 @@
 	home := r.home(base, "/b/k", []byte("x"))
 	id := fmt.Sprint("s-", home)
 	o := change([]spec.NodeOverride{{ID: id, State: spec.NodeDraining}}, spec.LiveSettings{MaxInFlight: 77, LogLevel: "debug"})
-	if o.Code != control.Taken || len(o.Did) != 3 {
+	if o.Code != control.CodeApplied || len(o.Effects) != 3 {
 		t.Fatalf("%+v", o)
 	}
 	if a := r.do("GET", base+"/b/k", nil, "X-Timeout-Ms", "300"); a.status == 200 {
@@ -58,7 +58,7 @@
 	}
 	seen := count(r.stores[home], "GET ")
 	r.list(0, 0) // discovery says again that both are up
-	eventually(t, "the list that discovery told", func() bool { return state().ListRev >= r.disc.List(-1).Rev })
+	eventually(t, "the list that discovery told", func() bool { return state().EndpointListRevision >= r.disc.List(-1).Revision })
 	if a := r.do("GET", base+"/b/k", nil, "X-Timeout-Ms", "300"); a.status == 200 || count(r.stores[home], "GET ") != seen {
 		t.Errorf("discovery brought a drained node back: %d", a.status)
 	}
@@ -67,17 +67,17 @@
 	}
 	// The same store under a name that discovery does not know.
 	o = change([]spec.NodeOverride{{ID: id, State: spec.NodeRemoved}, {ID: "s-new", State: spec.NodeAdded, Addr: r.nodes[home].Addr(), Shard: home}}, spec.LiveSettings{})
-	if o.Code != control.Taken {
+	if o.Code != control.CodeApplied {
 		t.Fatalf("%+v", o)
 	}
 	eventually(t, "an answer from the added node", func() bool { return r.do("GET", base+"/b/k", nil).status == 200 })
 	if v := state().Live; v.MaxInFlight == 77 || v.LogLevel != "info" {
 		t.Errorf("what is no longer asked for is still in force: %+v", v)
 	}
-	if o = change([]spec.NodeOverride{{ID: "x", State: "sleeping"}}, spec.LiveSettings{}); o.Code != control.Refused {
+	if o = change([]spec.NodeOverride{{ID: "x", State: "sleeping"}}, spec.LiveSettings{}); o.Code != control.CodeRejected {
 		t.Errorf("%+v", o)
 	}
-	if o = change(nil, spec.LiveSettings{}); o.Code != control.Taken {
+	if o = change(nil, spec.LiveSettings{}); o.Code != control.CodeApplied {
 		t.Errorf("%+v", o)
 	}
 	// What it did is in its memory, and readable while it runs.
@@ -103,7 +103,7 @@
 	boot := state().Boot
 	stop()
 	r.broker(extra)
-	if st := state(); st.Boot == boot || st.Applied != 0 {
+	if st := state(); st.Boot == boot || st.AppliedRevision != 0 {
 		t.Errorf("after a restart: %+v", st)
 	}
 }
--- a/internal/broker/server/live.go
+++ b/internal/broker/server/live.go
@@ -46,18 +46,18 @@
 func newLive(cfg *config.Config, table *core.EndpointTable, f *dispatcher.Dispatcher, w *discovery.Client, g *core.ConcurrencyLimiter, r *Reload, c *clock.Clock,
 	log *slog.Logger) *live {
 	l := &live{zone: cfg.Zones, log: log, time: c, table: table, facade: f, watch: w, gate: g, level: &slog.LevelVar{},
-		file: spec.LiveSettings{LogLevel: cfg.LogLevel, Discovery: cfg.Discovery, MaxInFlight: cfg.Limits.MaxInFlight}}
+		file: spec.LiveSettings{LogLevel: cfg.LogLevel, Discovery: cfg.DiscoveryAddr, MaxInFlight: cfg.Limits.MaxInFlight}}
 	if r != nil {
 		l.level, l.hook = r.Level, r.Hook
 	}
 	if cfg.Control != nil || cfg.Nodes != nil {
-		l.all = membership.New(cfg.Nodes.Options(cfg.Policy.SlowStartDuration), c.Now())
+		l.all = membership.New(cfg.Nodes.MembershipOptions(cfg.Policy.SlowStartDuration), c.Now())
 		if cfg.Nodes != nil && cfg.Nodes.Subset > 0 {
 			l.part = routing.NewSubset(cfg.Name, cfg.Nodes.Subset)
 		}
 	}
 	if l.all != nil || cfg.Record != nil {
-		w.Deliver(l.list)
+		w.OnEndpoints(l.list)
 	}
 	return l
 }
@@ -75,9 +75,9 @@
 }
 
 func (l *live) pass(nodes []core.Node, full bool) {
-	l.rec.list(l.table, nodes, full, l.watch.Rev())
+	l.rec.list(l.table, nodes, full, l.watch.Revision())
 	l.table.Update(nodes, full) // first: what the module decides next is checked against it
-	l.facade.UpdateEndpoints(discovery.Members(nodes), full)
+	l.facade.UpdateEndpoints(discovery.DecisionEndpoints(nodes), full)
 }
 
 // reload takes up what a hangup brought.
@@ -105,7 +105,7 @@
 
 func (l *live) enforce() {
 	v := l.inForce()
-	l.watch.Move(v.Discovery)
+	l.watch.SetAddress(v.Discovery)
 	l.level.UnmarshalText([]byte(v.LogLevel)) // checked before
 	l.gate.SetLimit(v.MaxInFlight)
 }
@@ -119,7 +119,7 @@
 		}
 	}
 	if v.Discovery != "" {
-		if err := config.Address(v.Discovery); err != nil {
+		if err := config.CheckAddress(v.Discovery); err != nil {
 			return fmt.Errorf("live.discovery: %w", err)
 		}
 	}
@@ -140,7 +140,7 @@
 }
 
 // Take takes a checked change up.
-func (l *live) Take(v spec.LiveSettings, nodes []spec.NodeOverride) (did []control.Effect) {
+func (l *live) Apply(v spec.LiveSettings, nodes []spec.NodeOverride) (did []control.Effect) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	was := l.inForce()
@@ -148,18 +148,18 @@
 	now := l.inForce()
 	l.enforce()
 	for _, e := range []control.Effect{
-		{What: "log", From: was.LogLevel, To: now.LogLevel},
-		{What: "discovery", From: was.Discovery, To: now.Discovery},
-		{What: "max_open", From: strconv.Itoa(was.MaxInFlight), To: strconv.Itoa(now.MaxInFlight)},
+		{Setting: "log", OldValue: was.LogLevel, NewValue: now.LogLevel},
+		{Setting: "discovery", OldValue: was.Discovery, NewValue: now.Discovery},
+		{Setting: "max_open", OldValue: strconv.Itoa(was.MaxInFlight), NewValue: strconv.Itoa(now.MaxInFlight)},
 	} {
-		if e.From != e.To {
+		if e.OldValue != e.NewValue {
 			did = append(did, e)
 		}
 	}
 	changed := l.merged(l.fromOperators(nodes))
 	for _, n := range changed {
 		old, ok := l.table.Get(n.ID)
-		did = append(did, control.Effect{What: "node " + n.ID, From: nodeState(old, ok), To: nodeState(n, n.State != decision.Removed)})
+		did = append(did, control.Effect{Setting: "node " + n.ID, OldValue: nodeState(old, ok), NewValue: nodeState(n, n.State != decision.Removed)})
 	}
 	if len(changed) > 0 {
 		l.pass(changed, false)
@@ -178,11 +178,11 @@
 }
 
 // Describe fills in what is in force.
-func (l *live) Describe(st *control.State) {
+func (l *live) FillState(st *control.State) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	st.Figures = l.rec.figures()
-	st.Live, st.ListRev, st.Nodes, st.Open = l.inForce(), l.watch.Rev(), l.table.Len(), l.gate.InFlight()
+	st.Stats = l.rec.figures()
+	st.Live, st.EndpointListRevision, st.NodeCount, st.InFlight = l.inForce(), l.watch.Revision(), l.table.Len(), l.gate.InFlight()
 }
 
 // newBoot names a boot.
@@ -202,10 +202,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("control.listen: %w", err)
 	}
-	s := control.NewServer(cfg.Name, id, cfg.Control.Started, l, log)
+	s := control.NewServer(cfg.Name, id, cfg.Control.StartDigest, l, log)
 	s.SetHook(l.hook)
 	l.rec.control(s)
-	s.Nodes(l.explain, l.accept)
+	s.HandleNodes(l.explain, l.accept)
 	log.Info("control: listening", "addr", cfg.Control.Listen)
 	behind.Go(func() {
 		if err := s.Serve(ctx, ln); err != nil {
--- a/internal/broker/server/nodes.go
+++ b/internal/broker/server/nodes.go
@@ -40,7 +40,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.all.Begun()
+	l.all.EndInitialSync()
 	if l.part != nil { // told by pieces so far: all of it at once
 		l.part = routing.NewSubset(cfg.Name, cfg.Nodes.Subset)
 	}
@@ -59,16 +59,16 @@
 			gone = append(gone, n.ID)
 			continue
 		}
-		e := membership.Entry{ID: n.ID, Addr: n.Addr, Objects: n.ObjectAddr, Shard: n.Shard, Zone: n.Zone, Started: n.StartedAt}
+		e := membership.Entry{ID: n.ID, Addr: n.Addr, ObjectAddr: n.ObjectAddr, Shard: n.Shard, Zone: n.Zone, StartedAt: n.StartedAt}
 		if n.State == decision.Draining {
 			e.State = membership.Draining
 		}
 		entries = append(entries, e)
 	}
 	if full {
-		return l.all.Tell(membership.Discovery, v, entries, now)
+		return l.all.Replace(membership.Discovery, v, entries, now)
 	}
-	return l.all.Change(membership.Discovery, v, entries, gone, now)
+	return l.all.Update(membership.Discovery, v, entries, gone, now)
 }
 
 // fromOperators hands the operators' word to it. The caller holds mu.
@@ -76,16 +76,16 @@
 	l.said[membership.Operators]++
 	entries := make([]membership.Entry, 0, len(list))
 	for _, n := range list {
-		e := membership.Entry{ID: n.ID, Addr: n.Addr, Objects: n.ObjectAddr, Shard: n.Shard, Zone: l.zoneOf(n.Zone), Where: "fleet nodes"}
+		e := membership.Entry{ID: n.ID, Addr: n.Addr, ObjectAddr: n.ObjectAddr, Shard: n.Shard, Zone: l.zoneOf(n.Zone), Origin: "fleet nodes"}
 		switch n.State {
 		case spec.NodeDraining:
 			e.State = membership.Draining
 		case spec.NodeRemoved:
-			e.State = membership.Out
+			e.State = membership.OutOfService
 		}
 		entries = append(entries, e)
 	}
-	return l.all.Tell(membership.Operators, l.said[membership.Operators], entries, l.time.Now())
+	return l.all.Replace(membership.Operators, l.said[membership.Operators], entries, l.time.Now())
 }
 
 func (l *live) zoneOf(name string) int { return max(slices.Index(l.zone, name), 0) }
@@ -99,17 +99,17 @@
 	}
 	usual := 0.0
 	if slices.ContainsFunc(list, func(m membership.Member) bool { return m.Capacity > 0 }) {
-		usual = l.all.Usual()
+		usual = l.all.MedianCapacity()
 	}
 	for _, m := range list {
-		n := core.Node{ID: m.ID, Addr: m.Addr, ObjectAddr: m.Objects, Shard: m.Shard, Zone: m.Zone, StartedAt: m.Started}
+		n := core.Node{ID: m.ID, Addr: m.Addr, ObjectAddr: m.ObjectAddr, Shard: m.Shard, Zone: m.Zone, StartedAt: m.StartedAt}
 		if usual > 0 { // what a kind can do counts against the others
 			n.Capacity = m.Capacity / usual
 		}
 		switch m.State {
 		case membership.Draining:
 			n.State = decision.Draining
-		case membership.Out:
+		case membership.OutOfService:
 			n.State = decision.Removed
 		}
 		out = append(out, n)
@@ -137,7 +137,7 @@
 		case m.State != membership.Up || l.part.Uses(m.ID):
 			out = append(out, m)
 		case slices.Contains(end, m.ID):
-			out = append(out, membership.Member{ID: m.ID, State: membership.Out})
+			out = append(out, membership.Member{ID: m.ID, State: membership.OutOfService})
 		}
 	}
 	for _, id := range begin {
@@ -147,7 +147,7 @@
 	}
 	for _, id := range end {
 		if !listed[id] {
-			out = append(out, membership.Member{ID: id, State: membership.Out})
+			out = append(out, membership.Member{ID: id, State: membership.OutOfService})
 		}
 	}
 	return out
@@ -178,7 +178,7 @@
 	if id != "" {
 		return l.all.Explain(id)
 	}
-	held, why := l.all.Held(membership.Files)
+	held, why := l.all.HeldRemovals(membership.Files)
 	out := struct {
 		Epoch uint64                   `json:"epoch"`
 		Held  []string                 `json:"held,omitempty"`
@@ -195,7 +195,7 @@
 func (l *live) accept() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	changed := l.all.Accept(membership.Files, l.time.Now())
+	changed := l.all.AcceptRemovals(membership.Files, l.time.Now())
 	if len(changed) > 0 {
 		l.log.Info("nodes: omissions accepted by an operator", "changed", len(changed))
 		l.pass(l.merged(changed), false)
@@ -216,13 +216,13 @@
 
 // entry is a row in the membership's form.
 func (f *nodeFiles) entry(r *nodefile.Row) membership.Entry {
-	e := membership.Entry{ID: r.ID, Addr: r.Addr, Objects: r.Objects, Shard: r.Shard, Zone: f.l.zoneOf(r.Zone), Kind: r.Kind, Capacity: r.Capacity,
-		Where: r.Pos.String()}
+	e := membership.Entry{ID: r.ID, Addr: r.Addr, ObjectAddr: r.Objects, Shard: r.Shard, Zone: f.l.zoneOf(r.Zone), Kind: r.Kind, Capacity: r.Capacity,
+		Origin: r.Pos.String()}
 	switch r.State {
 	case "draining":
 		e.State = membership.Draining
 	case "out":
-		e.State = membership.Out
+		e.State = membership.OutOfService
 	}
 	return e
 }
@@ -248,7 +248,7 @@
 		entries = append(entries, e)
 	}
 	return f.tell(func(version, now int64) []membership.Member {
-		return f.l.all.Change(membership.Files, version, entries, nil, now)
+		return f.l.all.Update(membership.Files, version, entries, nil, now)
 	}), true
 }
 
@@ -263,7 +263,7 @@
 	if len(changed) > 0 && l.facade != nil {
 		l.pass(l.merged(changed), false)
 	}
-	if _, why := l.all.Held(membership.Files); why != f.told {
+	if _, why := l.all.HeldRemovals(membership.Files); why != f.told {
 		f.told = why
 		if why != "" {
 			f.log.Error("nodes: " + why)
@@ -347,7 +347,7 @@
 	}
 	f.good = next
 	return f.tell(func(version, now int64) []membership.Member {
-		return f.l.all.Tell(membership.Files, version, entries, now)
+		return f.l.all.Replace(membership.Files, version, entries, now)
 	}), d.Whole
 }
 
@@ -381,7 +381,7 @@
 				"told", time.Since(c.Since).Round(time.Millisecond))
 		}
 		for _, m := range changed {
-			f.log.Debug("nodes: node", "node", m.ID, "state", m.State, "addr", m.Addr, "started", fmt.Sprint(clock.Duration(m.Started)))
+			f.log.Debug("nodes: node", "node", m.ID, "state", m.State, "addr", m.Addr, "started", fmt.Sprint(clock.Duration(m.StartedAt)))
 		}
 	}
 }
--- a/internal/broker/server/nodes_test.go
+++ b/internal/broker/server/nodes_test.go
@@ -17,7 +17,7 @@
 func files(t *testing.T, paths ...string) *nodeFiles {
 	t.Helper()
 	c := clock.New()
-	return &nodeFiles{l: &live{all: membership.New(membership.Options{Warm: 1}, c.Now()), time: c, table: core.NewEndpointTable()}, paths: paths,
+	return &nodeFiles{l: &live{all: membership.New(membership.Options{SlowStart: 1}, c.Now()), time: c, table: core.NewEndpointTable()}, paths: paths,
 		log: slog.New(slog.DiscardHandler), good: map[string]membership.Entry{}}
 }
 
--- a/internal/broker/server/object_test.go
+++ b/internal/broker/server/object_test.go
@@ -318,8 +318,8 @@
 // No node for the shard: refused at once, with advice on when to come back.
 func TestRefusalSaysWhenToComeBack(t *testing.T) {
 	r := newRig(t)
-	r.disc.Set(discovery.Target{UID: "s-0", State: "removed", Endpoint: r.nodes[0].Addr()},
-		discovery.Target{UID: "s-1", State: "removed", Endpoint: r.nodes[1].Addr()})
+	r.disc.Set(discovery.Endpoint{ID: "s-0", State: "removed", Addr: r.nodes[0].Addr()},
+		discovery.Endpoint{ID: "s-1", State: "removed", Addr: r.nodes[1].Addr()})
 	base, _ := r.broker("")
 	a := r.do("GET", base+"/art/x", nil)
 	if a.status != 503 || a.header.Get("Retry-After") != "1" || !bytes.Contains(a.body, []byte("<Code>SlowDown</Code>")) {
--- a/internal/broker/server/process.go
+++ b/internal/broker/server/process.go
@@ -70,8 +70,8 @@
 			continue
 		}
 		cfg = next
-		l.reload(cfg.Discovery, cfg.LogLevel)
-		log.Info("reload: configuration read", "discovery", cfg.Discovery, "log", cfg.LogLevel)
+		l.reload(cfg.DiscoveryAddr, cfg.LogLevel)
+		log.Info("reload: configuration read", "discovery", cfg.DiscoveryAddr, "log", cfg.LogLevel)
 		if len(restart) > 0 {
 			log.Warn("reload: other keys have changed, which take effect at the next start", "keys", restart)
 		}
--- a/internal/broker/server/recording.go
+++ b/internal/broker/server/recording.go
@@ -46,10 +46,10 @@
 	}
 	var sink record.Sink
 	if o.Dir == "" {
-		x.ring = record.NewRing(cfg.Name, x.id, int(o.Total))
+		x.ring = record.NewRing(cfg.Name, x.id, int(o.TotalBytes))
 		sink = x.ring
 	} else {
-		d, err := record.NewDir(o.Dir, cfg.Name, x.id, o.Segment, o.Total)
+		d, err := record.NewDir(o.Dir, cfg.Name, x.id, o.SegmentBytes, o.TotalBytes)
 		if err != nil {
 			return nil, fmt.Errorf("record.dir: %w", err)
 		}
@@ -60,13 +60,13 @@
 		metrics.Read(heap)
 		b.Open, b.Heap, b.Threads, b.Nodes = g.InFlight(), heap[0].Value.Uint64(), int64(runtime.NumGoroutine()), int64(table.Len())
 		if w := x.watch.Load(); w != nil {
-			b.List = w.Rev()
+			b.List = w.Revision()
 		}
 	}
-	x.r = record.New(record.Options{Sample: o.Sample, Flush: time.Duration(o.FlushMS) * time.Millisecond,
-		Beat: time.Duration(o.BeatMS) * time.Millisecond}, boot, c.Now, level, sink)
+	x.r = record.New(record.Options{Sample: o.SampleFraction, Flush: time.Duration(o.FlushIntervalMS) * time.Millisecond,
+		Beat: time.Duration(o.HeartbeatMS) * time.Millisecond}, boot, c.Now, level, sink)
 	go x.r.Run()
-	log.Info("record: on", "dir", o.Dir, "sample", o.Sample, "boot", x.id)
+	log.Info("record: on", "dir", o.Dir, "sample", o.SampleFraction, "boot", x.id)
 	return x, nil
 }
 
@@ -144,7 +144,7 @@
 		return
 	}
 	x.watch.Store(w)
-	w.Tell(func(err error) {
+	w.OnResult(func(err error) {
 		if err != nil {
 			if !x.down.Swap(true) {
 				x.r.Note(record.KindDiscovery, "", "down: "+err.Error(), 0)
@@ -162,16 +162,16 @@
 	if x == nil {
 		return
 	}
-	s.Observe(func(c *control.Change, o *control.Outcome) {
-		x.r.Note(record.KindControl, strconv.FormatUint(c.Rev, 10), string(o.Code), int64(c.Revision))
+	s.OnChange(func(c *control.Change, o *control.Outcome) {
+		x.r.Note(record.KindControl, strconv.FormatUint(c.FleetRevision, 10), string(o.Code), int64(c.Revision))
 	})
 	if x.ring != nil {
-		s.Records(x.ring.Segment)
+		s.HandleRecords(x.ring.Segment)
 	}
 }
 
 // figures are the last second's, for the fleet's view.
-func (x *recording) figures() *control.Figures {
+func (x *recording) figures() *control.Stats {
 	if x == nil {
 		return nil
 	}
@@ -179,25 +179,25 @@
 	if s == nil {
 		return nil
 	}
-	out := &control.Figures{Span: s.Span, Groups: []control.GroupCount{}, Nodes: []control.NodeFigure{}, Dropped: x.r.Dropped()}
+	out := &control.Stats{Span: s.Span, Requests: []control.RequestStats{}, Nodes: []control.NodeStats{}, Dropped: x.r.Dropped()}
 	for i := range s.Groups {
 		g := &s.Groups[i]
 		if int(g.Class) >= len(x.cfg.Policy.Classes) || int(g.Plan) >= len(x.cfg.Policy.Plans) {
 			continue
 		}
 		q := record.Of(&g.Latency)
-		out.Groups = append(out.Groups, control.GroupCount{Class: x.cfg.Policy.Classes[g.Class].Name, Plan: x.cfg.Policy.Plans[g.Plan].Name,
-			Served: g.Count[record.Served], Late: g.Late, Refused: g.Count[record.Refused], Failed: g.Count[record.Failed] + g.Count[record.Overdue],
+		out.Requests = append(out.Requests, control.RequestStats{Class: x.cfg.Policy.Classes[g.Class].Name, Plan: x.cfg.Policy.Plans[g.Plan].Name,
+			Served: g.Count[record.Served], Late: g.Late, Rejected: g.Count[record.Refused], Failed: g.Count[record.Failed] + g.Count[record.Overdue],
 			P50: q.P50, P99: q.P99})
 	}
 	for _, v := range s.Volumes {
-		out.Volumes = append(out.Volumes, control.VolumeFigure{Volume: v.Volume, Count: v.Count, Error: v.Error, Refused: v.Refused,
+		out.Volumes = append(out.Volumes, control.VolumeStats{Volume: v.Volume, Count: v.Count, CountError: v.Error, Rejected: v.Refused,
 			Failed: v.Failed, Late: v.Late})
 	}
 	for i := range s.Nodes {
 		n := &s.Nodes[i]
 		q := record.Of(&n.Latency)
-		f := control.NodeFigure{Node: n.Node, Served: n.Outcomes[core.Served], Silent: n.Outcomes[core.TimedOut], P50: q.P50, P99: q.P99}
+		f := control.NodeStats{Node: n.Node, Served: n.Outcomes[core.Served], TimedOut: n.Outcomes[core.TimedOut], P50: q.P50, P99: q.P99}
 		for k, c := range n.Outcomes {
 			if core.Outcome(k) != core.Served && core.Outcome(k) != core.TimedOut {
 				f.Other += c
--- a/internal/broker/server/reload_test.go
+++ b/internal/broker/server/reload_test.go
@@ -63,8 +63,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(otherNode.Kill)
-	for i, l := range r.disc.List(-1).Targets {
-		l.Endpoint = r.nodes[1-i].Addr() // the other list has the stores the other way round
+	for i, l := range r.disc.List(-1).Endpoints {
+		l.Addr = r.nodes[1-i].Addr() // the other list has the stores the other way round
 		other.Set(l)
 	}
 	base, p := r.process("LB_DISCOVERY=" + r.discN.Addr())
--- a/internal/broker/server/rig_test.go
+++ b/internal/broker/server/rig_test.go
@@ -91,8 +91,8 @@
 // list tells discovery of both nodes; boot is when each last started.
 func (r *rig) list(boot ...int64) {
 	for i, b := range boot {
-		r.disc.Set(discovery.Target{UID: fmt.Sprint("s-", i), Endpoint: r.nodes[i].Addr(), AZ: "room", PodGroup: i,
-			State: "up", BootMS: b})
+		r.disc.Set(discovery.Endpoint{ID: fmt.Sprint("s-", i), Addr: r.nodes[i].Addr(), Zone: "room", Shard: i,
+			State: "up", StartedAtMS: b})
 	}
 }
 
--- a/internal/broker/server/server.go
+++ b/internal/broker/server/server.go
@@ -50,11 +50,11 @@
 	if err != nil {
 		return err
 	}
-	known, err := cfg.Known.Nodes(cfg.Zones)
+	known, err := cfg.InitialList.Nodes(cfg.Zones)
 	if err != nil {
 		return fmt.Errorf("known: %w", err)
 	}
-	watch := discovery.New(cfg.Discovery, cfg.Known.Rev, cfg.Zones, table, facade, lim, log)
+	watch := discovery.New(cfg.DiscoveryAddr, cfg.InitialList.Revision, cfg.Zones, table, facade, lim, log)
 	l := newLive(cfg, table, facade, watch, gate, reload, c, log)
 	l.rec = rec
 	rec.discovery(watch)
--- a/internal/broker/server/size_test.go
+++ b/internal/broker/server/size_test.go
@@ -17,9 +17,9 @@
 )
 
 // thousand lists 1,024 nodes, each with a shard of its own, over the given addresses.
-func thousand(addrs []string, state func(i int) string) (out []discovery.Target) {
+func thousand(addrs []string, state func(i int) string) (out []discovery.Endpoint) {
 	for i := range 1024 {
-		out = append(out, discovery.Target{UID: fmt.Sprintf("s-%04d", i), Endpoint: addrs[i%len(addrs)], AZ: "room", PodGroup: i, State: state(i)})
+		out = append(out, discovery.Endpoint{ID: fmt.Sprintf("s-%04d", i), Addr: addrs[i%len(addrs)], Zone: "room", Shard: i, State: state(i)})
 	}
 	return out
 }
--- a/internal/broker/server/terms_test.go
+++ b/internal/broker/server/terms_test.go
@@ -132,7 +132,7 @@
 		}
 	}
 	eventually(t, "calls in vain", func() bool { return len(r.disc.Calls()) > 2 })
-	r.disc.Set(discovery.Target{UID: "s-0", Endpoint: ln.Addr().String(), AZ: "room", PodGroup: 0, State: "up"})
+	r.disc.Set(discovery.Endpoint{ID: "s-0", Addr: ln.Addr().String(), Zone: "room", Shard: 0, State: "up"})
 	r.disc.SetDown(false)
 	eventually(t, "an answer by way of the node that the new list names", func() bool {
 		c, err := net.Dial("tcp", addr)
@@ -167,7 +167,7 @@
 		for _, how := range []string{"ask", "push"} {
 			r := newRig(t)
 			for i := range 300 {
-				r.disc.Set(discovery.Target{UID: fmt.Sprint("n-", i), Endpoint: "127.0.0.1:1", AZ: "room", PodGroup: i % 2, State: "up"})
+				r.disc.Set(discovery.Endpoint{ID: fmt.Sprint("n-", i), Addr: "127.0.0.1:1", Zone: "room", Shard: i % 2, State: "up"})
 			}
 			text := r.configText(`,"listen":"127.0.0.1:0","object":null`)
 			text = bytes.Replace(text, []byte(r.discN.Addr()), []byte(ln.Addr().String()), 1)
@@ -231,7 +231,7 @@
 	base, _ := r.start(text)
 	eventually(t, "a watch", func() bool { return len(r.disc.Calls()) > 1 })
 	for i := range 2 {
-		r.disc.Set(discovery.Target{UID: fmt.Sprint("s-", i), Endpoint: r.nodes[i].Addr(), AZ: "room", PodGroup: i, State: "draining"})
+		r.disc.Set(discovery.Endpoint{ID: fmt.Sprint("s-", i), Addr: r.nodes[i].Addr(), Zone: "room", Shard: i, State: "draining"})
 	}
 	eventually(t, "nothing goes to nodes that drain", func() bool {
 		return r.do("PUT", base+"/b/k", []byte("x")).status == http.StatusServiceUnavailable
--- a/internal/broker/server/transcript_test.go
+++ b/internal/broker/server/transcript_test.go
@@ -132,7 +132,7 @@
 	t.Cleanup(func() { listener.Close() })
 	go node.Serve(listener)
 	proxy := newRecordingProxy(t, listener.Addr().String())
-	r.disc.Set(discovery.Target{UID: "s-0", Endpoint: proxy.addr(), AZ: "room", PodGroup: 0, State: "up"})
+	r.disc.Set(discovery.Endpoint{ID: "s-0", Addr: proxy.addr(), Zone: "room", Shard: 0, State: "up"})
 	base, _ := r.broker(`,"listen":"127.0.0.1:0","object":null`)
 	var transcript strings.Builder
 	for _, request := range []string{
@@ -189,7 +189,7 @@
 	for i, node := range r.nodes {
 		proxy := newRecordingProxy(t, node.Addr())
 		proxies = append(proxies, proxy)
-		r.disc.Set(discovery.Target{UID: fmt.Sprint("s-", i), Endpoint: proxy.addr(), AZ: "room", PodGroup: i, State: "up"})
+		r.disc.Set(discovery.Endpoint{ID: fmt.Sprint("s-", i), Addr: proxy.addr(), Zone: "room", Shard: i, State: "up"})
 	}
 	base, _ := r.broker("")
 	conn, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
--- a/internal/fleet/api/api.go
+++ b/internal/fleet/api/api.go
@@ -62,10 +62,10 @@
 
 // Figures are what a broker did lately.
 type Figures struct {
-	Name    string           `json:"name"`
-	Age     int64            `json:"age_us"` // when they are sent, since the broker said them
-	Open    int64            `json:"open"`   // requests taken and not answered
-	Figures *control.Figures `json:"figures"`
+	Name    string         `json:"name"`
+	Age     int64          `json:"age_us"` // when they are sent, since the broker said them
+	Open    int64          `json:"open"`   // requests taken and not answered
+	Figures *control.Stats `json:"figures"`
 }
 
 // AssignCall asks for assignments newer than Have, and waits for some.
--- a/internal/fleet/desired/desired.go
+++ b/internal/fleet/desired/desired.go
@@ -42,8 +42,8 @@
 			}
 			texts[in.Config] = text
 		}
-		bare := in.Bare()
-		if _, err := agent.ComposeText(bare, text, nil); err != nil {
+		bare := in.WithoutFleetFields()
+		if _, err := agent.Compose(bare, text, nil); err != nil {
 			return nil, err
 		}
 		labels, err := inventory.ParseLabels(in.Labels)
@@ -52,9 +52,9 @@
 		}
 		d := spec.ConfigDigest(text)
 		out.Configs[d] = string(text)
-		i := &spec.Instance{Name: in.Name, Agent: in.Agent, Domain: in.Domain, Enabled: in.Enabled,
+		i := &spec.Instance{Name: in.Name, Agent: in.Agent, Domain: in.FailureDomain, Enabled: in.Enabled,
 			Start: spec.StartSettings{Config: d, Listen: in.Listen, ObjectListen: in.ObjectListen, Cores: in.Cores, MemoryMB: in.MemoryMB, Sockets: in.Sockets},
-			Live:  spec.LiveSettings{LogLevel: in.Log, Discovery: in.Discovery, MaxInFlight: in.MaxOpen}}
+			Live:  spec.LiveSettings{LogLevel: in.Log, Discovery: in.Discovery, MaxInFlight: in.MaxInFlight}}
 		if in.Groups != "" {
 			i.Groups = strings.Split(in.Groups, ",")
 		}
--- a/internal/fleet/reconcile/reconcile.go
+++ b/internal/fleet/reconcile/reconcile.go
@@ -289,16 +289,16 @@
 		m.failed(now, "control endpoint: "+err.Error())
 		return
 	}
-	if st.Started != m.Started || st.PID != m.ID.PID {
+	if st.StartDigest != m.Started || st.PID != m.ID.PID {
 		// Somebody else answers at the address: its word is not this process's.
-		m.failed(now, fmt.Sprintf("the control endpoint is that of pid %d started as %q", st.PID, st.Started))
+		m.failed(now, fmt.Sprintf("the control endpoint is that of pid %d started as %q", st.PID, st.StartDigest))
 		return
 	}
 	m.passed(now)
 	if m.Pending != nil && m.Pending.Boot != st.Boot {
 		m.Pending = nil // its boot is gone, and what it had taken with it
 	}
-	m.boot, m.applied, m.healthy, m.list, m.nodes = st.Boot, st.Applied, healthy && !st.Draining, st.ListRev, st.Nodes
+	m.boot, m.applied, m.healthy, m.list, m.nodes = st.Boot, st.AppliedRevision, healthy && !st.Draining, st.EndpointListRevision, st.NodeCount
 	m.lookedAt, m.ready = now, true
 	m.nextLook = now + m.t.Look
 	if !m.healthy {
@@ -318,12 +318,12 @@
 	m.passed(now)
 	c := m.Pending
 	switch o.Code {
-	case control.Taken:
+	case control.CodeApplied:
 		m.Pending = nil
 		if o.Boot == m.boot {
-			m.applied, m.lookedAt, m.err = o.Applied, now, ""
+			m.applied, m.lookedAt, m.err = o.AppliedRevision, now, ""
 		}
-	case control.Refused, control.Misnamed:
+	case control.CodeRejected, control.CodeIDConflict:
 		m.Pending = nil
 		m.refused, m.err = c.Target, string(o.Code)+": "+o.Reason
 	default: // another boot, another revision, or a newer agent: look again before anything else
@@ -331,7 +331,7 @@
 		m.err = string(o.Code) + ": " + o.Reason
 	}
 	m.nextLook = 0
-	if o.Code == control.Fenced || o.Code == control.Draining {
+	if o.Code == control.CodeFenced || o.Code == control.CodeDraining {
 		m.calmAt = now + m.jitter(m.t.Look)
 	}
 }
--- a/internal/fleet/reconcile/reconcile_test.go
+++ b/internal/fleet/reconcile/reconcile_test.go
@@ -24,7 +24,7 @@
 }
 
 func state1(boot string, applied uint64) *control.State {
-	return &control.State{Boot: boot, PID: 7, Started: "d", Applied: applied}
+	return &control.State{Boot: boot, PID: 7, StartDigest: "d", AppliedRevision: applied}
 }
 
 // An answer to an older command, to another process's, or from another boot changes nothing that is reported.
@@ -38,8 +38,8 @@
 	}
 	old := *a.Command
 	// Another process answers at the address: it is not this one's word.
-	m.Looked(now, &control.State{Boot: "b9", PID: 99, Started: "d", Applied: 5}, true, nil)
-	m.Looked(now, &control.State{Boot: "b9", PID: 7, Started: "x", Applied: 5}, true, nil)
+	m.Looked(now, &control.State{Boot: "b9", PID: 99, StartDigest: "d", AppliedRevision: 5}, true, nil)
+	m.Looked(now, &control.State{Boot: "b9", PID: 7, StartDigest: "x", AppliedRevision: 5}, true, nil)
 	if r := m.Report(now); r.Incarnation != "b1" || r.AppliedEdition != 0 {
 		t.Fatalf("another process's word: %+v", r)
 	}
@@ -54,7 +54,7 @@
 		t.Fatalf("%+v", a)
 	}
 	// Now the old answer comes, after the newer command: it must not count as that one's.
-	m.Changed(now, old.ID, &control.Outcome{Code: control.Taken, Boot: "b1", Applied: 5}, nil)
+	m.Changed(now, old.ID, &control.Outcome{Code: control.CodeApplied, Boot: "b1", AppliedRevision: 5}, nil)
 	if r := m.Report(now); r.AppliedEdition != 0 || m.Pending == nil || m.Pending.Target != 8 {
 		t.Fatalf("an old answer: %+v, pending %+v", r, m.Pending)
 	}
@@ -67,7 +67,7 @@
 	if a.Do != Change || a.Command.Boot != "b2" {
 		t.Fatalf("%+v", a)
 	}
-	m.Changed(now, a.Command.ID, &control.Outcome{Code: control.Taken, Boot: "b2", Applied: 8}, nil)
+	m.Changed(now, a.Command.ID, &control.Outcome{Code: control.CodeApplied, Boot: "b2", AppliedRevision: 8}, nil)
 	if r := m.Report(now); r.AppliedEdition != 8 || r.Incarnation != "b2" {
 		t.Fatalf("%+v", r)
 	}
@@ -83,7 +83,7 @@
 	now := int64(2000)
 	m.Looked(now, state1("b1", 0), true, nil)
 	a, _ := m.Next(now)
-	m.Changed(now, a.Command.ID, &control.Outcome{Code: control.Refused, Reason: "live.log: x", Boot: "b1"}, nil)
+	m.Changed(now, a.Command.ID, &control.Outcome{Code: control.CodeRejected, Reason: "live.log: x", Boot: "b1"}, nil)
 	for k := range int64(50) {
 		now += 100_000
 		if a, _ := m.Next(now); a.Do == Change {
@@ -198,7 +198,7 @@
 					continue
 				}
 				lastLook = "b" + string(rune('0'+boot%10)) + string(rune('0'+boot/10))
-				m.Looked(now, &control.State{Boot: lastLook, PID: pid, Started: m.Started, Applied: applied}, true, nil)
+				m.Looked(now, &control.State{Boot: lastLook, PID: pid, StartDigest: m.Started, AppliedRevision: applied}, true, nil)
 			case Change:
 				if a.Command.Boot != lastLook || draining {
 					t.Fatalf("a command to %s, looked at %s", a.Command.Boot, lastLook)
@@ -216,13 +216,13 @@
 					}
 					m.Changed(now, a.Command.ID, nil, errors.New("lost"))
 				default:
-					o := &control.Outcome{Code: control.Taken, Boot: a.Command.Boot}
+					o := &control.Outcome{Code: control.CodeApplied, Boot: a.Command.Boot}
 					if a.Command.Base == applied {
 						applied = a.Command.Target
 					} else if applied != a.Command.Target {
-						o.Code = control.OldBase
+						o.Code = control.CodeStaleBase
 					}
-					o.Applied = applied
+					o.AppliedRevision = applied
 					m.Changed(now, a.Command.ID, o, nil)
 				}
 			}
--- a/internal/fleet/supervisor/exec.go
+++ b/internal/fleet/supervisor/exec.go
@@ -36,7 +36,7 @@
 
 // Start starts a broker with the start settings of in. What it takes up live comes later, by its control endpoint.
 func (e *Exec) Start(in *spec.Instance, text, mark string) (Process, error) {
-	file, err := agent.ComposeText(Instance(in), []byte(text), &config.Control{Listen: e.control(in.Name), Started: in.Start.Digest()})
+	file, err := agent.Compose(Instance(in), []byte(text), &config.Control{Listen: e.control(in.Name), StartDigest: in.Start.Digest()})
 	if err != nil {
 		return nil, err
 	}
@@ -119,7 +119,7 @@
 	if err != nil {
 		return nil, false, err
 	}
-	return st, (&agent.Exec{}).Ready(ctx, Instance(in)), nil
+	return st, (&agent.ProcessLauncher{}).Ready(ctx, Instance(in)), nil
 }
 
 // Change hands a broker a change.
--- a/internal/fleet/supervisor/supervisor.go
+++ b/internal/fleet/supervisor/supervisor.go
@@ -95,7 +95,7 @@
 	busy    bool // an answer is outstanding
 	wake    int64
 	turn    int // of the process: news of an earlier one is old
-	figures *control.Figures
+	figures *control.Stats
 	open    int64
 	figured int64 // when they were said; 0: they have been passed on
 }
@@ -462,8 +462,8 @@
 			}
 			was := m.Pending
 			m.Looked(s.clock.Now(), st, healthy, err)
-			if err == nil && st.Figures != nil {
-				m.figures, m.open, m.figured = st.Figures, st.Open, s.clock.Now()
+			if err == nil && st.Stats != nil {
+				m.figures, m.open, m.figured = st.Stats, st.InFlight, s.clock.Now()
 			}
 			m.wake = 0
 			s.changed()
@@ -476,8 +476,8 @@
 func (s *Supervisor) change(ctx context.Context, m *mind, c *caseFile, cmd *reconcile.Command) {
 	m.busy = true
 	turn, in := m.turn, c.Assignment.Desired
-	ch := &control.Change{ID: cmd.ID, Token: s.token, Boot: cmd.Boot, Base: cmd.Base, Revision: cmd.Target,
-		Rev: c.Assignment.Revision, Live: in.Live, Nodes: s.mem.Nodes}
+	ch := &control.Change{ID: cmd.ID, FencingToken: s.token, Boot: cmd.Boot, BaseRevision: cmd.Base, Revision: cmd.Target,
+		FleetRevision: c.Assignment.Revision, Live: in.Live, NodeOverrides: s.mem.Nodes}
 	go func() {
 		cctx, cancel := context.WithTimeout(ctx, s.opt.CallWait)
 		o, err := s.brokers.Change(cctx, in, ch)
@@ -490,10 +490,10 @@
 			was := m.Pending
 			m.Changed(s.clock.Now(), cmd.ID, o, err)
 			m.wake = 0
-			if err == nil && o.Code != control.Taken {
+			if err == nil && o.Code != control.CodeApplied {
 				s.log.Warn("agent: change not taken", "instance", m.Name, "code", o.Code, "reason", o.Reason)
 			} else if err == nil {
-				s.log.Info("agent: change taken", "instance", m.Name, "edition", o.Applied, "repeated", o.Repeated)
+				s.log.Info("agent: change taken", "instance", m.Name, "edition", o.AppliedRevision, "repeated", o.Repeated)
 			}
 			s.changed()
 			return s.settle(m, was)
--- a/internal/fleet/supervisor/supervisor_test.go
+++ b/internal/fleet/supervisor/supervisor_test.go
@@ -130,7 +130,7 @@
 	if p == nil || m.deaf || p.bad {
 		return nil, false, errors.New("connection refused")
 	}
-	return &control.State{Boot: p.ledger.Boot(), PID: p.id.PID, Started: p.start, Applied: p.ledger.Applied()}, true, nil
+	return &control.State{Boot: p.ledger.Boot(), PID: p.id.PID, StartDigest: p.start, AppliedRevision: p.ledger.Applied()}, true, nil
 }
 
 func (m *machine) Change(_ context.Context, in *spec.Instance, c *control.Change) (*control.Outcome, error) {
@@ -472,8 +472,8 @@
 			t.Errorf("its brokers were %v and are %v", pids, now)
 		}
 		for _, p := range r.mach.live {
-			p.ledger.Admit(&control.Change{ID: "x", Token: reg.Token, Boot: p.ledger.Boot(), Base: 99})
-			if o := p.ledger.Admit(&control.Change{ID: "y", Token: reg.Token - 1, Boot: p.ledger.Boot()}); o == nil || o.Code != control.Fenced {
+			p.ledger.Admit(&control.Change{ID: "x", FencingToken: reg.Token, Boot: p.ledger.Boot(), BaseRevision: 99})
+			if o := p.ledger.Admit(&control.Change{ID: "y", FencingToken: reg.Token - 1, Boot: p.ledger.Boot()}); o == nil || o.Code != control.CodeFenced {
 				t.Errorf("an older token: %+v", o)
 			}
 		}
--- a/internal/frontend/object/front.go
+++ b/internal/frontend/object/front.go
@@ -154,18 +154,18 @@
 		}
 		return len(q) == len(names)
 	}
-	name := x.cfg.Object.Read
+	name := x.cfg.Object.ReadClass
 	switch {
 	case r.Method == http.MethodPost && has("uploadId"):
-		name = x.cfg.Object.Complete
+		name = x.cfg.Object.CompleteClass
 	case r.Method != http.MethodGet && r.Method != http.MethodHead:
-		name = x.cfg.Object.Write
+		name = x.cfg.Object.WriteClass
 	}
 	if until := x.until.Load(); until > 0 && x.clock.Now() >= until {
 		x.w.Header().Set("Retry-After", "1")
 		return errSlowDown // nothing ran, and nothing would come back in time
 	}
-	class := x.cfg.Class(name)
+	class := x.cfg.ClassIndex(name)
 	x.due = x.came + x.cfg.Policy.Classes[class].Deadline.Microseconds()
 	if ms > 0 {
 		x.due = min(x.due, x.came+ms*1000)
@@ -236,13 +236,13 @@
 		h.Del("Range")
 	}
 	o := x.cfg.Object
-	plan, ok := o.Buckets[x.bucket]
+	plan, ok := o.BucketPlans[x.bucket]
 	if !ok {
-		plan = o.Plan
+		plan = o.DefaultPlan
 	}
 	return core.Request[*objectstore.Call]{
 		RequestInfo: dispatcher.RequestInfo{
-			Class: class, Plan: x.cfg.Plan(plan), Volume: x.bucket, Key: x.key, Units: x.units(), Shard: shard,
+			Class: class, Plan: x.cfg.PlanIndex(plan), Volume: x.bucket, Key: x.key, Units: x.units(), Shard: shard,
 			Brokers: x.cfg.Policy.Brokers, Deadline: due,
 		},
 		NotIdempotent: x.cfg.Policy.Classes[class].Idempotency == decision.NotIdempotent,
--- a/internal/frontend/object/multipart.go
+++ b/internal/frontend/object/multipart.go
@@ -117,7 +117,7 @@
 		return err // nothing ran, or nothing to compare with
 	}
 	for {
-		head := x.request(x.cfg.Class(x.cfg.Object.Read), shard, http.MethodHead, "", x.due)
+		head := x.request(x.cfg.ClassIndex(x.cfg.Object.ReadClass), shard, http.MethodHead, "", x.due)
 		head.Work.Header, head.Work.Body = http.Header{}, nil
 		state, seen := x.ask(head)
 		if seen == nil && state.Status == http.StatusOK && state.Header.Get("ETag") == want {
--- a/internal/host/agent/agent.go
+++ b/internal/host/agent/agent.go
@@ -14,14 +14,14 @@
 	"poppyarch/internal/host/inventory"
 )
 
-// ErrUnknown says that the inventory has no such instance.
-var ErrUnknown = errors.New("no such instance")
+// ErrUnknownInstance says that the inventory has no such instance.
+var ErrUnknownInstance = errors.New("no such instance")
 
 // Agent runs instances. Calls that change something come one after the other.
 type Agent struct {
 	load     func() ([]inventory.Instance, error)
 	launcher Launcher
-	times    Times
+	times    Timing
 	log      *slog.Logger
 	running  sync.WaitGroup
 	ctx      context.Context // of all runners
@@ -34,14 +34,14 @@
 }
 
 // New returns an agent without instances; Reload brings them.
-func New(load func() ([]inventory.Instance, error), l Launcher, times Times, log *slog.Logger) *Agent {
+func New(load func() ([]inventory.Instance, error), l Launcher, times Timing, log *slog.Logger) *Agent {
 	ctx, stop := context.WithCancel(context.Background())
 	return &Agent{load: load, launcher: l, times: times, log: log, ctx: ctx, stop: stop,
 		runners: map[string]*runner{}, ends: map[string]context.CancelFunc{}}
 }
 
-// Changes tells what a reload did.
-type Changes struct {
+// ReloadResult tells what a reload did.
+type ReloadResult struct {
 	Added     []string `json:"added"`
 	Removed   []string `json:"removed"`
 	Restarted []string `json:"restarted"`
@@ -50,10 +50,10 @@
 
 // Reload reads the inventory and brings the instances in line with it. A faulty inventory changes nothing. What
 // was removed is drained, what is new started, what changed restarted one at a time, the rest left alone.
-func (a *Agent) Reload(ctx context.Context) (Changes, error) {
+func (a *Agent) Reload(ctx context.Context) (ReloadResult, error) {
 	a.op.Lock()
 	defer a.op.Unlock()
-	c := Changes{Added: []string{}, Removed: []string{}, Restarted: []string{}}
+	c := ReloadResult{Added: []string{}, Removed: []string{}, Restarted: []string{}}
 	list, err := a.load()
 	if err != nil {
 		return c, err
@@ -61,7 +61,7 @@
 	wanted := map[string]inventory.Instance{}
 	list = slices.Clone(list)
 	for i, in := range list {
-		list[i] = in.Bare()
+		list[i] = in.WithoutFleetFields()
 		in = list[i]
 		wanted[in.Name] = in
 	}
@@ -85,8 +85,8 @@
 		switch {
 		case old == in:
 			c.Unchanged++
-		case !s.Wanted && !in.Enabled || s.State == Stopped && old.Enabled == in.Enabled:
-			r.want(s.Wanted, in) // takes the change up when it is started
+		case !s.ShouldRun && !in.Enabled || s.State == Stopped && old.Enabled == in.Enabled:
+			r.want(s.ShouldRun, in) // takes the change up when it is started
 			c.Unchanged++
 		default:
 			roll = append(roll, in)
@@ -150,7 +150,7 @@
 // begin starts an instance and waits until it answers.
 func (a *Agent) begin(ctx context.Context, r *runner, in inventory.Instance) error {
 	r.want(true, in)
-	ready, cancel := context.WithTimeout(ctx, a.times.Ready)
+	ready, cancel := context.WithTimeout(ctx, a.times.ReadyTimeout)
 	defer cancel()
 	if err := r.until(ready, Running); err != nil {
 		s, _, _ := r.get()
@@ -186,7 +186,7 @@
 // not it stops, so that a bad change takes one instance and not all. Instances that do not run are left alone.
 func (a *Agent) Restart(ctx context.Context, names []string) error {
 	return a.each(names, func(r *runner, in inventory.Instance) error {
-		if s, _, _ := r.get(); !s.Wanted && len(names) == 0 {
+		if s, _, _ := r.get(); !s.ShouldRun && len(names) == 0 {
 			return nil
 		}
 		r.want(false, in)
@@ -207,7 +207,7 @@
 	}
 	for _, name := range names {
 		if !slices.Contains(all, name) {
-			return fmt.Errorf("%s: %w", name, ErrUnknown)
+			return fmt.Errorf("%s: %w", name, ErrUnknownInstance)
 		}
 	}
 	for _, step := range steps {
--- a/internal/host/agent/agent_test.go
+++ b/internal/host/agent/agent_test.go
@@ -122,7 +122,7 @@
 				return nil, errors.New("inv.csv:3: colour: unknown key")
 			}
 			return list, nil
-		}, s, DefaultTimes(), slog.New(slog.NewTextHandler(io.Discard, nil)))
+		}, s, DefaultTiming(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 		defer a.Close()
 		if _, err := a.Reload(t.Context()); err != nil {
 			t.Fatal(err)
@@ -274,7 +274,7 @@
 
 func TestUnknownNamesChangeNothing(t *testing.T) {
 	play(t, func(t *testing.T, a *Agent, s *stage, _ *[]inventory.Instance) {
-		if err := a.Stop(t.Context(), []string{"a", "x"}); !errors.Is(err, ErrUnknown) {
+		if err := a.Stop(t.Context(), []string{"a", "x"}); !errors.Is(err, ErrUnknownInstance) {
 			t.Errorf("got %v", err)
 		}
 		expect(t, "notes", s.took(), nil)
@@ -314,13 +314,13 @@
 			t.Fatal("two agents on one socket")
 		}
 		a := New(func() ([]inventory.Instance, error) { return []inventory.Instance{{Name: "c"}}, nil }, newStage(),
-			DefaultTimes(), slog.New(slog.NewTextHandler(io.Discard, nil)))
+			DefaultTiming(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 		srv := serve(ln, a)
 		r, err := Call(t.Context(), path, "POST", "reload", Request{})
 		if err != nil || len(r.Changes.Added) != 1 || len(r.Instances) != 1 {
 			t.Errorf("%+v %v", r, err)
 		}
-		if _, err := Call(t.Context(), path, "POST", "start", Request{Names: []string{"x"}}); !errors.Is(err, ErrUnknown) {
+		if _, err := Call(t.Context(), path, "POST", "start", Request{Names: []string{"x"}}); !errors.Is(err, ErrUnknownInstance) {
 			t.Errorf("got %v", err)
 		}
 		srv()
--- a/internal/host/agent/api.go
+++ b/internal/host/agent/api.go
@@ -20,9 +20,9 @@
 
 // Reply is what it answers.
 type Reply struct {
-	Instances []Status `json:"instances,omitempty"`
-	Changes   *Changes `json:"changes,omitempty"`
-	Error     string   `json:"error,omitempty"`
+	Instances []Status      `json:"instances,omitempty"`
+	Changes   *ReloadResult `json:"changes,omitempty"`
+	Error     string        `json:"error,omitempty"`
 }
 
 // ErrNoAgent says that nobody listens on the socket.
@@ -31,11 +31,11 @@
 // Handler serves an agent's calls: GET /v1/status; POST /v1/start, /v1/stop, /v1/restart, /v1/reload.
 func Handler(a *Agent) http.Handler {
 	mux := http.NewServeMux()
-	reply := func(w http.ResponseWriter, c *Changes, err error) {
+	reply := func(w http.ResponseWriter, c *ReloadResult, err error) {
 		out, status := Reply{Instances: a.Status(), Changes: c}, http.StatusOK
 		if err != nil {
 			out.Error, status = err.Error(), http.StatusConflict
-			if errors.Is(err, ErrUnknown) {
+			if errors.Is(err, ErrUnknownInstance) {
 				status = http.StatusNotFound
 			}
 		}
@@ -113,7 +113,7 @@
 		return out, fmt.Errorf("agent: %w", err)
 	}
 	if resp.StatusCode == http.StatusNotFound {
-		return out, fmt.Errorf("%w: %s", ErrUnknown, out.Error)
+		return out, fmt.Errorf("%w: %s", ErrUnknownInstance, out.Error)
 	}
 	if out.Error != "" {
 		return out, errors.New(out.Error)
--- a/internal/host/agent/process.go
+++ b/internal/host/agent/process.go
@@ -20,24 +20,24 @@
 	"poppyarch/internal/host/inventory"
 )
 
-// Exec starts brokers as processes.
-type Exec struct {
-	Program string // poppyarch itself
-	Dir     string // for the instances' configuration files and logs
+// ProcessLauncher starts brokers as processes.
+type ProcessLauncher struct {
+	Program  string // poppyarch itself
+	StateDir string // for the instances' configuration files and logs
 }
 
-// Compose makes an instance's configuration from the file that it names: the inventory's settings replace those
+// ComposeFile makes an instance's configuration from the file that it names: the inventory's settings replace those
 // of the file.
-func Compose(in inventory.Instance) ([]byte, error) {
+func ComposeFile(in inventory.Instance) ([]byte, error) {
 	text, err := os.ReadFile(in.Config)
 	if err != nil {
 		return nil, err
 	}
-	return ComposeText(in, text, nil)
+	return Compose(in, text, nil)
 }
 
-// ComposeText does the same with the text of that file at hand. control, if any, sets up the control endpoint.
-func ComposeText(in inventory.Instance, text []byte, control *config.Control) ([]byte, error) {
+// Compose does the same with the text of that file at hand. control, if any, sets up the control endpoint.
+func Compose(in inventory.Instance, text []byte, control *config.Control) ([]byte, error) {
 	var doc map[string]json.RawMessage
 	if err := json.Unmarshal(text, &doc); err != nil {
 		return nil, fmt.Errorf("%s: %w", in.Config, err)
@@ -94,16 +94,16 @@
 }
 
 // Start runs `poppyarch serve` for an instance. Its log goes to a file of its own.
-func (e *Exec) Start(in inventory.Instance) (Process, error) {
-	text, err := Compose(in)
+func (e *ProcessLauncher) Start(in inventory.Instance) (Process, error) {
+	text, err := ComposeFile(in)
 	if err != nil {
 		return nil, err
 	}
-	path := filepath.Join(e.Dir, in.Name+".json")
+	path := filepath.Join(e.StateDir, in.Name+".json")
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return nil, err
 	}
-	out, err := os.OpenFile(filepath.Join(e.Dir, in.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	out, err := os.OpenFile(filepath.Join(e.StateDir, in.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
@@ -144,7 +144,7 @@
 }
 
 // Ready asks an instance's fronts whether they serve.
-func (e *Exec) Ready(ctx context.Context, in inventory.Instance) bool {
+func (e *ProcessLauncher) Ready(ctx context.Context, in inventory.Instance) bool {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	return (in.Listen == "" || ping(ctx, in.Listen) == nil) && (in.ObjectListen == "" || health(ctx, in.ObjectListen) == nil)
--- a/internal/host/agent/runner.go
+++ b/internal/host/agent/runner.go
@@ -21,20 +21,20 @@
 	Backoff  State = "backoff"  // crashed, waits for its next start
 )
 
-// Times are the agent's waits.
-type Times struct {
-	BackoffFirst time.Duration // after a crash; doubles with each further one
-	BackoffMost  time.Duration
-	Steady       time.Duration // a run of this length ends the doubling
-	Drain        time.Duration // from SIGTERM to SIGKILL
-	Ready        time.Duration // from the start to the first answer, in a rolling restart
-	Poll         time.Duration // between two looks whether an instance answers
+// Timing are the agent's waits.
+type Timing struct {
+	InitialBackoff time.Duration // after a crash; doubles with each further one
+	MaxBackoff     time.Duration
+	StableAfter    time.Duration // a run of this length ends the doubling
+	DrainTimeout   time.Duration // from SIGTERM to SIGKILL
+	ReadyTimeout   time.Duration // from the start to the first answer, in a rolling restart
+	PollInterval   time.Duration // between two looks whether an instance answers
 }
 
-// DefaultTimes suit brokers whose longest deadline is some seconds.
-func DefaultTimes() Times {
-	return Times{BackoffFirst: 500 * time.Millisecond, BackoffMost: 30 * time.Second, Steady: time.Minute,
-		Drain: 15 * time.Second, Ready: 30 * time.Second, Poll: 50 * time.Millisecond}
+// DefaultTiming suit brokers whose longest deadline is some seconds.
+func DefaultTiming() Timing {
+	return Timing{InitialBackoff: 500 * time.Millisecond, MaxBackoff: 30 * time.Second, StableAfter: time.Minute,
+		DrainTimeout: 15 * time.Second, ReadyTimeout: 30 * time.Second, PollInterval: 50 * time.Millisecond}
 }
 
 // Process is a started broker.
@@ -53,21 +53,21 @@
 
 // Status is an instance as the agent sees it.
 type Status struct {
-	Name     string    `json:"name"`
-	State    State     `json:"state"`
-	Wanted   bool      `json:"wanted"` // whether it should run
-	PID      int       `json:"pid,omitempty"`
-	Listen   string    `json:"listen,omitempty"`
-	Objects  string    `json:"object_listen,omitempty"`
-	Restarts int       `json:"restarts"` // after crashes
-	Since    time.Time `json:"since"`
-	Error    string    `json:"error,omitempty"` // of the last crash or failed start
+	Name         string    `json:"name"`
+	State        State     `json:"state"`
+	ShouldRun    bool      `json:"wanted"` // whether it should run
+	PID          int       `json:"pid,omitempty"`
+	Listen       string    `json:"listen,omitempty"`
+	ObjectListen string    `json:"object_listen,omitempty"`
+	Restarts     int       `json:"restarts"` // after crashes
+	Since        time.Time `json:"since"`
+	Error        string    `json:"error,omitempty"` // of the last crash or failed start
 }
 
 // runner keeps one instance as it should be.
 type runner struct {
 	launcher Launcher
-	times    Times
+	times    Timing
 	log      *slog.Logger
 	poke     chan struct{} // what is wanted has changed; holds one
 	done     chan struct{} // the runner has ended
@@ -78,7 +78,7 @@
 	changed chan struct{} // closed at each change of status
 }
 
-func newRunner(spec inventory.Instance, l Launcher, times Times, log *slog.Logger) *runner {
+func newRunner(spec inventory.Instance, l Launcher, times Timing, log *slog.Logger) *runner {
 	return &runner{launcher: l, times: times, log: log.With("instance", spec.Name), spec: spec,
 		poke: make(chan struct{}, 1), done: make(chan struct{}), changed: make(chan struct{}),
 		status: Status{Name: spec.Name, State: Stopped, Since: time.Now()}}
@@ -87,7 +87,7 @@
 // want says whether the instance should run, from now on as spec has it.
 func (r *runner) want(run bool, spec inventory.Instance) {
 	r.mu.Lock()
-	r.status.Wanted, r.spec = run, spec
+	r.status.ShouldRun, r.spec = run, spec
 	r.mu.Unlock()
 	select {
 	case r.poke <- struct{}{}:
@@ -100,7 +100,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.status
-	s.Listen, s.Objects = r.spec.Listen, r.spec.ObjectListen
+	s.Listen, s.ObjectListen = r.spec.Listen, r.spec.ObjectListen
 	return s, r.spec, r.changed
 }
 
@@ -134,10 +134,10 @@
 // run keeps the instance until ctx is done, then drains it.
 func (r *runner) run(ctx context.Context) {
 	defer close(r.done)
-	wait := r.times.BackoffFirst
+	wait := r.times.InitialBackoff
 	for ctx.Err() == nil {
 		s, spec, _ := r.get()
-		if !s.Wanted {
+		if !s.ShouldRun {
 			if s.State != Stopped {
 				r.set(Stopped, nil)
 			}
@@ -150,12 +150,12 @@
 		began := time.Now()
 		err, asked := r.once(ctx, spec)
 		if asked {
-			wait = r.times.BackoffFirst
+			wait = r.times.InitialBackoff
 			r.set(Stopped, func(s *Status) { s.PID, s.Error = 0, "" })
 			continue
 		}
-		if time.Since(began) >= r.times.Steady {
-			wait = r.times.BackoffFirst
+		if time.Since(began) >= r.times.StableAfter {
+			wait = r.times.InitialBackoff
 		}
 		text := "ended with exit code 0 though it was not asked to"
 		if err != nil {
@@ -170,7 +170,7 @@
 		case <-ctx.Done():
 		}
 		next.Stop()
-		wait = min(2*wait, r.times.BackoffMost)
+		wait = min(2*wait, r.times.MaxBackoff)
 	}
 	r.set(Stopped, nil)
 }
@@ -199,7 +199,7 @@
 		case <-r.poke:
 		case <-ctx.Done():
 		}
-		if s, _, _ := r.get(); s.Wanted && ctx.Err() == nil {
+		if s, _, _ := r.get(); s.ShouldRun && ctx.Err() == nil {
 			continue
 		}
 		break
@@ -208,7 +208,7 @@
 	r.set(Stopping, nil)
 	r.log.Info("agent: instance told to drain", "pid", p.PID())
 	p.Terminate()
-	drain := time.NewTimer(r.times.Drain)
+	drain := time.NewTimer(r.times.DrainTimeout)
 	defer drain.Stop()
 	select {
 	case <-p.Done():
@@ -230,7 +230,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(r.times.Poll):
+		case <-time.After(r.times.PollInterval):
 		}
 	}
 }
--- a/internal/host/inventory/csv.go
+++ b/internal/host/inventory/csv.go
@@ -14,7 +14,7 @@
 	r.TrimLeadingSpace, r.Comment = true, '#'
 	header, err := r.Read()
 	if err == io.EOF {
-		return nil, &Error{File: path, Line: 1, Text: "no header"}
+		return nil, &Error{File: path, Line: 1, Reason: "no header"}
 	}
 	if err != nil {
 		return nil, csvError(path, err)
@@ -65,7 +65,7 @@
 func csvError(path string, err error) error {
 	var pe *csv.ParseError
 	if errors.As(err, &pe) {
-		return &Error{File: path, Line: pe.Line, Text: pe.Err.Error()}
+		return &Error{File: path, Line: pe.Line, Reason: pe.Err.Error()}
 	}
-	return &Error{File: path, Text: err.Error()}
+	return &Error{File: path, Reason: err.Error()}
 }
--- a/internal/host/inventory/inventory.go
+++ b/internal/host/inventory/inventory.go
@@ -25,16 +25,16 @@
 	Enabled      bool    `json:"enabled"`
 
 	// For a fleet; a single agent does without.
-	Agent   string `json:"agent,omitempty"`    // who runs it
-	Domain  string `json:"domain,omitempty"`   // what fails together
-	Labels  string `json:"labels,omitempty"`   // KEY=VALUE, separated by commas
-	Groups  string `json:"groups,omitempty"`   // of a YAML inventory, separated by commas
-	MaxOpen int    `json:"max_open,omitempty"` // requests taken and not answered
+	Agent         string `json:"agent,omitempty"`    // who runs it
+	FailureDomain string `json:"domain,omitempty"`   // what fails together
+	Labels        string `json:"labels,omitempty"`   // KEY=VALUE, separated by commas
+	Groups        string `json:"groups,omitempty"`   // of a YAML inventory, separated by commas
+	MaxInFlight   int    `json:"max_open,omitempty"` // requests taken and not answered
 }
 
-// Bare is the instance without what only a fleet's manager looks at.
-func (i Instance) Bare() Instance {
-	i.Agent, i.Domain, i.Labels, i.Groups, i.MaxOpen = "", "", "", "", 0
+// WithoutFleetFields is the instance without what only a fleet's manager looks at.
+func (i Instance) WithoutFleetFields() Instance {
+	i.Agent, i.FailureDomain, i.Labels, i.Groups, i.MaxInFlight = "", "", "", "", 0
 	return i
 }
 
@@ -54,10 +54,10 @@
 
 // Error names the file, line and key of what is wrong.
 type Error struct {
-	File string
-	Line int
-	Key  string
-	Text string
+	File   string
+	Line   int
+	Key    string
+	Reason string
 }
 
 func (e *Error) Error() string {
@@ -68,7 +68,7 @@
 	if e.Key != "" {
 		at += ": " + e.Key
 	}
-	return at + ": " + e.Text
+	return at + ": " + e.Reason
 }
 
 // Load reads an inventory; the file's ending tells its form. The instances come sorted by name.
@@ -90,13 +90,13 @@
 	case ".yaml", ".yml":
 		hosts, err = parseYAML(path, text)
 	default:
-		return nil, &Error{File: path, Text: "an inventory ends in .csv, .yaml or .yml"}
+		return nil, &Error{File: path, Reason: "an inventory ends in .csv, .yaml or .yml"}
 	}
 	if err != nil {
 		return nil, err
 	}
 	if len(hosts) == 0 {
-		return nil, &Error{File: path, Text: "no instances"}
+		return nil, &Error{File: path, Reason: "no instances"}
 	}
 	sort.Slice(hosts, func(i, j int) bool { return hosts[i].name < hosts[j].name })
 	listens := map[string]string{}
@@ -143,9 +143,9 @@
 		return nil
 	},
 	"agent":     func(i *Instance, s string) error { i.Agent = s; return plainName(s) },
-	"domain":    func(i *Instance, s string) error { i.Domain = s; return plainName(s) },
+	"domain":    func(i *Instance, s string) error { i.FailureDomain = s; return plainName(s) },
 	"labels":    func(i *Instance, s string) error { i.Labels = s; _, err := ParseLabels(s); return err },
-	"max_open":  func(i *Instance, s string) error { return whole(s, &i.MaxOpen) },
+	"max_open":  func(i *Instance, s string) error { return whole(s, &i.MaxInFlight) },
 	"memory_mb": func(i *Instance, s string) error { return whole(s, &i.MemoryMB) },
 	"sockets":   func(i *Instance, s string) error { return whole(s, &i.Sockets) },
 	"enabled": func(i *Instance, s string) (err error) {
--- a/internal/host/inventory/yaml.go
+++ b/internal/host/inventory/yaml.go
@@ -30,14 +30,14 @@
 func parseYAML(path string, text []byte) ([]host, error) {
 	var doc yaml.Node
 	if err := yaml.Unmarshal(text, &doc); err != nil {
-		e := &Error{File: path, Line: 1, Text: err.Error()} // the library leaves the first line out
+		e := &Error{File: path, Line: 1, Reason: err.Error()} // the library leaves the first line out
 		if m := regexp.MustCompile(`line (\d+)`).FindStringSubmatch(err.Error()); m != nil {
 			e.Line, _ = strconv.Atoi(m[1])
 		}
 		return nil, e
 	}
 	if len(doc.Content) == 0 {
-		return nil, &Error{File: path, Text: "empty"}
+		return nil, &Error{File: path, Reason: "empty"}
 	}
 	t := &tree{path: path, groups: map[string]*group{}, hosts: map[string]*host{}}
 	err := t.each(doc.Content[0], "", func(key string, k, v *yaml.Node) error { return t.group(key, k, v) })
@@ -205,7 +205,7 @@
 // deepen sets depths and finds groups that contain themselves.
 func (t *tree) deepen(g *group, depth int, above map[string]bool) error {
 	if above[g.name] {
-		return &Error{File: t.path, Key: g.name, Text: "the group contains itself"}
+		return &Error{File: t.path, Key: g.name, Reason: "the group contains itself"}
 	}
 	above[g.name] = true
 	defer delete(above, g.name)
--- a/internal/lab/load/install.go
+++ b/internal/lab/load/install.go
@@ -66,7 +66,7 @@
 			if err != nil {
 				return in, err
 			}
-			t := discovery.Target{UID: fmt.Sprintf("s-%04d", len(in.nodes)), Endpoint: block, AZ: "room", PodGroup: len(in.nodes), State: "up", CapacityHint: 1}
+			t := discovery.Endpoint{ID: fmt.Sprintf("s-%04d", len(in.nodes)), Addr: block, Zone: "room", Shard: len(in.nodes), State: "up", Capacity: 1}
 			if o.Objects {
 				objects := fake.NewObjects()
 				objects.SetHook(func(w http.ResponseWriter, r *http.Request, next func()) {
@@ -78,7 +78,7 @@
 					done()
 					next()
 				})
-				if t.ObjectEndpoint, err = in.serve((&http.Server{Handler: objects}).Serve); err != nil {
+				if t.ObjectAddr, err = in.serve((&http.Server{Handler: objects}).Serve); err != nil {
 					return in, err
 				}
 			}
--- a/internal/lab/model/members.go
+++ b/internal/lab/model/members.go
@@ -23,7 +23,7 @@
 func newMembers(inner Design, now time.Duration, warm time.Duration) *members {
 	o := membership.DefaultOptions()
 	if warm > 0 {
-		o.Warm = warm.Microseconds()
+		o.SlowStart = warm.Microseconds()
 	}
 	return &members{inner: inner, set: membership.New(o, now.Microseconds())}
 }
@@ -39,7 +39,7 @@
 			first := m.version == 0
 			changed := m.tell(ev.Endpoints, ev.Kind == decision.EndpointsReplaced, us)
 			if first {
-				m.set.Begun()
+				m.set.EndInitialSync()
 			}
 			// Told on even where nothing has changed: the module counts from discovery's last word.
 			ev = decision.Event{Kind: decision.EndpointsChanged, Endpoints: m.view(changed)}
@@ -74,27 +74,27 @@
 			gone = append(gone, x.Node)
 			continue
 		}
-		e := membership.Entry{ID: x.Node, Addr: x.Node, Shard: x.Shard, Zone: x.Zone, Started: x.StartedAt.Microseconds(), Capacity: x.Capacity}
+		e := membership.Entry{ID: x.Node, Addr: x.Node, Shard: x.Shard, Zone: x.Zone, StartedAt: x.StartedAt.Microseconds(), Capacity: x.Capacity}
 		if x.State == decision.Draining {
 			e.State = membership.Draining
 		}
 		entries = append(entries, e)
 	}
 	if full {
-		return m.set.Tell(membership.Discovery, m.version, entries, us)
+		return m.set.Replace(membership.Discovery, m.version, entries, us)
 	}
-	return m.set.Change(membership.Discovery, m.version, entries, gone, us)
+	return m.set.Update(membership.Discovery, m.version, entries, gone, us)
 }
 
 // view is the membership's word in the module's terms.
 func (m *members) view(list []membership.Member) []decision.Endpoint {
 	out := make([]decision.Endpoint, 0, len(list))
 	for _, x := range list {
-		p := decision.Endpoint{Node: x.ID, Shard: x.Shard, Zone: x.Zone, StartedAt: time.Duration(x.Started) * time.Microsecond, Capacity: x.Capacity}
+		p := decision.Endpoint{Node: x.ID, Shard: x.Shard, Zone: x.Zone, StartedAt: time.Duration(x.StartedAt) * time.Microsecond, Capacity: x.Capacity}
 		switch x.State {
 		case membership.Draining:
 			p.State = decision.Draining
-		case membership.Out:
+		case membership.OutOfService:
 			p.State = decision.Removed
 		}
 		out = append(out, p)
--- a/internal/nodes/discovery/discovery.go
+++ b/internal/nodes/discovery/discovery.go
@@ -28,22 +28,22 @@
 
 // List is the form of the node list, in the platform's words.
 type List struct {
-	Rev     int64    `json:"rev"`
-	All     bool     `json:"all"`
-	Targets []Target `json:"targets"`
+	Revision  int64      `json:"rev"`
+	Full      bool       `json:"all"`
+	Endpoints []Endpoint `json:"targets"`
 }
 
-// Target is one entry of it.
-type Target struct {
-	UID            string  `json:"uid"`
-	Endpoint       string  `json:"endpoint"`
-	ObjectEndpoint string  `json:"object_endpoint,omitempty"` // where it differs
-	AZ             string  `json:"az"`
-	Model          string  `json:"model"`
-	PodGroup       int     `json:"pod_group"`
-	State          string  `json:"state"`
-	CapacityHint   float64 `json:"capacity_hint"`
-	BootMS         int64   `json:"boot_ms"`
+// Endpoint is one entry of it.
+type Endpoint struct {
+	ID          string  `json:"uid"`
+	Addr        string  `json:"endpoint"`
+	ObjectAddr  string  `json:"object_endpoint,omitempty"` // where it differs
+	Zone        string  `json:"az"`
+	Model       string  `json:"model"`
+	Shard       int     `json:"pod_group"`
+	State       string  `json:"state"`
+	Capacity    float64 `json:"capacity_hint"`
+	StartedAtMS int64   `json:"boot_ms"`
 }
 
 var states = map[string]decision.EndpointState{
@@ -63,20 +63,20 @@
 
 // Nodes turns a list into the core's form. zones numbers the zones by their names.
 func (l *List) Nodes(zones []string) ([]core.Node, error) {
-	out := make([]core.Node, 0, len(l.Targets))
-	for i, t := range l.Targets {
+	out := make([]core.Node, 0, len(l.Endpoints))
+	for i, t := range l.Endpoints {
 		state, ok := states[t.State]
 		if !ok {
 			return nil, fmt.Errorf("targets[%d].state: unknown state %q", i, t.State)
 		}
-		if t.UID == "" {
+		if t.ID == "" {
 			return nil, fmt.Errorf("targets[%d].uid: missing", i)
 		}
-		if t.Endpoint == "" && state != decision.Removed {
+		if t.Addr == "" && state != decision.Removed {
 			return nil, fmt.Errorf("targets[%d].endpoint: missing", i)
 		}
-		n := core.Node{ID: t.UID, Addr: t.Endpoint, ObjectAddr: t.ObjectEndpoint, Shard: t.PodGroup, State: state,
-			Zone: zone(t.AZ, zones), StartedAt: t.BootMS * 1000}
+		n := core.Node{ID: t.ID, Addr: t.Addr, ObjectAddr: t.ObjectAddr, Shard: t.Shard, State: state,
+			Zone: zone(t.Zone, zones), StartedAt: t.StartedAtMS * 1000}
 		if n.ObjectAddr == "" {
 			n.ObjectAddr = n.Addr
 		}
@@ -85,8 +85,8 @@
 	return out, nil
 }
 
-// Members turns nodes into what the module's facade takes.
-func Members(nodes []core.Node) []decision.Endpoint {
+// DecisionEndpoints turns nodes into what the module's facade takes.
+func DecisionEndpoints(nodes []core.Node) []decision.Endpoint {
 	out := make([]decision.Endpoint, 0, len(nodes))
 	for _, n := range nodes {
 		out = append(out, decision.Endpoint{Node: n.ID, Shard: n.Shard, Zone: n.Zone, State: n.State,
@@ -105,7 +105,7 @@
 
 	zones        []string
 	known        atomic.Int64 // rev, for other goroutines
-	rev          int64
+	revision     int64
 	fullList     fullListState
 	fullListAt   time.Time // when a scheduled full list is read
 	missingUntil time.Time // changes may be missing until then: the watch fell silent or the address changed, and nothing has come since
@@ -121,15 +121,15 @@
 	log          *slog.Logger
 }
 
-// NoList is the version of a list that is not known. 0 is a version like any other.
-const NoList int64 = -1
+// NoRevision is the version of a list that is not known. 0 is a version like any other.
+const NoRevision int64 = -1
 
 // New returns a client that keeps the table and the module up to date. rev is that of the list they know.
 func New(addr string, rev int64, zones []string, table *core.EndpointTable, f *dispatcher.Dispatcher, lim *limits.Limits,
 	log *slog.Logger) *Client {
 	dialer := &net.Dialer{KeepAlive: -1}
 	c := &Client{
-		addr: addr, cut: func() {}, moved: make(chan struct{}, 1), zones: zones, rev: rev, grace: lim.WatchGracePeriod,
+		addr: addr, cut: func() {}, moved: make(chan struct{}, 1), zones: zones, revision: rev, grace: lim.WatchGracePeriod,
 		dial: dialer.DialContext, facade: f, lim: lim, log: log,
 	}
 	c.http = &http.Client{
@@ -142,7 +142,7 @@
 	c.deliver = func(nodes []core.Node, full bool) {
 		// The table goes first: what the module decides next is checked against it.
 		table.Update(nodes, full)
-		f.UpdateEndpoints(Members(nodes), full)
+		f.UpdateEndpoints(DecisionEndpoints(nodes), full)
 	}
 	return c
 }
@@ -155,21 +155,21 @@
 	return c.dial(ctx, network, addr)
 }
 
-// Deliver has lists go to f, in their order, in place of the table and the module. It is called before Run.
-func (c *Client) Deliver(f func(nodes []core.Node, full bool)) { c.deliver = f }
+// OnEndpoints has lists go to f, in their order, in place of the table and the module. It is called before Run.
+func (c *Client) OnEndpoints(f func(nodes []core.Node, full bool)) { c.deliver = f }
 
-// Tell has f called with nil for every list that comes and with its error for every watch that ends. Before Run.
-func (c *Client) Tell(f func(err error)) { c.notify = f }
+// OnResult has f called with nil for every list that comes and with its error for every watch that ends. Before Run.
+func (c *Client) OnResult(f func(err error)) { c.notify = f }
 
-// Rev is the version of the list that was delivered last; NoList where none was.
-func (c *Client) Rev() int64 { return c.known.Load() }
+// Revision is the version of the list that was delivered last; NoList where none was.
+func (c *Client) Revision() int64 { return c.known.Load() }
 
-// Move turns to another address, also in the middle of a call: whoever moved discovery counts the broker as told soon
+// SetAddress turns to another address, also in the middle of a call: whoever moved discovery counts the broker as told soon
 // after, whether it has asked there or not. The old list stays in force until the new one is there.
 //
 // All brokers of a fleet are told to move together, and each has to read the whole list anew. Those of a large one wait
 // for a part of Limits.ListSpread first; the watch at the old address goes on meanwhile.
-func (c *Client) Move(addr string) {
+func (c *Client) SetAddress(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if addr == c.addr {
@@ -269,19 +269,19 @@
 	stood := false
 	for {
 		asked := time.Now()
-		rev := c.rev
+		rev := c.revision
 		if c.fullList == fullListNow || c.fullList == fullListScheduled && asked.After(c.fullListAt) {
-			rev = NoList
+			rev = NoRevision
 		}
 		l, err := c.call(ctx, base, rev)
-		c.scheduleFullList(err, rev, l != nil && l.All)
-		if err != nil && rev == NoList && c.rev != NoList && ctx.Err() == nil {
+		c.scheduleFullList(err, rev, l != nil && l.Full)
+		if err != nil && rev == NoRevision && c.revision != NoRevision && ctx.Err() == nil {
 			continue // with what is new, at once: waiting would end the watch, and news go unheard meanwhile
 		}
-		if err == nil && l.Rev < c.rev {
+		if err == nil && l.Revision < c.revision {
 			// Discovery has lost its history: only a whole list says what is left.
-			c.log.Warn("discovery: version went back", "from", c.rev, "to", l.Rev)
-			l, err = c.call(ctx, base, NoList)
+			c.log.Warn("discovery: version went back", "from", c.revision, "to", l.Revision)
+			l, err = c.call(ctx, base, NoRevision)
 		}
 		if stood && errors.Is(err, context.DeadlineExceeded) {
 			c.missingUntil = asked.Add(clock.Duration(c.lim.NotificationDeadline))
@@ -292,9 +292,9 @@
 		stood, c.failures, c.missingUntil = true, 0, time.Time{}
 		nodes, err := l.Nodes(c.zones)
 		if err != nil {
-			return fmt.Errorf("node list %d: %w", l.Rev, err)
+			return fmt.Errorf("node list %d: %w", l.Revision, err)
 		}
-		if l.Rev == c.rev && time.Since(asked) < clock.Duration(c.lim.WatchMinInterval) {
+		if l.Revision == c.revision && time.Since(asked) < clock.Duration(c.lim.WatchMinInterval) {
 			// It brought no news and did not wait for any: asking on without a pause would bury discovery. The
 			// pause is well within the time that a watch lasts between two calls.
 			select {
@@ -303,15 +303,15 @@
 			case <-time.After(clock.Duration(c.lim.WatchMinInterval)):
 			}
 		}
-		c.rev = l.Rev
-		c.deliver(nodes, l.All)
+		c.revision = l.Revision
+		c.deliver(nodes, l.Full)
 		c.notify(nil)
-		c.known.Store(l.Rev)
-		if l.All {
-			c.log.Info("discovery: whole list read", "rev", l.Rev, "nodes", len(nodes))
+		c.known.Store(l.Revision)
+		if l.Full {
+			c.log.Info("discovery: whole list read", "rev", l.Revision, "nodes", len(nodes))
 		}
 		for _, n := range nodes {
-			c.log.Debug("discovery: node", "node", n.ID, "state", n.State, "addr", n.Addr, "rev", l.Rev)
+			c.log.Debug("discovery: node", "node", n.ID, "state", n.State, "addr", n.Addr, "rev", l.Revision)
 		}
 	}
 }
@@ -333,7 +333,7 @@
 	switch {
 	case err == nil && full:
 		c.fullList = fullListRead
-	case err != nil && c.fullList != fullListRead && rev == NoList && c.rev != NoList:
+	case err != nil && c.fullList != fullListRead && rev == NoRevision && c.revision != NoRevision:
 		c.fullList = fullListAfterChanges
 	case err == nil && c.fullList == fullListAfterChanges:
 		c.fullList = fullListScheduled
@@ -362,7 +362,7 @@
 // over and over, hundreds of times a second, until discovery answered all brokers with 503.
 func (c *Client) call(ctx context.Context, base string, rev int64) (*List, error) {
 	wait, q := int64(0), url.Values{}
-	if rev != NoList {
+	if rev != NoRevision {
 		// Of many brokers that began together, or were all told of one change, none should stay in step with the rest.
 		if wait = c.lim.WatchTimeout - rand.Int64N(c.lim.WatchTimeout/4+1); time.Now().Before(c.missingUntil) {
 			wait = 0 // so that one that hangs as well is known by its grace
@@ -410,8 +410,8 @@
 	if err := json.Unmarshal(body, &l); err != nil {
 		return nil, fmt.Errorf("node list: %w", err)
 	}
-	if len(l.Targets) > lim.MaxListEndpoints {
-		return nil, fmt.Errorf("node list: %d entries, more than %d", len(l.Targets), lim.MaxListEndpoints)
+	if len(l.Endpoints) > lim.MaxListEndpoints {
+		return nil, fmt.Errorf("node list: %d entries, more than %d", len(l.Endpoints), lim.MaxListEndpoints)
 	}
 	return &l, nil
 }
--- a/internal/nodes/discovery/discovery_test.go
+++ b/internal/nodes/discovery/discovery_test.go
@@ -51,10 +51,10 @@
 		wait.Wait()
 		srv.Close()
 	})
-	c := discovery.New(strings.TrimPrefix(srv.URL, "http://"), discovery.NoList, []string{"room"}, table, f, lim,
+	c := discovery.New(strings.TrimPrefix(srv.URL, "http://"), discovery.NoRevision, []string{"room"}, table, f, lim,
 		slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for _, f := range tell {
-		c.Tell(f)
+		c.OnResult(f)
 	}
 	wait.Go(func() { core.RunDecisions(ctx, f, clock.New()) })
 	wait.Go(func() { c.Run(ctx) })
@@ -74,8 +74,8 @@
 	eventually(t, "a watch", func() bool { return len(old.Calls()) > 1 })
 	other.Set(target("b", "draining"))
 	addr := strings.TrimPrefix(srv.URL, "http://")
-	c.Move(addr)
-	c.Move(addr) // no news
+	c.SetAddress(addr)
+	c.SetAddress(addr) // no news
 	eventually(t, "b drains", state(table, "b")(decision.Draining))
 	if !state(table, "a")(decision.Removed)() {
 		t.Error("a is not gone")
@@ -85,8 +85,8 @@
 	if n := len(old.Calls()); n != 2 {
 		t.Errorf("%d calls at the old address, want 2", n)
 	}
-	c.Move("127.0.0.1:1") // nobody there: the list stays, and the way back is open
-	c.Move(addr)
+	c.SetAddress("127.0.0.1:1") // nobody there: the list stays, and the way back is open
+	c.SetAddress(addr)
 	other.Set(target("c", "draining"))
 	eventually(t, "c drains", state(table, "c")(decision.Draining))
 }
@@ -102,7 +102,7 @@
 	lim.DiscoveryMoveJitter = 3_600_000_000 // it will hardly fall into the first seconds
 	table, c := client(t, old, lim)
 	eventually(t, "a is up", state(table, "a")(decision.Ready))
-	c.Move(strings.TrimPrefix(srv.URL, "http://"))
+	c.SetAddress(strings.TrimPrefix(srv.URL, "http://"))
 	old.Set(target("a", "draining"))
 	eventually(t, "a drains, by word of the old address", state(table, "a")(decision.Draining))
 	if n := len(other.Calls()); n > 0 {
@@ -113,9 +113,9 @@
 // A list may name more zones than the settings. Taken for the first of these, they made work whose repeats one zone drops go
 // again in another.
 func TestZonesThatTheSettingsDoNotName(t *testing.T) {
-	list := discovery.List{Targets: []discovery.Target{target("a", "up"), target("b", "up"), target("c", "up"), target("d", "up")}}
+	list := discovery.List{Endpoints: []discovery.Endpoint{target("a", "up"), target("b", "up"), target("c", "up"), target("d", "up")}}
 	for i, az := range []string{"room", "hall", "yard", "hall"} {
-		list.Targets[i].AZ = az
+		list.Endpoints[i].Zone = az
 	}
 	n, err := list.Nodes([]string{"room", "cellar"})
 	if err != nil {
@@ -155,7 +155,7 @@
 		}
 	})
 	eventually(t, "b is up", state(table, "b")(decision.Ready))
-	c.Move(strings.TrimPrefix(srv.URL, "http://"))
+	c.SetAddress(strings.TrimPrefix(srv.URL, "http://"))
 	eventually(t, "b drains", state(table, "b")(decision.Draining))
 	if ended.Load() > 0 {
 		t.Error("the failed whole list has ended the watch")
@@ -179,8 +179,8 @@
 	}
 }
 
-func target(uid, state string) discovery.Target {
-	return discovery.Target{UID: uid, Endpoint: "127.0.0.1:1", AZ: "room", State: state}
+func target(uid, state string) discovery.Endpoint {
+	return discovery.Endpoint{ID: uid, Addr: "127.0.0.1:1", Zone: "room", State: state}
 }
 
 func state(table *core.EndpointTable, uid string) func(decision.EndpointState) func() bool {
--- a/internal/nodes/discovery/held_test.go
+++ b/internal/nodes/discovery/held_test.go
@@ -137,9 +137,9 @@
 	go c.Run(ctx)
 	for known := int64(0); s.now() < 30*time.Second; time.Sleep(10 * time.Millisecond) {
 		if s.move > 0 && s.now() >= s.move {
-			c.Move("new:1")
+			c.SetAddress("new:1")
 		}
-		for rev := c.Rev(); known < rev; {
+		for rev := c.Revision(); known < rev; {
 			known++
 			heard[known] = s.now()
 		}
--- a/internal/nodes/discovery/retry_test.go
+++ b/internal/nodes/discovery/retry_test.go
@@ -31,7 +31,7 @@
 	}))
 	defer srv.Close()
 	lim := &limits.Limits{WatchTimeout: 1000, WatchGracePeriod: 50_000, NotificationDeadline: 300_000, MaxListBytes: 1 << 16, MaxListEndpoints: 10, NodeIdleTimeout: 60_000_000}
-	c := New("", NoList, nil, core.NewEndpointTable(), nil, lim, discard())
+	c := New("", NoRevision, nil, core.NewEndpointTable(), nil, lim, discard())
 	var hung sync.WaitGroup
 	hung.Add(1)
 	first, real := true, c.dial
@@ -44,11 +44,11 @@
 		}
 		return real(ctx, network, addr)
 	}
-	if _, err := c.call(t.Context(), srv.URL, NoList); err == nil {
+	if _, err := c.call(t.Context(), srv.URL, NoRevision); err == nil {
 		t.Fatal("a call without a connection was answered")
 	}
 	hung.Wait() // forever, where only the system ends the attempt to connect
-	if l, err := c.call(t.Context(), srv.URL, NoList); err != nil || l.Rev != 7 {
+	if l, err := c.call(t.Context(), srv.URL, NoRevision); err != nil || l.Revision != 7 {
 		t.Errorf("the next call: %v, %v", l, err)
 	}
 }
@@ -127,7 +127,7 @@
 	defer stop()
 	go core.RunDecisions(ctx, f, clock.New())
 	go c.Run(ctx)
-	for ; c.Rev() < 2; time.Sleep(10 * time.Millisecond) {
+	for ; c.Revision() < 2; time.Sleep(10 * time.Millisecond) {
 		if time.Since(o.begun) > o.end+time.Minute {
 			t.Fatal("never had")
 		}
--- a/internal/nodes/discovery/slow_test.go
+++ b/internal/nodes/discovery/slow_test.go
@@ -45,9 +45,9 @@
 func TestSlowWholeListIsHadInTheEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lim := &limits.Limits{WatchTimeout: 3_000_000, WatchGracePeriod: 1_000_000, NotificationDeadline: 6_000_000, MaxListBytes: 1 << 16, MaxListEndpoints: 10}
-		c := New("", NoList, nil, core.NewEndpointTable(), nil, lim, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		c := New("", NoRevision, nil, core.NewEndpointTable(), nil, lim, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		got := false
-		c.Deliver(func([]core.Node, bool) { got = true })
+		c.OnEndpoints(func([]core.Node, bool) { got = true })
 		c.http.Transport = slow(3 * time.Second)
 		for range 4 {
 			ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
@@ -78,7 +78,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		lim := &limits.Limits{WatchTimeout: 1_000_000, WatchGracePeriod: 1_000_000, NotificationDeadline: 6_000_000, MaxListBytes: 1 << 16, MaxListEndpoints: 10}
 		c := New("", 1, nil, core.NewEndpointTable(), nil, lim, slog.New(slog.NewTextHandler(io.Discard, nil)))
-		c.Deliver(func([]core.Node, bool) {})
+		c.OnEndpoints(func([]core.Node, bool) {})
 		waits := []string{}
 		c.http.Transport = trip(func(r *http.Request) (*http.Response, error) {
 			waits = append(waits, r.URL.Query().Get("wait_ms"))
--- a/internal/nodes/membership/membership.go
+++ b/internal/nodes/membership/membership.go
@@ -34,36 +34,36 @@
 const (
 	Up State = iota
 	Draining
-	Out
+	OutOfService
 )
 
 func (s State) String() string { return [...]string{"up", "draining", "out"}[s] }
 
 // Entry is one source's word on one node.
 type Entry struct {
-	ID       string
-	State    State
-	Addr     string
-	Objects  string
-	Shard    int
-	Zone     int
-	Started  int64   // when its process started; 0: not told, or long ago
-	Kind     string  // for the prior of its capacity
-	Capacity float64 // against the usual node; 0: not told
-	Where    string  // file, line and column, or the like
+	ID         string
+	State      State
+	Addr       string
+	ObjectAddr string
+	Shard      int
+	Zone       int
+	StartedAt  int64   // when its process started; 0: not told, or long ago
+	Kind       string  // for the prior of its capacity
+	Capacity   float64 // against the usual node; 0: not told
+	Origin     string  // file, line and column, or the like
 }
 
 // Member is a node as it is to be used.
 type Member struct {
-	ID       string
-	State    State
-	Addr     string
-	Objects  string
-	Shard    int
-	Zone     int
-	Started  int64
-	Kind     string
-	Capacity float64
+	ID         string
+	State      State
+	Addr       string
+	ObjectAddr string
+	Shard      int
+	Zone       int
+	StartedAt  int64
+	Kind       string
+	Capacity   float64
 }
 
 // Phase is where a node stands in its life.
@@ -71,32 +71,32 @@
 
 // The phases.
 const (
-	Cold    Phase = "cold"
-	Warming Phase = "warming"
-	Warm    Phase = "warm"
-	Drains  Phase = "draining"
-	IsOut   Phase = "out"
-	Gone    Phase = "gone"
+	PhaseCold     Phase = "cold"
+	PhaseWarming  Phase = "warming"
+	PhaseWarm     Phase = "warm"
+	PhaseDraining Phase = "draining"
+	PhaseOut      Phase = "out"
+	PhaseGone     Phase = "gone"
 )
 
 // Options bounds a Set. Times are microseconds.
 type Options struct {
-	Limit     bool    // a node has to be in a file to be used
-	Warm      int64   // a node that came up is warm after this; cold for the first fifth of it
-	Guard     float64 // omissions of more than this share of a source's nodes at once are held back; 0: none are
-	GuardMin  int     // but never fewer than so many
-	Hold      int64   // for so long
-	HalfLife  int64   // of the penalty for coming back
-	Suppress  float64 // above it a node that comes back stays out; 0: never
-	Reuse     float64 // until it has fallen below this
-	Forget    int64   // a gone node's history is kept for so long
-	GuardDisc bool    // discovery's omissions are guarded as well
+	FilesAreAllowList  bool    // a node has to be in a file to be used
+	SlowStart          int64   // a node that came up is warm after this; cold for the first fifth of it
+	MaxRemovalFraction float64 // omissions of more than this share of a source's nodes at once are held back; 0: none are
+	MinGuardedRemovals int     // but never fewer than so many
+	RemovalHold        int64   // for so long
+	PenaltyHalfLife    int64   // of the penalty for coming back
+	SuppressThreshold  float64 // above it a node that comes back stays out; 0: never
+	ReuseThreshold     float64 // until it has fallen below this
+	HistoryRetention   int64   // a gone node's history is kept for so long
+	GuardDiscovery     bool    // discovery's omissions are guarded as well
 }
 
 // DefaultOptions guard files against the loss of a fifth of their nodes.
 func DefaultOptions() Options {
 	const s = 1_000_000
-	return Options{Warm: 15 * s, Guard: 0.2, GuardMin: 3, Hold: 600 * s, HalfLife: 30 * s, Suppress: 3, Reuse: 1, Forget: 600 * s}
+	return Options{SlowStart: 15 * s, MaxRemovalFraction: 0.2, MinGuardedRemovals: 3, RemovalHold: 600 * s, PenaltyHalfLife: 30 * s, SuppressThreshold: 3, ReuseThreshold: 1, HistoryRetention: 600 * s}
 }
 
 // Set is the merged view. Not safe for use by several goroutines.
@@ -145,12 +145,12 @@
 	return s
 }
 
-// Begun ends the start: nodes that are told from now on are new and so cold.
-func (s *Set) Begun() { s.begun = true }
+// EndInitialSync ends the start: nodes that are told from now on are new and so cold.
+func (s *Set) EndInitialSync() { s.begun = true }
 
-// Tell takes in a source's whole state, numbered by the source. One that is not newer than what is known changes
+// Replace takes in a source's whole state, numbered by the source. One that is not newer than what is known changes
 // nothing. It returns the nodes whose use changes, with Out for those that are not to be used any more.
-func (s *Set) Tell(from Source, version int64, entries []Entry, now int64) []Member {
+func (s *Set) Replace(from Source, version int64, entries []Entry, now int64) []Member {
 	x := &s.src[from]
 	s.time(now)
 	if x.known && version <= x.version {
@@ -186,9 +186,9 @@
 	return s.changes()
 }
 
-// Change takes in some of a source's entries; gone names those that it has no longer, by its own express word. The
+// Update takes in some of a source's entries; gone names those that it has no longer, by its own express word. The
 // version is that of the whole state that this leads to.
-func (s *Set) Change(from Source, version int64, entries []Entry, gone []string, now int64) []Member {
+func (s *Set) Update(from Source, version int64, entries []Entry, gone []string, now int64) []Member {
 	x := &s.src[from]
 	s.time(now)
 	x.version = max(x.version, version)
@@ -214,7 +214,7 @@
 // first notes that a source has spoken. In mode limit the files' first word concerns every node.
 func (s *Set) first(from Source) {
 	x := &s.src[from]
-	if from == Files && s.o.Limit && !x.known {
+	if from == Files && s.o.FilesAreAllowList && !x.known {
 		for k := range s.src {
 			for id := range s.src[k].entries {
 				s.dirty[id] = true
@@ -224,22 +224,22 @@
 	x.known = true
 }
 
-// Restart forgets a source's version: it has begun its numbers anew.
-func (s *Set) Restart(from Source) { s.src[from].version = math.MinInt64 }
+// ResetVersion forgets a source's version: it has begun its numbers anew.
+func (s *Set) ResetVersion(from Source) { s.src[from].version = math.MinInt64 }
 
 // guard decides whether omissions are believed. What any source has against a node is never held back: it is the
 // omission alone that may be a mistake.
 func (s *Set) guard(from Source, x *source, omitted []string) {
-	if len(omitted) == 0 || s.o.Guard <= 0 || from == Operators || from == Discovery && !s.o.GuardDisc {
+	if len(omitted) == 0 || s.o.MaxRemovalFraction <= 0 || from == Operators || from == Discovery && !s.o.GuardDiscovery {
 		return
 	}
-	most := max(int(s.o.Guard*float64(len(x.entries)+len(x.held))), s.o.GuardMin)
+	most := max(int(s.o.MaxRemovalFraction*float64(len(x.entries)+len(x.held))), s.o.MinGuardedRemovals)
 	if len(omitted)+len(x.held) <= most && len(x.held) == 0 {
 		return
 	}
 	if len(x.held) == 0 {
 		x.heldAt = s.now
-		s.wheel.Set(&x.timer, s.now+s.o.Hold)
+		s.wheel.Set(&x.timer, s.now+s.o.RemovalHold)
 	}
 	for _, id := range omitted {
 		x.held[id] = x.entries[id]
@@ -247,8 +247,8 @@
 	x.reason = fmt.Sprintf("%d of %d nodes are gone from %s at once, more than %d: held back", len(x.held), len(x.entries), from, most)
 }
 
-// Accept believes the omissions that are held back.
-func (s *Set) Accept(from Source, now int64) []Member {
+// AcceptRemovals believes the omissions that are held back.
+func (s *Set) AcceptRemovals(from Source, now int64) []Member {
 	s.time(now)
 	s.believe(&s.src[from])
 	return s.changes()
@@ -263,8 +263,8 @@
 	s.wheel.Stop(&x.timer)
 }
 
-// Held tells what the guard holds back from a source, and why.
-func (s *Set) Held(from Source) (ids []string, reason string) {
+// HeldRemovals tells what the guard holds back from a source, and why.
+func (s *Set) HeldRemovals(from Source) (ids []string, reason string) {
 	return slices.Sorted(maps.Keys(s.src[from].held)), s.src[from].reason
 }
 
@@ -309,10 +309,10 @@
 		}
 		m.State = max(m.State, e.State)
 		if e.Addr != "" && !ok { // facts come from the first that knows it
-			m.Addr, m.Objects, m.Shard, m.Zone = e.Addr, cmp.Or(e.Objects, e.Addr), e.Shard, e.Zone
+			m.Addr, m.ObjectAddr, m.Shard, m.Zone = e.Addr, cmp.Or(e.ObjectAddr, e.Addr), e.Shard, e.Zone
 			ok = true
 		}
-		m.Started = max(m.Started, e.Started)
+		m.StartedAt = max(m.StartedAt, e.StartedAt)
 		if m.Kind == "" {
 			m.Kind = e.Kind
 		}
@@ -320,8 +320,8 @@
 			m.Capacity = e.Capacity
 		}
 	}
-	if s.o.Limit && s.src[Files].known && s.src[Files].entry(id) == nil {
-		m.State = Out
+	if s.o.FilesAreAllowList && s.src[Files].known && s.src[Files].entry(id) == nil {
+		m.State = OutOfService
 	}
 	return m, ok
 }
@@ -350,7 +350,7 @@
 	m, ok := s.merge(id)
 	n := s.nodes[id]
 	if n == nil {
-		if !ok || m.State == Out {
+		if !ok || m.State == OutOfService {
 			return m, false
 		}
 		n = &node{id: id, at: s.now}
@@ -360,17 +360,17 @@
 			n.up = s.now
 		}
 	}
-	use := ok && m.State != Out
+	use := ok && m.State != OutOfService
 	if use && !n.shown && n.gone > 0 { // it comes back
 		if !n.damped {
 			n.penalty = s.decayed(n) + 1
 			n.at = s.now
 		}
-		if s.o.Suppress > 0 && (!n.damped && n.penalty > s.o.Suppress || n.damped && s.decayed(n) > s.o.Reuse) {
+		if s.o.SuppressThreshold > 0 && (!n.damped && n.penalty > s.o.SuppressThreshold || n.damped && s.decayed(n) > s.o.ReuseThreshold) {
 			n.damped = true
-			n.note = fmt.Sprintf("came back too often: penalty %.1f, stays out until %.1f", s.decayed(n), s.o.Reuse)
+			n.note = fmt.Sprintf("came back too often: penalty %.1f, stays out until %.1f", s.decayed(n), s.o.ReuseThreshold)
 			// 2^-(t/half) * p = reuse
-			wait := float64(s.o.HalfLife) * math.Log2(s.decayed(n)/s.o.Reuse)
+			wait := float64(s.o.PenaltyHalfLife) * math.Log2(s.decayed(n)/s.o.ReuseThreshold)
 			s.wheel.Set(&n.timer, s.now+int64(wait)+2000)
 			return m, false
 		}
@@ -380,8 +380,8 @@
 	if !use {
 		// Going is never delayed.
 		if !n.shown {
-			if n.damped || n.gone > 0 && s.now-n.gone < s.o.Forget {
-				s.wheel.Set(&n.timer, max(n.gone+s.o.Forget, s.now+1000))
+			if n.damped || n.gone > 0 && s.now-n.gone < s.o.HistoryRetention {
+				s.wheel.Set(&n.timer, max(n.gone+s.o.HistoryRetention, s.now+1000))
 				n.damped = n.damped && ok
 			} else {
 				s.wheel.Stop(&n.timer)
@@ -390,23 +390,23 @@
 			return m, false
 		}
 		n.shown, n.gone = false, s.now
-		n.member.State = Out
-		s.wheel.Set(&n.timer, s.now+s.o.Forget)
+		n.member.State = OutOfService
+		s.wheel.Set(&n.timer, s.now+s.o.HistoryRetention)
 		return n.member, true
 	}
 	// What has just come up is cold, whatever a file says of it; discovery knows when a process started, and so is
 	// believed where it knows the node.
 	told := s.src[Discovery].entry(id) != nil
 	if !told {
-		m.Started = max(m.Started, n.up)
+		m.StartedAt = max(m.StartedAt, n.up)
 	}
 	if n.shown && n.member == m {
 		return m, false
 	}
 	moved := n.shown && (n.member.Addr != m.Addr || n.member.Shard != m.Shard)
-	if moved && s.begun && !told && m.Started < s.now && n.member.Started == m.Started {
+	if moved && s.begun && !told && m.StartedAt < s.now && n.member.StartedAt == m.StartedAt {
 		n.up = s.now // another place under the same id is another process
-		m.Started = s.now
+		m.StartedAt = s.now
 	}
 	n.shown, n.gone, n.member = true, 0, m
 	s.wheel.Stop(&n.timer)
@@ -415,10 +415,10 @@
 
 // decayed is a node's penalty now.
 func (s *Set) decayed(n *node) float64 {
-	if s.o.HalfLife <= 0 {
+	if s.o.PenaltyHalfLife <= 0 {
 		return 0
 	}
-	return n.penalty * math.Exp2(-float64(s.now-n.at)/float64(s.o.HalfLife))
+	return n.penalty * math.Exp2(-float64(s.now-n.at)/float64(s.o.PenaltyHalfLife))
 }
 
 // Members lists the nodes in use, by id.
@@ -432,8 +432,8 @@
 	return out
 }
 
-// Usual is the middle capacity of the nodes in use whose kind is told; 0: of none is it told.
-func (s *Set) Usual() float64 {
+// MedianCapacity is the middle capacity of the nodes in use whose kind is told; 0: of none is it told.
+func (s *Set) MedianCapacity() float64 {
 	var all []float64
 	for _, n := range s.nodes {
 		if n.shown && n.member.Capacity > 0 {
@@ -460,10 +460,10 @@
 
 // Fact is one thing that is known of a node, and who says so.
 type Fact struct {
-	Source string `json:"source"`
-	Says   string `json:"says"`
-	Where  string `json:"where,omitempty"`
-	Held   bool   `json:"held,omitempty"` // it says nothing any more; the guard holds its last word
+	Source    string `json:"source"`
+	Statement string `json:"says"`
+	Origin    string `json:"where,omitempty"`
+	HeldBack  bool   `json:"held,omitempty"` // it says nothing any more; the guard holds its last word
 }
 
 // Explanation says why a node is used as it is.
@@ -478,7 +478,7 @@
 // Explain tells where each fact about a node comes from.
 func (s *Set) Explain(id string) Explanation {
 	m, ok := s.merge(id)
-	x := Explanation{ID: id, Phase: Gone, State: m.State.String(), Facts: []Fact{}}
+	x := Explanation{ID: id, Phase: PhaseGone, State: m.State.String(), Facts: []Fact{}}
 	if !ok {
 		x.State = "unknown"
 	}
@@ -487,19 +487,19 @@
 		if e == nil {
 			continue
 		}
-		f := Fact{Source: Source(k).String(), Says: e.State.String(), Where: e.Where, Held: s.src[k].entries[id] == nil}
+		f := Fact{Source: Source(k).String(), Statement: e.State.String(), Origin: e.Origin, HeldBack: s.src[k].entries[id] == nil}
 		if e.Addr != "" {
-			f.Says += fmt.Sprintf(" at %s, shard %d", e.Addr, e.Shard)
+			f.Statement += fmt.Sprintf(" at %s, shard %d", e.Addr, e.Shard)
 		}
 		if e.Kind != "" {
-			f.Says += ", kind " + e.Kind
+			f.Statement += ", kind " + e.Kind
 		}
 		x.Facts = append(x.Facts, f)
-		if f.Held {
+		if f.HeldBack {
 			x.Notes = append(x.Notes, s.src[k].reason)
 		}
 	}
-	if s.o.Limit && s.src[Files].known && s.src[Files].entry(id) == nil && ok {
+	if s.o.FilesAreAllowList && s.src[Files].known && s.src[Files].entry(id) == nil && ok {
 		x.Notes = append(x.Notes, "no file has it, and only what a file has is used")
 	}
 	if n := s.nodes[id]; n != nil {
@@ -507,17 +507,17 @@
 			x.Notes = append(x.Notes, n.note)
 		}
 		switch {
-		case !n.shown && ok && m.State != Out && n.damped, n.gone > 0 && ok:
-			x.Phase = IsOut
+		case !n.shown && ok && m.State != OutOfService && n.damped, n.gone > 0 && ok:
+			x.Phase = PhaseOut
 		case !n.shown:
 		case n.member.State == Draining:
-			x.Phase = Drains
-		case n.member.Started == 0 || s.now-n.member.Started >= s.o.Warm:
-			x.Phase = Warm
-		case s.now-n.member.Started < s.o.Warm/5:
-			x.Phase = Cold
+			x.Phase = PhaseDraining
+		case n.member.StartedAt == 0 || s.now-n.member.StartedAt >= s.o.SlowStart:
+			x.Phase = PhaseWarm
+		case s.now-n.member.StartedAt < s.o.SlowStart/5:
+			x.Phase = PhaseCold
 		default:
-			x.Phase = Warming
+			x.Phase = PhaseWarming
 		}
 	}
 	return x
--- a/internal/observability/console/console_test.go
+++ b/internal/observability/console/console_test.go
@@ -24,10 +24,10 @@
 		name := fmt.Sprintf("n%03d", k)
 		o.Instances = append(o.Instances, state.InstanceStatus{Name: name, Agent: "m1", Enabled: true, Current: k != 1, Available: k != 1, Age: int64(k) * 3_000_000,
 			Reason: strings.Repeat("because ", k%20), Report: state.Report{Process: state.Running, Incarnation: "b"}})
-		o.Figures = append(o.Figures, api.Figures{Name: name, Age: 400_000, Open: 3, Figures: &control.Figures{Span: 1_000_000,
-			Groups:  []control.GroupCount{{Class: "artwork-read", Plan: "express", Served: 100, Late: 2, Refused: 3, P50: 12_000, P99: 90_000}},
-			Nodes:   []control.NodeFigure{{Node: "s-5be2a07c", Served: 90, Silent: 1, P50: 11_000, P99: 88_000}},
-			Volumes: []control.VolumeFigure{{Volume: "00000003b4d60021", Count: 50, Error: 4}}}})
+		o.Figures = append(o.Figures, api.Figures{Name: name, Age: 400_000, Open: 3, Figures: &control.Stats{Span: 1_000_000,
+			Requests: []control.RequestStats{{Class: "artwork-read", Plan: "express", Served: 100, Late: 2, Rejected: 3, P50: 12_000, P99: 90_000}},
+			Nodes:    []control.NodeStats{{Node: "s-5be2a07c", Served: 90, TimedOut: 1, P50: 11_000, P99: 88_000}},
+			Volumes:  []control.VolumeStats{{Volume: "00000003b4d60021", Count: 50, CountError: 4}}}})
 	}
 	return o
 }
--- a/internal/observability/console/table.go
+++ b/internal/observability/console/table.go
@@ -71,21 +71,21 @@
 		}
 		if f, ok := figs[i.Name]; ok {
 			var all, refused, failed uint64
-			for _, g := range f.Figures.Groups {
-				all += g.Served + g.Refused + g.Failed
-				refused += g.Refused
+			for _, g := range f.Figures.Requests {
+				all += g.Served + g.Rejected + g.Failed
+				refused += g.Rejected
 				failed += g.Failed
 			}
 			span := f.Figures.Span
 			req, ref, fail, open = per(rate(all, span)), per(rate(refused, span)), per(rate(failed, span)), fmt.Sprint(f.Open)
 			d = append(d, "", fmt.Sprintf("figures of %.1f s, %s old, %d records dropped since its boot", float64(span)/1e6, age(f.Age), f.Figures.Dropped))
-			for _, g := range f.Figures.Groups {
+			for _, g := range f.Figures.Requests {
 				d = append(d, fmt.Sprintf("  %-14s %-10s %7s/s served, %s late, %s refused, %s failed, p50 %s ms, p99 %s ms", g.Class, g.Plan,
-					per(rate(g.Served, span)), per(rate(g.Late, span)), per(rate(g.Refused, span)), per(rate(g.Failed, span)), millis(g.P50), millis(g.P99)))
+					per(rate(g.Served, span)), per(rate(g.Late, span)), per(rate(g.Rejected, span)), per(rate(g.Failed, span)), millis(g.P50), millis(g.P99)))
 			}
 			for _, n := range f.Figures.Nodes {
 				d = append(d, fmt.Sprintf("  node %-12s %7s/s served, %s silent, %s other, p50 %s ms, p99 %s ms", n.Node, per(rate(n.Served, span)),
-					per(rate(n.Silent, span)), per(rate(n.Other, span)), millis(n.P50), millis(n.P99)))
+					per(rate(n.TimedOut, span)), per(rate(n.Other, span)), millis(n.P50), millis(n.P99)))
 			}
 		} else {
 			d = append(d, "", "no figures: its configuration has no record key, or nothing has come yet")
@@ -128,10 +128,10 @@
 			}
 			span := f.Figures.Span
 			m.served += rate(n.Served, span)
-			m.silent += rate(n.Silent, span)
+			m.silent += rate(n.TimedOut, span)
 			m.other += rate(n.Other, span)
 			m.p50, m.p99 = max(m.p50, n.P50), max(m.p99, n.P99)
-			m.line(f.Age, "%s: %s/s served, %s silent, %s other, p50 %s ms, p99 %s ms", f.Name, per(rate(n.Served, span)), per(rate(n.Silent, span)),
+			m.line(f.Age, "%s: %s/s served, %s silent, %s other, p50 %s ms, p99 %s ms", f.Name, per(rate(n.Served, span)), per(rate(n.TimedOut, span)),
 				per(rate(n.Other, span)), millis(n.P50), millis(n.P99))
 		}
 	}
@@ -168,11 +168,11 @@
 			}
 			span := f.Figures.Span
 			m.served += rate(v.Count, span)
-			m.error += rate(v.Error, span)
+			m.error += rate(v.CountError, span)
 			m.late += rate(v.Late, span)
-			m.refused += rate(v.Refused, span)
+			m.refused += rate(v.Rejected, span)
 			m.failed += rate(v.Failed, span)
-			m.line(f.Age, "%s: %s/s, %s late, %s refused, %s failed", f.Name, per(rate(v.Count, span)), per(rate(v.Late, span)), per(rate(v.Refused, span)),
+			m.line(f.Age, "%s: %s/s, %s late, %s refused, %s failed", f.Name, per(rate(v.Count, span)), per(rate(v.Late, span)), per(rate(v.Rejected, span)),
 				per(rate(v.Failed, span)))
 		}
 	}
@@ -195,7 +195,7 @@
 		right: []bool{false, false, true, true, true, true, true, true, true}, empty: "no figures: no broker records, or nothing was asked"}
 	by := map[[2]string]*merged{}
 	for _, f := range o.Figures {
-		for _, g := range f.Figures.Groups {
+		for _, g := range f.Figures.Requests {
 			k := [2]string{g.Class, g.Plan}
 			m := by[k]
 			if m == nil {
@@ -205,11 +205,11 @@
 			span := f.Figures.Span
 			m.served += rate(g.Served, span)
 			m.late += rate(g.Late, span)
-			m.refused += rate(g.Refused, span)
+			m.refused += rate(g.Rejected, span)
 			m.failed += rate(g.Failed, span)
 			m.p50, m.p99 = max(m.p50, g.P50), max(m.p99, g.P99)
 			m.line(f.Age, "%s: %s/s served, %s late, %s refused, %s failed, p50 %s ms, p99 %s ms", f.Name, per(rate(g.Served, span)), per(rate(g.Late, span)),
-				per(rate(g.Refused, span)), per(rate(g.Failed, span)), millis(g.P50), millis(g.P99))
+				per(rate(g.Rejected, span)), per(rate(g.Failed, span)), millis(g.P50), millis(g.P99))
 		}
 	}
 	keys := slices.SortedFunc(maps.Keys(by), func(a, b [2]string) int { return cmp.Or(cmp.Compare(a[0], b[0]), cmp.Compare(a[1], b[1])) })
--- a/internal/testkit/cluster/cluster.go
+++ b/internal/testkit/cluster/cluster.go
@@ -85,8 +85,8 @@
 		if o.Lists {
 			continue
 		}
-		s.Disc.Set(discovery.Target{UID: fmt.Sprint("s-", k), Endpoint: ba, ObjectEndpoint: oa, AZ: "room", Model: "toy", PodGroup: k, State: "up",
-			CapacityHint: 1})
+		s.Disc.Set(discovery.Endpoint{ID: fmt.Sprint("s-", k), Addr: ba, ObjectAddr: oa, Zone: "room", Model: "toy", Shard: k, State: "up",
+			Capacity: 1})
 	}
 	at, err := serve((&http.Server{Handler: s.Disc}).Serve)
 	if err != nil {
--- a/internal/testkit/cluster/edits.go
+++ b/internal/testkit/cluster/edits.go
@@ -221,10 +221,10 @@
 		return out, err
 	}
 	// Discovery says up and the list says out: out.
-	s.Disc.Set(discovery.Target{UID: "s-2", Endpoint: s.addrs[2], ObjectEndpoint: s.objects[2], AZ: "room", PodGroup: 2, State: "up", CapacityHint: 1})
+	s.Disc.Set(discovery.Endpoint{ID: "s-2", Addr: s.addrs[2], ObjectAddr: s.objects[2], Zone: "room", Shard: 2, State: "up", Capacity: 1})
 	if err := quiet("out, though discovery has it up", 2, func() error { return rename(with(2, ",up", ",out")) }); err != nil {
 		return out, err
 	}
-	s.Disc.Set(discovery.Target{UID: "s-2", State: "removed"})
+	s.Disc.Set(discovery.Endpoint{ID: "s-2", State: "removed"})
 	return out, rename(s.List(nil))
 }
--- a/internal/testkit/cluster/play.go
+++ b/internal/testkit/cluster/play.go
@@ -107,7 +107,7 @@
 
 	say("node s-2 drains, and discovery goes down after it")
 	drain := now()
-	target := s.Disc.List(-1).Targets[2]
+	target := s.Disc.List(-1).Endpoints[2]
 	target.State = "draining"
 	s.Disc.Set(target)
 	rest(1)
--- a/internal/testkit/compat/json_test.go
+++ b/internal/testkit/compat/json_test.go
@@ -33,7 +33,7 @@
 // before. The name of a case is its file's and does not follow the type's.
 func TestJSONEncodingsAreStable(t *testing.T) {
 	for name, example := range map[string]any{
-		"agent-changes":           &agent.Changes{},
+		"agent-changes":           &agent.ReloadResult{},
 		"agent-reply":             &agent.Reply{},
 		"agent-request":           &agent.Request{},
 		"agent-status":            &agent.Status{},
@@ -52,12 +52,12 @@
 		"api-rollback":            &api.RollbackCall{},
 		"api-steer":               &api.SetPhaseCall{},
 		"config-control":          &config.Control{},
-		"config-nodes":            &config.Nodes{},
+		"config-nodes":            &config.NodeFiles{},
 		"config-object":           &config.Object{},
 		"config-record":           &config.Record{},
 		"control-change":          &control.Change{},
 		"control-effect":          &control.Effect{},
-		"control-figures":         &control.Figures{},
+		"control-figures":         &control.Stats{},
 		"control-outcome":         &control.Outcome{},
 		"control-state":           &control.State{},
 		"discovery-list":          &discovery.List{},
--- a/internal/testkit/fake/discovery.go
+++ b/internal/testkit/fake/discovery.go
@@ -22,7 +22,7 @@
 }
 
 type entry struct {
-	discovery.Target
+	discovery.Endpoint
 	rev int64
 }
 
@@ -32,15 +32,15 @@
 }
 
 // Set adds or changes entries.
-func (d *Discovery) Set(targets ...discovery.Target) {
+func (d *Discovery) Set(targets ...discovery.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.rev++
 	for _, t := range targets {
-		if _, ok := d.byUID[t.UID]; !ok {
-			d.order = append(d.order, t.UID)
+		if _, ok := d.byUID[t.ID]; !ok {
+			d.order = append(d.order, t.ID)
 		}
-		d.byUID[t.UID] = entry{t, d.rev}
+		d.byUID[t.ID] = entry{t, d.rev}
 	}
 	close(d.changed)
 	d.changed = make(chan struct{})
@@ -66,10 +66,10 @@
 func (d *Discovery) List(after int64) discovery.List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := discovery.List{Rev: d.rev, All: after < 0, Targets: []discovery.Target{}}
+	l := discovery.List{Revision: d.rev, Full: after < 0, Endpoints: []discovery.Endpoint{}}
 	for _, uid := range d.order {
-		if e := d.byUID[uid]; e.rev > after && (!l.All || e.State != "removed") {
-			l.Targets = append(l.Targets, e.Target)
+		if e := d.byUID[uid]; e.rev > after && (!l.Full || e.State != "removed") {
+			l.Endpoints = append(l.Endpoints, e.Endpoint)
 		}
 	}
 	return l
