--- a/cmd/poppyarch/fleet_test.go
+++ b/cmd/poppyarch/fleet_test.go
@@ -139,8 +139,8 @@
 	run("rollout", "rollback", "--to", "2", "--wait")
 	run("nodes", "drain", "s-2", "--wait")
 	o := settled("after the rollback")
-	if o.Rev != 5 || len(o.Nodes) != 1 {
-		t.Errorf("revision %d, node changes %v", o.Rev, o.Nodes)
+	if o.Revision != 5 || len(o.Nodes) != 1 {
+		t.Errorf("revision %d, node changes %v", o.Revision, o.Nodes)
 	}
 
 	// Nothing new reaches the drained node any more, while the others work on.
@@ -226,8 +226,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	s.Inventory(map[string]string{"memory_mb": "96"})
+	defer func() { _ = s.Close() }()
+	if err := s.Inventory(map[string]string{"memory_mb": "96"}); err != nil {
+		t.Fatal(err)
+	}
 	if err := s.Manager(); err != nil {
 		t.Fatal(err)
 	}
@@ -239,7 +241,9 @@
 		}
 	}
 	bad := filepath.Join(dir, "bad.csv")
-	os.WriteFile(bad, []byte("name,config,listen,max_open\nx,broker.json,127.0.0.1:1,many\n"), 0o600)
+	if err := os.WriteFile(bad, []byte("name,config,listen,max_open\nx,broker.json,127.0.0.1:1,many\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
 	for _, x := range []struct {
 		args []string
 		code int
@@ -274,7 +278,7 @@
 	}
 	out, err := s.Run("--json", "status")
 	var o api.Overview
-	if jerr := json.Unmarshal([]byte(out[:strings.LastIndex(out, "}")+1]), &o); jerr != nil || o.Rev != 2 || exitCode(err) != exitUnhealthy {
+	if jerr := json.Unmarshal([]byte(out[:strings.LastIndex(out, "}")+1]), &o); jerr != nil || o.Revision != 2 || exitCode(err) != exitUnhealthy {
 		t.Errorf("%v %v\n%s", jerr, err, out)
 	}
 }
--- a/internal/broker/server/live.go
+++ b/internal/broker/server/live.go
@@ -43,12 +43,12 @@
 	time *clock.Clock
 }
 
-func newLive(cfg *config.Config, table *core.EndpointTable, f *dispatcher.Dispatcher, w *discovery.Client, g *core.ConcurrencyLimiter, r *Reload, c *clock.Clock,
+func newLive(cfg *config.Config, table *core.EndpointTable, f *dispatcher.Dispatcher, w *discovery.Client, g *core.ConcurrencyLimiter, r *Reloader, c *clock.Clock,
 	log *slog.Logger) *live {
 	l := &live{zone: cfg.Zones, log: log, time: c, table: table, facade: f, watch: w, gate: g, level: &slog.LevelVar{},
 		file: spec.LiveSettings{LogLevel: cfg.LogLevel, Discovery: cfg.DiscoveryAddr, MaxInFlight: cfg.Limits.MaxInFlight}}
 	if r != nil {
-		l.level, l.hook = r.Level, r.Hook
+		l.level, l.hook = r.Level, r.ControlHook
 	}
 	if cfg.Control != nil || cfg.Nodes != nil {
 		l.all = membership.New(cfg.Nodes.MembershipOptions(cfg.Policy.SlowStartDuration), c.Now())
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// Take takes a checked change up.
+// Apply takes a checked change up.
 func (l *live) Apply(v spec.LiveSettings, nodes []spec.NodeOverride) (did []control.Effect) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -177,7 +177,7 @@
 	return "up"
 }
 
-// Describe fills in what is in force.
+// FillState fills in what is in force.
 func (l *live) FillState(st *control.State) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
