--- a/cmd/poppyarch/fleet_output.go
+++ b/cmd/poppyarch/fleet_output.go
@@ -101,7 +101,7 @@
 func printInstanceStatus(out io.Writer, instances []state.InstanceStatus) error {
 	t := textoutput.NewTable(out, "INSTANCE", "AGENT", "STATE", "REV", "HOLDS", "BOOT", "NODES", "AGE", "WHY")
 	for _, i := range instances {
-		t.Printf("%s\t%s\t%s\t%d\t%s\t%.8s\t%d\t%s\t%s\n", i.Name, i.Agent, i.Proc(), i.Revision, i.Holds(),
+		t.Printf("%s\t%s\t%s\t%d\t%s\t%.8s\t%d\t%s\t%s\n", i.Name, i.Agent, i.ProcessText(), i.Revision, i.ConfigurationText(),
 			dash(i.Report.Incarnation), i.Report.NodeCount, formatAge(i.Age), i.Reason)
 	}
 	return t.Flush()
