--- a/internal/fleet/api/messages.go
+++ b/internal/fleet/api/messages.go
@@ -59,10 +59,10 @@
 
 // BrokerMetrics are what a broker did lately.
 type BrokerMetrics struct {
-	Name     string           `json:"name"`
-	Age      clock.Micros     `json:"age_us"` // since the broker gave them, as of the sending of the message
-	InFlight int64            `json:"open"`   // requests in flight
-	Metrics  *control.Figures `json:"figures"`
+	Name     string         `json:"name"`
+	Age      clock.Micros   `json:"age_us"` // since the broker gave them, as of the sending of the message
+	InFlight int64          `json:"open"`   // requests in flight
+	Metrics  *control.Stats `json:"figures"`
 }
 
 // AssignmentsRequest asks for assignments newer than a version, and waits for some.
--- a/internal/fleet/supervisor/exec.go
+++ b/internal/fleet/supervisor/exec.go
@@ -38,7 +38,7 @@
 
 // Start starts a broker with the start settings of in. What it takes up live comes later, by its control endpoint.
 func (e *LocalBrokers) Start(in *spec.Instance, text, mark string) (Process, error) {
-	file, err := agent.ComposeText(Instance(in), []byte(text), &config.Control{Listen: e.control(in.Name), Started: in.Start.Digest()})
+	file, err := agent.Compose(Instance(in), []byte(text), &config.Control{Listen: e.control(in.Name), StartDigest: in.Start.Digest()})
 	if err != nil {
 		return nil, err
 	}
@@ -123,7 +123,7 @@
 	if err != nil {
 		return nil, false, err
 	}
-	return st, (&agent.Exec{}).Ready(ctx, Instance(in)), nil
+	return st, (&agent.ProcessLauncher{}).Ready(ctx, Instance(in)), nil
 }
 
 // SendChange hands a broker a change.
