--- a/internal/fleet/manager/manager.go
+++ b/internal/fleet/manager/manager.go
@@ -263,7 +263,15 @@
 	if err := m.sameLife(c.Epoch); err != nil {
 		return err
 	}
-	if err := m.s.Observe(c.Agent, c.Token, c.Seq, c.AssignmentsVersion, c.Full, c.Reports, m.clock.Now()); err != nil {
+	sync := &state.AgentSync{
+		Agent:             c.Agent,
+		Token:             c.Token,
+		Sequence:          c.Seq,
+		AssignmentVersion: c.AssignmentsVersion,
+		Full:              c.Full,
+		Reports:           c.Reports,
+	}
+	if err := m.s.Observe(sync, m.clock.Now()); err != nil {
 		return err
 	}
 	for _, f := range c.Metrics {
--- a/internal/fleet/state/agent.go
+++ b/internal/fleet/state/agent.go
@@ -7,6 +7,7 @@
 	"slices"
 
 	"poppyarch/internal/fleet/spec"
+	"poppyarch/internal/timing/clock"
 )
 
 // agent is one agent with the index of what is its.
@@ -149,36 +150,62 @@
 	return nil
 }
 
-// Observe takes in what an agent reports. full says that it is all there is; other reports are what has changed.
-// have is the version of its assignments that the reports were made under: what it had not yet been told then, it cannot
-// have carried out, however much its instance looks like it. A call that is not newer than the last one is an old one
-// that comes late, and changes nothing.
-func (s *State) Observe(name string, token, seq, have uint64, full bool, reports []Report, now int64) error {
-	if err := s.CheckToken(name, token); err != nil {
+// AgentSync is one call of an agent to its manager with what it has observed.
+type AgentSync struct {
+	Agent             string
+	Token             uint64 // that it got at its registration
+	Sequence          uint64 // of the call, counted from 1 since the registration
+	AssignmentVersion uint64 // version of its assignments that the reports were made under
+	Full              bool   // Reports has every instance of the agent; otherwise those that have changed
+	Reports           []Report
+}
+
+// Observe applies an agent's reports. An instance whose last change is newer than the reported assignment version is not
+// confirmed by its report, however much it looks as wanted. A call whose sequence number is not newer than that of the
+// last one is ignored: it arrived late or twice.
+//
+// Errors are ErrNotFound for an agent that is not registered, ErrFenced for a token that is not the newest, and
+// ErrInvalidState for reports of changes before a full report.
+func (s *State) Observe(c *AgentSync, now clock.Micros) error {
+	if err := s.CheckToken(c.Agent, c.Token); err != nil {
 		return err
 	}
 	s.now = max(s.now, now)
-	a := s.agents[name]
-	if seq <= a.seq {
+	a := s.agents[c.Agent]
+	if c.Sequence <= a.seq {
 		return nil
 	}
-	if !full && !a.synced {
-		return fmt.Errorf("agent %s: %w: it has not told everything yet", name, ErrInvalidState)
+	if !c.Full && !a.synced {
+		return fmt.Errorf("agent %s: %w: it has not told everything yet", c.Agent, ErrInvalidState)
 	}
-	a.seq, a.at = seq, s.now
+	a.seq, a.at = c.Sequence, s.now
 	if a.place != nil {
 		s.heard.MoveToBack(a.place)
 	} else {
 		a.place = s.heard.PushBack(a)
 	}
-	told := map[string]bool{}
+	s.observeReports(a, c.Reports)
+	if c.Full {
+		a.synced = true
+		s.observeAbsent(a, c.Reports)
+	}
+	// After the reports: they say nothing about changes that the agent did not know of.
+	s.acknowledge(a, c.AssignmentVersion)
+	if a.silent {
+		a.silent = false
+		for _, i := range a.insts {
+			s.weigh(i)
+		}
+	}
+	return nil
+}
+
+// observeReports stores what an agent reports. Reports of instances that are not the agent's are ignored.
+func (s *State) observeReports(a *agent, reports []Report) {
 	for k := range reports {
 		i := a.insts[reports[k].Name]
-		if full {
-			told[reports[k].Name] = true
-		}
 		if i == nil {
-			continue // not its business; it will be told so
+			continue
 		}
 		if i.known && i.seen == reports[k] {
 			i.at = s.now
@@ -187,35 +214,38 @@
 		i.seen, i.at, i.known = reports[k], s.now, true
 		s.weigh(i)
 	}
-	if full {
-		a.synced = true
-		for n, i := range a.insts {
-			if !told[n] { // it has nothing of it
-				i.seen, i.at, i.known = Report{Name: n, Process: Absent}, s.now, true
-				s.weigh(i)
-			}
-		}
+}
+
+// observeAbsent stores that an agent has nothing of the instances that its full report does not mention.
+func (s *State) observeAbsent(a *agent, reports []Report) {
+	reported := make(map[string]bool, len(reports))
+	for k := range reports {
+		reported[reports[k].Name] = true
 	}
-	// After the reports: what was seen before it was told is no word on it.
-	if have = min(have, a.version); have > a.acked {
-		a.acked = have
-		for n, v := range a.changed {
-			if v > have {
-				continue
-			}
-			delete(a.changed, n)
-			if i := a.insts[n]; i != nil {
-				s.weigh(i)
-			}
+	for name, i := range a.insts {
+		if !reported[name] {
+			i.seen, i.at, i.known = Report{Name: name, Process: Absent}, s.now, true
+			s.weigh(i)
 		}
 	}
-	if a.silent {
-		a.silent = false
-		for _, i := range a.insts { // whoever was weighed as unknown is known again
+}
+
+// acknowledge notes the version of the assignments that an agent works by.
+func (s *State) acknowledge(a *agent, version uint64) {
+	version = min(version, a.version)
+	if version <= a.acked {
+		return
+	}
+	a.acked = version
+	for name, v := range a.changed {
+		if v > version {
+			continue
+		}
+		delete(a.changed, name)
+		if i := a.insts[name]; i != nil {
 			s.weigh(i)
 		}
 	}
-	return nil
 }
 
 // hush turns agents silent that have not been heard of. It touches those and no others.
--- a/internal/fleet/state/bench_test.go
+++ b/internal/fleet/state/bench_test.go
@@ -66,7 +66,7 @@
 				}
 				reports[a] = append(reports[a], Report{Name: x.Name, Process: Running, Incarnation: "b" + x.Name, AppliedEdition: x.TargetEdition, StartDigest: x.Desired.Start.Digest(), Healthy: true})
 			}
-			if err := s.Observe(name, s.agents[name].token, seq, version, true, reports[a], now); err != nil {
+			if err := s.Observe(&AgentSync{Agent: name, Token: s.agents[name].token, Sequence: seq, AssignmentVersion: version, Full: true, Reports: reports[a]}, now); err != nil {
 				tb.Fatal(err)
 			}
 		}
@@ -123,7 +123,7 @@
 					}
 					seq++
 					now++
-					if err := s.Observe(agent, s.agents[agent].token, seq, s.agents[agent].version, false, changed, now); err != nil {
+					if err := s.Observe(&AgentSync{Agent: agent, Token: s.agents[agent].token, Sequence: seq, AssignmentVersion: s.agents[agent].version, Reports: changed}, now); err != nil {
 						b.Fatal(err)
 					}
 					if plain {
--- a/internal/fleet/state/property_test.go
+++ b/internal/fleet/state/property_test.go
@@ -145,7 +145,7 @@
 		reports = append(reports, w.report(h, name))
 	}
 	h.lastSent = reports
-	if err := w.s.Observe(h.name, h.token, h.seq, h.have, true, reports, w.now); err != nil {
+	if err := w.s.Observe(&AgentSync{Agent: h.name, Token: h.token, Sequence: h.seq, AssignmentVersion: h.have, Full: true, Reports: reports}, w.now); err != nil {
 		if !errors.Is(err, ErrFenced) {
 			w.t.Fatal(err)
 		}
@@ -387,7 +387,7 @@
 			"an older agent calls": func(t *rapid.T) {
 				h := pick()
 				if h.token > 1 && w.s.CheckToken(h.name, h.token) == nil {
-					if err := w.s.Observe(h.name, h.token-1, 1<<40, 0, true, nil, w.now); !errors.Is(err, ErrFenced) {
+					if err := w.s.Observe(&AgentSync{Agent: h.name, Token: h.token - 1, Sequence: 1 << 40, Full: true}, w.now); !errors.Is(err, ErrFenced) {
 						t.Fatalf("an older token: %v", err)
 					}
 				}
@@ -395,7 +395,7 @@
 			"a call arrives again, late": func(t *rapid.T) {
 				h := pick()
 				if h.alive && h.seq > 0 && h.lastSent != nil {
-					w.s.Observe(h.name, h.token, h.seq, h.have, true, nil, w.now)
+					w.s.Observe(&AgentSync{Agent: h.name, Token: h.token, Sequence: h.seq, AssignmentVersion: h.have, Full: true}, w.now)
 				}
 			},
 			"broker crashes": func(t *rapid.T) {
--- a/internal/fleet/state/rollout_test.go
+++ b/internal/fleet/state/rollout_test.go
@@ -70,7 +70,7 @@
 			reports = append(reports, r)
 		}
 		p.seq++
-		if err := p.s.Observe("a", p.tok, p.seq, version, true, reports, p.now); err != nil {
+		if err := p.s.Observe(&AgentSync{Agent: "a", Token: p.tok, Sequence: p.seq, AssignmentVersion: version, Full: true, Reports: reports}, p.now); err != nil {
 			p.t.Fatal(err)
 		}
 	}
@@ -136,7 +136,7 @@
 	good := i.seen
 	old := good
 	old.Incarnation, old.AppliedEdition, old.Healthy = "b-old", 1, false
-	if err := p.s.Observe("a", p.tok, p.seq-1, p.s.agents["a"].version, true, []Report{old}, p.now); err != nil {
+	if err := p.s.Observe(&AgentSync{Agent: "a", Token: p.tok, Sequence: p.seq - 1, AssignmentVersion: p.s.agents["a"].version, Full: true, Reports: []Report{old}}, p.now); err != nil {
 		t.Fatal(err)
 	}
 	if i.seen != good || !p.s.current(i) {
@@ -169,14 +169,14 @@
 	}
 	stopped := Report{Name: "n0", Process: Stopped}
 	p.seq++
-	if err := p.s.Observe("a", p.tok, p.seq, have, true, []Report{stopped}, p.now); err != nil {
+	if err := p.s.Observe(&AgentSync{Agent: "a", Token: p.tok, Sequence: p.seq, AssignmentVersion: have, Full: true, Reports: []Report{stopped}}, p.now); err != nil {
 		t.Fatal(err)
 	}
 	if p.s.current(i) || p.s.Settled() {
 		t.Error("stopped before it was told counts as stopped")
 	}
 	p.seq++
-	if err := p.s.Observe("a", p.tok, p.seq, a.version, true, []Report{stopped}, p.now); err != nil {
+	if err := p.s.Observe(&AgentSync{Agent: "a", Token: p.tok, Sequence: p.seq, AssignmentVersion: a.version, Full: true, Reports: []Report{stopped}}, p.now); err != nil {
 		t.Fatal(err)
 	}
 	if !p.s.current(i) {
