--- a/internal/observability/incident/check/check.go
+++ b/internal/observability/incident/check/check.go
@@ -1,112 +1,149 @@
-// Package check holds an analysis against what really happened: it finds episodes that are missing or invented, bounds
-// that do not hold the truth, and gaps that were filled in, misplaced or invented.
+// Package check compares an analysis with what really happened: it finds episodes that are missing or invented, bounds that do
+// not contain the truth, and gaps that were filled in, misplaced or invented.
 package check
 
 import (
 	"fmt"
+	"slices"
 
 	"poppyarch/internal/observability/incident"
 )
 
-// Truth is an episode as it really was. Times are on the reference's clock.
+// Truth is an episode as it really was. Times are microseconds on the reference's clock.
 type Truth struct {
-	Kind       incident.Kind
-	Subject    string
-	Begin, End int64
-	Maybe      bool // it need not show, for instance where nobody was there to see it
+	Kind     incident.Kind
+	Subject  string
+	Begin    int64
+	End      int64
+	Optional bool // it need not be reported, for instance because nobody was there to see it
 }
 
 // Gap is a time in which nothing was recorded of a broker, as it really was.
 type Gap struct {
-	Broker   string
-	State    incident.State
-	From, To int64
+	Broker string
+	State  incident.State
+	From   int64
+	To     int64
 }
 
-// Options bounds what is let pass.
+// Options are the tolerances, in microseconds.
 type Options struct {
-	Slack int64 // added to every bound, for what a clock cannot tell
-	Gap   int64 // how far a gap's ends may be off: what a broker had not written yet when it died
-	Kinds []incident.Kind
+	Slack int64           // added to every bound, for what a clock cannot tell
+	Gap   int64           // how far a gap's ends may be off: what a broker had not written yet when it died
+	Kinds []incident.Kind // only these are compared; nil: all
 }
 
-// Compare lists what is wrong; nothing where all is right. Only the kinds in o.Kinds are looked at; nil: all.
-func Compare(a *incident.Analysis, truths []Truth, gaps []Gap, o Options) (wrong []string) {
-	say := func(format string, args ...any) { wrong = append(wrong, fmt.Sprintf(format, args...)) }
-	looked := func(k incident.Kind) bool {
-		for _, x := range o.Kinds {
-			if x == k {
-				return true
-			}
-		}
-		return o.Kinds == nil
+// Compare lists the differences between an analysis and what really happened; nothing if all is right.
+func Compare(a *incident.Analysis, truths []Truth, gaps []Gap, o Options) []string {
+	c := &comparison{analysis: a, options: o, matched: map[int]bool{}}
+	for _, truth := range truths {
+		c.findEpisode(truth)
+	}
+	c.findInventedEpisodes()
+	for _, gap := range gaps {
+		c.findGap(gap)
 	}
-	matched := map[int]bool{}
-	for _, t := range truths {
-		found := false
-		var near []string
-		for i := range a.Episodes {
-			e := &a.Episodes[i]
-			if e.Kind != t.Kind || e.Subject != t.Subject || e.Begin.Lo > t.End+o.Slack || e.End.Hi < t.Begin-o.Slack {
-				continue
-			}
-			matched[i] = true
-			begin := e.Begin.Lo-o.Slack <= t.Begin && t.Begin <= e.Begin.Hi+o.Slack
-			end := e.Open && t.End >= a.To-o.Slack || e.End.Lo-o.Slack <= t.End && t.End <= e.End.Hi+o.Slack
-			if begin && end {
-				found = true
-			} else {
-				near = append(near, fmt.Sprintf("%s to %s", e.Begin.Words(), e.End.Words()))
-			}
+	c.findInventedGaps(gaps)
+	return c.differences
+}
+
+// comparison is the state of one Compare.
+type comparison struct {
+	analysis    *incident.Analysis
+	options     Options
+	matched     map[int]bool // episodes that belong to a truth
+	differences []string
+}
+
+func (c *comparison) report(format string, args ...any) {
+	c.differences = append(c.differences, fmt.Sprintf(format, args...))
+}
+
+// findEpisode looks for the episodes that a truth was reported as.
+func (c *comparison) findEpisode(truth Truth) {
+	found := false
+	var wrongBounds []string
+	for i := range c.analysis.Episodes {
+		e := &c.analysis.Episodes[i]
+		if !c.mayBe(e, truth) {
+			continue
 		}
-		switch {
-		case len(near) > 0:
-			say("%s %s: was from %s to %s, reported as %v", t.Kind, t.Subject, incident.Clockface(t.Begin), incident.Clockface(t.End), near)
-		case !found && !t.Maybe:
-			say("%s %s from %s to %s: missing", t.Kind, t.Subject, incident.Clockface(t.Begin), incident.Clockface(t.End))
+		c.matched[i] = true
+		if c.boundsHold(e, truth) {
+			found = true
+		} else {
+			wrongBounds = append(wrongBounds, fmt.Sprintf("%s to %s", e.Begin.Words(), e.End.Words()))
 		}
 	}
-	for i := range a.Episodes {
-		if e := &a.Episodes[i]; looked(e.Kind) && !matched[i] {
-			say("%s %s from %s to %s: invented (%v)", e.Kind, e.Subject, e.Begin.Words(), e.End.Words(), e.Evidence)
-		}
+	begin := incident.Clockface(truth.Begin)
+	end := incident.Clockface(truth.End)
+	switch {
+	case len(wrongBounds) > 0:
+		c.report("%s %s: was from %s to %s, reported as %v", truth.Kind, truth.Subject, begin, end, wrongBounds)
+	case !found && !truth.Optional:
+		c.report("%s %s from %s to %s: missing", truth.Kind, truth.Subject, begin, end)
 	}
-	for _, g := range gaps {
-		covered := false
-		for _, s := range a.Knowledge {
-			if s.Broker != g.Broker {
-				continue
-			}
-			if s.State == incident.Known && s.From < g.To-o.Gap && s.To > g.From+o.Gap {
-				say("%s: known from %s to %s, though nothing was recorded from %s to %s", g.Broker, incident.Clockface(s.From), incident.Clockface(s.To),
-					incident.Clockface(g.From), incident.Clockface(g.To))
-			}
-			if s.State == g.State && abs(s.From-g.From) <= o.Gap && abs(s.To-g.To) <= o.Gap {
-				covered = true
-			}
-		}
-		if !covered {
-			say("%s: no span %q from %s to %s", g.Broker, g.State, incident.Clockface(g.From), incident.Clockface(g.To))
+}
+
+// mayBe reports whether an episode is of a truth's kind and subject and overlaps it.
+func (c *comparison) mayBe(e *incident.Episode, truth Truth) bool {
+	slack := c.options.Slack
+	return e.Kind == truth.Kind && e.Subject == truth.Subject && e.Begin.Lo <= truth.End+slack && e.End.Hi >= truth.Begin-slack
+}
+
+// boundsHold reports whether the bounds of an episode contain the truth's begin and end.
+func (c *comparison) boundsHold(e *incident.Episode, truth Truth) bool {
+	slack := c.options.Slack
+	begin := e.Begin.Lo-slack <= truth.Begin && truth.Begin <= e.Begin.Hi+slack
+	end := e.End.Lo-slack <= truth.End && truth.End <= e.End.Hi+slack
+	stillOpen := e.Open && truth.End >= c.analysis.To-slack
+	return begin && (end || stillOpen)
+}
+
+func (c *comparison) findInventedEpisodes() {
+	for i := range c.analysis.Episodes {
+		e := &c.analysis.Episodes[i]
+		compared := c.options.Kinds == nil || slices.Contains(c.options.Kinds, e.Kind)
+		if compared && !c.matched[i] {
+			c.report("%s %s from %s to %s: invented (%v)", e.Kind, e.Subject, e.Begin.Words(), e.End.Words(), e.Evidence)
 		}
 	}
-	for _, s := range a.Knowledge {
-		if s.State == incident.Known || s.State == incident.NotRecorded || s.State == incident.Stopped {
+}
+
+// findGap looks for the span that a gap was reported as, and for spans that claim knowledge within it.
+func (c *comparison) findGap(gap Gap) {
+	tolerance := c.options.Gap
+	covered := false
+	for _, span := range c.analysis.Knowledge {
+		if span.Broker != gap.Broker {
 			continue
 		}
-		real := false
-		for _, g := range gaps {
-			real = real || g.Broker == s.Broker && g.State == s.State && s.From < g.To+o.Gap && s.To > g.From-o.Gap
+		if span.State == incident.Known && span.From < gap.To-tolerance && span.To > gap.From+tolerance {
+			c.report("%s: known from %s to %s, though nothing was recorded from %s to %s", gap.Broker, incident.Clockface(span.From),
+				incident.Clockface(span.To), incident.Clockface(gap.From), incident.Clockface(gap.To))
 		}
-		if !real {
-			say("%s: %s from %s to %s: invented", s.Broker, s.State, incident.Clockface(s.From), incident.Clockface(s.To))
+		if span.State == gap.State && distance(span.From, gap.From) <= tolerance && distance(span.To, gap.To) <= tolerance {
+			covered = true
 		}
 	}
-	return wrong
+	if !covered {
+		c.report("%s: no span %q from %s to %s", gap.Broker, gap.State, incident.Clockface(gap.From), incident.Clockface(gap.To))
+	}
 }
 
-func abs(v int64) int64 {
-	if v < 0 {
-		return -v
+func (c *comparison) findInventedGaps(gaps []Gap) {
+	for _, span := range c.analysis.Knowledge {
+		if span.State == incident.Known || span.State == incident.NotRecorded || span.State == incident.Stopped {
+			continue
+		}
+		real := slices.ContainsFunc(gaps, func(g Gap) bool {
+			return g.Broker == span.Broker && g.State == span.State && span.From < g.To+c.options.Gap && span.To > g.From-c.options.Gap
+		})
+		if !real {
+			c.report("%s: %s from %s to %s: invented", span.Broker, span.State, incident.Clockface(span.From), incident.Clockface(span.To))
+		}
 	}
-	return v
 }
+
+// distance is how far two times lie apart.
+func distance(a, b int64) int64 { return max(a-b, b-a) }
--- a/internal/observability/incident/report/report_test.go
+++ b/internal/observability/incident/report/report_test.go
@@ -47,8 +47,8 @@
 	if blind < 5 || blind > 6 {
 		t.Errorf("%d seconds are blind", blind)
 	}
-	x := func(at int64) float64 { return float64(at) / 1e6 }
-	p := draw(a, x, "t", func(s incident.Second) []float64 { return []float64{float64(s.Served)} }, "served")
+	axis := timeAxis{from: a.From, to: a.To, width: pageWidth}
+	p := newPlot(a, axis, "t", []string{"served"}, func(s incident.Second) []float64 { return []float64{float64(s.Served)} })
 	if len(p.Lines[0].Pieces) != 2 || len(p.Blind) != blind {
 		t.Errorf("%d pieces, %d shaded", len(p.Lines[0].Pieces), len(p.Blind))
 	}
--- a/internal/observability/incident/view.go
+++ b/internal/observability/incident/view.go
@@ -6,6 +6,7 @@
 	"maps"
 	"slices"
 	"sort"
+	"strconv"
 	"strings"
 
 	"poppyarch/internal/observability/record"
@@ -162,104 +163,152 @@
 	return out
 }
 
-// merge brings what all brokers saw together.
+// merge combines what all brokers saw, on the reference's clock.
 func (v *view) merge() {
-	all := map[int64]map[string]*GroupImpact{}
-	lat := map[int64]*sketch.Sketch{}
+	v.a.groups = map[int64]map[string]*GroupImpact{}
+	latencies := map[int64]*sketch.Sketch{}
 	for i, s := range v.s {
-		off := v.clocks[i].Offset
-		for name, n := range s.nodes {
-			w := v.nodes[name]
-			if w == nil {
-				w = &nodeView{}
-				v.nodes[name] = w
-			}
-			for _, t := range n.answers {
-				w.answers = append(w.answers, t+off)
-			}
-			for _, t := range n.silent {
-				w.silent = append(w.silent, try{t.sent + off, t.done + off})
-			}
-			for _, t := range n.refused {
-				w.refused = append(w.refused, try{t.sent + off, t.done + off})
-			}
-			var k sketch.Sketch
-			for _, x := range n.latency {
-				k.Merge(x)
-			}
-			w.usual = max(w.usual, k.Quantile(0.995))
-		}
-		for _, n := range s.notes {
-			if (n.kind == record.KindNode || n.kind == record.KindList) && v.nodes[n.subject] == nil && n.subject != "" {
-				v.nodes[n.subject] = &nodeView{}
-			}
+		offset := v.clocks[i].Offset
+		v.mergeNodes(s, offset)
+		v.mergeGroups(s, offset)
+		mergeLatencies(latencies, s, offset)
+	}
+	for _, node := range v.nodes {
+		node.sort()
+	}
+	v.a.Nodes = slices.Sorted(maps.Keys(v.nodes))
+	for sec := slot(v.a.From); sec <= v.a.To; sec += second {
+		v.a.Seconds = append(v.a.Seconds, v.second(sec, latencies[sec]))
+	}
+}
+
+// node returns the named node's view, which it creates.
+func (v *view) node(name string) *nodeView {
+	node := v.nodes[name]
+	if node == nil {
+		node = &nodeView{}
+		v.nodes[name] = node
+	}
+	return node
+}
+
+// usualQuantile is the quantile of an incarnation's latencies that counts as the slowest usual answer.
+const usualQuantile = 0.995
+
+// mergeNodes adds what one incarnation saw of each node.
+func (v *view) mergeNodes(s *Stream, offset int64) {
+	for name, from := range s.nodes {
+		to := v.node(name)
+		for _, at := range from.answers {
+			to.answers = append(to.answers, at+offset)
 		}
-		for sec, byGroup := range s.groups {
-			at := slot(sec + off)
-			m := all[at]
-			if m == nil {
-				m = map[string]*GroupImpact{}
-				all[at] = m
-			}
-			for g, t := range byGroup {
-				class, plan := fmt.Sprint(g.class), fmt.Sprint(g.plan)
-				if int(g.class) < len(s.Boot.Classes) {
-					class = s.Boot.Classes[g.class].Name
-				}
-				if int(g.plan) < len(s.Boot.Plans) {
-					plan = s.Boot.Plans[g.plan].Name
-				}
-				x := m[class+" "+plan]
-				if x == nil {
-					x = &GroupImpact{Class: class, Plan: plan}
-					m[class+" "+plan] = x
-				}
-				x.Served += t.count[record.Served]
-				x.Late += t.late
-				x.Refused += t.count[record.Refused]
-				x.Failed += t.count[record.Failed] + t.count[record.Overdue]
-				x.Worth += t.worth
-			}
+		to.silent = appendShifted(to.silent, from.silent, offset)
+		to.refused = appendShifted(to.refused, from.refused, offset)
+		var latency sketch.Sketch
+		for _, bySecond := range from.latency {
+			latency.Merge(bySecond)
 		}
-		for _, x := range s.latency {
-			x.Build()
-			for sec := slot(s.begin()); sec <= s.end(); sec += second {
-				if k := x.Span(sec, sec+second); k.Count() > 0 {
-					at := slot(sec + off)
-					if lat[at] == nil {
-						lat[at] = &sketch.Sketch{}
-					}
-					lat[at].Merge(k)
-				}
-			}
+		to.usual = max(to.usual, latency.Quantile(usualQuantile))
+	}
+	for _, n := range s.notes {
+		if (n.kind == record.KindNode || n.kind == record.KindList) && n.subject != "" {
+			v.node(n.subject)
 		}
 	}
-	for _, w := range v.nodes {
-		slices.Sort(w.answers)
-		byTime := func(a, b try) int { return cmp.Or(cmp.Compare(a.sent, b.sent), cmp.Compare(a.done, b.done)) }
-		slices.SortFunc(w.silent, byTime)
-		slices.SortFunc(w.refused, byTime)
+}
+
+func appendShifted(to, from []try, offset int64) []try {
+	for _, t := range from {
+		to = append(to, try{sent: t.sent + offset, done: t.done + offset})
 	}
-	v.a.Nodes = slices.Sorted(maps.Keys(v.nodes))
-	v.a.groups = all
-	for sec := slot(v.a.From); sec <= v.a.To; sec += second {
-		out := Second{At: sec}
-		for _, g := range all[sec] {
-			out.Served += g.Served
-			out.Late += g.Late
-			out.Refused += g.Refused
-			out.Failed += g.Failed
+	return to
+}
+
+func (n *nodeView) sort() {
+	slices.Sort(n.answers)
+	byTime := func(a, b try) int { return cmp.Or(cmp.Compare(a.sent, b.sent), cmp.Compare(a.done, b.done)) }
+	slices.SortFunc(n.silent, byTime)
+	slices.SortFunc(n.refused, byTime)
+}
+
+// mergeGroups adds one incarnation's requests, by second, class and plan.
+func (v *view) mergeGroups(s *Stream, offset int64) {
+	for sec, byGroup := range s.groups {
+		at := slot(sec + offset)
+		impacts := v.a.groups[at]
+		if impacts == nil {
+			impacts = map[string]*GroupImpact{}
+			v.a.groups[at] = impacts
 		}
-		if k := lat[sec]; k != nil {
-			out.P50, out.P99 = k.Quantile(0.5), k.Quantile(0.99)
+		for g, counted := range byGroup {
+			class, plan := s.groupNames(g)
+			key := class + " " + plan
+			if impacts[key] == nil {
+				impacts[key] = &GroupImpact{Class: class, Plan: plan}
+			}
+			impacts[key].add(counted)
 		}
-		for _, name := range v.a.Brokers {
-			if !v.knows(name, sec, sec+second) {
-				out.Blind++
+	}
+}
+
+// groupNames returns the names of a class and a plan; their numbers where the names are not recorded.
+func (s *Stream) groupNames(g group) (class, plan string) {
+	class = strconv.Itoa(int(g.class))
+	if int(g.class) < len(s.Boot.Classes) {
+		class = s.Boot.Classes[g.class].Name
+	}
+	plan = strconv.Itoa(int(g.plan))
+	if int(g.plan) < len(s.Boot.Plans) {
+		plan = s.Boot.Plans[g.plan].Name
+	}
+	return class, plan
+}
+
+func (g *GroupImpact) add(t *tally) {
+	g.Served += t.count[record.Served]
+	g.Late += t.late
+	g.Refused += t.count[record.Refused]
+	g.Failed += t.count[record.Failed] + t.count[record.Overdue]
+	g.Worth += t.worth
+}
+
+// mergeLatencies adds one incarnation's latencies, by second.
+func mergeLatencies(latencies map[int64]*sketch.Sketch, s *Stream, offset int64) {
+	for _, index := range s.latency {
+		index.Build()
+		for sec := slot(s.begin()); sec <= s.end(); sec += second {
+			latency := index.Span(sec, sec+second)
+			if latency.Count() == 0 {
+				continue
+			}
+			at := slot(sec + offset)
+			if latencies[at] == nil {
+				latencies[at] = &sketch.Sketch{}
 			}
+			latencies[at].Merge(latency)
+		}
+	}
+}
+
+// second sums one second over all brokers. latency is nil if nothing was served.
+func (v *view) second(sec int64, latency *sketch.Sketch) Second {
+	sum := Second{At: sec}
+	for _, g := range v.a.groups[sec] {
+		sum.Served += g.Served
+		sum.Late += g.Late
+		sum.Refused += g.Refused
+		sum.Failed += g.Failed
+	}
+	if latency != nil {
+		sum.P50 = latency.Quantile(0.5)
+		sum.P99 = latency.Quantile(0.99)
+	}
+	for _, name := range v.a.Brokers {
+		if !v.knows(name, sec, sec+second) {
+			sum.Blind++
 		}
-		v.a.Seconds = append(v.a.Seconds, out)
 	}
+	return sum
 }
 
 // knows reports whether anything is known of a broker within a span.
--- a/internal/observability/record/record_test.go
+++ b/internal/observability/record/record_test.go
@@ -379,5 +379,8 @@
 
 type counter struct{ bytes int64 }
 
-func (c *counter) Write(f *Frame) error { c.bytes += int64(len(f.Events)) + frameHeaderSize; return nil }
-func (c *counter) Close() error         { return nil }
+func (c *counter) Write(f *Frame) error {
+	c.bytes += int64(len(f.Events)) + frameHeaderSize
+	return nil
+}
+func (c *counter) Close() error { return nil }
