--- /dev/null
+++ b/internal/frontend/object/complete.go
@@ -0,0 +1,86 @@
+package object
+
+import (
+	"errors"
+	"net/http"
+	"time"
+
+	"poppyarch/internal/backend/objectstore"
+	"poppyarch/internal/timing/clock"
+)
+
+// completeUpload makes the object of its parts. The request is not sent a second time once it may have been executed.
+// Where its result is unknown, or the upload is gone because an earlier request completed it, the object is read back:
+// its entity tag says whether it was made of these parts.
+func (x *exchange) completeUpload() error {
+	upload, err := x.uploadID()
+	if err != nil {
+		return err
+	}
+	if err := x.readBody(x.server.lim.MaxCompletionBytes); err != nil {
+		return err
+	}
+	wantETag, err := parseCompletion(x.body, x.server.lim.MaxParts)
+	if err != nil {
+		return err
+	}
+	// A part of the client's time is reserved for reading back.
+	now := x.server.clock.Now()
+	deadline := x.deadline - min(x.server.lim.ReadBackTime, (x.deadline-now)/3)
+	resp, err := x.forward(x.backendRequest(upload.shard, http.MethodPost, "?"+upload.nodeQuery(), deadline))
+	switch {
+	case err == nil && resp.Status != http.StatusNotFound:
+		return x.writeResponse(resp)
+	case errors.Is(err, errSlowDown): // nothing was executed
+		return err
+	case wantETag != "":
+		return x.readBackCompletion(upload.shard, wantETag, resp, err)
+	case err != nil:
+		return err
+	}
+	return x.writeResponse(resp)
+}
+
+// readBackCompletion looks whether the object has the entity tag of a completion, which ended with resp (the upload is
+// not found) or completionErr (it may still be in progress at the node, and is looked for until the deadline).
+func (x *exchange) readBackCompletion(shard int, wantETag string, resp *objectstore.Response, completionErr error) error {
+	s := x.server
+	for {
+		if object, ok := x.readBack(shard, wantETag); ok {
+			s.log.Info("upload completion confirmed by reading the object back",
+				"bucket", x.bucket, "key", x.key, "request", x.id)
+			x.w.Header().Del("Retry-After")
+			return x.writeDocument(object, completeUploadResult{
+				Xmlns:    xmlNamespace,
+				Location: "/" + x.bucket + "/" + x.key,
+				Bucket:   x.bucket,
+				Key:      x.key,
+				ETag:     wantETag,
+			})
+		}
+		if completionErr == nil { // the upload is gone, and the object was not made of these parts
+			return x.writeResponse(resp)
+		}
+		if s.clock.Now()+s.lim.ReadBackInterval >= x.deadline {
+			x.w.Header().Del("Retry-After") // a retry is not known to be harmless
+			return completionErr
+		}
+		select {
+		case <-x.r.Context().Done():
+			return completionErr
+		case <-time.After(clock.Duration(s.lim.ReadBackInterval)):
+		}
+	}
+}
+
+// readBack requests the object's header and reports whether it has the entity tag.
+func (x *exchange) readBack(shard int, wantETag string) (*objectstore.Response, bool) {
+	req := x.backendRequest(shard, http.MethodHead, "", x.deadline)
+	req.Work.Header = http.Header{}
+	req.Work.Body = nil
+	resp, err := x.forward(req)
+	if err != nil || resp.Status != http.StatusOK {
+		return nil, false
+	}
+	return resp, resp.Header.Get("ETag") == wantETag
+}
--- /dev/null
+++ b/internal/frontend/object/exchange.go
@@ -0,0 +1,196 @@
+package object
+
+import (
+	"context"
+	"errors"
+	"hash/fnv"
+	"io"
+	"net/http"
+	"net/url"
+	"os"
+	"strconv"
+	"strings"
+	"sync/atomic"
+	"time"
+
+	"poppyarch/internal/backend/objectstore"
+	"poppyarch/internal/broker/core"
+	"poppyarch/internal/timing/clock"
+)
+
+const (
+	maxKeyBytes   = 1024
+	timeoutHeader = "X-Timeout-Ms"
+	// drainRetryAfter and bodyRetryAfter are Retry-After headers, in seconds.
+	drainRetryAfter = "1"
+	bodyRetryAfter  = "1"
+)
+
+// unsupportedHeaders belong to operations that this server does not implement.
+var unsupportedHeaders = []string{"X-Amz-Copy-Source", "X-Amz-Decoded-Content-Length"}
+
+// exchange is one HTTP request and its response.
+type exchange struct {
+	server  *Server
+	w       http.ResponseWriter
+	r       *http.Request
+	control *http.ResponseController
+	id      string
+
+	bucket string
+	key    string
+	query  url.Values
+	class  int // of the request, as the configuration numbers them
+	body   []byte
+
+	receivedAt      clock.Micros
+	deadline        clock.Micros
+	responseStarted atomic.Bool // the response can no longer be replaced by an error
+}
+
+// serve parses the request and carries out its operation. The error is an apiError, unless the response has begun.
+func (x *exchange) serve() error {
+	if err := x.parseURL(); err != nil {
+		return err
+	}
+	timeout, err := parseTimeout(x.r.Header.Get(timeoutHeader))
+	if err != nil {
+		return err
+	}
+	for _, name := range unsupportedHeaders {
+		if x.r.Header.Get(name) != "" {
+			return errNotImplemented
+		}
+	}
+	if x.server.drainDeadlinePassed() {
+		x.w.Header().Set("Retry-After", drainRetryAfter)
+		return errSlowDown
+	}
+	op := operationOf(x.r.Method, x.query)
+	x.setClass(op)
+	x.setDeadline(timeout)
+	return x.execute(op)
+}
+
+// parseURL splits the URL into bucket, key and query.
+func (x *exchange) parseURL() error {
+	path, absolute := strings.CutPrefix(x.r.URL.Path, "/")
+	x.bucket, x.key, _ = strings.Cut(path, "/")
+	if x.bucket == "" || len(x.key) > maxKeyBytes || !absolute {
+		return errInvalidURI
+	}
+	if x.key == "" {
+		return errNotImplemented // buckets are set up by the operator
+	}
+	query, err := url.ParseQuery(x.r.URL.RawQuery)
+	if err != nil {
+		return errInvalidURI
+	}
+	x.query = query
+	return nil
+}
+
+// parseTimeout parses the header with which a client limits the time for its request; 0 if it is absent.
+func parseTimeout(header string) (clock.Micros, error) {
+	if header == "" {
+		return 0, nil
+	}
+	ms, err := strconv.ParseInt(header, 10, 64)
+	if err != nil || ms <= 0 {
+		return 0, errInvalidTimeout
+	}
+	return clock.FromMillis(ms), nil
+}
+
+// setClass sets the request's class.
+func (x *exchange) setClass(op operation) {
+	cfg := x.server.cfg
+	name := cfg.Object.Read
+	switch {
+	case op == opCompleteUpload:
+		name = cfg.Object.Complete
+	case x.r.Method != http.MethodGet && x.r.Method != http.MethodHead:
+		name = cfg.Object.Write
+	}
+	x.class = cfg.Class(name)
+}
+
+// setDeadline sets the request's deadline: that of its class, or that of the client's timeout, unless it is 0, if that is earlier.
+func (x *exchange) setDeadline(timeout clock.Micros) {
+	x.deadline = x.receivedAt + clock.FromDuration(x.server.cfg.Policy.Classes[x.class].Deadline)
+	if timeout != 0 {
+		x.deadline = min(x.deadline, x.receivedAt+timeout)
+	}
+}
+
+// shard is where the object is stored. It depends on the object's name alone, so that all brokers agree on it.
+func (x *exchange) shard() int {
+	h := fnv.New64a()
+	_, _ = io.WriteString(h, x.bucket+"/"+x.key) // a hash returns no error
+	return int(h.Sum64() % uint64(x.server.cfg.Object.Shards))
+}
+
+// forward carries a request out. A response that is not an object server's is returned as an apiError.
+func (x *exchange) forward(req core.Request[*objectstore.Request]) (*objectstore.Response, error) {
+	ctx, cancel := context.WithCancelCause(x.r.Context())
+	defer cancel(nil)
+	stop := context.AfterFunc(x.server.base, func() {
+		if !x.responseStarted.Load() {
+			cancel(core.ErrDeadlineExceeded)
+		}
+	})
+	defer stop()
+	resp := x.server.broker.Handle(ctx, req)
+	switch {
+	case resp.Status == core.Success:
+		return resp.Value, nil
+	case x.server.clock.Now() >= req.Deadline-2*x.server.lim.AnswerMargin:
+		return nil, errTimeout // however the last attempt ended, the client's deadline has passed
+	case resp.Status == core.Rejection:
+		x.w.Header().Set("Retry-After", strconv.FormatInt(retryAfterSeconds(resp.RetryAfter), 10))
+		return nil, errSlowDown
+	case resp.DeadlineExceeded:
+		return nil, errTimeout
+	}
+	return nil, errInternal
+}
+
+// retryAfterSeconds rounds up to the whole seconds of a Retry-After header, at least 1.
+func retryAfterSeconds(retryAfter clock.Micros) int64 {
+	seconds := clock.Duration(retryAfter+999_999) / time.Second
+	return max(int64(seconds), 1)
+}
+
+// readBody reads the request's body, within its limit, the limit on all bodies in flight, and the request's deadline.
+func (x *exchange) readBody(maxBytes int64) error {
+	size := x.r.ContentLength
+	if size < 0 {
+		return errMissingLength
+	}
+	if size > maxBytes {
+		return errTooLarge
+	}
+	if x.server.bodyBytes.Add(size) > x.server.lim.MaxBodyBytes {
+		x.server.bodyBytes.Add(-size)
+		x.w.Header().Set("Retry-After", bodyRetryAfter)
+		return errSlowDown
+	}
+	x.body = make([]byte, size)
+	timeout := clock.Duration(x.deadline - x.server.clock.Now())
+	_ = x.control.SetReadDeadline(time.Now().Add(timeout)) // without one, the read ends with the connection
+	_, err := io.ReadFull(x.r.Body, x.body)
+	// net/http would take a read deadline that passes later for a client that disconnects.
+	_ = x.control.SetReadDeadline(time.Time{})
+	if errors.Is(err, os.ErrDeadlineExceeded) {
+		return errTimeout
+	}
+	if err != nil {
+		return errIncompleteBody
+	}
+	return nil
+}
+
+// setWriteTimeout limits the time for writing to the client from now on.
+func (x *exchange) setWriteTimeout(timeout clock.Micros) {
+	_ = x.control.SetWriteDeadline(time.Now().Add(clock.Duration(timeout))) // fails on a connection that has ended
+}
--- a/internal/frontend/object/listener.go
+++ b/internal/frontend/object/listener.go
@@ -11,78 +11,93 @@
 	"poppyarch/internal/transport/socket"
 )
 
-// listener keeps the number of client connections within a bound. Where it is met, the next client takes the place of the
-// one that has been idle for longest: clients that connect and rest must not keep all others out.
+// listener keeps the number of client connections within a limit. At the limit a new client takes the place of the
+// longest idle one, so that idle clients cannot keep others out.
 type listener struct {
 	net.Listener
-	max   int
-	quiet int64 // a connection without a request is idle after so long, in microseconds
-	clock *clock.Clock
-
-	mu     sync.Mutex
-	change *sync.Cond // a connection has gone or become idle, or the listener is closed
-	conns  map[*conn]struct{}
-	closed bool
+	clock            *clock.Clock
+	maxConns         int
+	firstRequestTime clock.Micros // a connection that has sent no request is idle after this
+
+	mu      sync.Mutex
+	changed *sync.Cond // a connection has ended or changed its state, or the listener is closed
+	conns   map[*conn]struct{}
+	closed  bool
 }
 
 // conn is one client connection.
 type conn struct {
 	net.Conn
-	owner *listener
-	state http.ConnState // guarded by the listener's mu, as since
-	since int64
+	listener *listener
+
+	// Guarded by the listener's mu.
+	state      http.ConnState
+	stateSince clock.Micros
 }
 
-func newListener(ln net.Listener, max int, quiet int64, c *clock.Clock) *listener {
-	l := &listener{Listener: ln, max: max, quiet: quiet, clock: c, conns: map[*conn]struct{}{}}
-	l.change = sync.NewCond(&l.mu)
+func newListener(ln net.Listener, maxConns int, firstRequestTime clock.Micros, c *clock.Clock) *listener {
+	l := &listener{
+		Listener:         ln,
+		clock:            c,
+		maxConns:         maxConns,
+		firstRequestTime: firstRequestTime,
+		conns:            map[*conn]struct{}{},
+	}
+	l.changed = sync.NewCond(&l.mu)
 	return l
 }
 
 // Accept returns the next client once there is room for it.
 func (l *listener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
+	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	if !l.makeRoom() {
-		c.Close()
+		_ = nc.Close() // it was not used
 		return nil, net.ErrClosed
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := &conn{Conn: c, owner: l, since: l.clock.Now()}
-	l.conns[k] = struct{}{}
-	return k, nil
+	c := &conn{Conn: nc, listener: l, stateSince: l.clock.Now()}
+	l.conns[c] = struct{}{}
+	return c, nil
 }
 
-// makeRoom waits until one more connection fits. It reports false where the listener is closed meanwhile.
+// makeRoom waits until one more connection fits. It returns false if the listener is closed meanwhile.
 func (l *listener) makeRoom() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for len(l.conns) >= l.max && !l.closed {
+	for len(l.conns) >= l.maxConns && !l.closed {
 		idle := l.longestIdle()
 		if idle == nil {
-			l.change.Wait()
+			l.changed.Wait()
 			continue
 		}
 		delete(l.conns, idle)
-		idle.Conn.Close()
+		_ = idle.Close() // the client may have closed it already
 	}
 	return !l.closed
 }
 
-// longestIdle is the connection that has been without a request for longest; nil: none. One on which something has come is
-// about to be read and not idle. The caller holds mu.
-func (l *listener) longestIdle() (idle *conn) {
+// longestIdle is the connection that has been idle for longest; nil if all are busy. One with unread input is about to
+// carry a request and not idle. The caller holds mu.
+func (l *listener) longestIdle() *conn {
+	var longest *conn
 	now := l.clock.Now()
 	for c := range l.conns {
-		rests := c.state == http.StateIdle || c.state == http.StateNew && now >= c.since+l.quiet
-		if rests && (idle == nil || c.since < idle.since) && socket.Peek(c.Conn) != socket.Readable {
-			idle = c
+		unused := c.state == http.StateNew && now >= c.stateSince+l.firstRequestTime
+		if c.state != http.StateIdle && !unused {
+			continue
+		}
+		if longest != nil && c.stateSince >= longest.stateSince {
+			continue
+		}
+		if socket.Peek(c.Conn) != socket.Readable {
+			longest = c
 		}
 	}
-	return idle
+	return longest
 }
 
 // Close closes the listener and ends a wait for room.
@@ -90,41 +105,42 @@
 	l.mu.Lock()
 	l.closed = true
 	l.mu.Unlock()
-	l.change.Broadcast()
+	l.changed.Broadcast()
 	return l.Listener.Close()
 }
 
-// connState follows a connection's states, as the server tells them.
-func connState(c net.Conn, state http.ConnState) {
-	k, ok := c.(*conn)
+// recordConnState records a connection's state. The HTTP server calls it on each change.
+func recordConnState(nc net.Conn, state http.ConnState) {
+	c, ok := nc.(*conn)
 	if !ok {
 		return
 	}
-	l := k.owner
+	l := c.listener
 	l.mu.Lock()
-	k.state, k.since = state, l.clock.Now()
+	c.state = state
+	c.stateSince = l.clock.Now()
 	if state == http.StateClosed || state == http.StateHijacked {
-		delete(l.conns, k)
+		delete(l.conns, c)
 	}
 	l.mu.Unlock()
-	l.change.Broadcast()
+	l.changed.Broadcast()
 }
 
-// SyscallConn lets package socket look at the connection.
+// SyscallConn lets package socket inspect the connection.
 func (c *conn) SyscallConn() (syscall.RawConn, error) {
 	return c.Conn.(syscall.Conn).SyscallConn()
 }
 
 type connKey struct{}
 
-// withConn keeps a request's connection in its context.
+// withConn adds a request's connection to its context.
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// clientLeft returns a look at whether a request's client has gone; nil where its connection is not known. The server
-// notices by itself only once it has read a request's body, and not where more has come behind it.
-func clientLeft(ctx context.Context) func() bool {
+// clientGone returns a function that reports whether a request's client has disconnected; nil if its connection is not
+// known. The HTTP server detects that only once it has read the request's body, and not if more input follows it.
+func clientGone(ctx context.Context) func() bool {
 	c, ok := ctx.Value(connKey{}).(net.Conn)
 	if !ok {
 		return nil
--- a/internal/frontend/object/parse_test.go
+++ b/internal/frontend/object/multipart_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// FuzzParse: no body, upload id or range makes the parsers panic, and what they take is in bounds.
+// FuzzParse checks that no body, upload id or range makes the parsers panic, and that what they accept is within bounds.
 func FuzzParse(f *testing.F) {
 	good := "<CompleteMultipartUpload><Part><PartNumber>1</PartNumber><ETag>&quot;" + strings.Repeat("0", 32) +
 		"&quot;</ETag></Part></CompleteMultipartUpload>"
@@ -16,17 +16,17 @@
 		if tag, err := parseCompletion([]byte(body), 10); err != nil && tag != "" {
 			t.Errorf("tag %q with %v", tag, err)
 		}
-		if shard, own, err := parseUpload(id, 2); err == nil && (shard < 0 || shard > 1 || uploadID(shard, own) != id) {
-			t.Errorf("shard %d, %q of %q", shard, own, id)
+		if u, err := parseUploadID(id, 2); err == nil && (u.shard < 0 || u.shard > 1 || u.String() != id) {
+			t.Errorf("shard %d, node id %q of %q", u.shard, u.nodeID, id)
 		}
-		if validRange(span) && !strings.HasPrefix(span, "bytes=") {
+		if isValidRange(span) && !strings.HasPrefix(span, "bytes=") {
 			t.Errorf("range %q", span)
 		}
 	})
 }
 
-// The whole's entity tag is the MD5 of the parts' MD5s and their number, as S3 has it.
-func TestEntityTagOfTheWhole(t *testing.T) {
+// The object's entity tag is the MD5 of the parts' MD5s and their number, as in S3.
+func TestCompletionYieldsTheObjectsEntityTag(t *testing.T) {
 	// Two empty parts: md5(d41d8cd9... twice).
 	const empty = "d41d8cd98f00b204e9800998ecf8427e"
 	body := "<CompleteMultipartUpload><Part><PartNumber>1</PartNumber><ETag>" + empty + "</ETag></Part><Part><PartNumber>2" +
--- /dev/null
+++ b/internal/frontend/object/operation.go
@@ -0,0 +1,211 @@
+package object
+
+import (
+	"encoding/xml"
+	"net/http"
+	"net/url"
+	"strconv"
+)
+
+// operation is what a request asks for.
+type operation uint8
+
+const (
+	opUnknownMethod operation = iota
+	opUnknownQuery
+	opGetOrDeleteObject // GET, HEAD and DELETE of an object
+	opPutObject
+	opCreateUpload
+	opUploadPart
+	opCompleteUpload
+	opAbortUpload
+	opListParts
+)
+
+// operationOf returns the operation of a method and a query.
+func operationOf(method string, query url.Values) operation {
+	onlyUploadID := len(query) == 1 && query.Has("uploadId")
+	switch method {
+	case http.MethodGet:
+		if query.Has("uploadId") {
+			return opListParts
+		}
+		if len(query) == 0 {
+			return opGetOrDeleteObject
+		}
+	case http.MethodHead:
+		if len(query) == 0 {
+			return opGetOrDeleteObject
+		}
+	case http.MethodDelete:
+		if len(query) == 0 {
+			return opGetOrDeleteObject
+		}
+		if onlyUploadID {
+			return opAbortUpload
+		}
+	case http.MethodPut:
+		if len(query) == 0 {
+			return opPutObject
+		}
+		if len(query) == 2 && query.Has("partNumber") && query.Has("uploadId") {
+			return opUploadPart
+		}
+	case http.MethodPost:
+		if len(query) == 1 && query.Has("uploads") {
+			return opCreateUpload
+		}
+		if onlyUploadID {
+			return opCompleteUpload
+		}
+	}
+	if len(query) > 0 {
+		return opUnknownQuery
+	}
+	return opUnknownMethod
+}
+
+// execute carries out an operation and writes its response.
+func (x *exchange) execute(op operation) error {
+	switch op {
+	case opGetOrDeleteObject:
+		return x.getOrDelete(x.shard(), "")
+	case opPutObject:
+		return x.put(x.shard(), "")
+	case opCreateUpload:
+		return x.createUpload()
+	case opUploadPart:
+		return x.uploadPart()
+	case opCompleteUpload:
+		return x.completeUpload()
+	case opAbortUpload:
+		return x.abortUpload()
+	case opListParts:
+		return x.listParts()
+	case opUnknownQuery:
+		return errNotImplemented
+	}
+	return errMethodNotAllowed
+}
+
+// getOrDelete forwards a GET, HEAD or DELETE with the given query and its response.
+func (x *exchange) getOrDelete(shard int, query string) error {
+	req := x.backendRequest(shard, x.r.Method, query, x.deadline)
+	if x.r.Method == http.MethodGet && query == "" {
+		req.Work.Stream = x.startStream
+	}
+	resp, err := x.forward(req)
+	if err != nil {
+		return err
+	}
+	return x.writeResponse(resp)
+}
+
+// put stores an object, or a part if the query names one. The body is read before the broker gets the request: a node
+// does not wait for a slow client, and each attempt has the whole body.
+func (x *exchange) put(shard int, query string) error {
+	if err := x.readBody(x.server.lim.MaxObjectBytes); err != nil {
+		return err
+	}
+	resp, err := x.forward(x.backendRequest(shard, http.MethodPut, query, x.deadline))
+	if err != nil {
+		return err
+	}
+	return x.writeResponse(resp)
+}
+
+// createUpload opens an upload at the object's node. Its id names the node's shard from then on.
+func (x *exchange) createUpload() error {
+	shard := x.shard()
+	resp, err := x.forward(x.backendRequest(shard, http.MethodPost, "?uploads", x.deadline))
+	if err != nil {
+		return err
+	}
+	if resp.Status != http.StatusOK {
+		return x.writeResponse(resp)
+	}
+	var result createUploadResult
+	if xml.Unmarshal(resp.Body, &result) != nil || result.UploadID == "" {
+		return errInternal
+	}
+	result.XMLName = xml.Name{}
+	result.Xmlns = xmlNamespace
+	result.Bucket = x.bucket
+	result.Key = x.key
+	result.UploadID = uploadID{shard: shard, nodeID: result.UploadID}.String()
+	return x.writeDocument(resp, result)
+}
+
+// uploadPart stores one part of an upload.
+func (x *exchange) uploadPart() error {
+	upload, err := x.uploadID()
+	if err != nil {
+		return err
+	}
+	number, err := strconv.Atoi(x.query.Get("partNumber"))
+	if err != nil || number < 1 || number > x.server.lim.MaxParts {
+		return errInvalidPartNumber
+	}
+	return x.put(upload.shard, "?partNumber="+strconv.Itoa(number)+"&"+upload.nodeQuery())
+}
+
+// abortUpload deletes an upload.
+func (x *exchange) abortUpload() error {
+	upload, err := x.uploadID()
+	if err != nil {
+		return err
+	}
+	return x.getOrDelete(upload.shard, "?"+upload.nodeQuery())
+}
+
+// listParts lists the parts of an upload.
+func (x *exchange) listParts() error {
+	upload, err := x.uploadID()
+	if err != nil {
+		return err
+	}
+	query, err := listPartsQuery(x.query, upload)
+	if err != nil {
+		return err
+	}
+	resp, err := x.forward(x.backendRequest(upload.shard, http.MethodGet, "?"+query.Encode(), x.deadline))
+	if err != nil {
+		return err
+	}
+	if resp.Status != http.StatusOK {
+		return x.writeResponse(resp)
+	}
+	var result listPartsResult
+	if xml.Unmarshal(resp.Body, &result) != nil {
+		return errInternal
+	}
+	result.XMLName = xml.Name{}
+	result.Xmlns = xmlNamespace
+	result.Bucket = x.bucket
+	result.Key = x.key
+	result.UploadID = upload.String()
+	return x.writeDocument(resp, result)
+}
+
+// listPartsQuery returns the query of a list-parts request for the node.
+func listPartsQuery(query url.Values, upload uploadID) (url.Values, error) {
+	out := url.Values{"uploadId": {upload.nodeID}}
+	for name, values := range query {
+		switch name {
+		case "uploadId":
+		case "max-parts", "part-number-marker":
+			if n, err := strconv.Atoi(values[0]); err != nil || n < 0 {
+				return nil, errInvalidPartNumber
+			}
+			out.Set(name, values[0])
+		default:
+			return nil, errNotImplemented
+		}
+	}
+	return out, nil
+}
+
+// uploadID returns the upload that the query names.
+func (x *exchange) uploadID() (uploadID, error) {
+	return parseUploadID(x.query.Get("uploadId"), x.server.cfg.Object.Shards)
+}
--- /dev/null
+++ b/internal/frontend/object/server.go
@@ -0,0 +1,139 @@
+// Package object serves the object API over HTTP to clients: objects with ranges, and multipart uploads in the terms of
+// S3. It keeps no state between requests: an upload is kept by the storage node that its id names.
+package object
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"poppyarch/internal/backend/objectstore"
+	"poppyarch/internal/broker/config"
+	"poppyarch/internal/broker/core"
+	"poppyarch/internal/broker/limits"
+	"poppyarch/internal/timing/clock"
+)
+
+// healthPath answers health checks without a request to the broker.
+const healthPath = "/_health"
+
+// Broker carries out requests. Handle returns each request's one final response.
+type Broker interface {
+	Handle(ctx context.Context, r core.Request[*objectstore.Request]) core.Response[*objectstore.Response]
+}
+
+// Server serves the object API.
+type Server struct {
+	broker   Broker
+	cfg      *config.Config
+	clock    *clock.Clock
+	lim      *limits.Limits
+	log      *slog.Logger
+	http     *http.Server
+	maxConns int // client connections at once
+
+	lastID    atomic.Uint64 // number of the last request id
+	bodyBytes atomic.Int64  // of the request bodies in flight
+
+	drainDeadline clock.AtomicMicros // when all requests must be answered; 0 before the drain
+	base          context.Context    // done at the drain deadline
+	expire        context.CancelFunc
+}
+
+// New returns a server for at most maxConns clients at once.
+func New(b Broker, cfg *config.Config, maxConns int, c *clock.Clock, log *slog.Logger) *Server {
+	s := &Server{
+		broker:   b,
+		cfg:      cfg,
+		clock:    c,
+		lim:      &cfg.Limits,
+		log:      log,
+		maxConns: maxConns,
+	}
+	s.base, s.expire = context.WithCancel(context.Background())
+	s.http = &http.Server{
+		Handler:           s,
+		MaxHeaderBytes:    s.lim.MaxHeaderBytes,
+		ReadHeaderTimeout: clock.Duration(s.lim.ObjectStallTimeout),
+		IdleTimeout:       clock.Duration(s.lim.ObjectIdleTimeout),
+		ConnContext:       withConn,
+		ConnState:         recordConnState,
+		ErrorLog:          slog.NewLogLogger(log.Handler(), slog.LevelWarn),
+	}
+	return s
+}
+
+// Serve accepts clients until the listener fails or Drain is called. After Drain it returns nil.
+func (s *Server) Serve(ln net.Listener) error {
+	err := s.http.Serve(newListener(ln, s.maxConns, s.lim.ClientStallTimeout, s.clock))
+	if errors.Is(err, http.ErrServerClosed) {
+		return nil
+	}
+	return err
+}
+
+// Drain shuts the server down gracefully: it accepts clients for Limits.DrainAcceptTime more, closes idle connections
+// and returns when all requests are answered. Requests are answered within Limits.DrainAnswerTime of the call, unless
+// the response has begun: the process may be killed after that. If ctx is done earlier, all connections are closed and
+// its error is returned.
+func (s *Server) Drain(ctx context.Context) error {
+	s.drainDeadline.Store(s.clock.Now() + s.lim.DrainAnswerTime)
+	expiry := time.AfterFunc(clock.Duration(s.lim.DrainAnswerTime), s.expire)
+	defer expiry.Stop()
+	s.http.SetKeepAlivesEnabled(false)
+	select {
+	case <-time.After(clock.Duration(s.lim.DrainAcceptTime)):
+	case <-ctx.Done():
+	}
+	if err := s.http.Shutdown(ctx); err != nil {
+		_ = s.http.Close() // the error of Shutdown says more
+		return err
+	}
+	return nil
+}
+
+// drainDeadlinePassed reports whether the drain deadline has passed, after which no request is carried out.
+func (s *Server) drainDeadlinePassed() bool {
+	deadline := s.drainDeadline.Load()
+	return deadline > 0 && s.clock.Now() >= deadline
+}
+
+// ServeHTTP answers one request.
+func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	x := s.newExchange(w, r)
+	w.Header().Set("X-Amz-Request-Id", x.id)
+	if r.URL.Path == healthPath {
+		w.Header().Set("Content-Type", "text/plain")
+		_, _ = io.WriteString(w, "ok\n") // a client that is gone needs no reply
+		return
+	}
+	err := x.serve()
+	s.bodyBytes.Add(-int64(len(x.body)))
+	if err == nil {
+		return
+	}
+	if x.responseStarted.Load() {
+		panic(http.ErrAbortHandler) // the aborted connection tells the client that the body is incomplete
+	}
+	x.setWriteTimeout(s.lim.ClientWriteTimeout)
+	writeError(w, r, x.id, err)
+}
+
+// newExchange returns the exchange of a request that has just arrived.
+func (s *Server) newExchange(w http.ResponseWriter, r *http.Request) *exchange {
+	now := s.clock.Now()
+	return &exchange{
+		server:     s,
+		w:          w,
+		r:          r,
+		control:    http.NewResponseController(w),
+		id:         fmt.Sprintf("%s-%x-%d", s.cfg.Name, uint64(now), s.lastID.Add(1)),
+		receivedAt: now,
+	}
+}
--- a/internal/timing/clock/clock.go
+++ b/internal/timing/clock/clock.go
@@ -15,6 +15,9 @@
 // FromDuration converts a duration to whole microseconds, rounded towards zero.
 func FromDuration(d time.Duration) Micros { return d.Microseconds() }
 
+// FromMillis converts milliseconds.
+func FromMillis(ms int64) Micros { return ms * 1000 }
+
 // AtomicMicros is a Micros that several goroutines may use at once. Its zero value is 0.
 type AtomicMicros struct {
 	v atomic.Int64
