--- /dev/null
+++ b/internal/broker/core/attempt_test.go
@@ -0,0 +1,94 @@
+package core
+
+import (
+	"context"
+	"errors"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"poppyarch/internal/broker/decision"
+)
+
+// connectingBackend takes a while to connect and then asks whether its attempt may start, as real backends do.
+type connectingBackend struct {
+	connect  []time.Duration // by attempt; the last one is repeated
+	outcomes []Outcome       // of attempts that start, likewise
+	attempts int
+	started  int
+}
+
+func (b *connectingBackend) Attempt(_ context.Context, a Attempt[string]) (string, Outcome) {
+	n := b.attempts
+	b.attempts++
+	time.Sleep(b.connect[min(n, len(b.connect)-1)])
+	if !a.MayStart() {
+		return "", NotAttempted
+	}
+	b.started++
+	return "v", b.outcomes[min(n, len(b.outcomes)-1)]
+}
+
+// keyedClass is a class whose duplicates are dropped for a second.
+func keyedClass(scope decision.DedupScope) decision.Class {
+	return decision.Class{Idempotency: decision.IdempotentByKey, DedupScope: scope, DedupWindow: time.Second}
+}
+
+// A retry is decided on within the class's deduplication window. If its connection is established after that it must not
+// be sent; the response then depends on which nodes drop duplicates.
+func TestRetryDoesNotStartAfterTheDedupWindow(t *testing.T) {
+	for _, x := range []struct {
+		scope   decision.DedupScope
+		connect time.Duration
+		started int
+		status  Status
+	}{
+		{decision.DedupEverywhere, 900 * time.Millisecond, 2, Success},
+		{decision.DedupEverywhere, 1100 * time.Millisecond, 1, Rejection},
+		{decision.DedupShard, 1100 * time.Millisecond, 1, Failure},
+	} {
+		inBubble(t, func(ctx context.Context, t *testing.T) {
+			b := &connectingBackend{
+				connect:  []time.Duration{0, x.connect},
+				outcomes: []Outcome{ConnectionLost, Served},
+			}
+			r := newRig(ctx, t, b, keyedClass(x.scope))
+			resp := r.broker.Handle(ctx, r.request())
+			if resp.Status != x.status || b.started != x.started {
+				t.Errorf("connected after %v: status %d and %d attempts started, want %d and %d",
+					x.connect, resp.Status, b.started, x.status, x.started)
+			}
+		})
+	}
+}
+
+// A client that has disconnected without its frontend having noticed gets no attempt, neither a first one nor a retry.
+func TestNoAttemptStartsForADisconnectedClient(t *testing.T) {
+	for wantStarted := range 2 {
+		inBubble(t, func(ctx context.Context, t *testing.T) {
+			b := &connectingBackend{connect: []time.Duration{0}, outcomes: []Outcome{ConnectionLost}}
+			r := newRig(ctx, t, b, keyedClass(decision.DedupEverywhere))
+			req := r.request()
+			var checks atomic.Int32
+			req.ClientGone = func() bool { return int(checks.Add(1)) > wantStarted }
+			resp := r.broker.Handle(ctx, req)
+			if b.started != wantStarted || checks.Load() != int32(wantStarted+1) || resp.Status != Failure {
+				t.Errorf("%d attempts started after %d checks, want %d; status %d", b.started, checks.Load(), wantStarted, resp.Status)
+			}
+			if n := r.broker.limiter.InFlight(); n != 0 {
+				t.Errorf("%d still in flight", n)
+			}
+		})
+	}
+}
+
+// At a drain's deadline a node that has not answered has timed out, as at the client's.
+func TestAttemptThatEndsWithADrainHasTimedOut(t *testing.T) {
+	drain, expire := context.WithCancelCause(context.Background())
+	expire(ErrDeadlineExceeded)
+	ctx, cancel := context.WithCancelCause(drain)
+	defer cancel(errors.New("another cause"))
+	if out := OutcomeOf(ctx); out != TimedOut {
+		t.Errorf("outcome %d", out)
+	}
+}
--- a/internal/broker/core/nodes.go
+++ b/internal/broker/core/endpoints.go
@@ -4,23 +4,23 @@
 	"sync"
 
 	"poppyarch/internal/broker/decision"
+	"poppyarch/internal/timing/clock"
 )
 
-// Node is a storage node as the list names it.
+// Node is a storage node of the endpoint list.
 type Node struct {
 	ID         string
-	Addr       string // where it speaks the platform's protocol
-	ObjectAddr string // where it speaks the object API
+	Addr       string // for the block protocol
+	ObjectAddr string // for the object API
 	Shard      int
 	Zone       int
 	State      decision.EndpointState
-	StartedAt  int64 // microseconds; 0: long ago
-
-	Capacity float64 // of its kind, against the usual node; 0: not told
+	StartedAt  clock.Micros // 0: unknown, long ago
+	Capacity   float64      // of its kind, relative to the usual node; 0: unknown
 }
 
-// EndpointTable is the node list as discovery told it last. What left the list is forgotten: an attempt that the module decided
-// on in the same moment finds no node and is not sent.
+// EndpointTable is the endpoint list as discovery last reported it. Nodes that have left the list are forgotten: an
+// attempt that was decided on before finds no node and is not made.
 type EndpointTable struct {
 	mu   sync.RWMutex
 	byID map[string]Node
@@ -29,18 +29,19 @@
 // NewEndpointTable returns an empty table.
 func NewEndpointTable() *EndpointTable { return &EndpointTable{byID: map[string]Node{}} }
 
-// Update takes in a whole list, or changed entries.
+// Update applies changed entries; a full list replaces all others.
 func (t *EndpointTable) Update(list []Node, full bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if full {
 		clear(t.byID)
 	}
-	for _, n := range list {
+	for i := range list {
+		n := &list[i]
 		if n.State == decision.Removed {
 			delete(t.byID, n.ID)
 		} else {
-			t.byID[n.ID] = n
+			t.byID[n.ID] = *n
 		}
 	}
 }
@@ -53,23 +54,24 @@
 	return n, ok
 }
 
-// Accepts reports whether a node still stands at its address and takes new work.
+// Accepts reports whether a node is still listed with the same addresses and accepts new requests.
 func (t *EndpointTable) Accepts(n Node) bool {
 	now, ok := t.Get(n.ID)
 	return ok && now.State == decision.Ready && now.Addr == n.Addr && now.ObjectAddr == n.ObjectAddr
 }
 
-// Len counts the nodes.
+// Len is the number of nodes.
 func (t *EndpointTable) Len() int {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return len(t.byID)
 }
 
-// All lists the nodes.
-func (t *EndpointTable) All() (list []Node) {
+// All returns the nodes in no particular order.
+func (t *EndpointTable) All() []Node {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
+	var list []Node
 	for _, n := range t.byID {
 		list = append(list, n)
 	}
--- /dev/null
+++ b/internal/broker/core/trace_test.go
@@ -0,0 +1,41 @@
+package core
+
+import (
+	"context"
+	"testing"
+
+	"poppyarch/internal/observability/record"
+)
+
+func TestRecordedAnswerFollowsTheResponse(t *testing.T) {
+	connected := context.Background()
+	disconnected, cancel := context.WithCancelCause(connected)
+	cancel(ErrClientDisconnected)
+	for _, x := range []struct {
+		name             string
+		ctx              context.Context
+		status           Status
+		deadlineExceeded bool
+		want             record.Answer
+	}{
+		{"success", connected, Success, false, record.Served},
+		{"success for a client that has disconnected", disconnected, Success, false, record.Served},
+		{"failure for a client that has disconnected", disconnected, Failure, true, record.Left},
+		{"rejection", connected, Rejection, false, record.Refused},
+		{"rejection at the deadline", connected, Rejection, true, record.Refused},
+		{"failure", connected, Failure, false, record.Failed},
+		{"failure at the deadline", connected, Failure, true, record.Overdue},
+	} {
+		if got := traceAnswer(x.ctx, x.status, x.deadlineExceeded); got != x.want {
+			t.Errorf("%s: recorded as %d, want %d", x.name, got, x.want)
+		}
+	}
+}
+
+func TestNilTraceRecordsNothing(t *testing.T) {
+	var tr *trace
+	tr.addAttempt(testNode, 0, Served)
+	if now := tr.now(); now != 0 {
+		t.Errorf("time %d, want none", now)
+	}
+}
