--- a/cmd/poppyarch/agent.go
+++ b/cmd/poppyarch/agent.go
@@ -69,7 +69,7 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	load := func() ([]inventory.Instance, error) { return loadInventory(f.inventory) }
-	a := agent.New(load, &agent.Exec{Program: program, Dir: f.runDir}, agent.DefaultTimes(), log)
+	a := agent.New(load, &agent.ProcessLauncher{Program: program, StateDir: f.runDir}, agent.DefaultTiming(), log)
 	defer a.Close()
 	if _, err := a.Reload(ctx); err != nil {
 		return &exit{exitUsage, err}
@@ -106,7 +106,7 @@
 		return nil, err
 	}
 	for _, instance := range list {
-		if _, err := agent.Compose(instance); err != nil {
+		if _, err := agent.ComposeFile(instance); err != nil {
 			return nil, fmt.Errorf("%s: %w", file, err)
 		}
 	}
--- a/internal/frontend/object/backend.go
+++ b/internal/frontend/object/backend.go
@@ -39,23 +39,23 @@
 	}
 }
 
-// backendRequest returns the request for the broker and the object server.
-func (x *exchange) backendRequest(shard int, method, query string, deadline clock.Micros) core.Request[*objectstore.Request] {
+// backendRequest returns the request of a class for the broker and the object server.
+func (x *exchange) backendRequest(class, shard int, method, query string, deadline clock.Micros) core.Request[*objectstore.Request] {
 	cfg := x.server.cfg
 	header := http.Header{}
 	copyHeaders(header, x.r.Header, requestHeaders)
 	if !isValidRange(header.Get("Range")) {
 		header.Del("Range")
 	}
-	plan, ok := cfg.Object.Buckets[x.bucket]
+	plan, ok := cfg.Object.BucketPlans[x.bucket]
 	if !ok {
-		plan = cfg.Object.Plan
+		plan = cfg.Object.DefaultPlan
 	}
 	path := url.URL{Path: "/" + x.bucket + "/" + x.key}
 	return core.Request[*objectstore.Request]{
 		RequestInfo: dispatcher.RequestInfo{
-			Class:    x.class,
-			Plan:     cfg.Plan(plan),
+			Class:    class,
+			Plan:     cfg.PlanIndex(plan),
 			Volume:   x.bucket,
 			Key:      x.key,
 			Units:    x.units(),
@@ -63,7 +63,7 @@
 			Brokers:  cfg.Policy.Brokers,
 			Deadline: deadline,
 		},
-		NotIdempotent: cfg.Policy.Classes[x.class].Idempotency == decision.NotIdempotent,
+		NotIdempotent: cfg.Policy.Classes[class].Idempotency == decision.NotIdempotent,
 		ClientGone:    clientGone(x.r.Context()),
 		Work: &objectstore.Request{
 			Method: method,
--- a/internal/frontend/object/complete.go
+++ b/internal/frontend/object/complete.go
@@ -27,7 +27,7 @@
 	// A part of the client's time is reserved for reading back.
 	now := x.server.clock.Now()
 	deadline := x.deadline - min(x.server.lim.ReadBackTime, (x.deadline-now)/3)
-	resp, err := x.forward(x.backendRequest(upload.shard, http.MethodPost, "?"+upload.nodeQuery(), deadline))
+	resp, err := x.forward(x.backendRequest(x.class, upload.shard, http.MethodPost, "?"+upload.nodeQuery(), deadline))
 	switch {
 	case err == nil && resp.Status != http.StatusNotFound:
 		return x.writeResponse(resp)
@@ -75,7 +75,9 @@
 
 // readBack requests the object's header and reports whether it has the entity tag.
 func (x *exchange) readBack(shard int, wantETag string) (*objectstore.Response, bool) {
-	req := x.backendRequest(shard, http.MethodHead, "", x.deadline)
+	cfg := x.server.cfg
+	readClass := cfg.ClassIndex(cfg.Object.ReadClass)
+	req := x.backendRequest(readClass, shard, http.MethodHead, "", x.deadline)
 	req.Work.Header = http.Header{}
 	req.Work.Body = nil
 	resp, err := x.forward(req)
--- a/internal/frontend/object/exchange.go
+++ b/internal/frontend/object/exchange.go
@@ -105,14 +105,14 @@
 // setClass sets the request's class.
 func (x *exchange) setClass(op operation) {
 	cfg := x.server.cfg
-	name := cfg.Object.Read
+	name := cfg.Object.ReadClass
 	switch {
 	case op == opCompleteUpload:
-		name = cfg.Object.Complete
+		name = cfg.Object.CompleteClass
 	case x.r.Method != http.MethodGet && x.r.Method != http.MethodHead:
-		name = cfg.Object.Write
+		name = cfg.Object.WriteClass
 	}
-	x.class = cfg.Class(name)
+	x.class = cfg.ClassIndex(name)
 }
 
 // setDeadline sets the request's deadline: that of its class, or that of the client's timeout, unless it is 0, if that is earlier.
--- a/internal/frontend/object/operation.go
+++ b/internal/frontend/object/operation.go
@@ -90,7 +90,7 @@
 
 // getOrDelete forwards a GET, HEAD or DELETE with the given query and its response.
 func (x *exchange) getOrDelete(shard int, query string) error {
-	req := x.backendRequest(shard, x.r.Method, query, x.deadline)
+	req := x.backendRequest(x.class, shard, x.r.Method, query, x.deadline)
 	if x.r.Method == http.MethodGet && query == "" {
 		req.Work.Stream = x.startStream
 	}
@@ -107,7 +107,7 @@
 	if err := x.readBody(x.server.lim.MaxObjectBytes); err != nil {
 		return err
 	}
-	resp, err := x.forward(x.backendRequest(shard, http.MethodPut, query, x.deadline))
+	resp, err := x.forward(x.backendRequest(x.class, shard, http.MethodPut, query, x.deadline))
 	if err != nil {
 		return err
 	}
@@ -117,7 +117,7 @@
 // createUpload opens an upload at the object's node. Its id names the node's shard from then on.
 func (x *exchange) createUpload() error {
 	shard := x.shard()
-	resp, err := x.forward(x.backendRequest(shard, http.MethodPost, "?uploads", x.deadline))
+	resp, err := x.forward(x.backendRequest(x.class, shard, http.MethodPost, "?uploads", x.deadline))
 	if err != nil {
 		return err
 	}
@@ -168,7 +168,7 @@
 	if err != nil {
 		return err
 	}
-	resp, err := x.forward(x.backendRequest(upload.shard, http.MethodGet, "?"+query.Encode(), x.deadline))
+	resp, err := x.forward(x.backendRequest(x.class, upload.shard, http.MethodGet, "?"+query.Encode(), x.deadline))
 	if err != nil {
 		return err
 	}
