--- a/internal/nodes/discovery/discovery_test.go
+++ b/internal/nodes/discovery/discovery_test.go
@@ -210,8 +210,10 @@
 
 // A dead discovery leaves the list in force, is not hammered, and is taken up again.
 func TestOutlivesADeadDiscovery(t *testing.T) {
+	lim := testLimits()
+	lim.NotificationDeadline = lim.WatchGracePeriod + 60_000_000 // as in operation, it leaves room for the backoff
 	d := fake.NewDiscovery()
-	table := watch(t, d, testLimits())
+	table := watch(t, d, lim)
 	d.Set(target("a", "up"))
 	eventually(t, "a is up", state(table, "a")(decision.Ready))
 	d.SetDown(true)
@@ -219,8 +221,9 @@
 	// One may have been on its way, and the first after a long watch goes out at once; from then on there are waits.
 	eventually(t, "three more calls", func() bool { return len(d.Calls()) >= n+3 })
 	calls := d.Calls()
-	if gap := calls[len(calls)-1].Sub(calls[len(calls)-2]); gap < 100*time.Millisecond {
-		t.Errorf("asked again after %v", gap) // a lower bound: no slow machine makes a pause shorter
+	// The backoff's first pause is at least a third of 0.75 s, and no slow machine makes a pause shorter.
+	if gap := calls[len(calls)-1].Sub(calls[len(calls)-2]); gap < 250*time.Millisecond {
+		t.Errorf("asked again after %v", gap)
 	}
 	if !state(table, "a")(decision.Ready)() {
 		t.Error("the list went away with discovery")
