--- /dev/null
+++ b/internal/fleet/manager/queries.go
@@ -0,0 +1,98 @@
+package manager
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"poppyarch/internal/fleet/api"
+	"poppyarch/internal/fleet/spec"
+	"poppyarch/internal/fleet/state"
+)
+
+const (
+	overviewRollouts = 5    // past rollouts in an overview
+	waitRollouts     = 20   // and in the answer to a wait
+	staleMetrics     = 1000 // entries of removed instances that are tolerated
+)
+
+// Overview returns the state of the fleet, with the selected instances.
+func (m *Manager) Overview(selector spec.Selector) (api.Overview, error) {
+	if err := selector.Validate(); err != nil {
+		return api.Overview{}, fmt.Errorf("%w: %w", api.ErrRequest, err)
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	nodes, _ := m.state.NodeOverrides()
+	unavailable, enabled := m.state.Unavailable()
+	instances := m.state.Instances(selector)
+	return api.Overview{
+		Fleet:        m.state.FleetID(),
+		Revision:     m.state.NewestRevision(),
+		Settled:      m.state.Settled(),
+		Unavailable:  unavailable,
+		Enabled:      enabled,
+		NotCurrent:   m.state.NotCurrent(),
+		Instances:    instances,
+		Agents:       m.state.Agents(),
+		Rollouts:     m.state.Rollouts(overviewRollouts),
+		Nodes:        nodes,
+		Metrics:      m.metricsOf(instances),
+		JournalFault: m.journalFault,
+	}, nil
+}
+
+// metricsOf returns the last metrics of the instances whose broker is known to run. The caller holds mu.
+func (m *Manager) metricsOf(instances []state.InstanceStatus) []api.BrokerMetrics {
+	var list []api.BrokerMetrics
+	for i := range instances {
+		last, ok := m.metrics[instances[i].Name]
+		if !ok || instances[i].Report.Incarnation == "" {
+			continue
+		}
+		current := last.BrokerMetrics
+		current.Age = m.clock.Now() - last.measuredAt
+		list = append(list, current)
+	}
+	if len(m.metrics) > 2*len(instances)+staleMetrics {
+		clear(m.metrics)
+	}
+	return list
+}
+
+// History returns the newest revisions, up to limit of them.
+func (m *Manager) History(limit int) api.History {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return api.History{Revisions: m.state.History(limit)}
+}
+
+// Wait returns when the rollout of a revision has ended (revision 0: when the fleet has settled), when the active rollout
+// is paused, or when the wait has passed.
+func (m *Manager) Wait(ctx context.Context, revision uint64, wait time.Duration) ([]state.RolloutStatus, bool, error) {
+	var rollouts []state.RolloutStatus
+	var settled bool
+	err := m.poll(ctx, min(wait, maxLongPoll), func(timedOut bool) (done bool, err error) {
+		rollouts = m.state.Rollouts(waitRollouts)
+		settled = m.state.Settled()
+		return timedOut || waitEnded(revision, settled, rollouts), nil
+	})
+	if err != nil {
+		return nil, false, err
+	}
+	return rollouts, settled, nil
+}
+
+func waitEnded(revision uint64, settled bool, rollouts []state.RolloutStatus) bool {
+	if revision == 0 && settled {
+		return true
+	}
+	for i := range rollouts {
+		r := &rollouts[i]
+		ended := r.Phase == state.Done || r.Phase == state.Aborted
+		if r.Phase == state.Paused || revision > 0 && r.Revision == revision && ended {
+			return true
+		}
+	}
+	return false
+}
