--- a/internal/fleet/api/messages.go
+++ b/internal/fleet/api/messages.go
@@ -38,7 +38,7 @@
 type Registration struct {
 	Token   uint64 `json:"token"` // fencing token: a newer agent of the name has a higher one
 	Epoch   string `json:"epoch"` // names the manager's incarnation
-	Fleet   string `json:"fleet"` // names the manager's journal, for good
+	FleetID string `json:"fleet"` // names the manager's journal, for good
 	Edition uint64 `json:"edition"`
 }
 
@@ -141,7 +141,7 @@
 
 // Overview is the state of the fleet for people.
 type Overview struct {
-	Fleet        string                 `json:"fleet"`
+	FleetID      string                 `json:"fleet"`
 	Revision     uint64                 `json:"rev"`
 	Settled      bool                   `json:"settled"`     // the observed state is the desired one
 	Unavailable  int                    `json:"unavailable"` // of the enabled instances
--- a/internal/fleet/manager/agents.go
+++ b/internal/fleet/manager/agents.go
@@ -26,7 +26,7 @@
 	if err := m.commit(r); err != nil {
 		return api.Registration{}, err
 	}
-	return api.Registration{Token: r.Token, Epoch: m.epoch, Fleet: m.state.FleetID(), Edition: m.state.Edition()}, nil
+	return api.Registration{Token: r.Token, Epoch: m.epoch, FleetID: m.state.FleetID(), Edition: m.state.Edition()}, nil
 }
 
 // checkEpoch returns api.ErrEpoch for a call of a session with an earlier incarnation of the manager.
--- a/internal/fleet/manager/queries.go
+++ b/internal/fleet/manager/queries.go
@@ -27,7 +27,7 @@
 	unavailable, enabled := m.state.Unavailable()
 	instances := m.state.Instances(selector)
 	return api.Overview{
-		Fleet:        m.state.FleetID(),
+		FleetID:      m.state.FleetID(),
 		Revision:     m.state.NewestRevision(),
 		Settled:      m.state.Settled(),
 		Unavailable:  unavailable,
--- a/internal/fleet/supervisor/compat_test.go
+++ b/internal/fleet/supervisor/compat_test.go
@@ -53,7 +53,7 @@
 			t.Errorf("record %d is encoded as\n%s\nand was stored as\n%s", i, again, encoded)
 		}
 	}
-	replayed, err := decode(nil, records)
+	replayed, err := replay(nil, records)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,7 +75,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	restored, err := decode(stored, nil)
+	restored, err := replay(stored, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,10 +91,10 @@
 func TestDamagedAgentRecordIsRefused(t *testing.T) {
 	records := readStoredJournal(t)
 	records[1] = records[1][:len(records[1])/2]
-	if _, err := decode(nil, records); err == nil {
+	if _, err := replay(nil, records); err == nil {
 		t.Error("no error for a record that is cut short")
 	}
-	if _, err := decode([]byte(`{"cases":`), nil); err == nil {
+	if _, err := replay([]byte(`{"cases":`), nil); err == nil {
 		t.Error("no error for a snapshot that is cut short")
 	}
 }
--- /dev/null
+++ b/internal/fleet/supervisor/instance.go
@@ -0,0 +1,92 @@
+package supervisor
+
+import (
+	"errors"
+	"fmt"
+	"math/rand/v2"
+
+	"poppyarch/internal/broker/control"
+	"poppyarch/internal/fleet/reconcile"
+	"poppyarch/internal/host/process"
+	"poppyarch/internal/timing/clock"
+)
+
+// managedInstance is an instance with what is in flight for it.
+type managedInstance struct {
+	*reconcile.Controller
+	handle       Process      // of its process; nil: none runs
+	generation   int          // counts processes: events of earlier ones are ignored
+	callInFlight bool         // to its broker
+	nextActionAt clock.Micros // 0: at once
+	unreported   *measurement // nil: all metrics have been reported
+}
+
+// measurement are the metrics of a broker that have not been reported yet.
+type measurement struct {
+	metrics    *control.Figures
+	inFlight   int64 // requests
+	measuredAt clock.Micros
+}
+
+// instance returns the instance with a name, which begins to exist with that.
+func (s *Supervisor) instance(name string) *managedInstance {
+	if known := s.instances[name]; known != nil {
+		return known
+	}
+	added := &managedInstance{Controller: reconcile.New(name, s.options.Reconcile, s.retryBudget, rand.Float64)}
+	s.instances[name] = added
+	return added
+}
+
+// restoreInstance restores an instance from the journal, and adopts its process if that still runs.
+func (s *Supervisor) restoreInstance(name string) error {
+	stored := s.state.Instances[name]
+	restored := s.instance(name)
+	restored.SetDesired(stored.desired())
+	restored.Pending = stored.Command
+	if stored.LaunchID == "" {
+		return nil
+	}
+	restored.RecordStartIntent(stored.LaunchID, stored.StartDigest)
+	if stored.Process == nil {
+		return nil // the controller has it looked for by its launch id
+	}
+	id := *stored.Process
+	adopted, err := s.runner.Adopt(id)
+	if err != nil {
+		if !errors.Is(err, process.ErrExited) {
+			return fmt.Errorf("%s: adopt pid %d: %w", name, id.PID, err)
+		}
+		s.log.Warn("agent: instance ended while no agent was running", "instance", name, "pid", id.PID)
+		if err := s.commitResult(&record{Kind: recordEnded, Name: name}); err != nil {
+			return err
+		}
+		now := s.clock.Now()
+		restored.RecordRunning(id, now)
+		restored.RecordExit(now, "ended while no agent was there")
+		return nil
+	}
+	s.log.Info("agent: instance adopted", "instance", name, "pid", id.PID)
+	restored.RecordRunning(id, s.clock.Now())
+	s.watch(restored, adopted)
+	return nil
+}
+
+// watch makes a process that of an instance, and waits for its end in a goroutine.
+func (s *Supervisor) watch(instance *managedInstance, p Process) {
+	instance.handle = p
+	instance.generation++
+	exited := &processExited{instance: instance, generation: instance.generation, pid: p.Identity().PID}
+	done := p.Done()
+	s.watchers.Go(func() {
+		select {
+		case exited.err = <-done:
+		case <-s.closing:
+			return
+		}
+		select {
+		case s.events <- exited:
+		case <-s.closing:
+		}
+	})
+}
--- /dev/null
+++ b/internal/fleet/supervisor/local.go
@@ -0,0 +1,168 @@
+package supervisor
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strings"
+	"syscall"
+
+	"poppyarch/internal/broker/config"
+	"poppyarch/internal/broker/control"
+	"poppyarch/internal/fleet/spec"
+	"poppyarch/internal/host/agent"
+	"poppyarch/internal/host/inventory"
+	"poppyarch/internal/host/process"
+)
+
+// configVariable is the environment variable that names a broker's configuration file.
+const configVariable = "LB_CONFIG"
+
+// inheritedVariables override a broker's configuration file, and so are not passed on from the agent's environment.
+var inheritedVariables = []string{"LB_NAME", "LB_LISTEN", "LB_DISCOVERY", configVariable, process.LaunchIDVariable}
+
+// LocalBrokers runs brokers as processes of this machine. It is a ProcessRunner and their BrokerClient.
+type LocalBrokers struct {
+	Program string   // path of poppyarch
+	Args    []string // that make it a broker; nil: serve
+	Env     []string // besides the agent's own environment
+	Dir     string   // of the instances' configurations, control sockets and logs
+}
+
+// inventoryInstance returns an instance in the inventory's form.
+func inventoryInstance(instance *spec.Instance) inventory.Instance {
+	return inventory.Instance{
+		Name:         instance.Name,
+		Listen:       instance.Start.Listen,
+		ObjectListen: instance.Start.ObjectListen,
+		Cores:        instance.Start.Cores,
+		MemoryMB:     instance.Start.MemoryMB,
+		Sockets:      instance.Start.Sockets,
+		Enabled:      instance.Enabled,
+	}
+}
+
+func (b *LocalBrokers) controlAddress(name string) string {
+	return "unix:" + filepath.Join(b.Dir, name+".ctl")
+}
+
+// Start starts a broker with the start settings of an instance. Its live settings come later, by its control endpoint.
+func (b *LocalBrokers) Start(instance *spec.Instance, text, launchID string) (Process, error) {
+	endpoint := &config.Control{Listen: b.controlAddress(instance.Name), Started: instance.Start.Digest()}
+	content, err := agent.ComposeText(inventoryInstance(instance), []byte(text), endpoint)
+	if err != nil {
+		return nil, err
+	}
+	configPath := filepath.Join(b.Dir, instance.Name+".json")
+	if err := os.WriteFile(configPath, content, 0o600); err != nil {
+		return nil, err
+	}
+	log, err := os.OpenFile(filepath.Join(b.Dir, instance.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = log.Close() }() // the process has a descriptor of its own
+	args := b.Args
+	if args == nil {
+		args = []string{"serve"}
+	}
+	cmd := exec.Command(b.Program, args...)
+	cmd.Stdout = log
+	cmd.Stderr = log
+	cmd.Env = append(b.environment(), configVariable+"="+configPath)
+	return startProcess(cmd, launchID)
+}
+
+// environment returns the agent's environment without what would override a broker's configuration.
+func (b *LocalBrokers) environment() []string {
+	var env []string
+	for _, variable := range os.Environ() {
+		key, _, _ := strings.Cut(variable, "=")
+		if !slices.Contains(inheritedVariables, key) {
+			env = append(env, variable)
+		}
+	}
+	return append(env, b.Env...)
+}
+
+func startProcess(cmd *exec.Cmd, launchID string) (Process, error) {
+	id, exited, err := process.Start(cmd, launchID)
+	if err != nil {
+		return nil, err
+	}
+	handle, err := process.Open(id)
+	if err != nil && !errors.Is(err, process.ErrExited) {
+		_ = cmd.Process.Kill() // fails only where it has ended
+		return nil, err
+	}
+	return &localProcess{id: id, handle: handle, done: exited}, nil
+}
+
+// Adopt returns a broker's process that an earlier agent started, or process.ErrExited.
+func (b *LocalBrokers) Adopt(id process.Identity) (Process, error) {
+	handle, err := process.Open(id)
+	if err != nil {
+		return nil, err
+	}
+	done := make(chan error, 1)
+	go func() { // it ends with the process
+		<-handle.Done()
+		done <- errors.New("ended; how is known only to the agent that started it")
+	}()
+	return &localProcess{id: id, handle: handle, done: done}, nil
+}
+
+// Find looks for the broker's process of a launch.
+func (b *LocalBrokers) Find(launchID string) (process.Identity, bool) {
+	return process.FindByLaunchID(launchID)
+}
+
+// localProcess is a Process of this machine.
+type localProcess struct {
+	id     process.Identity
+	handle *process.Handle // nil: it ended at once
+	done   <-chan error
+}
+
+func (p *localProcess) Identity() process.Identity { return p.id }
+func (p *localProcess) Done() <-chan error         { return p.done }
+func (p *localProcess) Terminate() error           { return p.signal(syscall.SIGTERM) }
+func (p *localProcess) Kill() error                { return p.signal(syscall.SIGKILL) }
+
+func (p *localProcess) signal(sig syscall.Signal) error {
+	if p.handle == nil {
+		return process.ErrExited
+	}
+	return p.handle.Signal(sig)
+}
+
+// Probe asks a broker for its state, and whether its front ends answer.
+func (b *LocalBrokers) Probe(ctx context.Context, instance *spec.Instance) (*control.State, bool, error) {
+	client, err := control.Dial(b.controlAddress(instance.Name))
+	if err != nil {
+		return nil, false, err
+	}
+	state, err := client.State(ctx)
+	if err != nil {
+		return nil, false, err
+	}
+	healthy := (&agent.Exec{}).Ready(ctx, inventoryInstance(instance))
+	return state, healthy, nil
+}
+
+// SendChange sends a change to a broker.
+func (b *LocalBrokers) SendChange(ctx context.Context, instance *spec.Instance, change *control.Change) (*control.Outcome, error) {
+	client, err := control.Dial(b.controlAddress(instance.Name))
+	if err != nil {
+		return nil, err
+	}
+	outcome, err := client.Change(ctx, change)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", instance.Name, err)
+	}
+	return outcome, nil
+}
