--- a/cmd/poppyarch/incident_test.go
+++ b/cmd/poppyarch/incident_test.go
@@ -45,8 +45,8 @@
 		t.Error(load.Complaints())
 	}
 	o, err := s.Client.Overview(ctx, nil, nil)
-	if err != nil || len(o.Metrics) != 5 || o.Metrics[0].Metrics.Span == 0 {
-		t.Errorf("%v, figures of %d brokers", err, len(o.Metrics))
+	if err != nil || len(o.Stats) != 5 || o.Stats[0].Stats.Span == 0 {
+		t.Errorf("%v, figures of %d brokers", err, len(o.Stats))
 	}
 	closed = true
 	if err := s.Close(); err != nil {
--- a/internal/fleet/api/messages.go
+++ b/internal/fleet/api/messages.go
@@ -44,25 +44,25 @@
 
 // ReportRequest reports what an agent has seen of its instances.
 type ReportRequest struct {
-	Agent              string          `json:"agent"`
-	Token              uint64          `json:"token"`
-	Epoch              string          `json:"epoch"`
-	Seq                uint64          `json:"seq"`
-	AssignmentsVersion uint64          `json:"have"` // of the assignments that the agent follows
-	Full               bool            `json:"full"` // Reports has every instance, and not only those that have changed
-	Reports            []state.Report  `json:"reports"`
-	Metrics            []BrokerMetrics `json:"figures,omitempty"`
+	Agent              string         `json:"agent"`
+	Token              uint64         `json:"token"`
+	Epoch              string         `json:"epoch"`
+	Seq                uint64         `json:"seq"`
+	AssignmentsVersion uint64         `json:"have"` // of the assignments that the agent follows
+	Full               bool           `json:"full"` // Reports has every instance, and not only those that have changed
+	Reports            []state.Report `json:"reports"`
+	Stats              []BrokerStats  `json:"figures,omitempty"`
 }
 
 // ReportResponse answers a ReportRequest.
 type ReportResponse struct{}
 
-// BrokerMetrics are what a broker did lately.
-type BrokerMetrics struct {
-	Name     string           `json:"name"`
-	Age      clock.Micros     `json:"age_us"` // since the broker gave them, as of the sending of the message
-	InFlight int64            `json:"open"`   // requests in flight
-	Metrics  *control.Figures `json:"figures"`
+// BrokerStats are what a broker did lately.
+type BrokerStats struct {
+	Name     string         `json:"name"`
+	Age      clock.Micros   `json:"age_us"` // since the broker gave them, as of the sending of the message
+	InFlight int64          `json:"open"`   // requests in flight
+	Stats    *control.Stats `json:"figures"`
 }
 
 // AssignmentsRequest asks for assignments newer than a version, and waits for some.
@@ -151,7 +151,7 @@
 	Agents       []state.AgentStatus    `json:"agents"`
 	Rollouts     []state.RolloutStatus  `json:"rollouts"`
 	Nodes        []spec.NodeOverride    `json:"nodes"`
-	Metrics      []BrokerMetrics        `json:"figures,omitempty"`
+	Stats        []BrokerStats          `json:"figures,omitempty"`
 	JournalFault string                 `json:"journal,omitempty"` // empty: none
 }
 
--- a/internal/fleet/manager/agents.go
+++ b/internal/fleet/manager/agents.go
@@ -45,11 +45,19 @@
 		return err
 	}
 	now := m.clock.Now()
-	if err := m.state.Observe(request.Agent, request.Token, request.Seq, request.AssignmentsVersion, request.Full, request.Reports, now); err != nil {
+	sync := &state.AgentSync{
+		Agent:             request.Agent,
+		Token:             request.Token,
+		Sequence:          request.Seq,
+		AssignmentVersion: request.AssignmentsVersion,
+		Full:              request.Full,
+		Reports:           request.Reports,
+	}
+	if err := m.state.Observe(sync, now); err != nil {
 		return err
 	}
-	for _, metrics := range request.Metrics {
-		m.metrics[metrics.Name] = brokerMetrics{BrokerMetrics: metrics, measuredAt: now - metrics.Age}
+	for _, stats := range request.Stats {
+		m.stats[stats.Name] = brokerStats{BrokerStats: stats, measuredAt: now - stats.Age}
 	}
 	if len(request.Reports) > 0 || request.Full {
 		m.notifyChanged()
--- a/internal/fleet/manager/manager.go
+++ b/internal/fleet/manager/manager.go
@@ -58,12 +58,12 @@
 	journalFault string        // for people; empty: none
 	failure      error         // the journal cannot be written any more, and the manager has to end
 	changed      chan struct{} // closed, and replaced, when the state has changed
-	metrics      map[string]brokerMetrics
+	stats        map[string]brokerStats
 }
 
-// brokerMetrics are the last metrics of an instance.
-type brokerMetrics struct {
-	api.BrokerMetrics
+// brokerStats are the last statistics of an instance.
+type brokerStats struct {
+	api.BrokerStats
 	measuredAt clock.Micros
 }
 
@@ -83,7 +83,7 @@
 		failed:  make(chan struct{}),
 		journal: j,
 		changed: make(chan struct{}),
-		metrics: map[string]brokerMetrics{},
+		stats:   map[string]brokerStats{},
 	}
 	m.logRecovery(&opened.Report)
 	if m.state, err = replay(opened, options.Limits); err != nil {
--- a/internal/fleet/manager/queries.go
+++ b/internal/fleet/manager/queries.go
@@ -13,7 +13,7 @@
 const (
 	overviewRollouts = 5    // past rollouts in an overview
 	waitRollouts     = 20   // and in the answer to a wait
-	staleMetrics     = 1000 // entries of removed instances that are tolerated
+	staleStats       = 1000 // entries of removed instances that are tolerated
 )
 
 // Overview returns the state of the fleet, with the selected instances.
@@ -37,25 +37,25 @@
 		Agents:       m.state.Agents(),
 		Rollouts:     m.state.Rollouts(overviewRollouts),
 		Nodes:        nodes,
-		Metrics:      m.metricsOf(instances),
+		Stats:        m.statsOf(instances),
 		JournalFault: m.journalFault,
 	}, nil
 }
 
-// metricsOf returns the last metrics of the instances whose broker is known to run. The caller holds mu.
-func (m *Manager) metricsOf(instances []state.InstanceStatus) []api.BrokerMetrics {
-	var list []api.BrokerMetrics
+// statsOf returns the last statistics of the instances whose broker is known to run. The caller holds mu.
+func (m *Manager) statsOf(instances []state.InstanceStatus) []api.BrokerStats {
+	var list []api.BrokerStats
 	for i := range instances {
-		last, ok := m.metrics[instances[i].Name]
+		last, ok := m.stats[instances[i].Name]
 		if !ok || instances[i].Report.Incarnation == "" {
 			continue
 		}
-		current := last.BrokerMetrics
+		current := last.BrokerStats
 		current.Age = m.clock.Now() - last.measuredAt
 		list = append(list, current)
 	}
-	if len(m.metrics) > 2*len(instances)+staleMetrics {
-		clear(m.metrics)
+	if len(m.stats) > 2*len(instances)+staleStats {
+		clear(m.stats)
 	}
 	return list
 }
--- a/internal/fleet/reconcile/event.go
+++ b/internal/fleet/reconcile/event.go
@@ -93,8 +93,8 @@
 		c.recordFailure(now, "control endpoint: "+err.Error())
 		return
 	}
-	if state.Started != c.StartDigest || state.PID != c.Process.PID {
-		c.recordFailure(now, fmt.Sprintf("the control endpoint is that of pid %d started as %q", state.PID, state.Started))
+	if state.StartDigest != c.StartDigest || state.PID != c.Process.PID {
+		c.recordFailure(now, fmt.Sprintf("the control endpoint is that of pid %d started as %q", state.PID, state.StartDigest))
 		return
 	}
 	c.recordSuccess(now)
@@ -103,10 +103,10 @@
 	}
 	c.status = brokerStatus{
 		incarnation:    state.Boot,
-		appliedEdition: state.Applied,
+		appliedEdition: state.AppliedRevision,
 		healthy:        healthy && !state.Draining,
-		listRevision:   state.ListRev,
-		nodeCount:      state.Nodes,
+		listRevision:   state.EndpointListRevision,
+		nodeCount:      state.NodeCount,
 		observedAt:     now,
 	}
 	c.calls.answered = true
@@ -131,16 +131,16 @@
 	c.Pending = nil
 	c.calls.nextProbeAt = 0
 	switch outcome.Code {
-	case control.Taken:
+	case control.CodeApplied:
 		if outcome.Boot == c.status.incarnation {
-			c.status.appliedEdition = outcome.Applied
+			c.status.appliedEdition = outcome.AppliedRevision
 			c.status.observedAt = now
 			c.lastError = ""
 		}
 		return
-	case control.Refused, control.Misnamed:
+	case control.CodeRejected, control.CodeIDConflict:
 		c.rejectedEdition = command.TargetEdition
-	case control.Fenced, control.Draining:
+	case control.CodeFenced, control.CodeDraining:
 		c.calls.nextCommandAt = now + c.jitter(c.config.HealthyProbeInterval)
 	}
 	c.lastError = string(outcome.Code) + ": " + outcome.Reason
--- a/internal/fleet/supervisor/action.go
+++ b/internal/fleet/supervisor/action.go
@@ -172,14 +172,14 @@
 	assignment := &s.state.Instances[instance.Name].Assignment
 	assigned := assignment.Desired
 	change := &control.Change{
-		ID:       command.ID,
-		Token:    s.session.token,
-		Boot:     command.Incarnation,
-		Base:     command.BaseEdition,
-		Revision: command.TargetEdition,
-		Rev:      assignment.Revision,
-		Live:     assigned.Live,
-		Nodes:    s.state.Nodes,
+		ID:            command.ID,
+		FencingToken:  s.session.token,
+		Boot:          command.Incarnation,
+		BaseRevision:  command.BaseEdition,
+		Revision:      command.TargetEdition,
+		FleetRevision: assignment.Revision,
+		Live:          assigned.Live,
+		NodeOverrides: s.state.Nodes,
 	}
 	finished := &commandFinished{instance: instance, generation: instance.generation, commandID: command.ID}
 	s.calls.Go(func() {
--- a/internal/fleet/supervisor/event.go
+++ b/internal/fleet/supervisor/event.go
@@ -100,8 +100,8 @@
 	pending := e.instance.Pending
 	now := s.clock.Now()
 	e.instance.RecordProbe(now, e.state, e.healthy, e.err)
-	if e.err == nil && e.state.Figures != nil {
-		e.instance.unreported = &measurement{metrics: e.state.Figures, inFlight: e.state.Open, measuredAt: now}
+	if e.err == nil && e.state.Stats != nil {
+		e.instance.unreported = &measurement{stats: e.state.Stats, inFlight: e.state.InFlight, measuredAt: now}
 	}
 	e.instance.nextActionAt = 0
 	s.requestReport()
@@ -125,10 +125,10 @@
 	pending := e.instance.Pending
 	e.instance.RecordOutcome(s.clock.Now(), e.commandID, e.outcome, e.err)
 	e.instance.nextActionAt = 0
-	if e.err == nil && e.outcome.Code != control.Taken {
+	if e.err == nil && e.outcome.Code != control.CodeApplied {
 		s.log.Warn("agent: change not applied", "instance", e.instance.Name, "code", e.outcome.Code, "reason", e.outcome.Reason)
 	} else if e.err == nil {
-		s.log.Info("agent: change applied", "instance", e.instance.Name, "edition", e.outcome.Applied, "repeated", e.outcome.Repeated)
+		s.log.Info("agent: change applied", "instance", e.instance.Name, "edition", e.outcome.AppliedRevision, "repeated", e.outcome.Repeated)
 	}
 	s.requestReport()
 	return s.commitCommandEnd(e.instance, pending)
--- a/internal/fleet/supervisor/instance.go
+++ b/internal/fleet/supervisor/instance.go
@@ -18,12 +18,12 @@
 	generation   int          // counts processes: events of earlier ones are ignored
 	callInFlight bool         // to its broker
 	nextActionAt clock.Micros // 0: at once
-	unreported   *measurement // nil: all metrics have been reported
+	unreported   *measurement // nil: all statistics have been reported
 }
 
-// measurement are the metrics of a broker that have not been reported yet.
+// measurement are the statistics of a broker that have not been reported yet.
 type measurement struct {
-	metrics    *control.Figures
+	stats      *control.Stats
 	inFlight   int64 // requests
 	measuredAt clock.Micros
 }
--- a/internal/fleet/supervisor/local.go
+++ b/internal/fleet/supervisor/local.go
@@ -52,8 +52,8 @@
 
 // Start starts a broker with the start settings of an instance. Its live settings come later, by its control endpoint.
 func (b *LocalBrokers) Start(instance *spec.Instance, text, launchID string) (Process, error) {
-	endpoint := &config.Control{Listen: b.controlAddress(instance.Name), Started: instance.Start.Digest()}
-	content, err := agent.ComposeText(inventoryInstance(instance), []byte(text), endpoint)
+	endpoint := &config.Control{Listen: b.controlAddress(instance.Name), StartDigest: instance.Start.Digest()}
+	content, err := agent.Compose(inventoryInstance(instance), []byte(text), endpoint)
 	if err != nil {
 		return nil, err
 	}
@@ -150,7 +150,7 @@
 	if err != nil {
 		return nil, false, err
 	}
-	healthy := (&agent.Exec{}).Ready(ctx, inventoryInstance(instance))
+	healthy := (&agent.ProcessLauncher{}).Ready(ctx, inventoryInstance(instance))
 	return state, healthy, nil
 }
 
--- a/internal/fleet/supervisor/report.go
+++ b/internal/fleet/supervisor/report.go
@@ -21,17 +21,17 @@
 type observation struct {
 	session   session
 	instances map[string]state.Report
-	metrics   []api.BrokerMetrics
+	stats     []api.BrokerStats
 }
 
-// observe returns what the agent can report now. Metrics are given out once.
+// observe returns what the agent can report now. Statistics are given out once.
 func (s *Supervisor) observe() observation {
 	now := s.clock.Now()
 	o := observation{session: s.session, instances: map[string]state.Report{}}
 	for name, instance := range s.instances {
 		o.instances[name] = instance.Report(now)
 		if m := instance.unreported; m != nil {
-			o.metrics = append(o.metrics, api.BrokerMetrics{Name: name, Age: now - m.measuredAt, InFlight: m.inFlight, Metrics: m.metrics})
+			o.stats = append(o.stats, api.BrokerStats{Name: name, Age: now - m.measuredAt, InFlight: m.inFlight, Stats: m.stats})
 			instance.unreported = nil
 		}
 	}
@@ -99,7 +99,7 @@
 		Seq:                r.sequence,
 		AssignmentsVersion: current.session.assignmentsVersion,
 		Full:               r.acknowledged == nil,
-		Metrics:            current.metrics,
+		Stats:              current.stats,
 	}
 	for name, report := range current.instances {
 		if known, ok := r.acknowledged[name]; !ok || known != report {
