--- a/internal/fleet/api/messages.go
+++ b/internal/fleet/api/messages.go
@@ -38,31 +38,31 @@
 type Registration struct {
 	Token   uint64 `json:"token"` // fencing token: a newer agent of the name has a higher one
 	Epoch   string `json:"epoch"` // names the manager's incarnation
-	Fleet   string `json:"fleet"` // names the manager's journal, for good
+	FleetID string `json:"fleet"` // names the manager's journal, for good
 	Edition uint64 `json:"edition"`
 }
 
 // ReportRequest reports what an agent has seen of its instances.
 type ReportRequest struct {
-	Agent              string          `json:"agent"`
-	Token              uint64          `json:"token"`
-	Epoch              string          `json:"epoch"`
-	Seq                uint64          `json:"seq"`
-	AssignmentsVersion uint64          `json:"have"` // of the assignments that the agent follows
-	Full               bool            `json:"full"` // Reports has every instance, and not only those that have changed
-	Reports            []state.Report  `json:"reports"`
-	Metrics            []BrokerMetrics `json:"figures,omitempty"`
+	Agent              string         `json:"agent"`
+	Token              uint64         `json:"token"`
+	Epoch              string         `json:"epoch"`
+	Seq                uint64         `json:"seq"`
+	AssignmentsVersion uint64         `json:"have"` // of the assignments that the agent follows
+	Full               bool           `json:"full"` // Reports has every instance, and not only those that have changed
+	Reports            []state.Report `json:"reports"`
+	Stats              []BrokerStats  `json:"figures,omitempty"`
 }
 
 // ReportResponse answers a ReportRequest.
 type ReportResponse struct{}
 
-// BrokerMetrics are what a broker did lately.
-type BrokerMetrics struct {
+// BrokerStats are what a broker did lately.
+type BrokerStats struct {
 	Name     string         `json:"name"`
 	Age      clock.Micros   `json:"age_us"` // since the broker gave them, as of the sending of the message
 	InFlight int64          `json:"open"`   // requests in flight
-	Metrics  *control.Stats `json:"figures"`
+	Stats    *control.Stats `json:"figures"`
 }
 
 // AssignmentsRequest asks for assignments newer than a version, and waits for some.
@@ -141,7 +141,7 @@
 
 // Overview is the state of the fleet for people.
 type Overview struct {
-	Fleet        string                 `json:"fleet"`
+	FleetID      string                 `json:"fleet"`
 	Revision     uint64                 `json:"rev"`
 	Settled      bool                   `json:"settled"`     // the observed state is the desired one
 	Unavailable  int                    `json:"unavailable"` // of the enabled instances
@@ -151,7 +151,7 @@
 	Agents       []state.AgentStatus    `json:"agents"`
 	Rollouts     []state.RolloutStatus  `json:"rollouts"`
 	Nodes        []spec.NodeOverride    `json:"nodes"`
-	Metrics      []BrokerMetrics        `json:"figures,omitempty"`
+	Stats        []BrokerStats          `json:"figures,omitempty"`
 	JournalFault string                 `json:"journal,omitempty"` // empty: none
 }
 
