--- a/cmd/poppyarch/fleet_test.go
+++ b/cmd/poppyarch/fleet_test.go
@@ -182,7 +182,7 @@
 			}
 			taken := map[string]int{}
 			for _, l := range strings.Split(string(b), "\n") {
-				if _, rest, ok := strings.Cut(l, "control: change taken"); ok {
+				if _, rest, ok := strings.Cut(l, "control: change applied"); ok {
 					_, id, _ := strings.Cut(rest, " id=")
 					id, _, _ = strings.Cut(id, " ")
 					taken[id]++
--- a/internal/broker/config/config.go
+++ b/internal/broker/config/config.go
@@ -193,7 +193,7 @@
 		return nil, err
 	}
 	if c.Control != nil {
-		if _, _, err := control.Network(c.Control.Listen); err != nil {
+		if _, _, err := control.ParseAddress(c.Control.Listen); err != nil {
 			return nil, fmt.Errorf("control.listen: %w", err)
 		}
 	}
--- a/internal/broker/control/ledger.go
+++ b/internal/broker/control/ledger.go
@@ -1,5 +1,3 @@
-// Package control is a broker's control endpoint: it says what a boot holds and takes changes to it. This file
-// decides which; it does no I/O.
 package control
 
 import (
@@ -7,138 +5,117 @@
 	"encoding/hex"
 	"encoding/json"
 	"fmt"
-
-	"poppyarch/internal/fleet/spec"
-)
-
-// Change is what an agent wants a boot to hold, whole and not as a difference.
-type Change struct {
-	ID            string              `json:"id"`       // of the command; asked again with the same id, the same answer comes
-	FencingToken  uint64              `json:"token"`    // of the agent; lower ones than the highest seen are refused
-	Boot          string              `json:"boot"`     // the boot that it is meant for
-	BaseRevision  uint64              `json:"base"`     // the revision that the boot must hold
-	Revision      uint64              `json:"revision"` // and the one it holds then; greater than Base
-	FleetRevision uint64              `json:"rev"`      // the fleet's revision that it is of, for people
-	Live          spec.LiveSettings   `json:"live"`
-	NodeOverrides []spec.NodeOverride `json:"nodes"`
-}
-
-// Code tells what became of a change.
-type Code string
-
-// The codes.
-const (
-	CodeApplied    Code = "taken"
-	CodeFenced     Code = "fenced"   // a newer agent is in charge
-	CodeWrongBoot  Code = "boot"     // it was meant for another boot
-	CodeStaleBase  Code = "base"     // the boot holds another revision than it builds on
-	CodeRejected   Code = "refused"  // it cannot be taken up, for Reason
-	CodeIDConflict Code = "misnamed" // its id belongs to another change
-	CodeDraining   Code = "draining" // the broker is on its way out
 )
 
-// Outcome answers a change.
-type Outcome struct {
-	Code            Code     `json:"code"`
-	Reason          string   `json:"reason,omitempty"`
-	Repeated        bool     `json:"repeated,omitempty"` // it had been decided on before
-	Boot            string   `json:"boot"`
-	AppliedRevision uint64   `json:"applied"` // the revision that the boot holds now
-	Effects         []Effect `json:"did,omitempty"`
-}
-
-// Effect is one thing that a change did.
-type Effect struct {
-	Setting  string `json:"what"`
-	OldValue string `json:"from"`
-	NewValue string `json:"to"`
-}
-
-// Ledger remembers what one boot holds and which commands it has decided on.
+// Ledger decides which changes one boot applies: it knows the revision that the boot holds, the highest fencing token and
+// the outcomes of the latest commands by idempotency key. It does no I/O. It is not safe for concurrent use.
 type Ledger struct {
-	boot    string
-	applied uint64
-	token   uint64
-	most    int // commands remembered
-	seen    map[string]decided
-	order   []string
+	boot        string
+	revision    uint64
+	token       uint64
+	maxCommands int // outcomes remembered
+	outcomes    map[string]recordedOutcome
+	order       []string // keys of outcomes, the oldest first
 }
 
-type decided struct {
-	digest  string
+// recordedOutcome is the outcome of an earlier command, with the digest that tells whether a change under the same
+// idempotency key is the same change.
+type recordedOutcome struct {
+	digest  changeDigest
 	outcome Outcome
 }
 
-// NewLedger begins a boot, which holds revision 0.
-func NewLedger(boot string, most int) *Ledger {
-	return &Ledger{boot: boot, most: most, seen: map[string]decided{}}
+// NewLedger returns the ledger of a boot that holds revision 0. It remembers the outcomes of up to maxCommands commands.
+func NewLedger(boot string, maxCommands int) *Ledger {
+	return &Ledger{
+		boot:        boot,
+		maxCommands: maxCommands,
+		outcomes:    map[string]recordedOutcome{},
+	}
 }
 
-// Boot names the boot.
+// Boot is the identifier of the boot.
 func (l *Ledger) Boot() string { return l.boot }
 
-// Applied is the revision that it holds.
-func (l *Ledger) Applied() uint64 { return l.applied }
+// Applied is the revision that the boot holds.
+func (l *Ledger) Applied() uint64 { return l.revision }
 
-// Token is the highest seen.
+// Token is the highest fencing token seen.
 func (l *Ledger) Token() uint64 { return l.token }
 
-func (l *Ledger) say(code Code, format string, args ...any) *Outcome {
-	return &Outcome{Code: code, Reason: fmt.Sprintf(format, args...), Boot: l.boot, AppliedRevision: l.applied}
-}
-
-// Admit decides on a change. nil says that it is to be carried out and then recorded with Record; else the outcome is
-// final. A change whose id was decided on before gets the outcome of that time: it is never carried out twice.
+// Admit checks a change. It returns nil where the change is to be applied; the caller then reports the result to Record.
+// Otherwise the outcome that it returns is final. A change whose idempotency key is known gets the recorded outcome
+// again and is never applied twice.
 func (l *Ledger) Admit(c *Change) *Outcome {
 	if c.ID == "" {
-		return l.say(CodeRejected, "id: missing")
+		return l.reject(CodeRejected, "id: missing")
 	}
 	if c.FencingToken < l.token {
-		return l.say(CodeFenced, "token %d is older than %d", c.FencingToken, l.token)
+		return l.reject(CodeFenced, "token %d is older than %d", c.FencingToken, l.token)
 	}
 	l.token = c.FencingToken
 	if c.Boot != l.boot {
-		return l.say(CodeWrongBoot, "meant for boot %s, this is %s", c.Boot, l.boot)
+		return l.reject(CodeWrongBoot, "meant for boot %s, this is %s", c.Boot, l.boot)
 	}
-	if d, ok := l.seen[c.ID]; ok {
-		if d.digest != digest(c) {
-			return l.say(CodeIDConflict, "id %s belongs to another change", c.ID)
-		}
-		o := d.outcome
-		o.Repeated, o.AppliedRevision = true, l.applied
-		return &o
+	if earlier, ok := l.outcomes[c.ID]; ok {
+		return l.repeat(c, earlier)
 	}
-	if c.BaseRevision != l.applied {
-		return l.say(CodeStaleBase, "builds on revision %d, this boot holds %d", c.BaseRevision, l.applied)
+	if c.BaseRevision != l.revision {
+		return l.reject(CodeStaleBase, "builds on revision %d, this boot holds %d", c.BaseRevision, l.revision)
 	}
 	if c.Revision <= c.BaseRevision {
-		return l.say(CodeRejected, "revision: %d is not above %d", c.Revision, c.BaseRevision)
+		return l.reject(CodeRejected, "revision: %d is not above %d", c.Revision, c.BaseRevision)
 	}
 	return nil
 }
 
-// Record ends an admitted change: taken with its effects, or refused where err is not nil.
-func (l *Ledger) Record(c *Change, did []Effect, err error) *Outcome {
+// Record stores the result of an admitted change: applied with its effects, or rejected where err is not nil.
+func (l *Ledger) Record(c *Change, effects []Effect, err error) *Outcome {
 	var o *Outcome
 	if err != nil {
-		o = l.say(CodeRejected, "%v", err)
+		o = l.reject(CodeRejected, "%v", err)
 	} else {
-		l.applied = c.Revision
-		o = &Outcome{Code: CodeApplied, Boot: l.boot, AppliedRevision: l.applied, Effects: did}
+		l.revision = c.Revision
+		o = &Outcome{Code: CodeApplied, Boot: l.boot, AppliedRevision: l.revision, Effects: effects}
 	}
-	l.seen[c.ID] = decided{digest(c), *o}
-	if l.order = append(l.order, c.ID); len(l.order) > l.most {
-		delete(l.seen, l.order[0])
+	l.outcomes[c.ID] = recordedOutcome{digest: digestOf(c), outcome: *o}
+	l.order = append(l.order, c.ID)
+	if len(l.order) > l.maxCommands {
+		delete(l.outcomes, l.order[0])
 		l.order = l.order[1:]
 	}
 	return o
 }
 
-// digest tells changes apart; the token may differ, since a newer agent may finish what an older one began.
-func digest(c *Change) string {
-	d := *c
-	d.FencingToken = 0
-	b, _ := json.Marshal(&d) // plain values always marshal
+// repeat answers a change whose idempotency key is known.
+func (l *Ledger) repeat(c *Change, earlier recordedOutcome) *Outcome {
+	if earlier.digest != digestOf(c) {
+		return l.reject(CodeIDConflict, "id %s belongs to another change", c.ID)
+	}
+	o := earlier.outcome
+	o.Repeated = true
+	o.AppliedRevision = l.revision
+	return &o
+}
+
+// reject returns an outcome that leaves the boot as it is.
+func (l *Ledger) reject(code Code, format string, args ...any) *Outcome {
+	return &Outcome{
+		Code:            code,
+		Reason:          fmt.Sprintf(format, args...),
+		Boot:            l.boot,
+		AppliedRevision: l.revision,
+	}
+}
+
+// changeDigest identifies the content of a change.
+type changeDigest string
+
+// digestOf leaves out the fencing token, since a new agent may complete a command that its predecessor began.
+func digestOf(c *Change) changeDigest {
+	withoutToken := *c
+	withoutToken.FencingToken = 0
+	b, _ := json.Marshal(&withoutToken) // plain values always marshal
 	sum := sha256.Sum256(b)
-	return hex.EncodeToString(sum[:])
+	return changeDigest(hex.EncodeToString(sum[:]))
 }
--- /dev/null
+++ b/internal/broker/control/server_test.go
@@ -0,0 +1,125 @@
+package control
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"net/http"
+	"path/filepath"
+	"testing"
+
+	"poppyarch/internal/fleet/spec"
+)
+
+// fakeBroker counts the changes applied.
+type fakeBroker struct{ applied int }
+
+func (f *fakeBroker) Check(v spec.LiveSettings, _ []spec.NodeOverride) error {
+	if v.MaxInFlight < 0 {
+		return errors.New("live.max_open: negative")
+	}
+	return nil
+}
+
+func (f *fakeBroker) Apply(spec.LiveSettings, []spec.NodeOverride) []Effect {
+	f.applied++
+	return []Effect{{Setting: "x", OldValue: "1", NewValue: "2"}}
+}
+
+func (f *fakeBroker) FillState(st *State) { st.NodeCount = 7 }
+
+// serve runs a server of boot b1 on a Unix socket and returns a client; the server has ended without an error when stop
+// returns.
+func serve(t *testing.T, b Broker) (s *Server, c *Client, stop func()) {
+	t.Helper()
+	s = NewServer("n1", "b1", "d1", b, slog.New(slog.DiscardHandler))
+	addr := "unix:" + filepath.Join(t.TempDir(), "c")
+	ln, err := Listen(addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	done := make(chan error, 1)
+	go func() { done <- s.Serve(ctx, ln) }()
+	if c, err = Dial(addr); err != nil {
+		t.Fatal(err)
+	}
+	return s, c, func() {
+		t.Helper()
+		cancel()
+		if err := <-done; err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+func TestRetryAfterLostAnswerGetsRecordedOutcome(t *testing.T) {
+	b := &fakeBroker{}
+	s, c, stop := serve(t, b)
+	lost := false
+	s.SetHook(func(point string) {
+		if point == PointRecorded && !lost {
+			lost = true
+			panic(http.ErrAbortHandler) // the connection breaks instead of an answer
+		}
+	})
+	change := &Change{ID: "c1", FencingToken: 1, Boot: "b1", Revision: 5}
+	if _, err := c.Change(t.Context(), change); err == nil {
+		t.Fatal("an answer though the connection broke")
+	}
+	o, err := c.Change(t.Context(), change)
+	if err != nil || o.Code != CodeApplied || !o.Repeated || o.AppliedRevision != 5 || b.applied != 1 {
+		t.Fatalf("%v %+v, applied %d times", err, o, b.applied)
+	}
+	o, err = c.Change(t.Context(), &Change{ID: "c2", FencingToken: 1, Boot: "b1", BaseRevision: 5, Revision: 6, Live: spec.LiveSettings{MaxInFlight: -1}})
+	if err != nil || o.Code != CodeRejected || o.AppliedRevision != 5 {
+		t.Fatalf("%v %+v", err, o)
+	}
+	s.Drain()
+	o, err = c.Change(t.Context(), &Change{ID: "c3", FencingToken: 1, Boot: "b1", BaseRevision: 5, Revision: 6})
+	if err != nil || o.Code != CodeDraining {
+		t.Fatalf("%v %+v", err, o)
+	}
+	st, err := c.State(t.Context())
+	if err != nil || st.AppliedRevision != 5 || st.NodeCount != 7 || !st.Draining || st.StartDigest != "d1" {
+		t.Fatalf("%v %+v", err, st)
+	}
+	stop()
+}
+
+func TestRecordsWithoutRecorderIsErrNoRecords(t *testing.T) {
+	_, c, stop := serve(t, &fakeBroker{})
+	if _, err := c.Records(t.Context(), 10); !errors.Is(err, ErrNoRecords) {
+		t.Errorf("error %v", err)
+	}
+	stop()
+}
+
+func TestListenOnLiveSocketIsErrSocketInUse(t *testing.T) {
+	addr := "unix:" + filepath.Join(t.TempDir(), "c")
+	ln, err := Listen(addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := Listen(addr); !errors.Is(err, ErrSocketInUse) {
+		t.Errorf("error %v", err)
+	}
+	if err := ln.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
+func TestDialRejectsUnsafeAddresses(t *testing.T) {
+	for addr, reason := range map[string]error{
+		"unix:":        ErrSocketPath,
+		"10.0.0.1:80":  ErrNotLoopback,
+		"x":            ErrAddressForm,
+		"localhost:80": ErrNotLoopback,
+	} {
+		_, err := Dial(addr)
+		var addrErr *AddressError
+		if !errors.As(err, &addrErr) || addrErr.Addr != addr || !errors.Is(err, reason) {
+			t.Errorf("%q: error %v, want %v", addr, err, reason)
+		}
+	}
+}
