--- a/internal/backend/objectstore/client.go
+++ b/internal/backend/objectstore/client.go
@@ -123,7 +123,7 @@
 // head reads status and header, past interim answers.
 func head(conn *pool.Conn, method string, most int64) (*http.Response, error) {
 	conn.SetReadLimit(most)
-	defer conn.SetReadLimit(-1)
+	defer conn.ClearReadLimit()
 	for {
 		resp, err := http.ReadResponse(conn.Reader, &http.Request{Method: method})
 		if err != nil {
--- a/internal/transport/pool/pool_test.go
+++ b/internal/transport/pool/pool_test.go
@@ -1,48 +1,56 @@
 package pool
 
 import (
+	"context"
+	"errors"
+	"io"
 	"net"
 	"testing"
 	"testing/synctest"
 	"time"
 
-	"context"
-
 	"poppyarch/internal/broker/core"
 	"poppyarch/internal/broker/limits"
 	"poppyarch/internal/timing/clock"
 	"poppyarch/internal/transport/socket"
 )
 
-// pipes is a pool whose connections are pipes, in a synctest bubble; it counts dials.
-func pipes(lim *limits.Limits) (*Pool, *int) {
-	p, dials := New(lim, 3, clock.New()), 0
+// newPipePool returns a pool for 3 connections, which are pipes, and the number of dials. It is for a synctest bubble
+// with one goroutine that dials.
+func newPipePool(lim *limits.Limits) (p *Pool, dials *int) {
+	p = New(lim, 3, clock.New())
+	dials = new(int)
 	p.dial = func(context.Context, string, string) (net.Conn, error) {
-		dials++
-		a, _ := net.Pipe()
-		return a, nil
+		*dials++
+		c, _ := net.Pipe()
+		return c, nil
 	}
-	return p, &dials
+	return p, dials
 }
 
 func testLimits() *limits.Limits {
-	return &limits.Limits{ConnectTimeout: 1_000_000, NodeIdleTimeout: 10_000_000, NodeReuseWindow: 5_000_000, MaxIdleConnsPerNode: 2}
+	return &limits.Limits{
+		ConnectTimeout:      1_000_000,
+		NodeIdleTimeout:     10_000_000,
+		NodeReuseWindow:     5_000_000,
+		MaxIdleConnsPerNode: 2,
+	}
 }
 
 func get(t *testing.T, p *Pool, addr string, fresh bool) *Conn {
 	t.Helper()
-	c, err := p.Get(t.Context(), addr, fresh)
+	c, err := p.get(t.Context(), addr, fresh)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-// Work that must not run twice never goes on a connection that may have died unnoticed: one long silent, or one
-// older than an attempt at that node that got no answer. Other work may.
-func TestUnsafeWorkAvoidsStaleConnections(t *testing.T) {
+// Work that is not idempotent gets no connection that may have broken unnoticed: one that was idle for long, or one
+// whose last response is older than an attempt at that node that got none. Other work may get it.
+func TestFreshConnectionIsNotStale(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, dials := pipes(testLimits())
+		p, dials := newPipePool(testLimits())
 		p.Put(get(t, p, "a", true))
 		p.Put(get(t, p, "a", true))
 		if *dials != 1 {
@@ -51,57 +59,57 @@
 		time.Sleep(6 * time.Second)
 		c := get(t, p, "a", true)
 		if *dials != 2 {
-			t.Errorf("%d dials, want 2: silent for 6 s", *dials)
+			t.Errorf("%d dials, want 2: idle for 6 s", *dials)
 		}
 		p.Put(c)
 		p.RecordTimeout("a", p.clock.Now()-1)
 		time.Sleep(time.Millisecond)
 		c = get(t, p, "a", true)
 		if *dials != 2 {
-			t.Errorf("%d dials, want 2: it answered after the silent attempt was sent", *dials)
+			t.Errorf("%d dials, want 2: a response came after the attempt that timed out was sent", *dials)
 		}
 		p.Put(c)
 		p.RecordTimeout("a", p.clock.Now())
 		c = get(t, p, "a", true)
 		if *dials != 3 {
-			t.Errorf("%d dials, want 3: an attempt got no answer since", *dials)
+			t.Errorf("%d dials, want 3: an attempt has timed out since the last response", *dials)
 		}
 		other := get(t, p, "a", false)
 		if *dials != 3 {
-			t.Errorf("%d dials, want 3: what may run twice takes what there is", *dials)
+			t.Errorf("%d dials, want 3: idempotent work reuses any connection", *dials)
 		}
 		time.Sleep(time.Second)
 		p.Put(other)
 		p.Put(c)
 		if get(t, p, "a", true); *dials != 3 {
-			t.Errorf("%d dials, want 3: it answered since", *dials)
+			t.Errorf("%d dials, want 3: a response has come since", *dials)
 		}
 	})
 }
 
-// A connection is not lent again right after its answer: what comes behind that would be taken for the next one.
-func TestConnectionsRestAfterAnAnswer(t *testing.T) {
+// A connection is not reused right after its response: late input would be taken for the next one.
+func TestConnectionIsNotReusedBeforeTheReuseDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lim := testLimits()
 		lim.NodeReuseDelay = 2000
-		p, dials := pipes(lim)
-		first, second := get(t, p, "a", false), get(t, p, "a", false)
+		p, dials := newPipePool(lim)
+		first := get(t, p, "a", false)
+		second := get(t, p, "a", false)
 		p.Put(first)
 		time.Sleep(3 * time.Millisecond)
 		p.Put(second)
 		if get(t, p, "a", false) != first || *dials != 2 {
-			t.Errorf("want the one that has rested; %d dials", *dials)
+			t.Errorf("want the connection whose delay has passed; %d dials", *dials)
 		}
 		if get(t, p, "a", false) == second || *dials != 3 {
-			t.Errorf("%d dials, want 3: the other has not rested", *dials)
+			t.Errorf("%d dials, want 3: the other's delay has not passed", *dials)
 		}
 	})
 }
 
-// Idle connections are dropped well before the node's own limit, and no request crosses that.
-func TestIdleConnectionsAreDropped(t *testing.T) {
+func TestExpiredConnectionIsClosedAndNotReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, dials := pipes(testLimits())
+		p, dials := newPipePool(testLimits())
 		p.Put(get(t, p, "a", false))
 		time.Sleep(11 * time.Second)
 		c := get(t, p, "a", false)
@@ -119,10 +127,10 @@
 	})
 }
 
-// The budget of descriptors holds: at its end an idle connection to another node makes room, else there is none.
-func TestBudget(t *testing.T) {
+// At the limit an idle connection to another node is closed for a new one; without one there is none.
+func TestConnectionLimitClosesIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, _ := pipes(testLimits())
+		p, _ := newPipePool(testLimits())
 		p.Put(get(t, p, "a", false))
 		get(t, p, "b", false)
 		get(t, p, "b", false)
@@ -130,21 +138,22 @@
 		if p.open != 3 || len(p.idle["a"]) != 0 {
 			t.Errorf("%d open, %d idle", p.open, len(p.idle["a"]))
 		}
-		if _, err := p.Get(t.Context(), "b", false); err != ErrExhausted {
+		if _, err := p.get(t.Context(), "b", false); !errors.Is(err, ErrExhausted) {
 			t.Errorf("got %v", err)
 		}
 	})
 }
 
-// A connection that the peer has closed, or on which it sent what nobody asked for, is not lent.
-func TestDeadConnectionsAreNotLent(t *testing.T) {
+// A connection that the node has closed, or on which it has sent unrequested input, is not reused.
+func TestBrokenConnectionIsNotReused(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
 	peers := make(chan net.Conn, 3)
+	accepting := make(chan struct{})
 	go func() {
+		defer close(accepting)
 		for {
 			c, err := ln.Accept()
 			if err != nil {
@@ -153,22 +162,39 @@
 			peers <- c
 		}
 	}()
+	t.Cleanup(func() {
+		_ = ln.Close() // the test is over
+		<-accepting
+	})
 	lim := testLimits()
-	lim.NodeIdleTimeout, lim.NodeReuseWindow, lim.ConnectTimeout = 1e12, 1e12, 30_000_000
+	lim.NodeIdleTimeout = 1e12
+	lim.NodeReuseWindow = 1e12
+	lim.ConnectTimeout = 30_000_000
 	p := New(lim, 3, clock.New())
-	for _, spoil := range []func(net.Conn){func(c net.Conn) { c.Close() }, func(c net.Conn) { c.Write([]byte("x")) }} {
+	for _, x := range []struct {
+		name      string
+		breakConn func(net.Conn) error
+	}{
+		{"closed", net.Conn.Close},
+		{"unrequested input", func(c net.Conn) error {
+			_, err := io.WriteString(c, "x")
+			return err
+		}},
+	} {
 		c := get(t, p, ln.Addr().String(), false)
 		p.Put(c)
 		peer := <-peers
 		if socket.Peek(c.Conn) != socket.Empty {
-			t.Fatal("a sound connection counts as dead")
+			t.Fatalf("%s: an idle connection has input", x.name)
+		}
+		if err := x.breakConn(peer); err != nil {
+			t.Fatal(err)
 		}
-		spoil(peer)
-		for socket.Peek(c.Conn) == socket.Empty { // the news takes its time
+		for socket.Peek(c.Conn) == socket.Empty { // until it has arrived
 			time.Sleep(time.Millisecond)
 		}
 		if again := get(t, p, ln.Addr().String(), false); again == c {
-			t.Error("a dead connection was lent")
+			t.Errorf("%s: the connection was reused", x.name)
 		} else {
 			p.Discard(again)
 		}
@@ -176,42 +202,42 @@
 	}
 }
 
-// Where every descriptor is in use, an attempt waits for one as long as a connection may take to come up, and is then
-// told that nothing was sent. It used to be told so at once.
-func TestAttemptWaitsForADescriptor(t *testing.T) {
+// If all connections are in use, an attempt waits for one as long as a connection may take to be established. Then it
+// ends without having been sent.
+func TestAttemptWaitsForAConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, _ := pipes(testLimits())
-		p.dial = func(context.Context, string, string) (net.Conn, error) { // by several at once, so nothing is counted
-			a, _ := net.Pipe()
-			return a, nil
+		p, _ := newPipePool(testLimits())
+		p.dial = func(context.Context, string, string) (net.Conn, error) { // by several goroutines, so it counts nothing
+			c, _ := net.Pipe()
+			return c, nil
 		}
-		lend := func() (*Conn, core.Outcome) {
+		acquire := func() (*Conn, core.Outcome) {
 			return p.Acquire(t.Context(), "b", false, p.clock.Now()+9_000_000, func() bool { return true })
 		}
-		var held []*Conn
+		var inUse []*Conn
 		for _, addr := range []string{"a", "b", "c"} {
-			held = append(held, get(t, p, addr, false))
+			inUse = append(inUse, get(t, p, addr, false))
 		}
-		got := make(chan core.Outcome, 9)
+		outcomes := make(chan core.Outcome, 9)
 		for range 2 {
 			go func() {
-				_, out := lend()
-				got <- out
+				_, outcome := acquire()
+				outcomes <- outcome
 			}()
 		}
 		time.Sleep(300 * time.Millisecond)
-		if len(got) > 0 {
+		if len(outcomes) > 0 {
 			t.Fatal("did not wait")
 		}
-		p.Put(held[0]) // idle: its place goes to one that waits
-		p.Discard(held[1])
+		p.Put(inUse[0]) // idle: it is closed for one that waits
+		p.Discard(inUse[1])
 		synctest.Wait()
-		if len(got) != 2 || <-got != core.Served || <-got != core.Served {
-			t.Fatal("two places came free, and not both were taken")
+		if len(outcomes) != 2 || <-outcomes != core.Served || <-outcomes != core.Served {
+			t.Fatal("two connections were freed, and not both were acquired")
 		}
 		began := time.Now()
-		if _, out := lend(); out != core.NotAttempted || time.Since(began) != time.Second {
-			t.Errorf("outcome %d after %v with none free, want not sent after 1 s", out, time.Since(began))
+		if _, outcome := acquire(); outcome != core.NotAttempted || time.Since(began) != time.Second {
+			t.Errorf("outcome %d after %v with none free, want not attempted after 1 s", outcome, time.Since(began))
 		}
 	})
 }
--- a/internal/transport/socket/socket.go
+++ b/internal/transport/socket/socket.go
@@ -1,4 +1,4 @@
-// Package socket looks at connections without taking anything from them.
+// Package socket inspects connections without reading from them.
 package socket
 
 import (
@@ -14,24 +14,22 @@
 
 // The states.
 const (
-	Empty    State = iota // nothing has come
-	Readable              // bytes are there to be read
-	Closed                // the peer has closed, or the connection is broken
+	Empty    State = iota // nothing to read
+	Readable              // bytes to read
+	Closed                // nothing to read, and the peer has closed the connection or it is broken
 )
 
-// Peek tells, without waiting or taking anything, what there is to read. A connection that has no descriptor of its own
-// counts as quiet.
+// Peek returns the state without blocking. A connection without a descriptor of its own counts as Empty.
 func Peek(c net.Conn) State {
-	sc, ok := c.(syscall.Conn)
-	if !ok {
+	raw, err := rawConn(c)
+	if errors.Is(err, errNoDescriptor) {
 		return Empty
 	}
-	raw, err := sc.SyscallConn()
 	if err != nil {
 		return Closed
 	}
 	state := Closed
-	// Control and not Read: the latter fails at once where the read deadline has passed.
+	// Control and not Read, which fails at once if the read deadline has passed.
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -48,8 +46,7 @@
 	return state
 }
 
-// The states of RFC 9293 that the system counts by, as far as a connection that was accepted can be in them while its peer
-// has neither closed nor reset it.
+// The TCP states, as Linux numbers them, of an accepted connection whose peer has neither closed nor reset it.
 const (
 	tcpEstablished = 1
 	tcpSynReceived = 3
@@ -57,50 +54,61 @@
 	tcpFinWait2    = 5
 )
 
-// PeerClosed reports whether the peer has closed its side of a connection or reset it. It sees this also where bytes that came
-// before are still to be read, which hide the end from Peek.
+// PeerClosed reports whether the peer has closed or reset a connection, or this side has closed it. Unlike Peek it
+// detects that also while earlier bytes are unread. It is false for a connection without a descriptor of its own.
 func PeerClosed(c net.Conn) bool {
-	sc, ok := c.(syscall.Conn)
-	if !ok {
-		return false
-	}
-	raw, err := sc.SyscallConn()
+	raw, err := rawConn(c)
 	if err != nil {
-		return true
+		return !errors.Is(err, errNoDescriptor)
 	}
-	state, known := uint8(0), false
+	var info *unix.TCPInfo
+	var infoErr error
 	err = raw.Control(func(fd uintptr) {
-		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
-		if err == nil {
-			state, known = info.State, info.State != 0 // no state has that number
-		}
+		info, infoErr = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 	})
-	switch {
-	case err != nil:
+	if err != nil {
 		return true // closed on this side
-	case !known:
+	}
+	if infoErr != nil || info.State == 0 { // no state has that number
 		return Peek(c) == Closed
 	}
-	switch state {
+	switch info.State {
 	case tcpEstablished, tcpSynReceived, tcpFinWait1, tcpFinWait2:
 		return false
 	}
 	return true
 }
 
-// UnsentBytes is how many bytes were written to a connection that its peer's system has not yet got; ok is false where that is
-// not known.
+// UnsentBytes is how many bytes were written to a connection that the peer's system has not acknowledged; ok is false if
+// that is not known.
 func UnsentBytes(c net.Conn) (n int, ok bool) {
-	sc, isRaw := c.(syscall.Conn)
-	if !isRaw {
-		return 0, false
-	}
-	raw, err := sc.SyscallConn()
+	raw, err := rawConn(c)
 	if err != nil {
 		return 0, false
 	}
-	if raw.Control(func(fd uintptr) { n, err = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) }) != nil || err != nil {
+	var ioctlErr error
+	err = raw.Control(func(fd uintptr) {
+		n, ioctlErr = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ)
+	})
+	if err != nil || ioctlErr != nil {
 		return 0, false
 	}
 	return n, true
 }
+
+// IsTimeout reports whether a network operation failed because its deadline has passed.
+func IsTimeout(err error) bool {
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
+}
+
+// errNoDescriptor reports a connection without a descriptor of its own, such as a pipe.
+var errNoDescriptor = errors.New("socket: connection has no descriptor")
+
+func rawConn(c net.Conn) (syscall.RawConn, error) {
+	sc, ok := c.(syscall.Conn)
+	if !ok {
+		return nil, errNoDescriptor
+	}
+	return sc.SyscallConn()
+}
