--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -48,7 +48,7 @@
 		b.Run(fmt.Sprint("nodes=", nodes), func(b *testing.B) {
 			r := benchRig(b, nodes)
 			for b.Loop() {
-				r.after(period)
+				r.after(compensationPeriod)
 			}
 		})
 	}
--- a/policy/many_test.go
+++ b/policy/many_test.go
@@ -74,9 +74,9 @@
 			next += gap
 			*id++
 			ev := r.arrive(*id, 0, 0, fmt.Sprint("v", *id%2), fmt.Sprint(*id), 2)
-			ev.Arrival.Shard = int(*id*7) % len(r.s.list)
-			r.s.volume(&decision.Arrival{Volume: "v1"}).credit = -1e9
-			r.s.volume(&decision.Arrival{Volume: "v0"}).credit = 8
+			ev.Arrival.Shard = int(*id*7) % len(r.s.nodes.list)
+			r.s.volumeOf(&decision.Arrival{Volume: "v1"}).reserveCredit = -1e9
+			r.s.volumeOf(&decision.Arrival{Volume: "v0"}).reserveCredit = 8
 			evs = append(evs, ev)
 			all[*id%2]++
 		}
@@ -120,7 +120,7 @@
 	thin(r, &id, 6, 5*time.Second, 100*ms)
 	thin(r, &id, 6, 15*time.Second, 3*time.Second) // all time out
 	paused := 0
-	for _, n := range r.s.list {
+	for _, n := range r.s.nodes.list {
 		if n.depth < 1 {
 			paused++
 		}
@@ -137,11 +137,11 @@
 // A node that takes work and answers none stays spared while the others are well, as long as such nodes do not come back.
 func TestSilentNodeStaysSpared(t *testing.T) {
 	r := newRig(t, testConfig(), fleetOf(2)...)
-	n := r.s.nodes["n0"]
-	r.s.all, r.s.trust = history{lat: 0.1, depth: 1}, 0.1
-	n.suspect, n.lat, n.depth = true, 1.5, 0.05
+	n := r.s.nodes.byName["n0"]
+	r.s.fleet.estimate, r.s.fleet.trialSuccess = estimate{latency: 0.1, depth: 1}, 0.1
+	n.health.suspect, n.latency, n.depth = true, 1.5, 0.05
 	for range 50 {
-		r.after(period)
+		r.after(compensationPeriod)
 	}
 	if n.depth > 0.2 {
 		t.Errorf("D of a silent node is %v after 5 s", n.depth)
@@ -160,7 +160,7 @@
 		r.step(ev)
 		r.after(100*ms, answered(i, "n0", decision.Served))
 	}
-	if aim := r.s.nodes["n0"].aim; aim > 2 {
+	if aim := r.s.nodes.byName["n0"].objective; aim > 2 {
 		t.Errorf("a node that serves aims of 1 s and 4 s is held to %.1f s", aim)
 	}
 }
@@ -168,22 +168,22 @@
 // Nodes that left long ago are dropped from what a new object may choose from, and one that comes back may be chosen.
 func TestNodesThatLeftAreNotPicked(t *testing.T) {
 	r := newRig(t, testConfig(), fleetOf(8)...)
-	r.after(period, decision.Event{Kind: decision.EndpointsReplaced, Endpoints: fleetOf(3)})
+	r.after(compensationPeriod, decision.Event{Kind: decision.EndpointsReplaced, Endpoints: fleetOf(3)})
 	for range 4 {
 		r.after(40 * time.Second) // past what a node that left is kept for
 	}
-	if n := len(r.s.list); n != 3 {
+	if n := len(r.s.nodes.list); n != 3 {
 		t.Fatalf("%d nodes are kept", n)
 	}
 	seen := map[string]bool{}
 	for round := range 2 {
 		for range 60 {
-			seen[r.s.pick(&request{class: &r.s.cfg.Classes[0], a: decision.Arrival{Shard: -1, Units: 1}}).Node] = true
+			seen[r.s.pickNode(&request{class: &r.s.cfg.Classes[0], arrival: decision.Arrival{Shard: -1, Units: 1}}).Node] = true
 		}
-		if want := 3 + round; len(seen) != want || r.s.pick(&request{class: &r.s.cfg.Classes[0], a: decision.Arrival{Shard: 7, Units: 1}}) == nil != (round == 0) {
+		if want := 3 + round; len(seen) != want || r.s.pickNode(&request{class: &r.s.cfg.Classes[0], arrival: decision.Arrival{Shard: 7, Units: 1}}) == nil != (round == 0) {
 			t.Fatalf("round %d: new objects go to %v", round, seen)
 		}
-		r.after(period, decision.Event{Kind: decision.EndpointsChanged, Endpoints: []decision.Endpoint{{Node: "n7", Shard: 7}}})
+		r.after(compensationPeriod, decision.Event{Kind: decision.EndpointsChanged, Endpoints: []decision.Endpoint{{Node: "n7", Shard: 7}}})
 	}
 }
 
@@ -193,9 +193,9 @@
 	cfg := testConfig()
 	cfg.QuotaPriorityWeight = 0.3
 	r := newRig(t, cfg, fleetOf(1)...)
-	n := r.s.nodes["n0"]
+	n := r.s.nodes.byName["n0"]
 	at := func(id uint64, units float64, plan int, stay float64) decision.Event {
-		n.mean, n.depth, n.queued, r.s.all.depth = stay, 4, 0, 1
+		n.meanSizeLatency, n.depth, n.queuedUnits, r.s.fleet.depth = stay, 4, 0, 1
 		ev := r.arrive(id, 0, plan, fmt.Sprint("v", plan), "", units)
 		ev.Arrival.Shard = 0
 		return ev
@@ -220,9 +220,9 @@
 	} {
 		r.s.cfg.Plans[2].RateLimit, r.s.cfg.Plans[2].ReservedRate = 0, 0
 		ev := at(uint64(id+1), x.units, x.plan, x.stay)
-		v := r.s.volume(&ev.Arrival)
-		if v.credit = 100; x.plan > 0 {
-			v.credit = -1e9
+		v := r.s.volumeOf(&ev.Arrival)
+		if v.reserveCredit = 100; x.plan > 0 {
+			v.reserveCredit = -1e9
 		}
 		acts := r.step(ev)
 		if got := len(of(acts, decision.Forward)) == 1; got != x.sent {
@@ -238,8 +238,8 @@
 
 // pass lets time go by as it does for a host that does not stand still.
 func (r *rig) pass(d time.Duration) {
-	for ; d > period; d -= period {
-		r.after(period)
+	for ; d > compensationPeriod; d -= compensationPeriod {
+		r.after(compensationPeriod)
 	}
 	r.after(d)
 }
@@ -249,12 +249,12 @@
 func TestMeanStayIsOfAMeanRequest(t *testing.T) {
 	for _, units := range []float64{1, 2, 8} {
 		r := newRig(t, testConfig(), fleetOf(1)...)
-		n := r.s.nodes["n0"]
+		n := r.s.nodes.byName["n0"]
 		try := func(id uint64, took time.Duration, out decision.Outcome) bool {
-			n.depth, r.s.all.depth = 1, 1
+			n.depth, r.s.fleet.depth = 1, 1
 			ev := r.arrive(id, 0, 0, "v", fmt.Sprint(id), units)
 			ev.Arrival.Shard = 0
-			r.s.volume(&ev.Arrival).credit = 100
+			r.s.volumeOf(&ev.Arrival).reserveCredit = 100
 			if len(of(r.step(ev), decision.Forward)) == 0 {
 				return false
 			}
@@ -268,15 +268,15 @@
 				t.Fatalf("%v units: nothing goes to a quick node", units)
 			}
 		}
-		if n.mean < 0.095 || n.mean > 0.105 {
-			t.Errorf("%v units, 50 ms each: a mean request is taken to need %.3f s", units, n.mean)
+		if n.meanSizeLatency < 0.095 || n.meanSizeLatency > 0.105 {
+			t.Errorf("%v units, 50 ms each: a mean request is taken to need %.3f s", units, n.meanSizeLatency)
 		}
 		sent := 0
 		for range 200 {
 			if id++; try(id, time.Second, decision.TimedOut) {
 				sent++
 			}
-			n.suspect = false
+			n.health.suspect = false
 			r.pass(5 * time.Second) // its client comes no more, and pauses are over
 		}
 		if sent < 190 {
@@ -289,18 +289,18 @@
 // none of it comes back to teach otherwise, nothing but small ones would ever go there again.
 func TestSmallTimeOutsTellNothingOfWork(t *testing.T) {
 	r := newRig(t, testConfig(), fleetOf(1)...)
-	n := r.s.nodes["n0"]
+	n := r.s.nodes.byName["n0"]
 	for id := uint64(1); id <= 60; id++ {
 		units := 1.0
 		if id == 60 {
 			units = 2
 		}
-		n.depth, n.suspect, r.s.all.depth = 1, false, 1
+		n.depth, n.health.suspect, r.s.fleet.depth = 1, false, 1
 		ev := r.arrive(id, 0, 0, "v", fmt.Sprint(id), units)
 		ev.Arrival.Shard = 0
-		r.s.volume(&ev.Arrival).credit = 100
+		r.s.volumeOf(&ev.Arrival).reserveCredit = 100
 		if len(of(r.step(ev), decision.Forward)) == 0 {
-			t.Fatalf("request %d of %v units is refused; a mean one is taken to need %.2f s", id, units, n.mean)
+			t.Fatalf("request %d of %v units is refused; a mean one is taken to need %.2f s", id, units, n.meanSizeLatency)
 		}
 		r.pass(time.Second)
 		r.step(answered(id, "n0", decision.TimedOut))
@@ -319,8 +319,8 @@
 	r.step(decision.Event{Kind: decision.ResponseStarted, ID: 1})
 	r.pass(3 * time.Second)
 	r.step(answered(1, "n0", decision.Served))
-	if n := r.s.nodes["n0"]; n.depth < firstDepth || n.lat > 0.1 {
-		t.Errorf("depth %v, latency %v s", n.depth, n.lat)
+	if n := r.s.nodes.byName["n0"]; n.depth < initialDepth || n.latency > 0.1 {
+		t.Errorf("depth %v, latency %v s", n.depth, n.latency)
 	}
 	if requests := r.s.OpenRequests(); requests > 0 {
 		t.Errorf("%d requests are left, or attempts of them", requests)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -92,14 +92,14 @@
 
 func TestTagsOfTwoVolumesOfUnlikeWeight(t *testing.T) {
 	r := newRig(t, testConfig())
-	n := r.s.nodes["a"]
+	n := r.s.nodes.byName["a"]
 	n.depth = 1
 	// x has weight 1, y weight 3. Each asks three times for 3 units: x starts 0 3 6, y starts 0 1 2.
 	acts := r.step(r.arrive(1, 0, 0, "x", "", 3), r.arrive(2, 0, 0, "x", "", 3), r.arrive(3, 0, 0, "x", "", 3),
 		r.arrive(4, 0, 1, "y", "", 3), r.arrive(5, 0, 1, "y", "", 3), r.arrive(6, 0, 1, "y", "", 3))
 	for id, tags := range map[uint64][2]float64{1: {0, 3}, 2: {3, 6}, 3: {6, 9}, 4: {0, 1}, 5: {1, 2}, 6: {2, 3}} {
-		if q := r.s.reqs[id]; q.start != tags[0] || q.finish != tags[1] {
-			t.Errorf("request %d has tags %v %v, want %v", id, q.start, q.finish, tags)
+		if q := r.s.requests.open[id]; q.startTag != tags[0] || q.finishTag != tags[1] {
+			t.Errorf("request %d has tags %v %v, want %v", id, q.startTag, q.finishTag, tags)
 		}
 	}
 	order := of(acts, decision.Forward)
@@ -112,66 +112,66 @@
 
 func TestVirtualTimeBusyAndIdle(t *testing.T) {
 	r := newRig(t, testConfig())
-	n := r.s.nodes["a"]
+	n := r.s.nodes.byName["a"]
 	n.depth = 1
 	r.step(r.arrive(1, 0, 0, "x", "", 4)) // tags 0 and 4
-	if n.virtual() != 0 {
-		t.Fatalf("busy: virtual time %v, want the highest start tag 0", n.virtual())
+	if n.virtualTime() != 0 {
+		t.Fatalf("busy: virtual time %v, want the highest start tag 0", n.virtualTime())
 	}
 	r.after(5*ms, answered(1, "a", decision.Served))
-	if n.virtual() != 4 {
-		t.Fatalf("idle: virtual time %v, want the highest finish tag 4", n.virtual())
+	if n.virtualTime() != 4 {
+		t.Fatalf("idle: virtual time %v, want the highest finish tag 4", n.virtualTime())
 	}
 	r.step(r.arrive(2, 0, 1, "y", "", 3))
-	if q := r.s.reqs[2]; q.start != 4 || q.finish != 5 {
-		t.Fatalf("after idling: tags %v %v, want 4 and 5", q.start, q.finish)
+	if q := r.s.requests.open[2]; q.startTag != 4 || q.finishTag != 5 {
+		t.Fatalf("after idling: tags %v %v, want 4 and 5", q.startTag, q.finishTag)
 	}
 }
 
 func TestCompensationIsSetKeptAndLeftAtZero(t *testing.T) {
 	r := newRig(t, testConfig())
-	n := r.s.nodes["a"]
+	n := r.s.nodes.byName["a"]
 	n.depth = 1
 	r.step(r.arrive(1, 0, 0, "x", "", 1), r.arrive(2, 0, 0, "x", "", 1), r.arrive(3, 0, 1, "y", "", 1),
 		r.arrive(4, 0, 1, "y", "", 1))
-	x, y := n.byVol[r.s.vols["x"]], n.byVol[r.s.vols["y"]]
-	x.served, y.served = 3, 33 // over weight 3 and 11: gap 8, above epsUnits x 2 units
+	x, y := n.flowOf[r.s.volumes["x"]], n.flowOf[r.s.volumes["y"]]
+	x.servedUnits, y.servedUnits = 3, 33 // over weight 3 and 11: gap 8, above epsUnits x 2 units
 	r.s.endPeriod()
-	if x.comp != 0 || y.comp != 24 {
-		t.Fatalf("set: compensation %v and %v, want 0 and 8 x weight 3", x.comp, y.comp)
+	if x.compensation != 0 || y.compensation != 24 {
+		t.Fatalf("set: compensation %v and %v, want 0 and 8 x weight 3", x.compensation, y.compensation)
 	}
-	x.served, y.served = 1, 3
+	x.servedUnits, y.servedUnits = 1, 3
 	r.s.endPeriod()
-	if x.comp != 0 || y.comp != 24 {
-		t.Fatalf("below the permitted gap: %v and %v, want zero left and 24 kept", x.comp, y.comp)
+	if x.compensation != 0 || y.compensation != 24 {
+		t.Fatalf("below the permitted gap: %v and %v, want zero left and 24 kept", x.compensation, y.compensation)
 	}
 	y.queue = nil
 	r.s.endPeriod()
-	if y.comp != 0 {
-		t.Fatalf("nobody waits: compensation %v, want 0", y.comp)
+	if y.compensation != 0 {
+		t.Fatalf("nobody waits: compensation %v, want 0", y.compensation)
 	}
 }
 
 // After a surge its volume is not pushed back for longer than one period past its last waiting request.
 func TestCompensationEndsWithItsQueue(t *testing.T) {
 	r := newRig(t, testConfig())
-	n := r.s.nodes["a"]
+	n := r.s.nodes.byName["a"]
 	n.depth = 1
 	r.step(r.arrive(1, 0, 0, "x", "", 1), r.arrive(2, 0, 0, "x", "", 1), r.arrive(3, 0, 1, "y", "", 1))
-	n.byVol[r.s.vols["x"]].comp = 500
+	n.flowOf[r.s.volumes["x"]].compensation = 500
 	r.after(5*ms, answered(1, "a", decision.Served))
 	r.after(5*ms, answered(3, "a", decision.Served)) // now 2 goes, and nothing of x waits
-	r.after(period)
+	r.after(compensationPeriod)
 	want(t, "x is served last though pushed back", of(r.after(5*ms, answered(2, "a", decision.Served),
 		r.arrive(4, 0, 0, "x", "", 1)), decision.Forward), 4)
-	if f := n.byVol[r.s.vols["x"]]; f.comp != 0 {
-		t.Fatalf("compensation %v a period after the queue ran empty", f.comp)
+	if f := n.flowOf[r.s.volumes["x"]]; f.compensation != 0 {
+		t.Fatalf("compensation %v a period after the queue ran empty", f.compensation)
 	}
 }
 
 func TestOutcomeAndDrainInOneBatchCountBeforeAnySend(t *testing.T) {
 	r := newRig(t, testConfig())
-	r.s.nodes["a"].depth = 1
+	r.s.nodes.byName["a"].depth = 1
 	r.step(r.arrive(1, 0, 0, "x", "", 1), r.arrive(2, 0, 0, "x", "", 1))
 	acts := r.after(5*ms, answered(1, "a", decision.Served),
 		decision.Event{Kind: decision.EndpointsChanged, Endpoints: []decision.Endpoint{{Node: "a", State: decision.Draining}}})
@@ -192,7 +192,7 @@
 
 func TestOrderWaitsForOutcomeAndQuietTime(t *testing.T) {
 	r := newRig(t, testConfig())
-	r.s.nodes["a"].depth = 8
+	r.s.nodes.byName["a"].depth = 8
 	acts := r.step(r.arrive(1, 2, 0, "x", "k", 1), r.arrive(2, 2, 0, "x", "k", 1), r.arrive(3, 0, 0, "x", "", 1))
 	want(t, "only the key's first and the one behind", of(acts, decision.Forward), 1, 3)
 	want(t, "the client left, the attempt is unknown", of(r.after(20*ms, decision.Event{Kind: decision.ClientDisconnected, ID: 1}), decision.Forward))
@@ -220,7 +220,7 @@
 
 func TestLimitStoreFillsFromBirthNotFromFirstSight(t *testing.T) {
 	r := newRig(t, testConfig())
-	n := r.s.nodes["a"]
+	n := r.s.nodes.byName["a"]
 	n.depth = 16
 	r.now += 2 * time.Second // 20 units, and the slack of 4
 	sent := 0
@@ -262,11 +262,11 @@
 
 func TestRequestsHeldByALimitAreNoBacklog(t *testing.T) {
 	r := newRig(t, testConfig())
-	n := r.s.nodes["a"]
-	n.lat, n.depth = 0.3, 1
+	n := r.s.nodes.byName["a"]
+	n.latency, n.depth = 0.3, 1
 	r.step(r.arrive(8, 0, 2, "v", "", 4)) // spends what the limit holds at birth
 	r.step(answered(8, "a", decision.Served), r.arrive(1, 0, 2, "v", "", 4), r.arrive(2, 0, 2, "v", "", 3))
-	n.lat, n.depth = 0.3, 1
+	n.latency, n.depth = 0.3, 1
 	acts := r.step(r.arrive(3, 0, 0, "x", "", 4))
 	want(t, "refused", of(acts, decision.Shed))
 	want(t, "sent past the limited volume", of(acts, decision.Forward), 3)
@@ -275,7 +275,7 @@
 // An attempt is out until its answer would be late and is not sent again then: a node's queue stays short.
 func TestAttemptIsOutUntilItsAimOnly(t *testing.T) {
 	r := newRig(t, testConfig())
-	n := r.s.nodes["a"]
+	n := r.s.nodes.byName["a"]
 	acts := r.step(r.arrive(1, 0, 0, "x", "", 1))
 	if len(acts) == 0 || acts[0].Kind != decision.Forward || acts[0].After != time.Second {
 		t.Fatalf("got %+v, want a send for the 1 s of the aim", acts)
@@ -286,11 +286,11 @@
 	acts = r.after(100*ms, decision.Event{Kind: decision.AttemptEnded, ID: 1, Node: "a", Outcome: decision.TimedOut})
 	want(t, "refused after its time-out", of(acts, decision.Shed), 1)
 	want(t, "sent again", of(acts, decision.Forward))
-	if !n.suspect || n.lat < 1 {
-		t.Fatalf("suspect %v, latency %v after a time-out of 1 s", n.suspect, n.lat)
+	if !n.health.suspect || n.latency < 1 {
+		t.Fatalf("suspect %v, latency %v after a time-out of 1 s", n.health.suspect, n.latency)
 	}
 	r.step(r.arrive(2, 0, 0, "x", "", 1))
-	if r.after(ms, answered(2, "a", decision.Served)); n.suspect {
+	if r.after(ms, answered(2, "a", decision.Served)); n.health.suspect {
 		t.Fatal("still suspect after an answer")
 	}
 }
@@ -304,15 +304,15 @@
 		counts  bool
 	}{{50 * ms, decision.Served, false}, {400 * ms, decision.Served, true}, {time.Second, decision.TimedOut, true}} {
 		r := newRig(t, testConfig())
-		n := r.s.nodes["a"]
-		n.lat, n.depth = 0.05, 3
+		n := r.s.nodes.byName["a"]
+		n.latency, n.depth = 0.05, 3
 		r.step(r.arrive(1, 0, 0, "x", "", 1))
 		for range 10 {
 			r.after(100 * ms)
 		}
 		r.step(decision.Event{Kind: decision.AttemptEnded, ID: 1, Node: "a", Outcome: decision.TimedOut})
-		if !n.suspect || n.depth != 3 || n.lat != 0.05 {
-			t.Fatalf("suspect %v, depth %v, latency %v right after the time-out", n.suspect, n.depth, n.lat)
+		if !n.health.suspect || n.depth != 3 || n.latency != 0.05 {
+			t.Fatalf("suspect %v, depth %v, latency %v right after the time-out", n.health.suspect, n.depth, n.latency)
 		}
 		acts := r.step(r.arrive(2, 0, 0, "x", "", 1), r.arrive(3, 0, 0, "x", "", 1))
 		want(t, "sent before the next answer", of(acts, decision.Forward), 2)
@@ -320,8 +320,8 @@
 			r.after(50 * ms)
 		}
 		r.step(decision.Event{Kind: decision.AttemptEnded, ID: 2, Node: "a", Outcome: x.outcome, Final: x.outcome == decision.Served})
-		if counts := n.depth < 2; counts != x.counts || (n.lat > 0.1) != x.counts {
-			t.Errorf("next answer %d after %v: depth %v, latency %v", x.outcome, x.stay, n.depth, n.lat)
+		if counts := n.depth < 2; counts != x.counts || (n.latency > 0.1) != x.counts {
+			t.Errorf("next answer %d after %v: depth %v, latency %v", x.outcome, x.stay, n.depth, n.latency)
 		}
 	}
 }
@@ -329,16 +329,16 @@
 // With one host in many, D under 1 is a pause between sends; what is inside a reserve does not wait for it.
 func TestDepthUnderOneIsAPause(t *testing.T) {
 	r := newRig(t, testConfig())
-	n := r.s.nodes["a"]
-	n.lat, n.depth, n.sentAt = 0.4, 0.5, r.now
+	n := r.s.nodes.byName["a"]
+	n.latency, n.depth, n.lastSendAt = 0.4, 0.5, r.now
 	r.s.cfg.Plans[0].ReservedRate = 0
-	r.s.volume(&decision.Arrival{Volume: "x", Brokers: 1}).credit = 0
+	r.s.volumeOf(&decision.Arrival{Volume: "x", Brokers: 1}).reserveCredit = 0
 	want(t, "sent in the pause", of(r.step(r.arrive(1, 0, 0, "x", "", 1)), decision.Forward))
 	want(t, "reserved in the pause", of(r.step(r.arrive(2, 0, 1, "y", "", 1)), decision.Forward), 2)
 	r.after(10*ms, answered(2, "a", decision.Served))
-	n.lat, n.depth = 0.4, 0.5
+	n.latency, n.depth = 0.4, 0.5
 	want(t, "sent before lat / D", of(r.after(300*ms), decision.Forward))
-	n.lat, n.depth = 0.4, 0.8
+	n.latency, n.depth = 0.4, 0.8
 	want(t, "sent after lat / D", of(r.after(220*ms), decision.Forward), 1)
 }
 
@@ -352,7 +352,7 @@
 			a := r.arrive(i, 0, 0, "x", "", 1)
 			a.Arrival.Brokers = 24
 			r.step(a)
-			if i > 20 && r.s.reqs[i].reserved {
+			if i > 20 && r.s.requests.open[i].reserved {
 				labelled++
 			}
 			ev := answered(i, "a", decision.Served)
@@ -430,35 +430,35 @@
 // meanwhile from when it came, and answers what is doomed at once.
 func TestHostThatStoodStill(t *testing.T) {
 	r := newRig(t, testConfig())
-	n := r.s.nodes["a"]
-	n.lat, n.depth = 0.05, 4
+	n := r.s.nodes.byName["a"]
+	n.latency, n.depth = 0.05, 4
 	r.step(r.arrive(1, 0, 0, "x", "", 1))
 	doomed, late := r.arrive(2, 0, 0, "x", "p", 1), r.arrive(3, 0, 0, "x", "q", 1)
 	late.Arrival.Deadline += 1200 * ms // came 1.2 s into the 1.5 s
 	acts := r.after(1500*ms, answered(1, "a", decision.Served), doomed, late)
-	if n.lat != 0.05 || n.depth != 4 {
-		t.Errorf("learnt latency %v and depth %v from its own stall", n.lat, n.depth)
+	if n.latency != 0.05 || n.depth != 4 {
+		t.Errorf("learnt latency %v and depth %v from its own stall", n.latency, n.depth)
 	}
 	want(t, "refused at once", of(acts, decision.Shed), 2)
 	want(t, "sent", of(acts, decision.Forward), 3)
-	if q := r.s.reqs[3]; q.aimAt != r.now+700*ms {
-		t.Errorf("aim ends %v from now, want 700 ms", q.aimAt-r.now)
+	if q := r.s.requests.open[3]; q.objectiveAt != r.now+700*ms {
+		t.Errorf("aim ends %v from now, want 700 ms", q.objectiveAt-r.now)
 	}
 }
 
 // Where trials at suspect nodes are hardly ever served, even work inside its reserve goes there seldom.
 func TestReserveWaitsWhereTrialsAreHardlyServed(t *testing.T) {
 	r := newRig(t, testConfig())
-	n := r.s.nodes["a"]
-	n.lat, n.depth, n.suspect = 0.6, 0.02, true
+	n := r.s.nodes.byName["a"]
+	n.latency, n.depth, n.health.suspect = 0.6, 0.02, true
 	want(t, "trials are served: sent", of(r.step(r.arrive(1, 0, 0, "x", "", 1)), decision.Forward), 1)
 	for i := 0; i < 5; i++ { // each lets its trial time out
-		r.s.observe(n, r.s.reqs[1], &decision.Event{Kind: decision.AttemptEnded, Outcome: decision.TimedOut})
+		r.s.observeOutcome(n, r.s.requests.open[1], &decision.Event{Kind: decision.AttemptEnded, Outcome: decision.TimedOut})
 	}
 	r.after(100*ms, decision.Event{Kind: decision.AttemptEnded, ID: 1, Node: "a", Outcome: decision.Rejected, Final: true})
-	n.lat, n.depth = 0.6, 0.02
+	n.latency, n.depth = 0.6, 0.02
 	want(t, "none was: sent", of(r.after(100*ms, r.arrive(2, 0, 0, "x", "", 1)), decision.Forward))
-	n.sentAt = r.now - 3*time.Second
+	n.lastSendAt = r.now - 3*time.Second
 	want(t, "after the pause", of(r.after(100*ms), decision.Forward), 2)
 }
 
@@ -467,15 +467,15 @@
 // with all nodes cold most work was refused. Only the attempt fails: it may have run.
 func TestSpoiltAnswersSayNothingAgainstTheNode(t *testing.T) {
 	r := newRig(t, testConfig())
-	n := r.s.nodes["a"]
+	n := r.s.nodes.byName["a"]
 	depth := n.depth
 	want(t, "sends", of(r.step(r.arrive(1, 0, 0, "v", "k", 2)), decision.Forward), 1)
 	want(t, "a safe one goes again", of(r.after(20*ms, decision.Event{Kind: decision.AttemptEnded, ID: 1, Node: "a", Outcome: decision.MalformedResponse}), decision.Forward), 1)
 	r.after(20*ms, decision.Event{Kind: decision.AttemptEnded, ID: 1, Attempt: 1, Node: "a", Outcome: decision.Served, Final: true})
 	r.step(r.arrive(2, 1, 0, "v", "k", 2))
 	want(t, "an unsafe one fails", of(r.after(20*ms, decision.Event{Kind: decision.AttemptEnded, ID: 2, Node: "a", Outcome: decision.MalformedResponse}), decision.Fail), 2)
-	if _, cold := r.s.coldSince(n); cold || n.suspect || n.retryAt > r.now || n.depth < depth {
-		t.Errorf("cold %v, suspect %v, depth %v, was %v", cold, n.suspect, n.depth, depth)
+	if _, cold := r.s.slowStartSince(n); cold || n.health.suspect || n.pausedUntil > r.now || n.depth < depth {
+		t.Errorf("cold %v, suspect %v, depth %v, was %v", cold, n.health.suspect, n.depth, depth)
 	}
 }
 
@@ -496,20 +496,20 @@
 		{[]decision.Outcome{decision.Served, decision.TimedOut, decision.ConnectionLost}, false},
 	} {
 		r := newRig(t, testConfig())
-		n := r.s.nodes["a"]
+		n := r.s.nodes.byName["a"]
 		for id, o := range x.outcomes {
-			for n.depth < 1 && len(of(r.after(period), decision.Forward)) == 0 {
+			for n.depth < 1 && len(of(r.after(compensationPeriod), decision.Forward)) == 0 {
 				n.depth = 1 // no pause: this is about what the outcome says
 			}
-			r.s.all.depth = 1
+			r.s.fleet.depth = 1
 			want(t, "sends", of(r.step(r.arrive(uint64(id+1), 0, 0, "v", fmt.Sprint(id), 2)), decision.Forward), uint64(id+1))
 			for range 4 {
-				r.after(period)
+				r.after(compensationPeriod)
 			}
 			r.step(decision.Event{Kind: decision.AttemptEnded, ID: uint64(id + 1), Node: "a", Outcome: o, Final: true})
 		}
-		if _, cold := r.s.coldSince(n); cold != x.cold || (n.retryAt > r.now) != x.cold {
-			t.Errorf("%v: cold %v, nothing sent for %v", x.outcomes, cold, n.retryAt-r.now)
+		if _, cold := r.s.slowStartSince(n); cold != x.cold || (n.pausedUntil > r.now) != x.cold {
+			t.Errorf("%v: cold %v, nothing sent for %v", x.outcomes, cold, n.pausedUntil-r.now)
 		}
 	}
 }
@@ -518,7 +518,7 @@
 // twice and so were lost. It stays in use for what only it has, and comes back with what it serves.
 func TestFastErrorsDrawNoWork(t *testing.T) {
 	r := newRig(t, testConfig(), decision.Endpoint{Node: "bad"}, decision.Endpoint{Node: "good", Shard: 1})
-	bad := r.s.nodes["bad"]
+	bad := r.s.nodes.byName["bad"]
 	fails, id := true, uint64(0)
 	count := func(shard int) (toBad int) {
 		for range 100 {
@@ -547,8 +547,8 @@
 	if n := count(-1); n > 5 {
 		t.Errorf("%d of 100 new objects sent to a node that fails", n)
 	}
-	if bad.lat < 0.03 { // it knows of it what it knows of the others, where it has served nothing
-		t.Errorf("its errors count as answers within %v s", bad.lat)
+	if bad.latency < 0.03 { // it knows of it what it knows of the others, where it has served nothing
+		t.Errorf("its errors count as answers within %v s", bad.latency)
 	}
 	fails = false
 	count(0)
@@ -560,18 +560,18 @@
 // An attempt with little time left that gets no answer in it does not make its node suspect.
 func TestLittleTimeMakesNoSuspect(t *testing.T) {
 	r := newRig(t, testConfig())
-	n := r.s.nodes["a"]
+	n := r.s.nodes.byName["a"]
 	r.step(r.arrive(1, 0, 0, "v", "k", 2))
 	r.after(50*ms, decision.Event{Kind: decision.AttemptEnded, ID: 1, Node: "a", Outcome: decision.TimedOut, Final: true})
-	if n.suspect {
+	if n.health.suspect {
 		t.Error("suspect after 50 ms of an aim of a second")
 	}
 	r.step(r.arrive(2, 0, 0, "v", "k2", 2))
 	for range 4 {
-		r.after(period)
+		r.after(compensationPeriod)
 	}
-	r.after(period, decision.Event{Kind: decision.AttemptEnded, ID: 2, Node: "a", Outcome: decision.TimedOut, Final: true})
-	if !n.suspect {
+	r.after(compensationPeriod, decision.Event{Kind: decision.AttemptEnded, ID: 2, Node: "a", Outcome: decision.TimedOut, Final: true})
+	if !n.health.suspect {
 		t.Error("not suspect after 500 ms of silence")
 	}
 }
@@ -582,20 +582,20 @@
 	r.step(r.arrive(1, 0, 0, "v", "k", 2))
 	r.step(decision.Event{Kind: decision.EndpointsChanged, Endpoints: []decision.Endpoint{{Node: "a", State: decision.Removed}, {Node: "b", Shard: 1, State: decision.Removed}}})
 	for range 600 {
-		r.after(period)
+		r.after(compensationPeriod)
 	}
-	if r.s.nodes["b"] == nil {
+	if r.s.nodes.byName["b"] == nil {
 		t.Error("b is forgotten within its warm-up")
 	}
 	for range 200 {
-		r.after(period)
+		r.after(compensationPeriod)
 	}
-	if r.s.nodes["b"] != nil || r.s.nodes["a"] == nil || len(r.s.list) != 1 {
-		t.Errorf("b known: %v; a, with an attempt out: %v", r.s.nodes["b"] != nil, r.s.nodes["a"] != nil)
+	if r.s.nodes.byName["b"] != nil || r.s.nodes.byName["a"] == nil || len(r.s.nodes.list) != 1 {
+		t.Errorf("b known: %v; a, with an attempt out: %v", r.s.nodes.byName["b"] != nil, r.s.nodes.byName["a"] != nil)
 	}
-	r.after(period, decision.Event{Kind: decision.AttemptEnded, ID: 1, Node: "a", Outcome: decision.Served, Final: true})
-	r.after(period)
-	if len(r.s.nodes)+len(r.s.list) != 0 {
+	r.after(compensationPeriod, decision.Event{Kind: decision.AttemptEnded, ID: 1, Node: "a", Outcome: decision.Served, Final: true})
+	r.after(compensationPeriod)
+	if len(r.s.nodes.byName)+len(r.s.nodes.list) != 0 {
 		t.Error("a is still known")
 	}
 }
@@ -603,7 +603,7 @@
 // What cannot be sent is refused by half of its client's time: later it costs more than a refusal.
 func TestNothingWaitsForOverHalfItsTime(t *testing.T) {
 	r := newRig(t, testConfig())
-	r.s.nodes["a"].depth = 1
+	r.s.nodes.byName["a"].depth = 1
 	r.step(r.arrive(1, 0, 0, "v", "k", 2)) // holds the node
 	ev := r.arrive(2, 0, 0, "v", "k2", 2)
 	ev.Arrival.Deadline = r.now + 600*ms
@@ -614,15 +614,15 @@
 
 func TestOutcomeOfAnotherAttemptIsIgnored(t *testing.T) {
 	r := newRig(t, testConfig())
-	r.s.nodes["a"].depth = 8
+	r.s.nodes.byName["a"].depth = 8
 	r.step(r.arrive(1, 0, 0, "x", "", 1))
 	full := answered(1, "a", decision.Rejected)
 	r.after(5*ms, full)
 	want(t, "second try", of(r.after(30*ms), decision.Forward), 1)
 	acts := r.after(5*ms, full)
 	want(t, "sent on the repeated outcome", of(append(acts, r.after(30*ms)...), decision.Forward))
-	if q := r.s.reqs[1]; q.out != 1 || q.attempts != 2 {
-		t.Fatalf("out %d, attempts %d, want 1 and 2", q.out, q.attempts)
+	if q := r.s.requests.open[1]; !q.inFlight || q.attempts != 2 {
+		t.Fatalf("in flight %v, attempts %d, want true and 2", q.inFlight, q.attempts)
 	}
 }
 
@@ -643,11 +643,11 @@
 		r.after(0, decision.Event{Kind: decision.EndpointsReplaced, Endpoints: []decision.Endpoint{{Node: "b", Shard: 1, Capacity: capacity}, {Node: "c", Shard: 2, Capacity: 1}}})
 		strong := 0
 		for range 200 {
-			if r.s.pick(&request{class: &r.s.cfg.Classes[0], a: decision.Arrival{Shard: -1, Units: 1}}).Node == "b" {
+			if r.s.pickNode(&request{class: &r.s.cfg.Classes[0], arrival: decision.Arrival{Shard: -1, Units: 1}}).Node == "b" {
 				strong++
 			}
 		}
-		if b, c := r.s.nodes["b"].depth, r.s.nodes["c"].depth; (b > c) != (capacity > 1) {
+		if b, c := r.s.nodes.byName["b"].depth, r.s.nodes.byName["c"].depth; (b > c) != (capacity > 1) {
 			t.Errorf("capacity %v: depths %v and %v", capacity, b, c)
 		}
 		return float64(strong) / 200
@@ -666,15 +666,15 @@
 	r := newRig(t, cfg)
 	r.after(0, decision.Event{Kind: decision.EndpointsReplaced, Endpoints: []decision.Endpoint{{Node: "near", Shard: 0, Zone: 1}, {Node: "far", Shard: 1, Zone: 0}}})
 	for range 50 {
-		if n := r.s.pick(&request{class: &r.s.cfg.Classes[0], a: decision.Arrival{Shard: -1, Units: 1}}); n.Node != "near" {
+		if n := r.s.pickNode(&request{class: &r.s.cfg.Classes[0], arrival: decision.Arrival{Shard: -1, Units: 1}}); n.Node != "near" {
 			t.Fatalf("a new object goes to %s", n.Node)
 		}
 	}
-	if n := r.s.pick(&request{class: &r.s.cfg.Classes[0], a: decision.Arrival{Shard: 1, Units: 1}}); n.Node != "far" {
+	if n := r.s.pickNode(&request{class: &r.s.cfg.Classes[0], arrival: decision.Arrival{Shard: 1, Units: 1}}); n.Node != "far" {
 		t.Errorf("an object on shard 1 is sought at %s", n.Node)
 	}
-	r.s.nodes["near"].lat = 0.2
-	if n := r.s.pick(&request{class: &r.s.cfg.Classes[0], a: decision.Arrival{Shard: -1, Units: 1}}); n.Node != "far" {
+	r.s.nodes.byName["near"].latency = 0.2
+	if n := r.s.pickNode(&request{class: &r.s.cfg.Classes[0], arrival: decision.Arrival{Shard: -1, Units: 1}}); n.Node != "far" {
 		t.Errorf("a new object waits at %s", n.Node)
 	}
 }
@@ -700,10 +700,10 @@
 				r.step(answered(x, "bad", decision.TimedOut))
 			}
 		}
-		if r.s.all.depth > 2*allLeast {
-			t.Fatalf("D of all nodes is %.2f after time-outs alone", r.s.all.depth)
+		if r.s.fleet.depth > 2*minFleetDepth {
+			t.Fatalf("D of all nodes is %.2f after time-outs alone", r.s.fleet.depth)
 		}
-		r.s.trust = 0.5 // what is tried at silent nodes is served as often as not, so that nothing pauses for that
+		r.s.fleet.trialSuccess = 0.5 // what is tried at silent nodes is served as often as not, so that nothing pauses for that
 		for id := uint64(100); id < 120; id++ {
 			acts := r.after(100*ms, at(id, 2, "w"))
 			if len(of(acts, decision.Shed)) > 0 {
@@ -765,9 +765,9 @@
 		cfg := testConfig()
 		cfg.HandshakeCost, cfg.ConnectionReuseWindow = 5, keep
 		r := newRig(t, cfg, decision.Endpoint{Node: "slow"}, decision.Endpoint{Node: "quick", Shard: 1})
-		r.s.nodes["slow"].heardAt, r.s.nodes["slow"].lat, r.s.nodes["quick"].lat = r.now, stay, 0.05
+		r.s.nodes.byName["slow"].health.respondedAt, r.s.nodes.byName["slow"].latency, r.s.nodes.byName["quick"].latency = r.now, stay, 0.05
 		for range 50 {
-			if n := r.s.pick(&request{class: &cfg.Classes[0], a: decision.Arrival{Shard: -1, Units: 1}}); n.Node != "quick" {
+			if n := r.s.pickNode(&request{class: &cfg.Classes[0], arrival: decision.Arrival{Shard: -1, Units: 1}}); n.Node != "quick" {
 				t.Fatalf("keep %v: a new object goes to %s", keep, n.Node)
 			}
 		}
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -344,9 +344,9 @@
 			w.bad("request %d is left without an answer", r.id)
 		}
 	}
-	if len(w.s.reqs) > 0 || len(w.s.ends) > 0 || len(w.s.unserved) > 0 || len(w.s.turns) > 0 {
-		w.bad("left behind: %d requests, %d waits, %d pieces, %d keys", len(w.s.reqs), len(w.s.ends),
-			len(w.s.unserved), len(w.s.turns))
+	if len(w.s.requests.open) > 0 || len(w.s.requests.queueExpiry) > 0 || len(w.s.requests.unserved) > 0 || len(w.s.requests.keyQueues) > 0 {
+		w.bad("left behind: %d requests, %d waits, %d pieces, %d keys", len(w.s.requests.open), len(w.s.requests.queueExpiry),
+			len(w.s.requests.unserved), len(w.s.requests.keyQueues))
 	}
 }
 
@@ -398,9 +398,9 @@
 				var back []decision.Event
 				for _, a := range acts {
 					if a.Kind == decision.Forward {
-						if q := r.s.reqs[a.ID]; a.Node == "cold" && now >= start {
-							sends = append(sends, wsend{now, q.a.Units})
-							total += q.a.Units
+						if q := r.s.requests.open[a.ID]; a.Node == "cold" && now >= start {
+							sends = append(sends, wsend{now, q.arrival.Units})
+							total += q.arrival.Units
 						}
 						back = append(back, answered(a.ID, a.Node, decision.Served))
 					}
--- a/policy/ramp_test.go
+++ b/policy/ramp_test.go
@@ -88,7 +88,7 @@
 			}
 			u, ok := units[a.ID]
 			if !ok {
-				u = r.s.reqs[a.ID].a.Units
+				u = r.s.requests.open[a.ID].arrival.Units
 			}
 			if a.Node == "n0" {
 				f.sent = append(f.sent, coldSend{r.now, u})
--- a/policy/request.go
+++ b/policy/request.go
@@ -1,232 +1,211 @@
 package policy
 
 import (
-	"cmp"
 	"slices"
-	"sort"
 	"time"
 
 	"poppyarch/internal/broker/decision"
-	"poppyarch/internal/timing/rate"
 )
 
-// request is one client request from arrival until it is over and all its attempts are known.
+// reservedDrawRange: requests inside their volume's reserve draw lots for a node in slow start below it,
+// and the others as much higher as is left to 1, so that the reserve goes first there too.
+const reservedDrawRange = 0.8
+
+// request is one client request from its arrival until it is closed and all its attempts have outcomes.
 type request struct {
-	id                    uint64
-	a                     decision.Arrival
-	class                 *decision.Class
-	vol                   *volume
-	node                  *node // where it waits or last went
-	flow                  *flow
-	lot, chance           float64       // from 0 to 1; the lowest may go to a cold node, or to any where few may
-	start, finish         float64       // tags
-	began                 time.Duration // first try of the client
-	aimAt, endAt          time.Duration // worth falls after aimAt; waiting ends at endAt
-	halfAt                time.Duration // half of what its client waits for this try is over
-	streamed              bool          // its answer began early: its client sets the pace
-	reserved, drawn       bool          // counted inside its volume's reserve; taken from its limit
-	over, waiting, served bool
-	long                  bool          // its attempt is out for longer than pays
-	attempts, out         int           // attempts so far; those without an outcome
-	sentAt, riskAt        time.Duration // last send; send of the earliest attempt that may have run
-	risk                  *node         // node of the latter; nil: nothing may have run
-	turn                  *turn         // its key's queue, where order is asked for
-}
+	id      uint64
+	arrival decision.Arrival
+	class   *decision.Class
+	volume  *volume
+
+	clientStartedAt time.Duration // first attempt of the client
+	objectiveAt     time.Duration // end of the latency objective
+	queueUntil      time.Duration // it is rejected if still queued then
+	maxQueueUntil   time.Duration // bound on queueUntil from the client's deadline
+
+	slowStartDraw float64 // 0 to 1; the lowest may be sent to a node in slow start
+	admissionDraw float64 // 0 to 1; the lowest are admitted where few are
 
-// piece is a volume's key as one class uses it.
-type piece struct {
-	volume, key string
-	class       int
+	node      *node // where it is queued or was last sent
+	flow      *flow
+	startTag  float64
+	finishTag float64
+	keyQueue  *keyQueue // nil unless its class is ordered and it has a key
+
+	attempts     int
+	sentAt       time.Duration
+	mayHaveRunOn *node         // node of the earliest attempt that may have been executed; nil: none
+	mayHaveRunAt time.Duration // send time of that attempt
+
+	requestState
 }
 
-// turn is the queue of one key in classes that ask for order.
-type turn struct {
-	queue []*request
-	rest  time.Duration // nothing of the key goes before this
+// requestState holds what has happened to a request so far.
+type requestState struct {
+	reserved    bool // counted inside its volume's reserve
+	rateCharged bool // charged to its volume's rate limit
+	queued      bool // in its flow
+	inFlight    bool // its last attempt has no outcome yet
+	countedSlow bool // its attempt in flight has been counted as too slow
+	streamed    bool // its answer started early: the client sets the pace
+	served      bool
+	closed      bool
 }
 
-// take labels an arriving request and gives it to its node's queue, or refuses it.
-func (s *Scheduler) take(ev *decision.Event) {
-	if s.reqs[ev.ID] != nil {
-		return
-	}
-	if s.cfg.HasRetryBudget {
-		s.taken.Add(s.now, 1)
-	}
-	r := &request{id: ev.ID, a: ev.Arrival, lot: 0.8 * s.rng.Float64(), chance: s.rng.Float64()}
-	r.a.Units = orOne(r.a.Units)
-	s.reqs[r.id] = r
-	if r.a.Class < 0 || r.a.Class >= len(s.cfg.Classes) {
-		s.act = append(s.act, decision.Action{Kind: decision.Fail, ID: r.id})
-		s.close(r)
-		return
-	}
-	r.class, r.vol = &s.cfg.Classes[r.a.Class], s.volume(&r.a)
-	r.began = s.firstTry(r)
-	r.aimAt, r.halfAt = r.began+r.class.LatencyObjective, s.now+(r.a.Deadline-s.now)/2-tickBusy
-	s.label(r)
-	s.asked.Add(s.now, r.a.Units)
-	if m := s.askedOf[r.a.Shard]; m != nil {
-		m.Add(s.now, r.a.Units)
-	}
-	s.todo = append(s.todo, r)
+// retryKey identifies a client request over its retries.
+type retryKey struct {
+	volume string
+	key    string
+	class  int
 }
 
-// label counts a request inside its volume's reserve or not: the part of the volume's demand over all hosts
-// that the reserve covers is labelled at each, so that the labels of many hosts add up to the reserve. Where
-// nothing is told of the others, this host may be the only one that is asked.
-func (s *Scheduler) label(r *request) {
-	v := r.vol
-	if r.began == s.now {
-		v.asked.Add(s.now, r.a.Units)
-	}
-	demand, own := v.asked.Rate(s.now), v.served.Rate(s.now)
-	total := own + v.others.Rate(s.now)
-	if s.now < v.usedAt+rate.Age {
-		total = max(total, v.used)
-	}
-	if own > 0 {
-		demand = max(demand, total*max(1, demand/own))
-	}
-	part := min(1, v.plan.ReservedRate/max(demand, v.plan.ReservedRate, 1e-9))
-	v.credit = min(v.credit+r.a.Units*part, v.plan.ReservedRate+max(s.cfg.MaxUnits, 1))
-	if v.credit >= r.a.Units && r.aimAt > s.now {
-		v.credit -= r.a.Units
-		r.reserved = true
-	} else {
-		r.lot += 0.2 // the reserve goes first to a cold node too
-	}
+// requestTable holds the open requests and what is known of closed ones.
+type requestTable struct {
+	open        map[uint64]*request
+	undecided   []*request // to be decided on once the batch is applied
+	queueExpiry []*request // the queued ones, by queueUntil and id
+	keyQueues   map[string]*keyQueue
+	unserved    map[retryKey]time.Duration // rejected or failed; until when the client may retry
 }
 
-// firstTry is when the client began: now, or the arrival of a try that this host could not serve, if this one
-// names the same piece and ends no later than that one's client would wait. Due alone tells a further try
-// only after this host stood still; some clients simply wait less. Runs on one key may be taken for tries.
-func (s *Scheduler) firstTry(r *request) time.Duration {
-	if came := r.a.Deadline - r.class.Deadline; s.stood > 0 && came < s.now && came >= s.now-s.stood {
-		return came
+func newRequestTable() requestTable {
+	return requestTable{
+		open:      map[uint64]*request{},
+		keyQueues: map[string]*keyQueue{},
+		unserved:  map[retryKey]time.Duration{},
 	}
-	until := s.unserved[piece{r.a.Volume, r.a.Key, r.a.Class}]
-	if s.now < until && r.a.Deadline <= until+tickBusy {
-		return until - r.class.Deadline
-	}
-	return s.now
 }
 
-// place picks the request's node and queues it there.
-func (s *Scheduler) place(r *request) {
-	n := s.pick(r)
-	if n == nil {
-		s.giveUp(r, hintShort*2)
+// acceptRequest classifies an arriving request, to be placed once the batch is applied.
+func (s *Scheduler) acceptRequest(ev *decision.Event) {
+	if s.requests.open[ev.ID] != nil {
 		return
 	}
-	// Sent later than this it is not likely to pay: a large one stays longer, what pays less has to be surer.
-	// Kept beyond halfAt without a send, it costs more than a refusal.
-	need := sureStay * n.mean * r.a.Units / s.cfg.MeanUnits
-	if !r.reserved && r.vol.plan.ReservedRate > 0 {
-		need /= max(cmp.Or(s.cfg.QuotaPriorityWeight, 1), leastWorth)
-	}
-	r.endAt = min(r.aimAt-time.Duration(need*float64(time.Second)), r.a.Deadline-endMargin, r.halfAt)
-	if r.endAt <= s.now || r.attempts == 0 && r.chance > s.admitted(r) {
-		s.giveUp(r, hintLong)
+	if s.cfg.HasRetryBudget {
+		s.retryBudget.arrivals.Add(s.now, 1)
+	}
+	r := &request{id: ev.ID, arrival: ev.Arrival}
+	r.slowStartDraw = reservedDrawRange * s.random.Float64()
+	r.admissionDraw = s.random.Float64()
+	r.arrival.Units = oneIfUnset(r.arrival.Units)
+	s.requests.open[r.id] = r
+	if r.arrival.Class < 0 || r.arrival.Class >= len(s.cfg.Classes) {
+		s.act(decision.Action{Kind: decision.Fail, ID: r.id})
+		s.closeRequest(r)
 		return
 	}
-	r.node = n
-	if r.class.Ordered && r.a.Key != "" && r.turn == nil {
-		if s.turns[r.a.Key] == nil {
-			s.turns[r.a.Key] = &turn{}
-		}
-		r.turn = s.turns[r.a.Key]
-		r.turn.queue = append(r.turn.queue, r)
-	}
-	s.enqueue(r, n)
-	i := sort.Search(len(s.ends), func(i int) bool {
-		x := s.ends[i]
-		return x.endAt > r.endAt || x.endAt == r.endAt && x.id > r.id
-	})
-	s.ends = slices.Insert(s.ends, i, r)
-	s.shed(n)
+	r.class = &s.cfg.Classes[r.arrival.Class]
+	r.volume = s.volumeOf(&r.arrival)
+	r.clientStartedAt = s.clientStart(r)
+	r.objectiveAt = r.clientStartedAt + r.class.LatencyObjective
+	// Queued for longer than half of the client's wait, it costs more than a rejection.
+	r.maxQueueUntil = s.now + (r.arrival.Deadline-s.now)/2 - timerSlack
+	s.chargeReserve(r)
+	s.fleet.addDemand(s.now, &r.arrival)
+	s.requests.undecided = append(s.requests.undecided, r)
 }
 
-// admitted is the part of the work that goes on to a node at all, where D of all nodes together is under 1. A
-// pause between the sends to one node holds nothing back where each of many hosts comes by less often.
-// What is inside a reserve goes on until the rest has nearly stopped: one host of many sees little.
-func (s *Scheduler) admitted(r *request) float64 {
-	if r.reserved {
-		return float64(max(10, s.cfg.Brokers)) * s.all.depth
+// clientStart is when the client made its first attempt. That is now, unless the request is a retry of one
+// that this broker could not serve: it names the same key and ends no later than that one's client would
+// wait.
+//
+// The deadline alone shows a retry only after this process stalled, since some clients simply wait less. A
+// sequence of requests on one key may be taken for retries.
+func (s *Scheduler) clientStart(r *request) time.Duration {
+	arrivedAt := r.arrival.Deadline - r.class.Deadline
+	if s.stalledFor > 0 && arrivedAt < s.now && arrivedAt >= s.now-s.stalledFor {
+		return arrivedAt
+	}
+	until := s.requests.unserved[r.retryKey()]
+	if s.now < until && r.arrival.Deadline <= until+timerSlack {
+		return until - r.class.Deadline
 	}
-	return s.all.depth * s.all.depth
+	return s.now
 }
 
-// answer takes the outcome of an attempt.
-func (s *Scheduler) answer(ev *decision.Event) {
-	n, r := s.nodes[ev.Node], s.reqs[ev.ID]
-	if r == nil || n == nil || ev.Attempt != r.attempts-1 || !slices.Contains(n.out, r) {
+func (r *request) retryKey() retryKey {
+	return retryKey{volume: r.arrival.Volume, key: r.arrival.Key, class: r.arrival.Class}
+}
+
+// endAttempt applies the outcome of an attempt. Outcomes of other attempts than the one in flight are
+// ignored.
+func (s *Scheduler) endAttempt(ev *decision.Event) {
+	n := s.nodes.byName[ev.Node]
+	r := s.requests.open[ev.ID]
+	if r == nil || n == nil || ev.Attempt != r.attempts-1 || !slices.Contains(n.inFlight, r) {
 		return
 	}
-	n.out = drop(n.out, r)
-	r.out--
-	r.served = r.served || ev.Outcome == decision.Served
-	s.observe(n, r, ev)
-	if !ev.Outcome.NotExecuted() && ev.Outcome != decision.Served && r.risk == nil {
-		r.risk, r.riskAt = n, r.sentAt
-	}
-	if r.turn != nil && ev.Outcome.MayStillExecute() {
-		r.turn.rest = max(r.turn.rest, s.now+s.cfg.OrderedKeyQuietPeriod)
-	}
-	if ev.Final || ev.Outcome == decision.Served || r.over {
-		s.leave(r)
-		s.close(r)
+	n.inFlight = removeRequest(n.inFlight, r)
+	r.inFlight = false
+	served := ev.Outcome == decision.Served
+	r.served = r.served || served
+	s.observeOutcome(n, r, ev)
+	if !ev.Outcome.NotExecuted() && !served && r.mayHaveRunOn == nil {
+		r.mayHaveRunOn = n
+		r.mayHaveRunAt = r.sentAt
+	}
+	if r.keyQueue != nil && ev.Outcome.MayStillExecute() {
+		r.keyQueue.quietUntil = max(r.keyQueue.quietUntil, s.now+s.cfg.OrderedKeyQuietPeriod)
+	}
+	if ev.Final || served || r.closed {
+		s.dequeue(r)
+		s.closeRequest(r)
 		return
 	}
-	s.todo = append(s.todo, r)
+	s.requests.undecided = append(s.requests.undecided, r)
 }
 
-// decide places what has arrived in this batch, or gives up what an attempt brought nothing for.
+// decide places a new request, retries one whose attempt ended, or rejects it.
 func (s *Scheduler) decide(r *request) {
-	if r.over || r.waiting || r.out > 0 {
+	if r.closed || r.queued || r.inFlight {
 		return
 	}
-	// What timed out has had its time at a node; another send would only add to the queue there.
-	if r.attempts == 0 || r.attempts < s.cfg.MaxAttempts && s.mayRepeat(r, r.node) &&
-		s.now+tickBusy < r.endAt && !r.node.suspect {
-		s.place(r)
+	if r.attempts == 0 || s.shouldRetry(r) {
+		s.placeRequest(r)
 		return
 	}
-	s.giveUp(r, hintShort)
+	s.reject(r, shortRetryAfter)
+}
+
+// shouldRetry reports whether another attempt is allowed and has a chance. After a time-out it would only
+// add to the node's queue.
+func (s *Scheduler) shouldRetry(r *request) bool {
+	return r.attempts < s.cfg.MaxAttempts && s.mayRetry(r, r.node) &&
+		s.now+timerSlack < r.queueUntil && !r.node.health.suspect
 }
 
-// giveUp answers at once: a refusal where that is allowed, else a failure.
-func (s *Scheduler) giveUp(r *request, hint time.Duration) {
-	s.leave(r)
+// reject answers the client at once: with a rejection where the client may retry safely, else with a
+// failure.
+func (s *Scheduler) reject(r *request, retryAfter time.Duration) {
+	s.dequeue(r)
 	if r.reserved && r.attempts == 0 {
-		r.vol.credit += r.a.Units
+		r.volume.reserveCredit += r.arrival.Units
 	}
 	a := decision.Action{Kind: decision.Fail, ID: r.id}
-	if r.class.MayShed() || r.risk == nil && r.out == 0 {
-		a = decision.Action{Kind: decision.Shed, ID: r.id}
-		a.After = s.cfg.RetryAfter(hint)
+	if r.class.MayShed() || r.mayHaveRunOn == nil && !r.inFlight {
+		a = decision.Action{Kind: decision.Shed, ID: r.id, After: s.cfg.RetryAfter(retryAfter)}
 	}
-	s.act = append(s.act, a)
-	s.close(r)
+	s.act(a)
+	s.closeRequest(r)
 }
 
-// close ends a request; it stays known until its attempts have their outcomes. Its client may try again if it
+// closeRequest ends a request; it stays known until its attempt has an outcome. Its client may retry if it
 // was not served.
-func (s *Scheduler) close(r *request) {
-	if !r.over && !r.served && r.a.Key != "" && r.class != nil {
-		s.unserved[piece{r.a.Volume, r.a.Key, r.a.Class}] = r.began + r.class.Deadline
+func (s *Scheduler) closeRequest(r *request) {
+	if !r.closed && !r.served && r.arrival.Key != "" && r.class != nil {
+		s.requests.unserved[r.retryKey()] = r.clientStartedAt + r.class.Deadline
 	}
-	r.over = true
-	if r.out > 0 {
+	r.closed = true
+	if r.inFlight {
 		return
 	}
-	delete(s.reqs, r.id)
-	if r.turn != nil {
-		r.turn.queue = drop(r.turn.queue, r)
+	delete(s.requests.open, r.id)
+	if r.keyQueue != nil {
+		r.keyQueue.requests = removeRequest(r.keyQueue.requests, r)
 	}
 }
 
-// drop takes r off a list that holds it.
-func drop(list []*request, r *request) []*request {
+// removeRequest removes r from a list.
+func removeRequest(list []*request, r *request) []*request {
 	return slices.DeleteFunc(list, func(x *request) bool { return x == r })
 }
--- a/policy/size_test.go
+++ b/policy/size_test.go
@@ -37,7 +37,7 @@
 		a.Arrival.Brokers = 8
 		acts := r.after(0, a)
 		for _, x := range of(acts, decision.Forward) {
-			level = math.Min(cfg.Plans[2].RateLimitBurst, level+cfg.Plans[2].RateLimit*(r.now-at).Seconds()) - r.s.reqs[x].a.Units
+			level = math.Min(cfg.Plans[2].RateLimitBurst, level+cfg.Plans[2].RateLimit*(r.now-at).Seconds()) - r.s.requests.open[x].arrival.Units
 			at = r.now
 			if level < -cfg.Plans[2].RateLimitTolerance {
 				t.Fatalf("the store of the volume stands at %v", level)
@@ -68,20 +68,20 @@
 			answers += len(of(acts, decision.Shed)) + len(of(acts, decision.Fail))
 			for _, x := range of(acts, decision.Forward) {
 				answers++
-				acts = r.step(answered(x, fmt.Sprint("n", r.s.reqs[x].a.Shard), decision.Served))
+				acts = r.step(answered(x, fmt.Sprint("n", r.s.requests.open[x].arrival.Shard), decision.Served))
 				answers += len(of(acts, decision.Shed)) + len(of(acts, decision.Fail))
 			}
 		}
-		for i := 0; i < 300 && len(r.s.reqs) > 0; i++ {
+		for i := 0; i < 300 && len(r.s.requests.open) > 0; i++ {
 			acts := r.after(20 * ms)
 			answers += len(of(acts, decision.Shed)) + len(of(acts, decision.Fail))
 			for _, x := range of(acts, decision.Forward) {
 				answers++
-				r.step(answered(x, fmt.Sprint("n", r.s.reqs[x].a.Shard), decision.Served))
+				r.step(answered(x, fmt.Sprint("n", r.s.requests.open[x].arrival.Shard), decision.Served))
 			}
 		}
-		if len(r.s.reqs) > 0 {
-			t.Errorf("%d hosts: %d requests left, %d answers", hosts, len(r.s.reqs), answers)
+		if len(r.s.requests.open) > 0 {
+			t.Errorf("%d hosts: %d requests left, %d answers", hosts, len(r.s.requests.open), answers)
 		}
 	}
 }
@@ -101,8 +101,8 @@
 		acts = r.after(100 * ms)
 		open -= len(of(acts, decision.Shed))
 	}
-	if out := len(r.s.reqs); open != out || len(r.s.ends) > 0 {
-		t.Fatalf("%d neither answered nor out, %d still wait", open-out, len(r.s.ends))
+	if out := len(r.s.requests.open); open != out || len(r.s.requests.queueExpiry) > 0 {
+		t.Fatalf("%d neither answered nor out, %d still wait", open-out, len(r.s.requests.queueExpiry))
 	}
 }
 
@@ -156,11 +156,11 @@
 			if a.Kind != decision.Forward {
 				continue
 			}
-			if r.now >= r.s.reqs[a.ID].a.Deadline {
+			if r.now >= r.s.requests.open[a.ID].arrival.Deadline {
 				t.Fatalf("request %d is sent after its client left", a.ID)
 			}
 			ev := answered(a.ID, "a", decision.Served)
-			if ev.Attempt = r.s.reqs[a.ID].attempts - 1; rng.IntN(3) == 0 {
+			if ev.Attempt = r.s.requests.open[a.ID].attempts - 1; rng.IntN(3) == 0 {
 				ev.Outcome, ev.Final = decision.TimedOut, false
 			}
 			acts = append(acts, r.step(ev)...)
@@ -170,13 +170,13 @@
 		for acts := r.after(50 * ms); len(acts) > 0; acts = acts[1:] {
 			if a := acts[0]; a.Kind == decision.Forward {
 				ev := answered(a.ID, "a", decision.Served)
-				ev.Attempt = r.s.reqs[a.ID].attempts - 1
+				ev.Attempt = r.s.requests.open[a.ID].attempts - 1
 				acts = append(acts, r.step(ev)...)
 			}
 		}
 	}
-	if len(r.s.reqs) > 0 {
-		t.Fatalf("%d requests left", len(r.s.reqs))
+	if len(r.s.requests.open) > 0 {
+		t.Fatalf("%d requests left", len(r.s.requests.open))
 	}
 }
 
