--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -8,14 +8,14 @@
 	"poppyarch/internal/broker/decision"
 )
 
-// What a request and a timer turn cost against the number of listed nodes: docs/measurements/full-fleet.md.
+// The benchmarks measure a request and a timer by the number of listed nodes: docs/measurements/full-fleet.md.
 
 func benchRig(b *testing.B, nodes int) *rig {
 	s, err := New(testConfig())
 	if err != nil {
 		b.Fatal(err)
 	}
-	r := &rig{s: s, now: time.Hour}
+	r := &rig{scheduler: s, now: time.Hour}
 	r.step(decision.Event{Kind: decision.EndpointsReplaced, Endpoints: fleetOf(nodes)})
 	return r
 }
@@ -53,3 +53,24 @@
 		})
 	}
 }
+
+// BenchmarkStep is one arrival and its answer at a broker before 50 nodes.
+func BenchmarkStep(b *testing.B) {
+	s, err := New(testConfig())
+	if err != nil {
+		b.Fatal(err)
+	}
+	now := time.Hour
+	s.Step(now, []decision.Event{{Kind: decision.EndpointsReplaced, Endpoints: fleetStartedAt(50, 0)}}, nil)
+	acts := make([]decision.Action, 0, 16)
+	for id := uint64(1); b.Loop(); id++ {
+		now += 5 * ms
+		acts = s.Step(now, []decision.Event{{Kind: decision.RequestArrived, ID: id, Arrival: decision.Arrival{Volume: fmt.Sprint("v", id%300), Units: 2,
+			Shard: int(id % 50), Brokers: 2, Deadline: now + 4*time.Second}}}, acts[:0])
+		for _, a := range acts {
+			if a.Kind == decision.Forward {
+				s.Step(now+2*ms, []decision.Event{answered(a.ID, a.Node, decision.Served)}, nil)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/policy/randomized_test.go
@@ -0,0 +1,425 @@
+package policy
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"poppyarch/internal/broker/decision"
+)
+
+// simulation plays clients, nodes and the endpoint list at random, and checks every action against the rules on
+// sends with records of its own. It uses nothing of the scheduler but Step.
+type simulation struct {
+	t         *testing.T
+	cfg       decision.Config
+	random    *rand.Rand
+	scheduler *Scheduler
+	now       time.Duration
+	startedAt time.Duration
+	requests  map[uint64]*simRequest
+	order     []*simRequest // by arrival
+	nodes     map[string]*simNode
+	timers    map[time.Duration]bool
+	arrivals  []time.Duration
+	retries   []time.Duration
+	charged   map[string][]simSend // first sends by volume
+	lastID    uint64
+	quiet     bool // nothing new happens
+}
+
+// simRequest is a request as the clients and the nodes know it.
+type simRequest struct {
+	id       uint64
+	arrival  decision.Arrival
+	done     bool // the scheduler knows the answer
+	attempts int
+
+	inFlight  bool
+	node      string // of the last attempt
+	endsAt    time.Duration
+	timeoutAt time.Duration
+	outcome   decision.Outcome
+
+	mayHaveRun    bool
+	mayHaveRunOn  string
+	mayHaveRunAt  time.Duration
+	mayStillRunAt time.Duration // end of the last attempt that may still be running; 0: none
+	firstSendAt   time.Duration // of the attempts since which it may have run
+}
+
+type simNode struct {
+	endpoint decision.Endpoint
+	sends    []simSend
+}
+
+type simSend struct {
+	at    time.Duration
+	units float64
+}
+
+func (r *simRequest) units() float64 { return math.Max(1, r.arrival.Units) }
+
+func newSimulation(t *testing.T, cfg decision.Config) *simulation {
+	t.Helper()
+	s, err := New(cfg)
+	if err != nil {
+		t.Fatal(err)
+	}
+	w := &simulation{
+		t: t, cfg: cfg, scheduler: s,
+		random:    rand.New(rand.NewPCG(cfg.Seed, 9)),
+		now:       time.Hour,
+		startedAt: time.Hour,
+		requests:  map[uint64]*simRequest{},
+		nodes:     map[string]*simNode{},
+		timers:    map[time.Duration]bool{},
+		charged:   map[string][]simSend{},
+	}
+	first := decision.Event{Kind: decision.EndpointsReplaced}
+	for i := range 5 {
+		e := decision.Endpoint{Node: fmt.Sprint("n", i), Shard: i, Zone: i % 2}
+		w.nodes[e.Node] = &simNode{endpoint: e}
+		first.Endpoints = append(first.Endpoints, e)
+	}
+	s.Step(w.now, []decision.Event{first}, nil)
+	w.timers[w.now+100*ms] = true
+	return w
+}
+
+func (w *simulation) fail(format string, args ...any) {
+	w.t.Helper()
+	w.t.Fatalf("at %v: %s", w.now-w.startedAt, fmt.Sprintf(format, args...))
+}
+
+// step makes one step with what happens at this instant and checks the actions.
+func (w *simulation) step() {
+	for _, a := range w.scheduler.Step(w.now, w.events(), nil) {
+		w.check(a)
+	}
+}
+
+// events draws what happens at this instant.
+func (w *simulation) events() (events []decision.Event) {
+	for at := range w.timers {
+		if at <= w.now {
+			events = append(events, decision.Event{Kind: decision.TimerFired, Token: 1})
+			delete(w.timers, at)
+		}
+	}
+	for _, r := range w.order {
+		events = w.requestEvents(r, events)
+	}
+	if w.quiet {
+		return events
+	}
+	for w.random.IntN(3) > 0 {
+		events = append(events, w.arrival())
+	}
+	switch w.random.IntN(150) {
+	case 0:
+		events = append(events, w.endpointChange())
+	case 1:
+		events = append(events, decision.Event{Kind: decision.EndpointWatchFailed})
+	case 2: // of requests and attempts that do not exist
+		events = append(events,
+			decision.Event{Kind: decision.AttemptEnded, ID: 1 << 40, Node: "nowhere"},
+			decision.Event{Kind: decision.ClientDisconnected, ID: 1 << 41},
+			decision.Event{Kind: decision.AttemptEnded, ID: w.lastID, Attempt: 7, Node: "n0", Outcome: decision.Rejected})
+	}
+	return events
+}
+
+// requestEvents adds what happens to one request: its attempt ends, or its client disconnects.
+func (w *simulation) requestEvents(r *simRequest, events []decision.Event) []decision.Event {
+	if r.inFlight && r.endsAt <= w.now {
+		events = append(events, w.endAttempt(r))
+		if w.random.IntN(20) == 0 { // a repeated outcome
+			events = append(events, events[len(events)-1])
+		}
+	}
+	if !r.done && w.now > r.arrival.Deadline+8*ms {
+		w.fail("request %d has no answer after its deadline", r.id)
+	}
+	if !r.done && w.random.IntN(4000) == 0 {
+		r.done = true
+		events = append(events, decision.Event{Kind: decision.ClientDisconnected, ID: r.id})
+	}
+	return events
+}
+
+// endAttempt ends the attempt in flight and returns its outcome.
+func (w *simulation) endAttempt(r *simRequest) decision.Event {
+	outcome := r.outcome
+	if w.now >= r.timeoutAt {
+		outcome = decision.TimedOut
+	}
+	r.inFlight = false
+	if !outcome.NotExecuted() {
+		r.mayStillRunAt = w.now
+		switch outcome {
+		case decision.NodeError, decision.Served, decision.MalformedResponse: // it has ended for certain
+			r.mayStillRunAt = 0
+		}
+		if !r.mayHaveRun {
+			r.mayHaveRun = true
+			r.mayHaveRunOn = r.node
+			r.mayHaveRunAt = r.firstSendAt
+		}
+	}
+	final := outcome == decision.Served || r.done
+	if outcome == decision.Served {
+		r.done = true
+	}
+	return decision.Event{
+		Kind: decision.AttemptEnded, ID: r.id, Attempt: r.attempts - 1, Node: r.node, Outcome: outcome, Final: final,
+		UnitsElsewhere: float64(w.random.IntN(4)), VolumeUsage: w.random.IntN(200),
+	}
+}
+
+// arrival draws a new request, some of them with an unusual field.
+func (w *simulation) arrival() decision.Event {
+	w.lastID++
+	v := w.random.IntN(8)
+	a := decision.Arrival{
+		Class: w.random.IntN(len(w.cfg.Classes)), Plan: v % len(w.cfg.Plans), Volume: fmt.Sprint("v", v),
+		Key: fmt.Sprint("k", w.random.IntN(6)), Units: float64(1 + w.random.IntN(8)), Shard: w.random.IntN(6) - 1,
+		Brokers: 1 + v%3,
+	}
+	a.Deadline = w.now + w.cfg.Classes[a.Class].Deadline
+	switch w.random.IntN(30) {
+	case 0:
+		a.Units = 0
+	case 1:
+		a.Key = ""
+	case 2:
+		a.Deadline = w.now + time.Duration(w.random.IntN(300))*ms
+	case 3:
+		a.Shard = 77
+	}
+	w.arrivals = append(w.arrivals, w.now)
+	r := &simRequest{id: w.lastID, arrival: a}
+	w.requests[r.id] = r
+	w.order = append(w.order, r)
+	return decision.Event{Kind: decision.RequestArrived, ID: r.id, Arrival: a}
+}
+
+// endpointChange drains, removes or restarts a node, or brings it back.
+func (w *simulation) endpointChange() decision.Event {
+	n := w.nodes[fmt.Sprint("n", w.random.IntN(5))]
+	switch w.random.IntN(4) {
+	case 0:
+		n.endpoint.State = decision.Draining
+	case 1:
+		n.endpoint.State = decision.Removed
+	default:
+		n.endpoint.State = decision.Ready
+		n.endpoint.StartedAt = w.now - time.Duration(w.random.IntN(500))*ms
+	}
+	return decision.Event{Kind: decision.EndpointsChanged, Endpoints: []decision.Endpoint{n.endpoint}}
+}
+
+// check checks one action and records it.
+func (w *simulation) check(a decision.Action) {
+	r := w.requests[a.ID]
+	switch a.Kind {
+	case decision.SetTimer:
+		w.timers[w.now+a.After] = true
+		if len(w.timers) > 5 {
+			w.fail("%d timers pending", len(w.timers))
+		}
+	case decision.Forward:
+		w.checkForward(r, a)
+		w.forward(r, a)
+	case decision.Shed, decision.Fail:
+		if r == nil || r.done {
+			w.fail("request %d is answered twice or unknown", a.ID)
+		}
+		c := w.cfg.Classes[r.arrival.Class]
+		if a.Kind == decision.Shed && (r.inFlight || r.mayHaveRun) && (c.Idempotency == decision.NotIdempotent ||
+			c.Idempotency == decision.IdempotentByKey && c.DedupScope != decision.DedupEverywhere) {
+			w.fail("request %d of class %s is rejected though it may have run", a.ID, c.Name)
+		}
+		r.done = true
+	}
+}
+
+// checkForward checks a send against the rules on single requests.
+func (w *simulation) checkForward(r *simRequest, a decision.Action) {
+	n := w.nodes[a.Node]
+	if r == nil || r.done || r.inFlight || r.attempts >= w.cfg.MaxAttempts || n == nil {
+		w.fail("request %d is sent though it is done, in flight, out of attempts or its node unknown", a.ID)
+	}
+	c := w.cfg.Classes[r.arrival.Class]
+	if n.endpoint.State != decision.Ready {
+		w.fail("send to %s, which drains or is removed", a.Node)
+	}
+	if r.mayHaveRun && c.Idempotency != decision.Idempotent {
+		if c.Idempotency == decision.NotIdempotent || w.now > r.mayHaveRunAt+c.DedupWindow ||
+			c.DedupScope == decision.DedupShard && r.mayHaveRunOn != a.Node {
+			w.fail("request %d of class %s is repeated", a.ID, c.Name)
+		}
+	}
+	if c.Ordered && r.arrival.Key != "" {
+		w.checkKeyOrder(r)
+	}
+}
+
+// checkKeyOrder fails if an earlier request of the key is open or may still be running.
+func (w *simulation) checkKeyOrder(r *simRequest) {
+	for _, q := range w.order {
+		if q == r {
+			return
+		}
+		if q.arrival.Key != r.arrival.Key || !w.cfg.Classes[q.arrival.Class].Ordered {
+			continue
+		}
+		mayRun := q.mayStillRunAt > 0 && w.now < q.mayStillRunAt+w.cfg.OrderedKeyQuietPeriod && r.attempts == 0
+		if !q.done || q.inFlight || mayRun {
+			w.fail("request %d is sent before %d of its key", r.id, q.id)
+		}
+	}
+}
+
+// forward records a send, checks the rules on sums of sends, and draws how the attempt ends.
+func (w *simulation) forward(r *simRequest, a decision.Action) {
+	n := w.nodes[a.Node]
+	if r.attempts > 0 {
+		w.retries = append(w.retries, w.now)
+		w.checkRetryBudget()
+	} else {
+		w.checkRateLimit(r)
+	}
+	n.sends = append(n.sends, simSend{w.now, r.units()})
+	w.checkSlowStart(n)
+	r.attempts++
+	r.inFlight = true
+	r.node = a.Node
+	r.timeoutAt = w.now + a.After
+	if r.firstSendAt == 0 || !r.mayHaveRun {
+		r.firstSendAt = w.now
+	}
+	outcomes := []decision.Outcome{
+		decision.Served, decision.Served, decision.Served, decision.Served, decision.Served, decision.Served,
+		decision.Rejected, decision.NodeError, decision.TimedOut, decision.ConnectFailed, decision.ConnectionLost,
+		decision.NotAttempted, decision.MalformedResponse, decision.SendIncomplete,
+	}
+	r.outcome = outcomes[w.random.IntN(len(outcomes))]
+	r.endsAt = min(w.now+time.Duration(5+w.random.IntN(80))*ms, r.timeoutAt)
+	if r.outcome == decision.TimedOut || w.random.IntN(30) == 0 {
+		r.endsAt = r.timeoutAt
+	}
+}
+
+// checkRetryBudget fails if there are more retries in the window than the budget allows.
+func (w *simulation) checkRetryBudget() {
+	from := w.now - w.cfg.RetryBudgetWindow
+	retries, arrivals := countAfter(w.retries, from), countAfter(w.arrivals, from)
+	if w.cfg.HasRetryBudget && float64(retries) > w.cfg.RetryBudgetBase+w.cfg.RetryBudgetRatio*float64(arrivals) {
+		w.fail("%d retries with %d arrivals", retries, arrivals)
+	}
+}
+
+func countAfter(times []time.Duration, from time.Duration) (n int) {
+	for _, t := range times {
+		if t > from {
+			n++
+		}
+	}
+	return n
+}
+
+// checkRateLimit fails if any span holds more than this broker's part of burst, tolerance and rate.
+func (w *simulation) checkRateLimit(r *simRequest) {
+	p := w.cfg.Plans[r.arrival.Plan]
+	if p.RateLimit <= 0 {
+		return
+	}
+	w.charged[r.arrival.Volume] = append(w.charged[r.arrival.Volume], simSend{w.now, r.units()})
+	sends := w.charged[r.arrival.Volume]
+	sum, brokers := 0.0, float64(r.arrival.Brokers)
+	for i := len(sends) - 1; i >= 0; i-- {
+		sum += sends[i].units
+		allowed := p.RateLimitBurst + p.RateLimitTolerance + p.RateLimit*(w.now-sends[i].at).Seconds()
+		if sum > allowed/brokers+1e-6 {
+			w.fail("volume %s was sent %v units since %v ago", r.arrival.Volume, sum, w.now-sends[i].at)
+		}
+	}
+}
+
+// checkSlowStart fails if the window that ends now holds more than this broker's part of what a warming node can
+// bear at the start of the window.
+func (w *simulation) checkSlowStart(n *simNode) {
+	at := n.endpoint.StartedAt
+	if at == 0 || w.now >= at+w.cfg.SlowStartDuration {
+		return
+	}
+	sum := 0.0
+	for _, x := range n.sends {
+		if x.at > w.now-w.cfg.OverloadWindow {
+			sum += x.units
+		}
+	}
+	age := math.Max(0, (w.now-w.cfg.OverloadWindow-at).Seconds()) / w.cfg.SlowStartDuration.Seconds()
+	ramp := (w.cfg.SlowStartFraction + (1-w.cfg.SlowStartFraction)*age) / w.cfg.SlowStartFraction
+	capacity := w.cfg.ColdCapacityUnits * ramp
+	part, last := capacity/float64(w.cfg.Brokers), n.sends[len(n.sends)-1].units
+	if sum > part+1e-6 && (sum > last || last <= part) { // a request beyond the whole part may be sent alone, by lot
+		w.fail("%v units in a window to a node that bears %v from %d brokers", sum, capacity, w.cfg.Brokers)
+	}
+}
+
+// prune forgets requests that can no longer matter.
+func (w *simulation) prune() {
+	kept := w.order[:0]
+	for _, r := range w.order {
+		if !r.done || r.inFlight || w.now < r.mayStillRunAt+w.cfg.OrderedKeyQuietPeriod {
+			kept = append(kept, r)
+		}
+	}
+	w.order = kept
+}
+
+// drain lets everything end, with nothing new, and fails if anything is left behind.
+func (w *simulation) drain() {
+	w.quiet = true
+	for range 1500 {
+		w.step()
+		w.now += 4 * ms
+	}
+	for _, r := range w.order {
+		if !r.done {
+			w.fail("request %d is left without an answer", r.id)
+		}
+	}
+	left := &w.scheduler.requests
+	if len(left.open) > 0 || len(left.queueExpiry) > 0 || len(left.unserved) > 0 || len(left.keyQueues) > 0 {
+		w.fail("left behind: %d requests, %d queued, %d retry keys, %d key queues", len(left.open),
+			len(left.queueExpiry), len(left.unserved), len(left.keyQueues))
+	}
+}
+
+func TestSendRulesHoldUnderRandomEvents(t *testing.T) {
+	for seed := uint64(1); seed <= 60; seed++ {
+		cfg := testConfig()
+		cfg.Seed = seed
+		cfg.PollsEndpoints = seed%2 == 0
+		cfg.HasRetryBudget = seed%3 != 0
+		cfg.RetryBudgetBase, cfg.RetryBudgetRatio, cfg.RetryBudgetWindow = 2, 0.005, 2*time.Second
+		cfg.Classes[3].DedupScope = decision.DedupScope(seed % 3)
+		if cfg.Classes[3].DedupScope == decision.DedupZone {
+			cfg.Classes[3].DedupScope = decision.DedupShard
+		}
+		w := newSimulation(t, cfg)
+		for i := range 2000 {
+			w.step()
+			w.now += time.Duration(2*(1+w.random.IntN(4))) * ms
+			if i%200 == 199 {
+				w.prune()
+			}
+		}
+		w.drain()
+	}
+}
