--- a/policy/nodes.go
+++ b/policy/nodes.go
@@ -34,9 +34,9 @@
 	maxFinishTag float64    // highest finish tag sent
 	inFlight     []*request // sent, no outcome yet
 	queuedUnits  float64
-	recentSends  rate.History  // within the overload window
-	lastSendAt   time.Duration // time of the last send
-	pausedUntil  time.Duration // nothing is sent before
+	recentSends  rate.SlidingWindow // within the overload window
+	lastSendAt   time.Duration      // time of the last send
+	pausedUntil  time.Duration      // nothing is sent before
 
 	estimate
 	objective float64 // mean latency objective of what was sent
--- a/policy/retention.go
+++ b/policy/retention.go
@@ -21,7 +21,7 @@
 	})
 	maps.DeleteFunc(s.volumes, func(_ string, v *volume) bool {
 		// Only if its bucket would be full again when it is next used.
-		refilled := v.rateLimit.Rate*idleRetention.Seconds() >= v.rateLimit.Max
+		refilled := v.rateLimit.RefillRate*idleRetention.Seconds() >= v.rateLimit.Burst
 		return v.queuedUnits == 0 && s.now > v.lastSeenAt+idleRetention && refilled
 	})
 }
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -48,7 +48,7 @@
 	stalledFor time.Duration // how long this process was stalled before this step
 
 	actions    []decision.Action // of the step being made
-	logLimiter rate.Window
+	logLimiter rate.FixedWindow
 
 	timers      timers
 	watch       endpointWatch
--- a/policy/sendrules.go
+++ b/policy/sendrules.go
@@ -7,8 +7,8 @@
 
 // retryBudget counts what the budget for retries is measured by.
 type retryBudget struct {
-	arrivals rate.History
-	retries  rate.History
+	arrivals rate.SlidingWindow
+	retries  rate.SlidingWindow
 }
 
 // maySend reports whether every rule on sends allows to send r to n now.
@@ -36,14 +36,14 @@
 		return true
 	}
 	from := s.now - s.cfg.RetryBudgetWindow
-	arrivals := s.retryBudget.arrivals.Since(from + timerSlack)
-	retries := s.retryBudget.retries.Since(from - timerSlack)
+	arrivals := s.retryBudget.arrivals.SumSince(from + timerSlack)
+	retries := s.retryBudget.retries.SumSince(from - timerSlack)
 	return retries+1 <= s.cfg.RetryBudgetBase+s.cfg.RetryBudgetRatio*arrivals
 }
 
 // withinRateLimit reports whether this broker's even part of the volume's rate limit has the units.
 func (s *Scheduler) withinRateLimit(r *request) bool {
-	return r.volume.plan.RateLimit <= 0 || r.rateCharged || r.volume.rateLimit.Fill(s.now) >= r.arrival.Units
+	return r.volume.plan.RateLimit <= 0 || r.rateCharged || r.volume.rateLimit.Refill(s.now) >= r.arrival.Units
 }
 
 // send starts an attempt and charges it to every rule that counts sends.
@@ -53,7 +53,7 @@
 		s.retryBudget.retries.Add(s.now, 1)
 	}
 	if r.volume.plan.RateLimit > 0 && !r.rateCharged {
-		r.volume.rateLimit.Level -= r.arrival.Units
+		r.volume.rateLimit.Tokens -= r.arrival.Units
 	}
 	n.addSend(s, r)
 
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -46,7 +46,7 @@
 func (s *Scheduler) winsSlowStartDraw(r *request, n *node, capacity float64) bool {
 	age := s.now - s.startedAt
 	// The part of a steady rate that a meter shows at this age of the broker.
-	measured := 1 - math.Exp(-age.Seconds()/rate.Age.Seconds())
+	measured := 1 - math.Exp(-age.Seconds()/rate.DecayTime.Seconds())
 	demand := s.fleet.demand.Rate(s.now) * float64(s.cfg.Brokers) / float64(len(s.nodes.list))
 	demand += s.fleet.shardDemand[n.Shard].Rate(s.now) * float64(max(r.arrival.Brokers, 1))
 	window := s.cfg.OverloadWindow.Seconds()
@@ -55,5 +55,5 @@
 
 // recentUnits sums the units sent to n within the overload window and forgets older sends.
 func (s *Scheduler) recentUnits(n *node) (units float64) {
-	return n.recentSends.Since(s.now - s.cfg.OverloadWindow - timerSlack)
+	return n.recentSends.SumSince(s.now - s.cfg.OverloadWindow - timerSlack)
 }
--- a/policy/volume.go
+++ b/policy/volume.go
@@ -11,7 +11,7 @@
 // volume is what this broker knows of a tenant's volume over all nodes.
 type volume struct {
 	plan          *decision.Plan
-	rateLimit     rate.Bucket
+	rateLimit     rate.TokenBucket
 	reserveCredit float64 // units that may be counted inside the reserve
 	queuedUnits   float64 // for all nodes
 	lastSeenAt    time.Duration
@@ -37,11 +37,11 @@
 		reserveCredit: plan.ReservedRate + max(s.cfg.MaxUnits, 1),
 		// Before a restart this broker may have spent its part of the limit. So the bucket does not start full,
 		// but with the broker's part of the tolerance, at the time of the broker's start.
-		rateLimit: rate.Bucket{
-			Rate:  plan.RateLimit / brokers,
-			Max:   plan.RateLimitBurst / brokers,
-			Level: plan.RateLimitTolerance / brokers,
-			At:    s.startedAt,
+		rateLimit: rate.TokenBucket{
+			RefillRate: plan.RateLimit / brokers,
+			Burst:      plan.RateLimitBurst / brokers,
+			Tokens:     plan.RateLimitTolerance / brokers,
+			RefilledAt: s.startedAt,
 		},
 	}
 	s.volumes[a.Volume] = v
@@ -71,7 +71,7 @@
 	demand := v.demand.Rate(s.now)
 	served := v.served.Rate(s.now)
 	total := served + v.servedElsewhere.Rate(s.now)
-	if s.now < v.usageAt+rate.Age {
+	if s.now < v.usageAt+rate.DecayTime {
 		total = max(total, v.usage)
 	}
 	if served > 0 {
--- a/policy/watch.go
+++ b/policy/watch.go
@@ -26,13 +26,13 @@
 
 // start sets the time of the first watch.
 func (w *endpointWatch) start(now time.Duration) {
-	w.nextAt = now + w.backoff.Start(w.random.Float64())
+	w.nextAt = now + w.backoff.InitialDelay(w.random.Float64())
 }
 
 // fail sets the time of the next watch. It comes no later than bound from now, where bound is above 0.
 // Without a backoff a discovery service that is slow once would never work off the calls of many brokers.
 func (w *endpointWatch) fail(now, bound time.Duration) {
-	w.nextAt = now + w.backoff.Next(w.failures, bound, w.random.Float64())
+	w.nextAt = now + w.backoff.RetryDelay(w.failures, bound, w.random.Float64())
 	w.active = false
 	w.failures++
 }
