--- a/internal/broker/decision/decision.go
+++ b/internal/broker/decision/decision.go
@@ -78,7 +78,7 @@
 	MaxRetryAfter                            time.Duration
 	SlowStartFraction                        float64 // a cold node starts with at least this part of its capacity
 	SlowStartDuration, OverloadWindow        time.Duration
-	ColdCapacityUnits                        float64 // what a cold node bears within TipWindow from all hosts
+	SlowStartCapacityUnits                   float64 // what a cold node bears within TipWindow from all hosts
 	OrderedKeyQuietPeriod                    time.Duration
 	HasRetryBudget                           bool // the three figures below bind
 	RetryBudgetBase, RetryBudgetRatio        float64
@@ -131,9 +131,9 @@
 // SlowStartCapacity is how many units a cold node bears for sure within TipWindow, from all hosts, so long after its start.
 func (c *Config) SlowStartCapacity(age time.Duration) float64 {
 	if c.SlowStartFraction <= 0 {
-		return c.ColdCapacityUnits
+		return c.SlowStartCapacityUnits
 	}
-	return c.ColdCapacityUnits * (1 + (1-c.SlowStartFraction)/c.SlowStartFraction*max(0, age.Seconds())/c.SlowStartDuration.Seconds())
+	return c.SlowStartCapacityUnits * (1 + (1-c.SlowStartFraction)/c.SlowStartFraction*max(0, age.Seconds())/c.SlowStartDuration.Seconds())
 }
 
 // DiscoveryClients is how many hosts share the discovery that this one asks.
@@ -182,7 +182,7 @@
 		negative("warm", c.SlowStartDuration.Seconds()), negative("tip window", c.OverloadWindow.Seconds()),
 		negative("key quiet", c.OrderedKeyQuietPeriod.Seconds()), negative("budget window", c.RetryBudgetWindow.Seconds()),
 		negative("ask within", c.MaxPollInterval.Seconds()), negative("home", float64(c.LocalZone)), negative("far", c.RemoteZonePenalty.Seconds()),
-		negative("handshake", c.HandshakeCost), negative("keep", c.ConnectionReuseWindow.Seconds()), negative("cold bears", c.ColdCapacityUnits),
+		negative("handshake", c.HandshakeCost), negative("keep", c.ConnectionReuseWindow.Seconds()), negative("cold bears", c.SlowStartCapacityUnits),
 		negative("mean units", c.MeanUnits), negative("max units", c.MaxUnits), negative("fair worth", c.QuotaPriorityWeight),
 		negative("max retry after", c.MaxRetryAfter.Seconds()), negative("free resends", c.RetryBudgetBase),
 		negative("further ratio", c.RetryBudgetRatio))
--- a/internal/broker/decision/decision_test.go
+++ b/internal/broker/decision/decision_test.go
@@ -42,13 +42,13 @@
 
 // What a cold node bears grows evenly from what it always bears to what it bears warm.
 func TestColdBudget(t *testing.T) {
-	c := Config{ColdCapacityUnits: 10, SlowStartFraction: 0.25, SlowStartDuration: 15 * time.Second}
+	c := Config{SlowStartCapacityUnits: 10, SlowStartFraction: 0.25, SlowStartDuration: 15 * time.Second}
 	for age, want := range map[time.Duration]float64{-time.Second: 10, 0: 10, 5 * time.Second: 20, 15 * time.Second: 40} {
 		if got := c.SlowStartCapacity(age); got != want {
 			t.Errorf("%v after its start: %v units, want %v", age, got, want)
 		}
 	}
-	if got := (&Config{ColdCapacityUnits: 10, SlowStartDuration: time.Second}).SlowStartCapacity(time.Second); got != 10 {
+	if got := (&Config{SlowStartCapacityUnits: 10, SlowStartDuration: time.Second}).SlowStartCapacity(time.Second); got != 10 {
 		t.Errorf("where no part is told: %v units", got)
 	}
 }
@@ -76,7 +76,7 @@
 		"classes[0].dedup window": func(c *Config) { c.Classes[0].DedupWindow = -1 },
 		"classes[0].worth":        func(c *Config) { c.Classes[0].PriorityWeight = -1 },
 		"plans[0].limit":          func(c *Config) { c.Plans[0].RateLimit = -1 },
-		"cold bears":              func(c *Config) { c.ColdCapacityUnits = -1 },
+		"cold bears":              func(c *Config) { c.SlowStartCapacityUnits = -1 },
 		"cold from":               func(c *Config) { c.SlowStartFraction = 1.5 },
 		"mean units":              func(c *Config) { c.MeanUnits = -1 },
 		"max units":               func(c *Config) { c.MaxUnits = -1 },
--- a/internal/broker/settings/settings.go
+++ b/internal/broker/settings/settings.go
@@ -88,7 +88,7 @@
 		PollsEndpoints: in.Discovery == "ask", MaxPollInterval: time.Duration(c.AskWithin),
 		SendsRetryAfter: l.RetryAfter, MaxRetryAfter: time.Duration(l.MaxRetry),
 		SlowStartFraction: c.ColdFrom, SlowStartDuration: time.Duration(c.WarmAfter),
-		OverloadWindow: time.Duration(c.TipAfter), ColdCapacityUnits: in.Specifics.ColdBears,
+		OverloadWindow: time.Duration(c.TipAfter), SlowStartCapacityUnits: in.Specifics.ColdBears,
 		OrderedKeyQuietPeriod: time.Duration(c.KeyQuiet), RetryBudgetBase: c.FreeResends, RetryBudgetWindow: time.Duration(c.LookBack),
 		MeanUnits: in.Specifics.MeanUnits, MaxUnits: in.Specifics.MaxUnits,
 		QuotaPriorityWeight: in.Specifics.FairWorth, HandshakeCost: in.Deductions.Handshake,
--- a/internal/broker/settings/settings_test.go
+++ b/internal/broker/settings/settings_test.go
@@ -16,7 +16,7 @@
 		t.Fatal(err)
 	}
 	k := c.Classes[0]
-	if c.PollsEndpoints || c.Brokers != 3 || k.Idempotency != decision.IdempotentByKey || k.DedupScope != decision.DedupShard || k.DedupWindow != 900 || c.ColdCapacityUnits != 13 {
+	if c.PollsEndpoints || c.Brokers != 3 || k.Idempotency != decision.IdempotentByKey || k.DedupScope != decision.DedupShard || k.DedupWindow != 900 || c.SlowStartCapacityUnits != 13 {
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/lab/model/run.go
+++ b/internal/lab/model/run.go
@@ -138,7 +138,7 @@
 
 func (r *run) newNode(cores int, speed float64, room int, shard, zone int32, kind float64) *Node {
 	n := &Node{Cores: cores, Speed: speed, Room: room, id: int32(len(r.nodes)), shard: shard, zone: zone, kind: kind, e: r.e, service: &r.s.Service,
-		cold: &r.s.Cold, mean: r.mean, told: r.config.ColdCapacityUnits / meanUnits}
+		cold: &r.s.Cold, mean: r.mean, told: r.config.SlowStartCapacityUnits / meanUnits}
 	n.name = fmt.Sprintf("n%05d", n.id)
 	n.level = func(by float64) { r.inside.Add(r.e.Now(), by) }
 	n.reached = func() { r.coldSends++ }
@@ -179,14 +179,14 @@
 	}
 	if s.Cold.Multiple > 0 && s.Cold.Warm > 0 {
 		c.OverloadWindow = time.Duration(s.Cold.Window)
-		c.ColdCapacityUnits = s.Cold.Bears
+		c.SlowStartCapacityUnits = s.Cold.Bears
 	}
-	if c.OverloadWindow > 0 && c.ColdCapacityUnits == 0 {
+	if c.OverloadWindow > 0 && c.SlowStartCapacityUnits == 0 {
 		least := math.Inf(1)
 		for _, k := range s.Nodes {
 			least = min(least, float64(k.Cores)*k.Speed)
 		}
-		c.ColdCapacityUnits = meanUnits * s.Cold.Multiple * s.Cold.Share * least * c.OverloadWindow.Seconds() / (r.mean / 1e6)
+		c.SlowStartCapacityUnits = meanUnits * s.Cold.Multiple * s.Cold.Share * least * c.OverloadWindow.Seconds() / (r.mean / 1e6)
 	}
 	if s.Link.Keep > 0 {
 		c.ConnectionReuseWindow, c.HandshakeCost = time.Duration(s.Link.Keep), float64(s.Service.Handshake.us()+s.Link.Handshake.us())/r.mean
--- a/internal/lab/model/settings.go
+++ b/internal/lab/model/settings.go
@@ -40,5 +40,5 @@
 		"limits": m{"send_cap": c.MaxAttempts, "connect_timeout_ns": ns(250 * time.Millisecond), "keepalive_ns": ns(30 * time.Second), "retry_after": c.SendsRetryAfter,
 			"max_retry_after_ns": ns(c.MaxRetryAfter)},
 		"deductions": m{"handshake": c.HandshakeCost},
-		"specifics":  m{"mean_units": c.MeanUnits, "max_units": c.MaxUnits, "n_shards": s.Count(), "cold_bears": c.ColdCapacityUnits, "fair_worth": c.QuotaPriorityWeight}})
+		"specifics":  m{"mean_units": c.MeanUnits, "max_units": c.MaxUnits, "n_shards": s.Count(), "cold_bears": c.SlowStartCapacityUnits, "fair_worth": c.QuotaPriorityWeight}})
 }
--- a/policy/randomized_test.go
+++ b/policy/randomized_test.go
@@ -364,7 +364,7 @@
 	}
 	age := math.Max(0, (w.now-w.cfg.OverloadWindow-at).Seconds()) / w.cfg.SlowStartDuration.Seconds()
 	ramp := (w.cfg.SlowStartFraction + (1-w.cfg.SlowStartFraction)*age) / w.cfg.SlowStartFraction
-	capacity := w.cfg.ColdCapacityUnits * ramp
+	capacity := w.cfg.SlowStartCapacityUnits * ramp
 	part, last := capacity/float64(w.cfg.Brokers), n.sends[len(n.sends)-1].units
 	if sum > part+1e-6 && (sum > last || last <= part) { // a request beyond the whole part may be sent alone, by lot
 		w.fail("%v units in a window to a node that bears %v from %d brokers", sum, capacity, w.cfg.Brokers)
--- a/policy/rig_test.go
+++ b/policy/rig_test.go
@@ -33,7 +33,7 @@
 			{Name: "three", Weight: 3, PriceFactor: 1, UsualRate: 100, ReservedRate: 50},
 			{Name: "bound", Weight: 1, PriceFactor: 1, UsualRate: 10, ReservedRate: 5, RateLimit: 10, RateLimitBurst: 40, RateLimitTolerance: 4},
 		},
-		OverloadWindow: time.Second, SlowStartDuration: 10 * time.Second, SlowStartFraction: 0.2, ColdCapacityUnits: 8,
+		OverloadWindow: time.Second, SlowStartDuration: 10 * time.Second, SlowStartFraction: 0.2, SlowStartCapacityUnits: 8,
 		OrderedKeyQuietPeriod: 200 * ms, MeanUnits: 2, MaxUnits: 8, MaxPollInterval: 10 * time.Second,
 	}
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -54,8 +54,8 @@
 		evs = nil
 	}
 	for n, u := range units {
-		if u > cfg.ColdCapacityUnits {
-			t.Errorf("%s got %v units in a window, bears %v", n, u, cfg.ColdCapacityUnits)
+		if u > cfg.SlowStartCapacityUnits {
+			t.Errorf("%s got %v units in a window, bears %v", n, u, cfg.SlowStartCapacityUnits)
 		}
 	}
 	if sent < 60 {
--- a/policy/surge_test.go
+++ b/policy/surge_test.go
@@ -41,7 +41,7 @@
 		cfg := testConfig()
 		cfg.Brokers = brokers
 		cfg.Seed = seed*1000 + uint64(i)
-		cfg.ColdCapacityUnits = warmingUnits
+		cfg.SlowStartCapacityUnits = warmingUnits
 		cfg.SlowStartFraction = warmUpFraction
 		cfg.SlowStartDuration = warmUp
 		cfg.OverloadWindow = time.Second
--- a/policy/warmingfleet_test.go
+++ b/policy/warmingfleet_test.go
@@ -29,7 +29,7 @@
 	t.Helper()
 	cfg := testConfig()
 	cfg.Brokers = brokers
-	cfg.ColdCapacityUnits = 34
+	cfg.SlowStartCapacityUnits = 34
 	cfg.OverloadWindow = 2 * time.Second
 	cfg.SlowStartDuration = 15 * time.Second
 	cfg.SlowStartFraction = 0.15
@@ -125,7 +125,7 @@
 		}
 		age := math.Max(0, (last.at-f.cfg.OverloadWindow-f.startedAt).Seconds()) / f.cfg.SlowStartDuration.Seconds()
 		ramp := 1 + (1-f.cfg.SlowStartFraction)/f.cfg.SlowStartFraction*age
-		worst = math.Max(worst, sum/(f.cfg.ColdCapacityUnits*ramp))
+		worst = math.Max(worst, sum/(f.cfg.SlowStartCapacityUnits*ramp))
 	}
 	return worst
 }
@@ -168,7 +168,7 @@
 func TestSmallRequestsGoFirstToAWarmingNode(t *testing.T) {
 	cfg := testConfig()
 	cfg.Brokers = 200
-	cfg.ColdCapacityUnits = 20
+	cfg.SlowStartCapacityUnits = 20
 	cfg.OverloadWindow = time.Second
 	cfg.SlowStartDuration = 15 * time.Second
 	cfg.SlowStartFraction = 0.2
