--- /dev/null
+++ b/internal/broker/decision/outcome.go
@@ -0,0 +1,33 @@
+package decision
+
+// Outcome says how an attempt ended.
+type Outcome uint8
+
+// The outcomes.
+const (
+	Served Outcome = iota
+	NodeError
+	Rejected
+	TimedOut
+	ConnectFailed
+	ConnectionLost
+	Cancelled
+	NotAttempted
+	MalformedResponse // it was executed, but the response cannot be read; the node may be well
+	SendIncomplete    // its connection was lost before the whole request was sent
+)
+
+// NotExecuted reports whether the outcome proves that the attempt was not executed.
+func (o Outcome) NotExecuted() bool {
+	return o == Rejected || o == ConnectFailed || o == NotAttempted || o == SendIncomplete
+}
+
+// IsResponse reports whether the node itself has answered.
+func (o Outcome) IsResponse() bool {
+	return o == Served || o == NodeError || o == Rejected || o == MalformedResponse
+}
+
+// MayStillExecute reports whether the attempt may still be executed.
+func (o Outcome) MayStillExecute() bool {
+	return o == TimedOut || o == ConnectionLost || o == Cancelled
+}
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -260,7 +260,10 @@
 			return ev, fmt.Errorf("%s: unknown rc %q", tag, f.str("rc"))
 		}
 		ev.Outcome, ev.Final = o, f.num("final") == 1
-		ev.VolumeUsage, ev.UnitsElsewhere = int(f.num("volume_use")), f.float("others_got")
+		if usage := int(f.num("volume_use")); usage > 0 {
+			ev.Usage = decision.VolumeUsage{Known: true, Percent: usage - 1}
+		}
+		ev.UnitsElsewhere = f.float("others_got")
 	case "begun":
 		ev.Kind = decision.ResponseStarted
 	case "expired":
--- a/policy/nodes.go
+++ b/policy/nodes.go
@@ -7,15 +7,12 @@
 	"poppyarch/internal/timing/rate"
 )
 
-// anyShard is the key under which nodeTable lists the nodes of all shards.
-const anyShard = -1
-
 // nodeTable holds the known nodes.
 type nodeTable struct {
 	byName     map[string]*node
 	list       []*node
-	byShard    map[int][]*node
-	backlogged []*node // those with queued requests
+	byShard    map[int][]*node // decision.AnyShard: all nodes
+	backlogged []*node         // those with queued requests
 }
 
 func newNodeTable() nodeTable {
@@ -65,7 +62,7 @@
 	for i := range ev.Endpoints {
 		s.updateEndpoint(&ev.Endpoints[i])
 	}
-	s.nodes.byShard = map[int][]*node{anyShard: s.nodes.list}
+	s.nodes.byShard = map[int][]*node{decision.AnyShard: s.nodes.list}
 	for _, n := range s.nodes.list {
 		s.nodes.byShard[n.Shard] = append(s.nodes.byShard[n.Shard], n)
 		if s.fleet.shardDemand[n.Shard] == nil {
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -6,6 +6,8 @@
 	"slices"
 	"sort"
 	"time"
+
+	"poppyarch/internal/broker/decision"
 )
 
 // The cost of a node for a new object is its expected wait in seconds and these penalties.
@@ -83,7 +85,7 @@
 func (s *Scheduler) pickNode(r *request) *node {
 	var best *node
 	lowest := math.Inf(1)
-	for _, n := range s.nodes.byShard[max(r.arrival.Shard, anyShard)] {
+	for _, n := range s.nodes.byShard[max(r.arrival.Shard, decision.AnyShard)] {
 		if !n.acceptsNew() {
 			continue
 		}
--- a/policy/randomized_test.go
+++ b/policy/randomized_test.go
@@ -173,9 +173,11 @@
 	if outcome == decision.Served {
 		r.done = true
 	}
+	unitsElsewhere := float64(w.random.IntN(4))
+	usage := w.random.IntN(200)
 	return decision.Event{
 		Kind: decision.AttemptEnded, ID: r.id, Attempt: r.attempts - 1, Node: r.node, Outcome: outcome, Final: final,
-		UnitsElsewhere: float64(w.random.IntN(4)), VolumeUsage: w.random.IntN(200),
+		UnitsElsewhere: unitsElsewhere, Usage: decision.VolumeUsage{Known: usage > 0, Percent: usage - 1},
 	}
 }
 
--- a/policy/retention.go
+++ b/policy/retention.go
@@ -4,6 +4,8 @@
 	"maps"
 	"slices"
 	"time"
+
+	"poppyarch/internal/broker/decision"
 )
 
 // idleRetention is how long a volume without requests and a node that left the list are remembered.
@@ -13,7 +15,7 @@
 // while its drain, its slow start, an attempt or a recent send may still count if it comes back.
 func (s *Scheduler) forgetIdle() {
 	s.nodes.list = slices.DeleteFunc(s.nodes.list, s.isForgettable)
-	s.nodes.byShard[anyShard] = s.nodes.list
+	s.nodes.byShard[decision.AnyShard] = s.nodes.list
 	maps.DeleteFunc(s.nodes.byName, func(_ string, n *node) bool { return s.isForgettable(n) })
 	maps.DeleteFunc(s.requests.unserved, func(_ retryKey, until time.Duration) bool { return until <= s.now })
 	maps.DeleteFunc(s.requests.keyQueues, func(_ string, q *keyQueue) bool {
--- a/policy/volume.go
+++ b/policy/volume.go
@@ -82,8 +82,8 @@
 
 // observe records what an attempt's outcome says of the volume.
 func (v *volume) observe(now time.Duration, units float64, ev *decision.Event) {
-	if ev.VolumeUsage > 0 {
-		v.usage = float64(ev.VolumeUsage-1) / 100 * v.plan.UsualRate
+	if ev.Usage.Known {
+		v.usage = float64(ev.Usage.Percent) / 100 * v.plan.UsualRate
 		v.usageAt = now
 	}
 	v.servedElsewhere.Add(now, ev.UnitsElsewhere)
--- a/policy/volume_test.go
+++ b/policy/volume_test.go
@@ -22,7 +22,7 @@
 				counted++
 			}
 			ev := answered(i, "a", decision.Served)
-			ev.VolumeUsage = 241
+			ev.Usage = decision.VolumeUsage{Known: true, Percent: 240}
 			r.after(10*ms, ev)
 			r.now += 990 * ms
 		}
