--- a/internal/nodes/nodefile/csv.go
+++ b/internal/nodes/nodefile/csv.go
@@ -86,10 +86,7 @@
 	var out []string
 	for _, c := range cells {
 		pos := Pos{at.File, at.Line, c.col}
-		name := c.text
-		if name == "name" || name == "node" || name == "uid" {
-			name = "id"
-		}
+		name := columnName(c.text)
 		if name != "id" && name != "group" && !slices.Contains(known, name) {
 			b.fault(Fault{Pos: pos, Key: c.text, Text: "unknown column"})
 			return nil
@@ -107,6 +104,15 @@
 	return out
 }
 
+// columnName returns the name of a column, with synonyms replaced.
+func columnName(name string) string {
+	switch name {
+	case "name", "node", "uid":
+		return "id"
+	}
+	return name
+}
+
 // split cuts a line into cells.
 func split(l string) ([]cell, error) {
 	if !strings.ContainsRune(l, '"') { // as nearly all are
--- a/internal/nodes/nodefile/reader.go
+++ b/internal/nodes/nodefile/reader.go
@@ -1,6 +1,7 @@
 package nodefile
 
 import (
+	"slices"
 	"strings"
 )
 
@@ -77,90 +78,120 @@
 	}
 }
 
-// patch takes in a text of as many lines as the last one, if it differs from it in rows only. Otherwise, and where anything
-// is wrong with it, it leaves all as it was.
+// patch applies a text that differs from the last one in the content of some rows only. Otherwise, or if anything is wrong
+// with it, it reports false; then the text has to be read from the start.
 func (r *Reader) patch(text string) ([]Row, bool) {
-	old := r.text
 	if len(r.doc.Rows) == 0 {
 		return nil, false
 	}
-	// What is the same at the beginning and at the end, in whole lines.
-	p := 0
-	for n := min(len(old), len(text)); p < n && old[p] == text[p]; {
-		if p+64 <= n && old[p:p+64] == text[p:p+64] {
-			p += 64
-			continue
-		}
-		p++
-	}
-	p = strings.LastIndexByte(text[:p], '\n') + 1
-	if p < r.first {
+	prefix, suffix := commonLines(r.text, text)
+	if prefix < r.first {
 		return nil, false
 	}
-	s := 0
-	for n := min(len(old), len(text)) - p; s < n && old[len(old)-1-s] == text[len(text)-1-s]; {
-		if s+64 <= n && old[len(old)-s-64:len(old)-s] == text[len(text)-s-64:len(text)-s] {
-			s += 64
-			continue
-		}
-		s++
+	before := r.text[prefix : len(r.text)-suffix]
+	after := text[prefix : len(text)-suffix]
+	if before == after {
+		return nil, r.text == text
 	}
-	if s > 0 { // up to where a line ends in both
-		k := strings.IndexByte(text[len(text)-s:], '\n')
-		if k < 0 {
-			s = 0
-		} else {
-			s -= k
-		}
+	if strings.Count(before, "\n") != strings.Count(after, "\n") {
+		return nil, false // lines were added or deleted, so later rows have moved
+	}
+	firstLine := 1 + strings.Count(text[:prefix], "\n")
+	rows, ok := r.parseLines(after, firstLine)
+	if !ok {
+		return nil, false
 	}
-	was, now := old[p:len(old)-s], text[p:len(text)-s]
-	if was == now {
-		return nil, old == text
+	first := lowest(r.doc.Rows, firstLine)
+	last := lowest(r.doc.Rows, firstLine+strings.Count(after, "\n")+1)
+	if !sameIDs(r.doc.Rows[first:last], rows) {
+		return nil, false
 	}
-	if strings.Count(was, "\n") != strings.Count(now, "\n") {
-		return nil, false // lines came or went: places move
+	if !r.replaceClaims(r.doc.Rows[first:last], rows) {
+		return nil, false
 	}
-	line := 1 + strings.Count(text[:p], "\n")
+	copy(r.doc.Rows[first:last], rows)
+	return rows, true
+}
+
+// parseLines parses complete lines of rows. Anything wrong with them is reported as false.
+func (r *Reader) parseLines(lines string, firstLine int) ([]Row, bool) {
 	b := &builder{doc: &Doc{Whole: true}, kinds: map[string]Kind{}, seen: map[string]bool{}}
-	for k, l := range strings.Split(now, "\n") {
-		l = strings.TrimSuffix(l, "\r")
-		if t := strings.TrimSpace(l); t == "" || t[0] == '#' {
+	for i, line := range strings.Split(lines, "\n") {
+		line = strings.TrimSuffix(line, "\r")
+		if trimmed := strings.TrimSpace(line); trimmed == "" || trimmed[0] == '#' {
 			continue
 		}
-		cells, err := split(l)
+		cells, err := split(line)
 		if err != nil {
 			return nil, false
 		}
-		b.line(r.path, line+k, r.header, cells)
+		b.line(r.path, firstLine+i, r.header, cells)
 	}
 	b.check()
-	if len(b.doc.Faults) > 0 {
-		return nil, false
-	}
-	// The rows that stood in those lines: as many, of the same ids, in the same lines.
-	last := line + strings.Count(now, "\n")
-	lo := lowest(r.doc.Rows, line)
-	hi := lowest(r.doc.Rows, last+1)
-	fresh := b.doc.Rows
-	if hi-lo != len(fresh) {
-		return nil, false
-	}
-	for i := range fresh {
-		if fresh[i].ID != r.doc.Rows[lo+i].ID {
-			return nil, false
+	return b.doc.Rows, len(b.doc.Faults) == 0
+}
+
+// replaceClaims replaces the claims of rows by those of others. If one contradicts another row, the reader has to start
+// anew.
+func (r *Reader) replaceClaims(before, after []Row) bool {
+	for i := range before {
+		r.drop(&before[i])
+	}
+	for i := range after {
+		if !r.claim(&after[i]) {
+			r.doc = nil // some claims are already dropped
+			return false
 		}
 	}
-	for i := lo; i < hi; i++ {
-		r.drop(&r.doc.Rows[i])
+	return true
+}
+
+func sameIDs(a, b []Row) bool {
+	return slices.EqualFunc(a, b, func(x, y Row) bool { return x.ID == y.ID })
+}
+
+// commonLines returns how many bytes two texts have in common at their beginnings and at their ends, in complete lines.
+func commonLines(a, b string) (prefix, suffix int) {
+	prefix = commonPrefix(a, b)
+	prefix = strings.LastIndexByte(b[:prefix], '\n') + 1
+	suffix = commonSuffix(a[prefix:], b[prefix:])
+	if suffix == 0 {
+		return prefix, 0
+	}
+	lineEnd := strings.IndexByte(b[len(b)-suffix:], '\n')
+	if lineEnd < 0 {
+		return prefix, 0
+	}
+	return prefix, suffix - lineEnd
+}
+
+// compareBlock is how many bytes are compared at once.
+const compareBlock = 64
+
+func commonPrefix(a, b string) int {
+	limit := min(len(a), len(b))
+	n := 0
+	for n < limit && a[n] == b[n] {
+		if n+compareBlock <= limit && a[n:n+compareBlock] == b[n:n+compareBlock] {
+			n += compareBlock
+		} else {
+			n++
+		}
 	}
-	for i := range fresh {
-		if !r.claim(&fresh[i]) {
-			r.doc = nil // its claims are half taken back: read anew
-			return nil, false
+	return n
+}
+
+func commonSuffix(a, b string) int {
+	limit := min(len(a), len(b))
+	n := 0
+	for n < limit && a[len(a)-1-n] == b[len(b)-1-n] {
+		if n+compareBlock <= limit && a[len(a)-n-compareBlock:len(a)-n] == b[len(b)-n-compareBlock:len(b)-n] {
+			n += compareBlock
+		} else {
+			n++
 		}
 	}
-	copy(r.doc.Rows[lo:hi], fresh)
-	return fresh, true
+	return n
 }
 
 // lowest is the first row at or behind a line.
--- a/internal/nodes/nodefile/write.go
+++ b/internal/nodes/nodefile/write.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"cmp"
 	"encoding/csv"
 	"fmt"
 	"maps"
@@ -61,50 +60,44 @@
 	return b.Bytes()
 }
 
-// YAML writes rows as a list of its own, a group for each innermost one, in the order in which they come.
+// YAML encodes rows as a list of its own, with a group for each innermost one, in the order in which they come.
 func YAML(rows []Row) ([]byte, error) {
-	text := func(s string) *yaml.Node {
-		n := &yaml.Node{}
-		n.SetString(s)
-		return n
-	}
-	mapping := func() *yaml.Node { return &yaml.Node{Kind: yaml.MappingNode, Tag: "!!map"} }
-	put := func(m *yaml.Node, key string, v *yaml.Node) { m.Content = append(m.Content, text(key), v) }
-	root := mapping()
+	root := newMapping()
 	hosts := map[string]*yaml.Node{}
 	for i := range rows {
-		r := &rows[i]
+		row := &rows[i]
 		name := "nodes"
-		if len(r.Groups) > 0 {
-			name = r.Groups[len(r.Groups)-1]
+		if len(row.Groups) > 0 {
+			name = row.Groups[len(row.Groups)-1]
 		}
 		if hosts[name] == nil {
-			hosts[name] = mapping()
-			g := mapping()
-			put(g, "hosts", hosts[name])
-			put(root, name, g)
-		}
-		h := mapping()
-		h.Style = yaml.FlowStyle
-		v := r.values()
-		for _, key := range known {
-			if v[key] != "" && (key != "state" || v[key] != "up") {
-				x := text(v[key])
-				if key == "shard" || key == "cores" || key == "speed" {
-					x = &yaml.Node{Kind: yaml.ScalarNode, Value: v[key]}
-				}
-				put(h, key, x)
-			}
+			hosts[name] = newMapping()
+			group := newMapping()
+			appendEntry(group, "hosts", hosts[name])
+			appendEntry(root, name, group)
 		}
-		put(hosts[name], r.ID, h)
+		appendEntry(hosts[name], row.ID, row.yamlNode())
 	}
-	var b bytes.Buffer
-	e := yaml.NewEncoder(&b)
-	e.SetIndent(2)
-	if err := e.Encode(root); err != nil {
-		return nil, err
+	return encodeYAML(root)
+}
+
+// yamlNode returns the settings of a row that are not their defaults.
+func (r *Row) yamlNode() *yaml.Node {
+	node := newMapping()
+	node.Style = yaml.FlowStyle
+	values := r.values()
+	for _, key := range known {
+		if value := values[key]; value != "" && (key != "state" || value != stateUp) {
+			appendEntry(node, key, scalar(key, value))
+		}
 	}
-	return b.Bytes(), nil
+	return node
+}
+
+func newMapping() *yaml.Node { return &yaml.Node{Kind: yaml.MappingNode, Tag: "!!map"} }
+
+func appendEntry(mapping *yaml.Node, key string, value *yaml.Node) {
+	mapping.Content = append(mapping.Content, stringNode(key), value)
 }
 
 // Set changes one setting of one node in a text and leaves everything else as it is: order, comments, and in CSV every
@@ -141,146 +134,157 @@
 func setCSV(path, in, id, key, value string) ([]byte, error) {
 	var header []string
 	lines := strings.SplitAfter(in, "\n")
-	for k, l := range lines {
-		body := strings.TrimRight(l, "\r\n")
-		if t := strings.TrimSpace(body); t == "" || t[0] == '#' {
+	for i, line := range lines {
+		body := strings.TrimRight(line, "\r\n")
+		if trimmed := strings.TrimSpace(body); trimmed == "" || trimmed[0] == '#' {
 			continue
 		}
 		cells, err := split(body)
 		if err != nil {
-			continue
+			continue // not the header, and no row that can be edited
 		}
 		if header == nil {
-			for _, c := range cells {
-				if c.text == "name" || c.text == "node" || c.text == "uid" {
-					c.text = "id"
-				}
-				header = append(header, c.text)
-			}
+			header = columnNames(cells)
 			continue
 		}
-		at, ids := slices.Index(header, key), slices.Index(header, "id")
-		if ids < 0 || ids >= len(cells) || cells[ids].text != id {
+		idColumn := slices.Index(header, "id")
+		if idColumn < 0 || idColumn >= len(cells) || cells[idColumn].text != id {
 			continue
 		}
-		if at < 0 {
+		column := slices.Index(header, key)
+		if column < 0 {
 			return nil, fmt.Errorf("%s: there is no column %s", path, key)
 		}
-		if strings.ContainsAny(value, ",\"\n") {
-			return nil, fmt.Errorf("%q cannot stand in a cell without quotes", value)
-		}
-		for len(cells) <= at { // a short line gets the cells it lacks
-			body += ","
-			cells = append(cells, cell{"", len(body) + 1})
-		}
-		c := cells[at]
-		end := c.col - 1 + len(c.text)
-		if c.col-1 > 0 && c.col <= len(body) && body[c.col-1] == '"' {
-			return nil, fmt.Errorf("%s:%d:%d: a quoted cell is not edited", path, k+1, c.col)
+		edited, err := setCell(body, cells, column, value)
+		if err != nil {
+			return nil, fmt.Errorf("%s:%d:%w", path, i+1, err)
 		}
-		lines[k] = body[:c.col-1] + value + body[end:] + l[len(strings.TrimRight(l, "\r\n")):]
+		lines[i] = edited + line[len(body):]
 		return []byte(strings.Join(lines, "")), nil
 	}
 	return nil, fmt.Errorf("%s: no row for %s", path, id)
 }
 
+// setCell replaces one cell of a line. A short line gets the cells that it lacks.
+func setCell(line string, cells []cell, column int, value string) (string, error) {
+	if strings.ContainsAny(value, ",\"\n") {
+		return "", fmt.Errorf(" %q cannot stand in a cell without quotes", value)
+	}
+	for len(cells) <= column {
+		line += ","
+		cells = append(cells, cell{text: "", col: len(line) + 1})
+	}
+	c := cells[column]
+	start := c.col - 1
+	if start > 0 && start < len(line) && line[start] == '"' {
+		return "", fmt.Errorf("%d: a quoted cell is not edited", c.col)
+	}
+	return line[:start] + value + line[start+len(c.text):], nil
+}
+
+// columnNames returns the names of the columns, with synonyms replaced.
+func columnNames(cells []cell) []string {
+	var names []string
+	for _, c := range cells {
+		names = append(names, columnName(c.text))
+	}
+	return names
+}
+
 func setYAML(path string, in []byte, id, key, value string) ([]byte, error) {
 	var doc yaml.Node
 	if err := yaml.Unmarshal(in, &doc); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	var found *yaml.Node
-	var walk func(n *yaml.Node, hosts bool)
-	walk = func(n *yaml.Node, hosts bool) {
-		if n.Kind == yaml.DocumentNode {
-			for _, c := range n.Content {
-				walk(c, false)
+	node := findHost(&doc, id)
+	if node == nil || node.Kind != yaml.MappingNode {
+		return nil, fmt.Errorf("%s: %s has no entry of its own", path, id)
+	}
+	setEntry(node, key, scalar(key, value))
+	return encodeYAML(&doc)
+}
+
+// findHost returns the settings of a host, or nil. Missing settings become an empty mapping.
+func findHost(n *yaml.Node, id string) *yaml.Node {
+	switch n.Kind {
+	case yaml.DocumentNode:
+		for _, child := range n.Content {
+			if found := findHost(child, id); found != nil {
+				return found
 			}
-			return
-		}
-		if n.Kind != yaml.MappingNode {
-			return
 		}
+	case yaml.MappingNode:
 		for i := 0; i+1 < len(n.Content); i += 2 {
-			k, v := n.Content[i], n.Content[i+1]
-			if hosts && k.Value == id && found == nil {
-				found = v
-				if v.Kind == yaml.ScalarNode && v.Tag == "!!null" {
-					*v = yaml.Node{Kind: yaml.MappingNode, Tag: "!!map", Style: yaml.FlowStyle}
-				}
-				continue
+			key, value := n.Content[i], n.Content[i+1]
+			find := findHost
+			if key.Value == "hosts" {
+				find = findEntry
 			}
-			if !hosts {
-				walk(v, k.Value == "hosts")
+			if found := find(value, id); found != nil {
+				return found
 			}
 		}
 	}
-	walk(&doc, false)
-	if found == nil || found.Kind != yaml.MappingNode {
-		return nil, fmt.Errorf("%s: %s has no entry of its own", path, id)
+	return nil
+}
+
+// findEntry returns the value of a key of a mapping of hosts, or nil.
+func findEntry(hosts *yaml.Node, id string) *yaml.Node {
+	if hosts.Kind != yaml.MappingNode {
+		return nil
 	}
-	x := &yaml.Node{Kind: yaml.ScalarNode, Value: value}
-	if key != "shard" && key != "cores" && key != "speed" {
-		x.SetString(value)
+	for i := 0; i+1 < len(hosts.Content); i += 2 {
+		if hosts.Content[i].Value != id {
+			continue
+		}
+		value := hosts.Content[i+1]
+		if value.Kind == yaml.ScalarNode && value.Tag == "!!null" {
+			*value = yaml.Node{Kind: yaml.MappingNode, Tag: "!!map", Style: yaml.FlowStyle}
+		}
+		return value
 	}
-	done := false
-	for i := 0; i+1 < len(found.Content); i += 2 {
-		if found.Content[i].Value == key {
-			x.HeadComment, x.LineComment, x.FootComment = found.Content[i+1].HeadComment, found.Content[i+1].LineComment, found.Content[i+1].FootComment
-			found.Content[i+1], done = x, true
+	return nil
+}
+
+// setEntry replaces or adds an entry of a mapping; comments are preserved.
+func setEntry(mapping *yaml.Node, key string, value *yaml.Node) {
+	replaced := false
+	for i := 0; i+1 < len(mapping.Content); i += 2 {
+		if mapping.Content[i].Value != key {
+			continue
 		}
+		before := mapping.Content[i+1]
+		value.HeadComment = before.HeadComment
+		value.LineComment = before.LineComment
+		value.FootComment = before.FootComment
+		mapping.Content[i+1] = value
+		replaced = true
 	}
-	if !done {
-		found.Content = append(found.Content, &yaml.Node{Kind: yaml.ScalarNode, Value: key}, x)
+	if !replaced {
+		mapping.Content = append(mapping.Content, &yaml.Node{Kind: yaml.ScalarNode, Value: key}, value)
 	}
-	var b bytes.Buffer
-	e := yaml.NewEncoder(&b)
-	e.SetIndent(2)
-	if err := e.Encode(&doc); err != nil {
-		return nil, err
+}
+
+// scalar returns the value of a setting: numbers as they are, everything else as a string.
+func scalar(key, value string) *yaml.Node {
+	if key == "shard" || key == "cores" || key == "speed" {
+		return &yaml.Node{Kind: yaml.ScalarNode, Value: value}
 	}
-	return b.Bytes(), nil
+	return stringNode(value)
 }
 
-// Difference is what one list has and another has not.
-type Difference struct {
-	ID   string   `json:"id"`
-	What string   `json:"what"` // added, removed, changed
-	Keys []string `json:"keys,omitempty"`
+func stringNode(s string) *yaml.Node {
+	n := &yaml.Node{}
+	n.SetString(s)
+	return n
 }
 
-// Diff compares two lists by id.
-func Diff(a, b []Row) (out []Difference) {
-	by := func(rows []Row) map[string]*Row {
-		m := make(map[string]*Row, len(rows))
-		for i := range rows {
-			m[rows[i].ID] = &rows[i]
-		}
-		return m
-	}
-	x, y := by(a), by(b)
-	for id, r := range x {
-		o := y[id]
-		if o == nil {
-			out = append(out, Difference{ID: id, What: "removed"})
-			continue
-		}
-		v, w := r.values(), o.values()
-		var keys []string
-		for _, k := range known {
-			if v[k] != w[k] {
-				keys = append(keys, k)
-			}
-		}
-		if len(keys) > 0 {
-			out = append(out, Difference{id, "changed", keys})
-		}
-	}
-	for id := range y {
-		if x[id] == nil {
-			out = append(out, Difference{ID: id, What: "added"})
-		}
+func encodeYAML(n *yaml.Node) ([]byte, error) {
+	var b bytes.Buffer
+	e := yaml.NewEncoder(&b)
+	e.SetIndent(2)
+	if err := e.Encode(n); err != nil {
+		return nil, err
 	}
-	slices.SortFunc(out, func(p, q Difference) int { return cmp.Compare(p.ID, q.ID) })
-	return out
+	return b.Bytes(), nil
 }
--- a/internal/nodes/nodefile/yaml.go
+++ b/internal/nodes/nodefile/yaml.go
@@ -1,18 +1,22 @@
 package nodefile
 
 import (
+	"cmp"
 	"fmt"
+	"maps"
 	"net/netip"
 	"path/filepath"
 	"regexp"
 	"slices"
-	"sort"
 	"strconv"
 
 	"go.yaml.in/yaml/v3"
 	"go4.org/netipx"
 )
 
+// groupAll is the name of the group that contains all nodes.
+const groupAll = "all"
+
 // group is a group of a YAML list, joined from all the places it stands at.
 type group struct {
 	name     string
@@ -256,72 +260,98 @@
 	})
 }
 
-// resolve works out every node's settings: from the outermost group to the innermost, groups of one depth in the order of
-// their names, the node's own last; the later wins.
+// resolve determines the settings of every node: from the outermost group to the innermost, groups of one depth in the order
+// of their names, the node's own last; the later wins.
 func (t *tree) resolve() {
-	parents := map[string][]string{}
 	for _, g := range t.groups {
-		for _, c := range g.children {
-			parents[c] = append(parents[c], g.name)
+		if !t.deepen(g, 1, map[string]bool{}) {
+			return
 		}
 	}
+	parents := t.parents()
+	for _, m := range t.nodesInOrder() {
+		groups := t.groupsOf(m, parents)
+		t.b.raws = append(t.b.raws, m.inherit(groups))
+	}
+}
+
+// parents returns the names of the groups that contain each group.
+func (t *tree) parents() map[string][]string {
+	parents := map[string][]string{}
 	for _, g := range t.groups {
-		if !t.deepen(g, 1, map[string]bool{}) {
-			return
+		for _, child := range g.children {
+			parents[child] = append(parents[child], g.name)
 		}
 	}
-	list := make([]*member, 0, len(t.nodes))
+	return parents
+}
+
+// nodesInOrder returns the nodes in the order of their first appearance.
+func (t *tree) nodesInOrder() []*member {
+	nodes := make([]*member, 0, len(t.nodes))
 	for _, m := range t.nodes {
-		list = append(list, m)
+		nodes = append(nodes, m)
 	}
-	sort.Slice(list, func(a, b int) bool { return list[a].order < list[b].order })
-	for _, m := range list {
-		in := map[string]bool{}
-		var climb func(string)
-		climb = func(name string) {
-			if !in[name] {
-				in[name] = true
-				for _, p := range parents[name] {
-					climb(p)
-				}
-			}
-		}
-		for _, g := range m.groups {
-			climb(g)
-		}
-		if t.groups["all"] != nil {
-			in["all"] = true
+	slices.SortFunc(nodes, func(a, b *member) int { return cmp.Compare(a.order, b.order) })
+	return nodes
+}
+
+// groupsOf returns the groups that a node is in, directly or not, the outermost first.
+func (t *tree) groupsOf(m *member, parents map[string][]string) []*group {
+	names := map[string]bool{}
+	var addWithParents func(string)
+	addWithParents = func(name string) {
+		if names[name] {
+			return
 		}
-		var order []*group
-		for name := range in {
-			order = append(order, t.groups[name])
+		names[name] = true
+		for _, parent := range parents[name] {
+			addWithParents(parent)
 		}
-		sort.Slice(order, func(a, b int) bool {
-			if (order[a].name == "all") != (order[b].name == "all") {
-				return order[a].name == "all"
-			}
-			if order[a].depth != order[b].depth {
-				return order[a].depth < order[b].depth
-			}
-			return order[a].name < order[b].name
-		})
-		r := raw{id: m.id, vars: map[string]field{}}
-		for _, g := range order {
-			if g.name != "all" {
-				r.groups = append(r.groups, g.name)
-			}
-			for k, v := range g.vars {
-				r.vars[k] = v
-			}
-			if g.nets != nil { // the innermost group's word
-				r.nets, r.netsOf = g.nets, g.name
-			}
+	}
+	for _, name := range m.groups {
+		addWithParents(name)
+	}
+	if t.groups[groupAll] != nil {
+		names[groupAll] = true
+	}
+	var groups []*group
+	for name := range names {
+		groups = append(groups, t.groups[name])
+	}
+	slices.SortFunc(groups, compareGroups)
+	return groups
+}
+
+// compareGroups orders groups by depth and name; the group of all nodes is outside of all others.
+func compareGroups(a, b *group) int {
+	if a.name == b.name {
+		return 0
+	}
+	if a.name == groupAll {
+		return -1
+	}
+	if b.name == groupAll {
+		return 1
+	}
+	return cmp.Or(cmp.Compare(a.depth, b.depth), cmp.Compare(a.name, b.name))
+}
+
+// inherit merges the settings of a node's groups and its own.
+func (m *member) inherit(groups []*group) raw {
+	r := raw{id: m.id, vars: map[string]field{}}
+	for _, g := range groups {
+		if g.name != groupAll {
+			r.groups = append(r.groups, g.name)
 		}
-		for k, v := range m.own {
-			r.vars[k] = v
+		maps.Copy(r.vars, g.vars)
+		if g.nets != nil {
+			r.nets = g.nets
+			r.netsOf = g.name
 		}
-		t.b.raws = append(t.b.raws, r)
 	}
+	maps.Copy(r.vars, m.own)
+	return r
 }
 
 func (t *tree) deepen(g *group, depth int, above map[string]bool) bool {
