--- a/internal/nodes/routing/subset.go
+++ b/internal/nodes/routing/subset.go
@@ -6,7 +6,6 @@
 	"cmp"
 	"math"
 	"slices"
-	"sort"
 )
 
 // Node is a node as subsets see it.
@@ -67,87 +66,6 @@
 	return out
 }
 
-// slack is how much more often than its share a node may be picked by Bounded.
-const slack = 0.1
-
-// Bounded is Rendezvous with a bound on how often a node is picked: its share of all picks and a tenth, rounded up. Brokers take their
-// places in the order of their scores, and one that finds a node full takes its next best. It needs the names of all brokers, and gives the
-// subsets of all.
-func Bounded(brokers []string, nodes []Node, k int) map[string][]string {
-	k = min(k, len(nodes))
-	total := 0.0
-	for _, n := range nodes {
-		total += n.weight()
-	}
-	room := make([]int, len(nodes))
-	for i, n := range nodes {
-		room[i] = int(math.Ceil(float64(len(brokers)*k)*n.weight()/total*(1+slack) + 1e-9))
-	}
-	// Each broker's nodes by rank; then all brokers' first wishes, then all their second ones, each in the order of the
-	// scores, so that nobody's first wish loses to another's second.
-	order := make([][]int32, len(brokers))
-	scores := make([][]float64, len(brokers))
-	for b, name := range brokers {
-		s := make([]float64, len(nodes))
-		o := make([]int32, len(nodes))
-		for i, n := range nodes {
-			s[i], o[i] = score(name, n), int32(i)
-		}
-		sort.Slice(o, func(x, y int) bool {
-			if s[o[x]] != s[o[y]] {
-				return s[o[x]] > s[o[y]]
-			}
-			return nodes[o[x]].ID < nodes[o[y]].ID
-		})
-		order[b], scores[b] = o, s
-	}
-	next := make([]int, len(brokers))
-	got := make([][]string, len(brokers))
-	for range k {
-		wait := make([]int, len(brokers))
-		for b := range brokers {
-			wait[b] = b
-		}
-		for len(wait) > 0 {
-			// Everybody who still lacks a place in this round names the best node that has room left.
-			asks := map[int32][]int{}
-			for _, b := range wait {
-				for next[b] < len(nodes) && room[order[b][next[b]]] == 0 {
-					next[b]++
-				}
-				if next[b] < len(nodes) {
-					i := order[b][next[b]]
-					asks[i] = append(asks[i], b)
-				}
-			}
-			wait = wait[:0]
-			for i, list := range asks {
-				sort.Slice(list, func(x, y int) bool {
-					if scores[list[x]][i] != scores[list[y]][i] {
-						return scores[list[x]][i] > scores[list[y]][i]
-					}
-					return brokers[list[x]] < brokers[list[y]]
-				})
-				for _, b := range list {
-					if room[i] == 0 {
-						wait = append(wait, b)
-						continue
-					}
-					room[i]--
-					next[b]++
-					got[b] = append(got[b], nodes[i].ID)
-				}
-			}
-		}
-	}
-	out := make(map[string][]string, len(brokers))
-	for b, name := range brokers {
-		slices.Sort(got[b])
-		out[name] = got[b]
-	}
-	return out
-}
-
 // Rounds is deterministic subsetting by rounds of shuffles: brokers in groups of n/k share one shuffle of all nodes and each takes its
 // piece. As even as can be, but a node that comes or goes changes every shuffle. It is here to be measured against.
 func Rounds(brokers []string, nodes []Node, k int) map[string][]string {
