--- a/internal/fleet/supervisor/local.go
+++ b/internal/fleet/supervisor/local.go
@@ -4,11 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
-	"os"
-	"os/exec"
 	"path/filepath"
-	"slices"
-	"strings"
 	"syscall"
 
 	"poppyarch/internal/broker/config"
@@ -19,12 +15,6 @@
 	"poppyarch/internal/host/process"
 )
 
-// configVariable is the environment variable that names a broker's configuration file.
-const configVariable = "LB_CONFIG"
-
-// inheritedVariables override a broker's configuration file, and so are not passed on from the agent's environment.
-var inheritedVariables = []string{"LB_NAME", "LB_LISTEN", "LB_DISCOVERY", configVariable, process.LaunchIDVariable}
-
 // LocalBrokers runs brokers as processes of this machine. It is a ProcessRunner and their BrokerClient.
 type LocalBrokers struct {
 	Program string   // path of poppyarch
@@ -57,39 +47,19 @@
 	if err != nil {
 		return nil, err
 	}
-	configPath := filepath.Join(b.Dir, instance.Name+".json")
-	if err := os.WriteFile(configPath, content, 0o600); err != nil {
-		return nil, err
+	broker := &process.Broker{
+		Program: b.Program,
+		Args:    b.Args,
+		Env:     b.Env,
+		Dir:     b.Dir,
+		Name:    instance.Name,
+		Config:  content,
 	}
-	log, err := os.OpenFile(filepath.Join(b.Dir, instance.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	cmd, release, err := broker.Command()
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = log.Close() }() // the process has a descriptor of its own
-	args := b.Args
-	if args == nil {
-		args = []string{"serve"}
-	}
-	cmd := exec.Command(b.Program, args...)
-	cmd.Stdout = log
-	cmd.Stderr = log
-	cmd.Env = append(b.environment(), configVariable+"="+configPath)
-	return startProcess(cmd, launchID)
-}
-
-// environment returns the agent's environment without what would override a broker's configuration.
-func (b *LocalBrokers) environment() []string {
-	var env []string
-	for _, variable := range os.Environ() {
-		key, _, _ := strings.Cut(variable, "=")
-		if !slices.Contains(inheritedVariables, key) {
-			env = append(env, variable)
-		}
-	}
-	return append(env, b.Env...)
-}
-
-func startProcess(cmd *exec.Cmd, launchID string) (Process, error) {
+	defer release()
 	id, exited, err := process.Start(cmd, launchID)
 	if err != nil {
 		return nil, err
--- a/internal/host/process/process_test.go
+++ b/internal/host/process/process_test.go
@@ -4,37 +4,57 @@
 	"errors"
 	"os"
 	"os/exec"
+	"path/filepath"
+	"slices"
+	"strings"
 	"syscall"
 	"testing"
 	"time"
 )
 
-// A test binary started with this set sleeps until it is killed.
+// sleepVariable has the test binary sleep until it is killed.
+const sleepVariable = "POPPYARCH_TEST_SLEEP"
+
 func TestMain(m *testing.M) {
-	if os.Getenv("POPPYARCH_TEST_SLEEP") != "" {
+	if os.Getenv(sleepVariable) != "" {
 		time.Sleep(time.Hour)
 	}
 	os.Exit(m.Run())
 }
 
-func TestIdentityOutlivesThePid(t *testing.T) {
+func sleepCommand() *exec.Cmd {
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "POPPYARCH_TEST_SLEEP=1")
-	id, exited, err := Start(cmd, "mark-1")
+	cmd.Env = append(os.Environ(), sleepVariable+"=1")
+	return cmd
+}
+
+// startSleeper starts a process that sleeps, and kills it at the end of the test.
+func startSleeper(t *testing.T, launchID string) (id Identity, exited <-chan error) {
+	t.Helper()
+	cmd := sleepCommand()
+	id, exited, err := Start(cmd, launchID)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer cmd.Process.Kill()
-	if found, ok := FindByLaunchID("mark-1"); !ok || found != id {
+	t.Cleanup(func() { _ = cmd.Process.Kill() }) // fails where the test has killed it
+	return id, exited
+}
+
+func TestProcessIsFoundByItsLaunchID(t *testing.T) {
+	id, _ := startSleeper(t, "launch-1")
+	if found, ok := FindByLaunchID("launch-1"); !ok || found != id {
 		t.Errorf("found %+v %v, is %+v", found, ok, id)
 	}
-	if _, ok := FindByLaunchID("mark-2"); ok {
-		t.Error("found a mark that nobody has")
+	if _, ok := FindByLaunchID("launch-2"); ok {
+		t.Error("found a launch id that no process has")
 	}
-	// The same pid, but another process: the kernel has given the pid away again.
-	reused := id
-	reused.StartTicks++
-	if _, err := Open(reused); !errors.Is(err, ErrExited) {
+}
+
+func TestIdentityDiffersFromThatOfAnotherProcessWithThePid(t *testing.T) {
+	id, _ := startSleeper(t, "launch-3")
+	reusedPID := id
+	reusedPID.StartTicks++
+	if _, err := Open(reusedPID); !errors.Is(err, ErrExited) {
 		t.Errorf("another start time: %v", err)
 	}
 	rebooted := id
@@ -42,29 +62,93 @@
 	if _, err := Open(rebooted); !errors.Is(err, ErrExited) {
 		t.Errorf("another boot: %v", err)
 	}
-	h, err := Open(id)
+}
+
+func TestHandleSignalsUntilTheProcessHasEnded(t *testing.T) {
+	id, exited := startSleeper(t, "launch-4")
+	handle, err := Open(id)
 	if err != nil {
 		t.Fatal(err)
 	}
 	select {
-	case <-h.Done():
+	case <-handle.Done():
 		t.Fatal("done while it runs")
 	default:
 	}
-	if err := h.Signal(syscall.SIGKILL); err != nil {
+	if err := handle.Signal(syscall.SIGKILL); err != nil {
 		t.Fatal(err)
 	}
-	<-h.Done()
-	<-exited
-	if err := h.Signal(syscall.SIGKILL); !errors.Is(err, ErrExited) {
-		t.Errorf("a signal to one that has ended: %v", err)
+	<-handle.Done()
+	if err := <-exited; err == nil {
+		t.Error("a killed process has no error")
+	}
+	if err := handle.Signal(syscall.SIGKILL); !errors.Is(err, ErrExited) {
+		t.Errorf("a signal after the end: %v", err)
 	}
 	if _, err := Open(id); !errors.Is(err, ErrExited) {
 		t.Errorf("open after the end: %v", err)
 	}
-	if me, err := Identify(os.Getpid()); err != nil {
+}
+
+func TestUptimeOfThisProcess(t *testing.T) {
+	id, err := Identify(os.Getpid())
+	if err != nil {
+		t.Fatal(err)
+	}
+	if uptime, err := id.Uptime(); err != nil || uptime < 0 || uptime > 24*time.Hour {
+		t.Errorf("up for %v, %v", uptime, err)
+	}
+}
+
+func TestBoundProcessIsReaped(t *testing.T) {
+	cmd := sleepCommand()
+	exited, err := StartBound(cmd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := cmd.Process.Kill(); err != nil {
 		t.Error(err)
-	} else if up, err := me.Uptime(); err != nil || up < 0 || up > 24*time.Hour {
-		t.Errorf("up for %v, %v", up, err)
+	}
+	if err := <-exited; err == nil {
+		t.Error("a killed process has no error")
+	}
+	if _, err := StartBound(exec.Command(filepath.Join(t.TempDir(), "none"))); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("a program that does not exist: %v", err)
+	}
+}
+
+func TestBrokerCommandUsesItsConfigurationAlone(t *testing.T) {
+	for _, key := range overridingVariables {
+		t.Setenv(key, "of the parent")
+	}
+	t.Setenv(configVariable, "of the parent")
+	t.Setenv("POPPYARCH_TEST_INHERITED", "1")
+	dir := t.TempDir()
+	broker := &Broker{Program: "poppyarch", Env: []string{"ADDED=1"}, Dir: dir, Name: "b1", Config: []byte("{}")}
+	cmd, release, err := broker.Command()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer release()
+	env := cmd.Environ()
+	for _, variable := range env {
+		if key, _, _ := strings.Cut(variable, "="); slices.Contains(overridingVariables, key) {
+			t.Errorf("%s is inherited", variable)
+		}
+	}
+	configPath := filepath.Join(dir, "b1.json")
+	for _, variable := range []string{configVariable + "=" + configPath, "POPPYARCH_TEST_INHERITED=1", "ADDED=1"} {
+		if !slices.Contains(env, variable) {
+			t.Errorf("%s is not in the environment", variable)
+		}
+	}
+	if slices.Contains(env, configVariable+"=of the parent") {
+		t.Error("the parent's configuration is inherited")
+	}
+	if content, err := os.ReadFile(configPath); err != nil || string(content) != "{}" {
+		t.Errorf("the configuration is %q, %v", content, err)
+	}
+	if !slices.Equal(cmd.Args, []string{"poppyarch", "serve"}) {
+		t.Errorf("the command is %q", cmd.Args)
 	}
 }
