--- a/internal/host/agent/process.go
+++ b/internal/host/agent/process.go
@@ -9,15 +9,12 @@
 	"net"
 	"net/http"
 	"os"
-	"os/exec"
-	"path/filepath"
-	"runtime"
-	"strings"
 	"syscall"
 	"time"
 
 	"poppyarch/internal/broker/config"
 	"poppyarch/internal/host/inventory"
+	"poppyarch/internal/host/process"
 )
 
 // ProcessLauncher starts brokers as processes.
@@ -99,48 +96,18 @@
 	if err != nil {
 		return nil, err
 	}
-	path := filepath.Join(e.StateDir, in.Name+".json")
-	if err := os.WriteFile(path, text, 0o600); err != nil {
+	broker := &process.Broker{Program: e.Program, Dir: e.StateDir, Name: in.Name, Config: text}
+	cmd, release, err := broker.Command()
+	if err != nil {
 		return nil, err
 	}
-	out, err := os.OpenFile(filepath.Join(e.StateDir, in.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	defer release()
+	// Should the agent be killed, its brokers drain instead of running on without an agent.
+	exited, err := process.StartBound(cmd)
 	if err != nil {
 		return nil, err
 	}
-	cmd := exec.Command(e.Program, "serve")
-	cmd.Stdout, cmd.Stderr = out, out
-	cmd.Env = append(os.Environ(), "LB_CONFIG="+path)
-	cmd.Env = drop(cmd.Env, "LB_NAME=", "LB_LISTEN=", "LB_DISCOVERY=")
-	// Should the agent be killed, its brokers drain instead of running on with nobody to mind them. The kernel
-	// ties that to the thread that started them, so that thread stays.
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGTERM, Setpgid: true}
-	p := &process{cmd: cmd, done: make(chan error, 1)}
-	started := make(chan error)
-	go func() {
-		runtime.LockOSThread()
-		defer runtime.UnlockOSThread()
-		defer out.Close()
-		if err := cmd.Start(); err != nil {
-			started <- err
-			return
-		}
-		started <- nil
-		p.done <- cmd.Wait()
-	}()
-	return p, <-started
-}
-
-func drop(env []string, prefixes ...string) (out []string) {
-	for _, v := range env {
-		keep := true
-		for _, p := range prefixes {
-			keep = keep && !strings.HasPrefix(v, p)
-		}
-		if keep {
-			out = append(out, v)
-		}
-	}
-	return out
+	return &brokerProcess{process: cmd.Process, done: exited}, nil
 }
 
 // Ready asks an instance's fronts whether they serve.
@@ -193,12 +160,13 @@
 	return nil
 }
 
-type process struct {
-	cmd  *exec.Cmd
-	done chan error
+// brokerProcess is the process of a broker that this agent has started.
+type brokerProcess struct {
+	process *os.Process
+	done    <-chan error
 }
 
-func (p *process) PID() int           { return p.cmd.Process.Pid }
-func (p *process) Done() <-chan error { return p.done }
-func (p *process) Terminate() error   { return p.cmd.Process.Signal(syscall.SIGTERM) }
-func (p *process) Kill() error        { return p.cmd.Process.Kill() }
+func (p *brokerProcess) PID() int           { return p.process.Pid }
+func (p *brokerProcess) Done() <-chan error { return p.done }
+func (p *brokerProcess) Terminate() error   { return p.process.Signal(syscall.SIGTERM) }
+func (p *brokerProcess) Kill() error        { return p.process.Kill() }
