--- a/internal/fleet/api/client.go
+++ b/internal/fleet/api/client.go
@@ -28,13 +28,13 @@
 // Retries of a client's calls.
 const (
 	maxAttempts       = 4
-	initialRetryDelay = clock.Micros(100_000)
-	maxRetryDelay     = clock.Micros(2_000_000)
-	budgetCapacity    = 10  // retries
-	budgetPerCall     = 0.2 // retries
-	breakerThreshold  = 5   // failures
-	initialBreaker    = clock.Micros(200_000)
-	maxBreaker        = clock.Micros(5_000_000)
+	initialRetryDelay = 100 * time.Millisecond
+	maxRetryDelay     = 2 * time.Second
+	budgetCapacity    = 10                     // retries
+	budgetPerCall     = 0.2                    // retries
+	breakerThreshold  = 5                      // failures
+	breakerOpen       = 200 * time.Millisecond // at first
+	maxBreakerOpen    = 5 * time.Second
 )
 
 // Client calls a manager. Each attempt has a deadline. An attempt that got no answer is retried within a budget, which is
@@ -67,15 +67,19 @@
 		},
 	}
 	return &Client{
-		base:   "http://manager" + PathPrefix,
-		http:   &http.Client{Transport: transport},
-		policy: retry.Policy{Attempts: maxAttempts, InitialDelay: initialRetryDelay, MaxDelay: maxRetryDelay},
+		base: "http://manager" + PathPrefix,
+		http: &http.Client{Transport: transport},
+		policy: retry.Policy{
+			Attempts:     maxAttempts,
+			InitialDelay: clock.FromDuration(initialRetryDelay),
+			MaxDelay:     clock.FromDuration(maxRetryDelay),
+		},
 		start:  time.Now(),
 		budget: retry.NewBudget(budgetCapacity, budgetPerCall),
 		breaker: retry.NewBreaker(retry.BreakerConfig{
 			Threshold:   breakerThreshold,
-			InitialOpen: initialBreaker,
-			MaxOpen:     maxBreaker,
+			InitialOpen: clock.FromDuration(breakerOpen),
+			MaxOpen:     clock.FromDuration(maxBreakerOpen),
 		}),
 	}
 }
@@ -83,7 +87,7 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-func (c *Client) now() clock.Micros { return time.Since(c.start).Microseconds() }
+func (c *Client) now() clock.Micros { return clock.FromDuration(time.Since(c.start)) }
 
 // call makes a call and retries it where no answer came. The manager may wait for up to longPoll before it answers.
 func (c *Client) call(ctx context.Context, path string, longPoll time.Duration, request, response any) error {
--- a/internal/fleet/reconcile/config.go
+++ b/internal/fleet/reconcile/config.go
@@ -26,21 +26,21 @@
 // DefaultConfig suits brokers whose longest deadline is some seconds.
 func DefaultConfig() Config {
 	return Config{
-		HealthyProbeInterval:   time.Second.Microseconds(),
-		UnhealthyProbeInterval: (50 * time.Millisecond).Microseconds(),
-		StatusTTL:              (3 * time.Second).Microseconds(),
-		DrainTimeout:           (15 * time.Second).Microseconds(),
-
-		InitialBackoff:    (500 * time.Millisecond).Microseconds(),
-		MaxBackoff:        (30 * time.Second).Microseconds(),
-		StableRunTime:     (60 * time.Second).Microseconds(),
-		CrashWindow:       (60 * time.Second).Microseconds(),
+		HealthyProbeInterval:   clock.FromDuration(time.Second),
+		UnhealthyProbeInterval: clock.FromDuration(50 * time.Millisecond),
+		StatusTTL:              clock.FromDuration(3 * time.Second),
+		DrainTimeout:           clock.FromDuration(15 * time.Second),
+
+		InitialBackoff:    clock.FromDuration(500 * time.Millisecond),
+		MaxBackoff:        clock.FromDuration(30 * time.Second),
+		StableRunTime:     clock.FromDuration(60 * time.Second),
+		CrashWindow:       clock.FromDuration(60 * time.Second),
 		FlappingThreshold: 3,
 
 		Breaker: retry.BreakerConfig{
 			Threshold:   5,
-			InitialOpen: (500 * time.Millisecond).Microseconds(),
-			MaxOpen:     (10 * time.Second).Microseconds(),
+			InitialOpen: clock.FromDuration(500 * time.Millisecond),
+			MaxOpen:     clock.FromDuration(10 * time.Second),
 		},
 	}
 }
--- a/internal/fleet/reconcile/property_test.go
+++ b/internal/fleet/reconcile/property_test.go
@@ -45,7 +45,7 @@
 
 // step lets some time pass; then the desired state changes, the process dies, or the next action is carried out.
 func (s *simulation) step() {
-	s.now += rapid.Int64Range(0, 2_000_000).Draw(s.t, "time")
+	s.now += clock.Micros(rapid.IntRange(0, 2_000_000).Draw(s.t, "time"))
 	switch rapid.IntRange(0, 9).Draw(s.t, "event") {
 	case 0:
 		s.changeDesired()
--- a/internal/fleet/reconcile/report.go
+++ b/internal/fleet/reconcile/report.go
@@ -5,7 +5,7 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// Report returns what the manager may be told of the instance: of its broker no more than the present incarnation has
+// Report returns the instance's state for the manager: of its broker no more than the present incarnation has
 // said within the status TTL.
 func (c *Controller) Report(now clock.Micros) state.Report {
 	report := state.Report{
--- a/internal/fleet/retry/retry_test.go
+++ b/internal/fleet/retry/retry_test.go
@@ -25,7 +25,7 @@
 
 // step moves on by some time, in which the peer may recover, and calls it if the breaker allows.
 func (s *breakerTrial) step() {
-	s.now += int64(rapid.IntRange(1, 2000).Draw(s.t, "wait"))
+	s.now += clock.Micros(rapid.IntRange(1, 2000).Draw(s.t, "wait"))
 	if !s.recovered && rapid.IntRange(0, 100).Draw(s.t, "recovery") == 0 {
 		s.recovered = true
 		s.recoveredAt = s.now
--- a/internal/fleet/supervisor/action.go
+++ b/internal/fleet/supervisor/action.go
@@ -17,7 +17,7 @@
 // untilNextAction returns the time until an instance's next action is due, at most maxIdle.
 func (s *Supervisor) untilNextAction() time.Duration {
 	now := s.clock.Now()
-	at := now + maxIdle.Microseconds()
+	at := now + clock.FromDuration(maxIdle)
 	for _, instance := range s.instances {
 		if !instance.callInFlight {
 			at = min(at, instance.nextActionAt)
@@ -44,7 +44,7 @@
 				return err
 			}
 			// The disk is full, say: there may be space later.
-			instance.nextActionAt = s.clock.Now() + journalRetryTime.Microseconds()
+			instance.nextActionAt = s.clock.Now() + clock.FromDuration(journalRetryTime)
 			return nil
 		}
 		if !more {
--- a/internal/fleet/supervisor/session.go
+++ b/internal/fleet/supervisor/session.go
@@ -9,6 +9,7 @@
 	"poppyarch/internal/fleet/api"
 	"poppyarch/internal/fleet/retry"
 	"poppyarch/internal/fleet/state"
+	"poppyarch/internal/timing/clock"
 )
 
 // Delays between attempts to reach the manager.
@@ -35,7 +36,7 @@
 // followManager keeps a session with the manager, and takes assignments in it, until ctx is done. It returns
 // state.ErrFenced where a newer agent has registered.
 func (s *Supervisor) followManager(ctx context.Context) error {
-	backoff := &retry.Backoff{Initial: initialManagerBackoff.Microseconds(), Max: maxManagerBackoff.Microseconds()}
+	backoff := &retry.Backoff{Initial: clock.FromDuration(initialManagerBackoff), Max: clock.FromDuration(maxManagerBackoff)}
 	for ctx.Err() == nil {
 		err := s.runSession(ctx, backoff)
 		if ctx.Err() != nil {
@@ -95,7 +96,7 @@
 	}
 	s.log.Warn("agent: accepting a manager of another fleet, or one that lost history", "fleet", registration.FleetID,
 		"seen", history.KnownEdition)
-	// Told the highest edition that the brokers may hold, the manager continues above it.
+	// The manager continues above the highest edition that the brokers may have applied.
 	return s.manager.Register(ctx, s.options.Name, history.KnownEdition)
 }
 
--- a/internal/host/process/process_test.go
+++ b/internal/host/process/process_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -12,13 +13,24 @@
 	"time"
 )
 
-// sleepVariable has the test binary sleep until it is killed.
-const sleepVariable = "POPPYARCH_TEST_SLEEP"
+const (
+	sleepVariable  = "POPPYARCH_TEST_SLEEP"  // has the test binary sleep until it is killed
+	parentVariable = "POPPYARCH_TEST_PARENT" // has it start a sleeper first, and print its pid
+)
 
 func TestMain(m *testing.M) {
 	if os.Getenv(sleepVariable) != "" {
 		time.Sleep(time.Hour)
 	}
+	if os.Getenv(parentVariable) != "" {
+		cmd := sleepCommand()
+		if _, err := StartBound(cmd); err != nil {
+			fmt.Println(err)
+			os.Exit(1)
+		}
+		fmt.Println(cmd.Process.Pid)
+		time.Sleep(time.Hour)
+	}
 	os.Exit(m.Run())
 }
 
@@ -117,6 +129,36 @@
 	}
 }
 
+func TestBoundProcessEndsWithItsParent(t *testing.T) {
+	parent := exec.Command(os.Args[0])
+	parent.Env = append(os.Environ(), parentVariable+"=1")
+	output, err := parent.StdoutPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := parent.Start(); err != nil {
+		t.Fatal(err)
+	}
+	var pid int
+	_, scanErr := fmt.Fscan(output, &pid)
+	id, err := Identify(pid)
+	handle, openErr := Open(id)
+	if err := parent.Process.Kill(); err != nil {
+		t.Error(err)
+	}
+	if err := parent.Wait(); err == nil {
+		t.Error("a killed parent has no error")
+	}
+	if scanErr != nil || err != nil || openErr != nil {
+		t.Fatalf("the child %d of the parent: %v, %v, %v", pid, scanErr, err, openErr)
+	}
+	select {
+	case <-handle.Done():
+	case <-time.After(30 * time.Second):
+		t.Errorf("the child still runs; killed: %v", handle.Signal(syscall.SIGKILL))
+	}
+}
+
 func TestBrokerCommandUsesItsConfigurationAlone(t *testing.T) {
 	for _, key := range overridingVariables {
 		t.Setenv(key, "of the parent")
