--- a/cmd/poppyarch/fleet_rollout.go
+++ b/cmd/poppyarch/fleet_rollout.go
@@ -251,14 +251,14 @@
 // poll asks for rollouts until check reports the end, or the session's time is up.
 func (s *session) poll(revision uint64, check func(rollouts []state.RolloutStatus, settled bool) (bool, error)) error {
 	for {
-		rollouts, settled, err := s.client.Wait(s.ctx, revision, waitStep)
+		progress, err := s.client.Wait(s.ctx, revision, waitStep)
 		if err != nil {
 			if s.ctx.Err() != nil {
 				return errWaitTimeout
 			}
 			return err
 		}
-		ended, err := check(rollouts, settled)
+		ended, err := check(progress.Rollouts, progress.Settled)
 		if ended || err != nil {
 			return err
 		}
--- a/examples/tour/main.go
+++ b/examples/tour/main.go
@@ -182,12 +182,12 @@
 func (g *guide) follow(ctx context.Context, ok func(state.RolloutStatus) bool) error {
 	last := ""
 	for {
-		list, _, err := g.s.Client.Wait(ctx, 0, 50*time.Millisecond)
+		progress, err := g.s.Client.Wait(ctx, 0, 50*time.Millisecond)
 		if err != nil {
 			return err
 		}
-		if len(list) > 0 {
-			r := list[0]
+		if len(progress.Rollouts) > 0 {
+			r := progress.Rollouts[0]
 			if text := fmt.Sprintf("rollout %d %s: wave %d of %d, %d of %d released, %d as wanted", r.Revision, r.Phase, min(r.Wave+1, r.Waves), r.Waves,
 				r.Released, r.Size, r.Current); text != last {
 				g.say("%s", text)
--- a/internal/fleet/api/calls.go
+++ b/internal/fleet/api/calls.go
@@ -3,8 +3,6 @@
 import (
 	"context"
 	"time"
-
-	"poppyarch/internal/fleet/state"
 )
 
 // Register makes the caller the newest agent of its name. seenEdition is 0, or the highest edition that the agent followed
@@ -82,8 +80,8 @@
 
 // Wait returns when the rollout of a revision has ended or is paused (revision 0: when the fleet has settled), or when the
 // wait has passed.
-func (c *Client) Wait(ctx context.Context, revision uint64, wait time.Duration) ([]state.RolloutStatus, bool, error) {
+func (c *Client) Wait(ctx context.Context, revision uint64, wait time.Duration) (WaitResponse, error) {
 	var response WaitResponse
 	err := c.call(ctx, PathWait, wait, WaitRequest{Revision: revision, WaitMS: wait.Milliseconds()}, &response)
-	return response.Rollouts, response.Settled, err
+	return response, err
 }
--- a/internal/fleet/manager/handler.go
+++ b/internal/fleet/manager/handler.go
@@ -40,8 +40,7 @@
 		return m.History(in.Limit), nil
 	})
 	handle(mux, api.PathWait, func(ctx context.Context, in *api.WaitRequest) (api.WaitResponse, error) {
-		rollouts, settled, err := m.Wait(ctx, in.Revision, time.Duration(in.WaitMS)*time.Millisecond)
-		return api.WaitResponse{Settled: settled, Rollouts: rollouts}, err
+		return m.Wait(ctx, in.Revision, time.Duration(in.WaitMS)*time.Millisecond)
 	})
 	return mux
 }
--- a/internal/fleet/manager/queries.go
+++ b/internal/fleet/manager/queries.go
@@ -69,26 +69,21 @@
 
 // Wait returns when the rollout of a revision has ended (revision 0: when the fleet has settled), when the active rollout
 // is paused, or when the wait has passed.
-func (m *Manager) Wait(ctx context.Context, revision uint64, wait time.Duration) ([]state.RolloutStatus, bool, error) {
-	var rollouts []state.RolloutStatus
-	var settled bool
+func (m *Manager) Wait(ctx context.Context, revision uint64, wait time.Duration) (api.WaitResponse, error) {
+	var response api.WaitResponse
 	err := m.poll(ctx, min(wait, maxLongPoll), func(timedOut bool) (done bool, err error) {
-		rollouts = m.state.Rollouts(waitRollouts)
-		settled = m.state.Settled()
-		return timedOut || waitEnded(revision, settled, rollouts), nil
+		response = api.WaitResponse{Settled: m.state.Settled(), Rollouts: m.state.Rollouts(waitRollouts)}
+		return timedOut || waitEnded(revision, &response), nil
 	})
-	if err != nil {
-		return nil, false, err
-	}
-	return rollouts, settled, nil
+	return response, err
 }
 
-func waitEnded(revision uint64, settled bool, rollouts []state.RolloutStatus) bool {
-	if revision == 0 && settled {
+func waitEnded(revision uint64, response *api.WaitResponse) bool {
+	if revision == 0 && response.Settled {
 		return true
 	}
-	for i := range rollouts {
-		r := &rollouts[i]
+	for i := range response.Rollouts {
+		r := &response.Rollouts[i]
 		ended := r.Phase == state.Done || r.Phase == state.Aborted
 		if r.Phase == state.Paused || revision > 0 && r.Revision == revision && ended {
 			return true
--- a/internal/fleet/supervisor/supervisor_test.go
+++ b/internal/fleet/supervisor/supervisor_test.go
@@ -166,11 +166,11 @@
 // checkPausedAtCanary waits until the rollout of a revision is paused with one failed instance, and returns that.
 func (f *fleet) checkPausedAtCanary(revision uint64) (instance, reason string) {
 	f.t.Helper()
-	rollouts, _, err := f.manager.Wait(f.t.Context(), revision, time.Minute)
-	if err != nil || rollouts[0].Phase != state.Paused || len(rollouts[0].Failed) != 1 {
-		f.t.Fatalf("%v %+v", err, rollouts)
+	progress, err := f.manager.Wait(f.t.Context(), revision, time.Minute)
+	if err != nil || progress.Rollouts[0].Phase != state.Paused || len(progress.Rollouts[0].Failed) != 1 {
+		f.t.Fatalf("%v %+v", err, progress.Rollouts)
 	}
-	for name, why := range rollouts[0].Failed {
+	for name, why := range progress.Rollouts[0].Failed {
 		instance = name
 		reason = why
 	}
