--- a/internal/fleet/supervisor/supervisor.go
+++ b/internal/fleet/supervisor/supervisor.go
@@ -46,6 +46,7 @@
 type BrokerClient interface {
 	// Probe asks a broker for its state, and whether its front ends answer.
 	Probe(ctx context.Context, instance *spec.Instance) (state *control.State, healthy bool, err error)
+	// SendChange sends a change to a broker. An error means that it is unknown whether the broker applied it.
 	SendChange(ctx context.Context, instance *spec.Instance, change *control.Change) (*control.Outcome, error)
 }
 
