--- a/internal/testkit/compat/json_test.go
+++ b/internal/testkit/compat/json_test.go
@@ -41,7 +41,7 @@
 		"api-assign":              &api.AssignmentsRequest{},
 		"api-assignments":         &api.Assignments{},
 		"api-fault":               &api.ErrorResponse{},
-		"api-figures":             &api.BrokerMetrics{},
+		"api-figures":             &api.BrokerStats{},
 		"api-history":             &api.History{},
 		"api-nodes":               &api.NodesRequest{},
 		"api-overview":            &api.Overview{},
