--- a/internal/timing/backoff/backoff.go
+++ b/internal/timing/backoff/backoff.go
@@ -1,42 +1,52 @@
-// Package backoff says how long to wait between calls to a service that fails, by how many share it.
+// Package backoff computes the delays of clients that retry calls to a shared service.
 package backoff
 
 import "time"
 
 const (
-	eachFirst = 20 * time.Millisecond  // each caller's part of the first wait
-	least     = 500 * time.Millisecond // the least first wait
-	most      = 2 * time.Second        // the longest first wait; later ones grow to four times each caller's part of this
-	doublings = 4
+	firstDelayPerClient = 20 * time.Millisecond // the first delay grows with the number of clients
+	minFirstDelay       = 500 * time.Millisecond
+	maxFirstDelay       = 2 * time.Second
+	maxDoublings        = 4
+	maxDelayFactor      = 4 // the longest delay, relative to the first; likewise for each client
+	minMaxDelay         = 2 * minFirstDelay
+	defaultMeanLimit    = 30 * time.Second
 )
 
-// Backoff is the policy of one caller. Waits double with each failure in a row, and each is drawn by lot so that callers do
-// not stay in step.
+// Backoff is the policy of one client: exponential backoff with jitter.
 type Backoff struct {
-	first, last, cap time.Duration
+	firstDelay time.Duration
+	maxDelay   time.Duration
+	meanLimit  time.Duration
 }
 
-// New returns the policy for one of so many callers of one service. No wait is longer in the mean than cap, where it is
-// above 0.
-func New(callers int, cap time.Duration) Backoff {
-	if cap <= 0 {
-		cap = time.Minute / 2
+// New returns the policy for one of so many clients of a service. meanLimit, if it is above 0, limits the mean of the
+// delays; it is 30 s otherwise.
+func New(clients int, meanLimit time.Duration) Backoff {
+	if meanLimit <= 0 {
+		meanLimit = defaultMeanLimit
+	}
+	perClient := time.Duration(clients) * firstDelayPerClient
+	return Backoff{
+		firstDelay: max(minFirstDelay, min(maxFirstDelay, perClient)),
+		maxDelay:   max(minMaxDelay, min(maxDelayFactor*maxFirstDelay, maxDelayFactor*perClient)),
+		meanLimit:  meanLimit,
 	}
-	n := time.Duration(callers)
-	return Backoff{first: max(least, min(most, n*eachFirst)), last: max(2*least, min(4*most, 4*eachFirst*n)), cap: cap}
 }
 
-// InitialDelay is the wait before the first call of all. lot is a random number from 0 to 1.
-func (b Backoff) InitialDelay(lot float64) time.Duration {
-	return time.Duration(float64(b.first-least) * lot)
+// InitialDelay is the delay before the first call, which spreads the calls of many clients. random is uniform in [0, 1).
+func (b Backoff) InitialDelay(random float64) time.Duration {
+	return time.Duration(float64(b.firstDelay-minFirstDelay) * random)
 }
 
-// RetryDelay is the wait after so many failures before this one, from a third of the longest to the longest. bound, where it is
-// above 0, is the longest that the caller allows.
-func (b Backoff) RetryDelay(failures int, bound time.Duration, lot float64) time.Duration {
-	longest := min(b.first<<min(failures, doublings), b.last, b.cap) * 3 / 2
-	if bound > 0 {
-		longest = min(longest, bound)
+// RetryDelay is the delay after a call that failed, as did so many calls in a row before it. It is between a third and
+// the whole of the longest delay then, which doubles with each failure. limit, if it is above 0, limits the longest
+// delay. random is uniform in [0, 1).
+func (b Backoff) RetryDelay(failures int, limit time.Duration, random float64) time.Duration {
+	mean := min(b.firstDelay<<min(failures, maxDoublings), b.maxDelay, b.meanLimit)
+	longest := mean * 3 / 2
+	if limit > 0 {
+		longest = min(longest, limit)
 	}
-	return time.Duration(float64(longest) * (1 + 2*lot) / 3)
+	return time.Duration(float64(longest) * (1 + 2*random) / 3)
 }
--- a/internal/timing/backoff/backoff_test.go
+++ b/internal/timing/backoff/backoff_test.go
@@ -5,12 +5,15 @@
 	"time"
 )
 
-func TestNext(t *testing.T) {
+func TestRetryDelayGrowsUpToItsLimits(t *testing.T) {
 	const ms = time.Millisecond
 	for _, x := range []struct {
-		callers, failures int
-		cap, bound        time.Duration
-		least, most       time.Duration
+		clients   int
+		failures  int
+		meanLimit time.Duration
+		limit     time.Duration
+		shortest  time.Duration
+		longest   time.Duration
 	}{
 		{4, 0, 0, 0, 250 * ms, 750 * ms},
 		{4, 1, 0, 0, 500 * ms, 1500 * ms},
@@ -21,12 +24,25 @@
 		{300, 9, 5000 * ms, 3000 * ms, 1000 * ms, 3000 * ms},
 		{4, 0, 0, 60 * ms, 20 * ms, 60 * ms},
 	} {
-		b := New(x.callers, x.cap)
-		if low, high := b.RetryDelay(x.failures, x.bound, 0), b.RetryDelay(x.failures, x.bound, 1); low != x.least || high != x.most {
-			t.Errorf("%+v: from %v to %v", x, low, high)
+		b := New(x.clients, x.meanLimit)
+		shortest := b.RetryDelay(x.failures, x.limit, 0)
+		longest := b.RetryDelay(x.failures, x.limit, 1)
+		if shortest != x.shortest || longest != x.longest {
+			t.Errorf("%+v: from %v to %v", x, shortest, longest)
 		}
 	}
-	if one, many := New(4, 0).InitialDelay(1), New(300, 0).InitialDelay(1); one != 0 || many != 1500*ms {
-		t.Errorf("first calls are spread over %v and %v", one, many)
+}
+
+func TestInitialDelaySpreadsManyClients(t *testing.T) {
+	for _, x := range []struct {
+		clients int
+		longest time.Duration
+	}{
+		{4, 0},
+		{300, 1500 * time.Millisecond},
+	} {
+		if got := New(x.clients, 0).InitialDelay(1); got != x.longest {
+			t.Errorf("%d clients: first calls are spread over %v, want %v", x.clients, got, x.longest)
+		}
 	}
 }
