--- a/internal/broker/core/broker_test.go
+++ b/internal/broker/core/broker_test.go
@@ -111,7 +111,7 @@
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		b := &fakeBackend{outcomes: []Outcome{Served}, duration: time.Second}
 		r := newRig(ctx, t, b, decision.Class{Idempotency: decision.Idempotent})
-		// The decision module has not been told of this change.
+		// The decision module does not know of this change.
 		r.endpoints.Update([]Node{{ID: testNode, State: decision.Removed}, {ID: "b"}}, false)
 		if resp := r.broker.Handle(ctx, r.request()); resp.Status != Rejection || b.attempts != 0 {
 			t.Errorf("status %d after %d attempts", resp.Status, b.attempts)
--- a/internal/frontend/block/command.go
+++ b/internal/frontend/block/command.go
@@ -36,11 +36,11 @@
 
 // Schema is what the settings allow in a command. Classes and plans are numbered in the order of the settings.
 type Schema struct {
-	Classes       map[string]int // class names
-	Plans         map[string]int // plan names
-	NotIdempotent []bool         // by class: a request must not be executed twice
-	Shards        int            // 0: unknown
-	MaxUnits      float64        // 0: no limit
+	classes       map[string]int // class names
+	plans         map[string]int // plan names
+	notIdempotent []bool         // by class: a request must not be executed twice
+	shards        int            // 0: unknown
+	maxUnits      float64        // 0: no limit
 
 	lim *limits.Limits
 }
@@ -48,19 +48,19 @@
 // NewSchema returns the schema of a configuration.
 func NewSchema(cfg *decision.Config, shards int, lim *limits.Limits) *Schema {
 	s := &Schema{
-		Classes:  map[string]int{},
-		Plans:    map[string]int{},
-		Shards:   shards,
-		MaxUnits: cfg.MaxUnits,
+		classes:  map[string]int{},
+		plans:    map[string]int{},
+		shards:   shards,
+		maxUnits: cfg.MaxUnits,
 		lim:      lim,
 	}
 	for i := range cfg.Classes {
 		class := &cfg.Classes[i]
-		s.Classes[class.Name] = i
-		s.NotIdempotent = append(s.NotIdempotent, class.Idempotency == decision.NotIdempotent)
+		s.classes[class.Name] = i
+		s.notIdempotent = append(s.notIdempotent, class.Idempotency == decision.NotIdempotent)
 	}
 	for i := range cfg.Plans {
-		s.Plans[cfg.Plans[i].Name] = i
+		s.plans[cfg.Plans[i].Name] = i
 	}
 	return s
 }
@@ -105,7 +105,7 @@
 	if err := parseParams(&req, string(args[3]), schema, now); err != nil {
 		return request{}, err
 	}
-	req.NotIdempotent = schema.NotIdempotent[req.Class]
+	req.NotIdempotent = schema.notIdempotent[req.Class]
 	return req, nil
 }
 
@@ -157,9 +157,9 @@
 func setParam(req *request, name, value string, schema *Schema, now clock.Micros) (ok bool) {
 	switch name {
 	case paramClass:
-		req.Class, ok = schema.Classes[value]
+		req.Class, ok = schema.classes[value]
 	case paramPlan:
-		req.Plan, ok = schema.Plans[value]
+		req.Plan, ok = schema.plans[value]
 	case paramVolume:
 		req.Volume = value
 		ok = isHex16(value)
@@ -170,10 +170,10 @@
 		req.Deadline = now + clock.Micros(ms*1000)
 	case paramUnits:
 		req.Units, ok = parseDecimal(value)
-		ok = ok && req.Units > 0 && (schema.MaxUnits <= 0 || req.Units <= schema.MaxUnits)
+		ok = ok && req.Units > 0 && (schema.maxUnits <= 0 || req.Units <= schema.maxUnits)
 	case paramShard:
 		req.Shard, ok = parseInt(value)
-		ok = ok && req.Shard >= -1 && (schema.Shards <= 0 || req.Shard < schema.Shards)
+		ok = ok && req.Shard >= -1 && (schema.shards <= 0 || req.Shard < schema.shards)
 	case paramBrokers:
 		req.Brokers, ok = parseInt(value)
 		ok = ok && req.Brokers >= 0
--- a/internal/frontend/block/eviction.go
+++ b/internal/frontend/block/eviction.go
@@ -93,11 +93,11 @@
 // evictionRank is the connection's rank. One that is about to end is not evictable: had it received something
 // meanwhile, it would stay, and the wait for it would be in vain.
 func (c *conn) evictionRank(now clock.Micros) evictionRank {
-	silent := c.lastReadAt.Load() == 0 && now >= c.acceptedAt+c.server.lim.ClientStallTimeout/4
+	unused := c.lastReadAt.Load() == 0 && now >= c.acceptedAt+c.server.lim.ClientStallTimeout/4
 	switch {
 	case c.pending.Load() > 0, c.isClosing():
 		return notEvictable
-	case c.reader.failed.Load(), silent:
+	case c.reader.failed.Load(), unused:
 		return evictUnused
 	case c.stalled(now, true):
 		return evictStalled
--- a/internal/frontend/block/idle.go
+++ b/internal/frontend/block/idle.go
@@ -62,7 +62,7 @@
 }
 
 // checkIdle returns an error if the connection has to end: one of its timeouts has passed, or it was woken for
-// eviction. A connection with replies pending never has to. Silent clients occupy descriptors, incomplete commands
+// eviction. A connection with replies pending never has to. Unused connections occupy descriptors, incomplete commands
 // occupy a reader, and idle clients occupy memory.
 func (c *conn) checkIdle(now clock.Micros) error {
 	evicted := c.reader.woken.Swap(false)
--- a/internal/frontend/block/in_flight.go
+++ b/internal/frontend/block/in_flight.go
@@ -36,7 +36,7 @@
 	return true
 }
 
-// addReply counts the bytes of a reply until remove. They are never refused.
+// addReply counts the bytes of a reply until remove. They count towards the limit but are never rejected.
 func (f *inFlight) addReply(r *reply, size int64) {
 	r.bytes.Add(size)
 	f.bytes.Add(size)
--- a/internal/frontend/block/race_test.go
+++ b/internal/frontend/block/race_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// The end of the stream stands behind commands that are not read, because too many are in flight.
+// The end of the stream follows commands that the server does not read while too many are in flight.
 func TestDisconnectBehindUnreadCommandsIsDetected(t *testing.T) {
 	lim := testLimits()
 	lim.MaxPipeline = 1
--- a/internal/frontend/object/multipart.go
+++ b/internal/frontend/object/multipart.go
@@ -21,7 +21,7 @@
 func (u uploadID) String() string { return strconv.Itoa(u.shard) + "-" + u.nodeID }
 
 // nodeQuery is the query parameter that names the upload at its node.
-func (u uploadID) nodeQuery() string { return "uploadId=" + url.QueryEscape(u.nodeID) }
+func (u uploadID) nodeQuery() string { return queryUploadID + "=" + url.QueryEscape(u.nodeID) }
 
 // parseUploadID parses the form that clients use. The error is errNoSuchUpload.
 func parseUploadID(id string, shards int) (uploadID, error) {
--- a/internal/frontend/object/operation.go
+++ b/internal/frontend/object/operation.go
@@ -7,6 +7,12 @@
 	"strconv"
 )
 
+// Query parameters, by their names in the API.
+const (
+	queryUploadID   = "uploadId"
+	queryPartNumber = "partNumber"
+)
+
 // operation is what a request asks for.
 type operation uint8
 
@@ -22,49 +28,48 @@
 	opListParts
 )
 
+// routes are the operations with a fixed set of query parameters.
+var routes = []struct {
+	method string
+	query  []string
+	op     operation
+}{
+	{http.MethodGet, nil, opGetOrDeleteObject},
+	{http.MethodHead, nil, opGetOrDeleteObject},
+	{http.MethodDelete, nil, opGetOrDeleteObject},
+	{http.MethodPut, nil, opPutObject},
+	{http.MethodPost, []string{"uploads"}, opCreateUpload},
+	{http.MethodPut, []string{queryPartNumber, queryUploadID}, opUploadPart},
+	{http.MethodPost, []string{queryUploadID}, opCompleteUpload},
+	{http.MethodDelete, []string{queryUploadID}, opAbortUpload},
+}
+
 // operationOf returns the operation of a method and a query.
 func operationOf(method string, query url.Values) operation {
-	onlyUploadID := len(query) == 1 && query.Has("uploadId")
-	switch method {
-	case http.MethodGet:
-		if query.Has("uploadId") {
-			return opListParts
-		}
-		if len(query) == 0 {
-			return opGetOrDeleteObject
-		}
-	case http.MethodHead:
-		if len(query) == 0 {
-			return opGetOrDeleteObject
-		}
-	case http.MethodDelete:
-		if len(query) == 0 {
-			return opGetOrDeleteObject
-		}
-		if onlyUploadID {
-			return opAbortUpload
-		}
-	case http.MethodPut:
-		if len(query) == 0 {
-			return opPutObject
-		}
-		if len(query) == 2 && query.Has("partNumber") && query.Has("uploadId") {
-			return opUploadPart
-		}
-	case http.MethodPost:
-		if len(query) == 1 && query.Has("uploads") {
-			return opCreateUpload
-		}
-		if onlyUploadID {
-			return opCompleteUpload
+	for i := range routes {
+		if routes[i].method == method && hasExactly(query, routes[i].query) {
+			return routes[i].op
 		}
 	}
-	if len(query) > 0 {
+	switch {
+	case method == http.MethodGet && query.Has(queryUploadID):
+		return opListParts
+	case len(query) > 0:
 		return opUnknownQuery
 	}
 	return opUnknownMethod
 }
 
+// hasExactly reports whether a query has the named parameters and no others.
+func hasExactly(query url.Values, names []string) bool {
+	for _, name := range names {
+		if !query.Has(name) {
+			return false
+		}
+	}
+	return len(query) == len(names)
+}
+
 // execute carries out an operation and writes its response.
 func (x *exchange) execute(op operation) error {
 	switch op {
@@ -142,11 +147,11 @@
 	if err != nil {
 		return err
 	}
-	number, err := strconv.Atoi(x.query.Get("partNumber"))
+	number, err := strconv.Atoi(x.query.Get(queryPartNumber))
 	if err != nil || number < 1 || number > x.server.lim.MaxParts {
 		return errInvalidPartNumber
 	}
-	return x.put(upload.shard, "?partNumber="+strconv.Itoa(number)+"&"+upload.nodeQuery())
+	return x.put(upload.shard, "?"+queryPartNumber+"="+strconv.Itoa(number)+"&"+upload.nodeQuery())
 }
 
 // abortUpload deletes an upload.
@@ -189,10 +194,10 @@
 
 // listPartsQuery returns the query of a list-parts request for the node.
 func listPartsQuery(query url.Values, upload uploadID) (url.Values, error) {
-	out := url.Values{"uploadId": {upload.nodeID}}
+	out := url.Values{queryUploadID: {upload.nodeID}}
 	for name, values := range query {
 		switch name {
-		case "uploadId":
+		case queryUploadID:
 		case "max-parts", "part-number-marker":
 			if n, err := strconv.Atoi(values[0]); err != nil || n < 0 {
 				return nil, errInvalidPartNumber
@@ -207,5 +212,5 @@
 
 // uploadID returns the upload that the query names.
 func (x *exchange) uploadID() (uploadID, error) {
-	return parseUploadID(x.query.Get("uploadId"), x.server.cfg.Object.Shards)
+	return parseUploadID(x.query.Get(queryUploadID), x.server.cfg.Object.Shards)
 }
--- a/internal/transport/pool/pool_test.go
+++ b/internal/transport/pool/pool_test.go
@@ -144,28 +144,35 @@
 	})
 }
 
-// A connection that the node has closed, or on which it has sent unrequested input, is not reused.
-func TestBrokenConnectionIsNotReused(t *testing.T) {
+// acceptAll listens and passes on the accepted connections, of which there may be 3 at once.
+func acceptAll(t *testing.T) (addr string, accepted <-chan net.Conn) {
+	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	peers := make(chan net.Conn, 3)
-	accepting := make(chan struct{})
+	conns := make(chan net.Conn, 3)
+	done := make(chan struct{})
 	go func() {
-		defer close(accepting)
+		defer close(done)
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			peers <- c
+			conns <- c
 		}
 	}()
 	t.Cleanup(func() {
 		_ = ln.Close() // the test is over
-		<-accepting
+		<-done
 	})
+	return ln.Addr().String(), conns
+}
+
+// A connection that the node has closed, or on which it has sent unrequested input, is not reused.
+func TestBrokenConnectionIsNotReused(t *testing.T) {
+	addr, peers := acceptAll(t)
 	lim := testLimits()
 	lim.NodeIdleTimeout = 1e12
 	lim.NodeReuseWindow = 1e12
@@ -181,7 +188,7 @@
 			return err
 		}},
 	} {
-		c := get(t, p, ln.Addr().String(), false)
+		c := get(t, p, addr, false)
 		p.Put(c)
 		peer := <-peers
 		if socket.Peek(c.Conn) != socket.Empty {
@@ -193,7 +200,7 @@
 		for socket.Peek(c.Conn) == socket.Empty { // until it has arrived
 			time.Sleep(time.Millisecond)
 		}
-		if again := get(t, p, ln.Addr().String(), false); again == c {
+		if again := get(t, p, addr, false); again == c {
 			t.Errorf("%s: the connection was reused", x.name)
 		} else {
 			p.Discard(again)
