--- a/internal/broker/dispatcher/dispatcher.go
+++ b/internal/broker/dispatcher/dispatcher.go
@@ -1,244 +1,218 @@
-// Package dispatcher gives the decision module a blocking style: callers pick, report and tick, and never see its events and
-// actions.
+// Package dispatcher gives the decision module a blocking interface: callers submit requests, report outcomes and
+// never see the module's events and actions.
+//
+// A Dispatcher is shared by any number of goroutines that call Submit, Report and ResponseStarted. One goroutine
+// calls Tick and so owns the scheduler; it is the only one that steps it.
 package dispatcher
 
 import (
 	"context"
 	"sync"
-	"time"
 
 	"poppyarch/internal/broker/decision"
+	"poppyarch/internal/timing/clock"
 	"poppyarch/policy"
 )
 
-// Verdict is what the module wants done with a request next.
+// Verdict is what is to be done next with a request.
 type Verdict uint8
 
 // The verdicts.
 const (
 	Forward         Verdict = iota // make an attempt at Node, for at most Timeout
-	Rejected                       // tell the client that trying again is harmless, after Hint where it is not 0
-	Failed                         // tell the client that it failed
-	NoFurtherAction                // nothing more is owed: it was served, or its caller stopped waiting
+	Rejected                       // tell the client that a retry is harmless, after RetryAfter if it is not 0
+	Failed                         // tell the client that the request failed
+	NoFurtherAction                // it was served, or its caller stopped waiting
 )
 
-// Decision is a verdict with its particulars. Times are microseconds.
+// Decision is a verdict and its parameters.
 type Decision struct {
 	Verdict    Verdict
 	Node       string
-	Timeout    int64
-	NotAfter   int64 // the attempt may not begin later than this; 0: whenever it can
-	RetryAfter int64
+	Timeout    clock.Micros // duration
+	NotAfter   clock.Micros // the attempt must not begin later than this time; 0: no bound
+	RetryAfter clock.Micros // duration; 0: none
 }
 
-// RequestInfo is a request as callers of the facade describe it. Due is microseconds on the clock that Tick gets.
+// RequestInfo is a request as its caller describes it.
 type RequestInfo struct {
-	Class, Plan, Shard, Brokers int
-	Volume, Key                 string
-	Units                       float64
-	Deadline                    int64
+	Class    int // index into the settings' classes
+	Plan     int // index into the settings' plans
+	Volume   string
+	Key      string // idempotency and ordering key; may be empty
+	Units    float64
+	Shard    int          // decision.AnyShard for a new object
+	Brokers  int          // brokers that the volume uses
+	Deadline clock.Micros // on the clock that Tick is given
 }
 
-// Dispatcher is the module in blocking style. Any number of goroutines call Pick, Report and Began; one goroutine
-// calls Tick and with it owns the Scheduler. Callers never see events or actions.
+// Dispatcher runs the decision module for concurrent callers.
 type Dispatcher struct {
-	sched *policy.Scheduler
-	log   func(string)
-	wake  chan struct{} // something waits for the next Tick
-	watch chan struct{} // the module wants the node list watched
-
-	mu    sync.Mutex
-	next  uint64
-	inbox []decision.Event
-	calls map[uint64]*call
-
-	turn []decision.Event // of the Tick at hand
-	acts []decision.Action
+	scheduler      *policy.Scheduler // owned by the goroutine that calls Tick
+	log            func(string)
+	tickDue        chan struct{} // holds one: events are waiting for the next Tick
+	watchRequested chan struct{} // holds one: the module wants the endpoint list watched
+
+	mu     sync.Mutex // guards the fields below
+	lastID uint64
+	inbox  []decision.Event // for the next Tick
+	calls  map[uint64]*call
+
+	// Buffers of the goroutine that calls Tick.
+	events  []decision.Event
+	actions []decision.Action
 }
 
-// call is one request between its Pick and its end.
+// call is one request from its Submit to its end.
 type call struct {
-	verdict chan Decision // holds one
-	left    bool          // its caller stopped waiting
-	begun   bool          // its answer has begun to reach the client
-	sends   int
-	node    string
+	decision        chan Decision // holds one
+	abandoned       bool          // its caller has stopped waiting
+	responseStarted bool          // the client has got the start of a response
+	attempts        int
+	node            string // of the last attempt
 }
 
-// New starts a module that knows nothing but its settings. It logs by way of log.
+// New returns a dispatcher whose module knows nothing but its settings. The module's log lines go to log, which is
+// called by the goroutine that calls Tick. The error is a *decision.SettingError.
 func New(cfg decision.Config, log func(string)) (*Dispatcher, error) {
-	sched, err := policy.New(cfg)
+	scheduler, err := policy.New(cfg)
 	if err != nil {
 		return nil, err
 	}
 	return &Dispatcher{
-		sched: sched, log: log, calls: map[uint64]*call{},
-		wake: make(chan struct{}, 1), watch: make(chan struct{}, 1),
+		scheduler:      scheduler,
+		log:            log,
+		tickDue:        make(chan struct{}, 1),
+		watchRequested: make(chan struct{}, 1),
+		calls:          map[uint64]*call{},
 	}, nil
 }
 
-// TickDue tells the goroutine that ticks that a Tick is due before the time it was told.
-func (f *Dispatcher) TickDue() <-chan struct{} { return f.wake }
-
-// WatchRequested tells discovery that the module wants a (new) watch.
-func (f *Dispatcher) WatchRequested() <-chan struct{} { return f.watch }
-
-// Submit hands a request in and blocks until the module has decided its first step. The id names it in Report.
-func (f *Dispatcher) Submit(ctx context.Context, j RequestInfo) (id uint64, d Decision) {
-	c := &call{verdict: make(chan Decision, 1)}
-	f.mu.Lock()
-	f.next++
-	id = f.next
-	f.calls[id] = c
-	f.push(decision.Event{Kind: decision.RequestArrived, ID: id, Arrival: decision.Arrival{
-		Class: j.Class, Plan: j.Plan, Volume: j.Volume, Key: j.Key, Units: j.Units,
-		Shard: j.Shard, Brokers: j.Brokers, Deadline: micros(j.Deadline),
+// TickDue signals that a Tick is due before the time that the last one returned.
+func (d *Dispatcher) TickDue() <-chan struct{} { return d.tickDue }
+
+// WatchRequested signals that the module wants the endpoint list watched, for the first time or again.
+func (d *Dispatcher) WatchRequested() <-chan struct{} { return d.watchRequested }
+
+// Submit hands in a request and blocks until the module has decided on it or ctx is done. The id names the request
+// in Report and ResponseStarted.
+func (d *Dispatcher) Submit(ctx context.Context, r RequestInfo) (id uint64, next Decision) {
+	c := &call{decision: make(chan Decision, 1)}
+	d.mu.Lock()
+	d.lastID++
+	id = d.lastID
+	d.calls[id] = c
+	d.push(decision.Event{Kind: decision.RequestArrived, ID: id, Arrival: decision.Arrival{
+		Class:    r.Class,
+		Plan:     r.Plan,
+		Volume:   r.Volume,
+		Key:      r.Key,
+		Units:    r.Units,
+		Shard:    r.Shard,
+		Brokers:  r.Brokers,
+		Deadline: clock.Duration(r.Deadline),
 	}})
-	f.mu.Unlock()
-	return id, f.await(ctx, id, c)
+	d.mu.Unlock()
+	return id, d.await(ctx, id, c)
 }
 
-// Report hands in how the last attempt ended and blocks until the module has decided what follows. A caller
-// whose ctx is done owes the report all the same; then, and after Served, nothing follows.
-func (f *Dispatcher) Report(ctx context.Context, id uint64, o decision.Outcome) Decision {
-	f.mu.Lock()
-	c := f.calls[id]
+// Report hands in the outcome of the request's last attempt and blocks until the module has decided what follows.
+// It must be called even if ctx is done; then, and after decision.Served, nothing follows.
+func (d *Dispatcher) Report(ctx context.Context, id uint64, outcome decision.Outcome) Decision {
+	d.mu.Lock()
+	c := d.calls[id]
 	if c == nil {
-		f.mu.Unlock()
+		d.mu.Unlock()
 		return Decision{Verdict: NoFurtherAction}
 	}
-	over := o == decision.Served || c.begun || ctx.Err() != nil
-	if over {
-		c.left = true
-		delete(f.calls, id)
-		if o != decision.Served && !c.begun { // before the outcome, so that the module does not decide on another attempt
-			f.push(decision.Event{Kind: decision.ClientDisconnected, ID: id})
+	served := outcome == decision.Served
+	final := served || c.responseStarted || ctx.Err() != nil
+	if final {
+		c.abandoned = true
+		delete(d.calls, id)
+		if !served && !c.responseStarted {
+			// Before the outcome, so that the module does not decide on another attempt.
+			d.push(decision.Event{Kind: decision.ClientDisconnected, ID: id})
 		}
 	}
-	f.push(decision.Event{Kind: decision.AttemptEnded, ID: id, Attempt: c.sends - 1, Node: c.node, Outcome: o, Final: over})
-	f.mu.Unlock()
-	if over {
+	d.push(c.attemptEnded(id, outcome, final))
+	d.mu.Unlock()
+	if final {
 		return Decision{Verdict: NoFurtherAction}
 	}
-	return f.await(ctx, id, c)
+	return d.await(ctx, id, c)
 }
 
-// ResponseStarted tells that an attempt's answer has begun to reach the client: no further attempt may follow it.
-func (f *Dispatcher) ResponseStarted(id uint64) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if c := f.calls[id]; c != nil {
-		c.begun = true
-		f.push(decision.Event{Kind: decision.ResponseStarted, ID: id})
+// attemptEnded is the event that the call's last attempt has ended.
+func (c *call) attemptEnded(id uint64, outcome decision.Outcome, final bool) decision.Event {
+	return decision.Event{
+		Kind:    decision.AttemptEnded,
+		ID:      id,
+		Attempt: c.attempts - 1,
+		Node:    c.node,
+		Outcome: outcome,
+		Final:   final,
 	}
 }
 
-// UpdateEndpoints hands in the node list, or with full false its changed entries.
-func (f *Dispatcher) UpdateEndpoints(members []decision.Endpoint, full bool) {
-	ev := decision.Event{Kind: decision.EndpointsChanged, Endpoints: members}
-	if full {
-		ev.Kind = decision.EndpointsReplaced
+// ResponseStarted says that the client gets the response of the request's attempt, so that no other may follow.
+func (d *Dispatcher) ResponseStarted(id uint64) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if c := d.calls[id]; c != nil {
+		c.responseStarted = true
+		d.push(decision.Event{Kind: decision.ResponseStarted, ID: id})
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.push(ev)
-}
-
-// EndpointWatchFailed hands in that a call for the list failed or its watch ended. The next call is wanted within so many
-// microseconds; 0 leaves that to the module.
-func (f *Dispatcher) EndpointWatchFailed(within int64) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.push(decision.Event{Kind: decision.EndpointWatchFailed, RetryWithin: micros(within)})
 }
 
-// Tick is one turn: the module takes in what has come and decides. It returns when the next turn is due at the
-// latest. now is microseconds on a monotonic clock whose zero lies before any node's start.
-func (f *Dispatcher) Tick(now int64) int64 {
-	f.mu.Lock()
-	f.turn, f.inbox = f.inbox, f.turn[:0]
-	f.mu.Unlock()
-	// The module keeps one timer running and ignores one that comes early, so it must not fire before its time.
-	if at, started := f.sched.NextTimer(); started && micros(now) >= at {
-		f.turn = append(f.turn, decision.Event{Kind: decision.TimerFired})
-	}
-	f.acts = f.sched.Step(micros(now), f.turn, f.acts[:0])
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for i := range f.acts {
-		f.carryOut(&f.acts[i])
-	}
-	for i := range f.turn {
-		if ev := &f.turn[i]; ev.Kind == decision.ClientDisconnected {
-			delete(f.calls, ev.ID) // known until now, since this turn might still have sent for it
-		}
+// UpdateEndpoints hands in the whole endpoint list, or its changed entries if full is false.
+func (d *Dispatcher) UpdateEndpoints(endpoints []decision.Endpoint, full bool) {
+	ev := decision.Event{Kind: decision.EndpointsChanged, Endpoints: endpoints}
+	if full {
+		ev.Kind = decision.EndpointsReplaced
 	}
-	clear(f.turn) // or the lists and texts in it stay alive
-	next, _ := f.sched.NextTimer()
-	return int64(next / time.Microsecond)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.push(ev)
 }
 
-// carryOut hands one action to whom it concerns.
-func (f *Dispatcher) carryOut(a *decision.Action) {
-	switch a.Kind {
-	case decision.Forward:
-		c := f.calls[a.ID]
-		c.sends, c.node = c.sends+1, a.Node
-		if c.left {
-			// The caller stopped waiting after this turn took its events in: what the module sent now never
-			// went out, and the module would wait for its outcome forever.
-			f.push(decision.Event{Kind: decision.AttemptEnded, ID: a.ID, Attempt: c.sends - 1, Node: a.Node, Outcome: decision.NotAttempted, Final: true})
-			return
-		}
-		c.verdict <- Decision{Verdict: Forward, Node: a.Node, Timeout: int64(a.After / time.Microsecond),
-			NotAfter: int64(a.NotAfter / time.Microsecond)}
-	case decision.Shed, decision.Fail:
-		if c := f.calls[a.ID]; !c.left {
-			delete(f.calls, a.ID)
-			d := Decision{Verdict: Failed}
-			if a.Kind == decision.Shed {
-				d = Decision{Verdict: Rejected, RetryAfter: int64(a.After / time.Microsecond)}
-			}
-			c.verdict <- d
-		}
-	case decision.WatchEndpoints:
-		signal(f.watch)
-	case decision.WriteLog:
-		f.log(a.Text)
-	}
+// EndpointWatchFailed says that a poll of the endpoint list failed or its watch ended. The module asks for the next
+// one within retryWithin; 0 sets no bound.
+func (d *Dispatcher) EndpointWatchFailed(retryWithin clock.Micros) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.push(decision.Event{Kind: decision.EndpointWatchFailed, RetryWithin: clock.Duration(retryWithin)})
 }
 
-// await blocks until a decision comes or the caller stops waiting.
-func (f *Dispatcher) await(ctx context.Context, id uint64, c *call) Decision {
+// await blocks until the module has decided on the call or its caller stops waiting.
+func (d *Dispatcher) await(ctx context.Context, id uint64, c *call) Decision {
 	select {
-	case d := <-c.verdict:
-		return d
+	case next := <-c.decision:
+		return next
 	case <-ctx.Done():
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	select {
-	case d := <-c.verdict: // decided in the meantime: the caller carries it out or reports that it did not
-		return d
+	case next := <-c.decision: // decided in the meantime: the caller follows it or reports that it did not
+		return next
 	default:
 	}
-	c.left = true
-	f.push(decision.Event{Kind: decision.ClientDisconnected, ID: id})
+	c.abandoned = true
+	d.push(decision.Event{Kind: decision.ClientDisconnected, ID: id})
 	return Decision{Verdict: NoFurtherAction}
 }
 
-// push queues an event for the next turn. The caller holds mu.
-func (f *Dispatcher) push(ev decision.Event) {
-	f.inbox = append(f.inbox, ev)
-	signal(f.wake)
+// push adds an event for the next Tick. The caller holds mu.
+func (d *Dispatcher) push(ev decision.Event) {
+	d.inbox = append(d.inbox, ev)
+	signal(d.tickDue)
 }
 
-// signal leaves a note in a channel that holds one.
+// signal sends to a channel that holds one, unless it is full.
 func signal(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
 	default:
 	}
 }
-
-func micros(t int64) time.Duration { return time.Duration(t) * time.Microsecond }
