--- a/cmd/poppyarch/inventory_broker.go
+++ b/cmd/poppyarch/inventory_broker.go
@@ -67,10 +67,10 @@
 	out.Printf("%s is %s (%s)\n", node.ID, node.State, node.Phase)
 	for _, fact := range node.Facts {
 		held := ""
-		if fact.Held {
+		if fact.HeldBack {
 			held = ", held back: it says nothing any more"
 		}
-		out.Printf("  %s says %s  %s%s\n", fact.Source, fact.Says, fact.Where, held)
+		out.Printf("  %s says %s  %s%s\n", fact.Source, fact.Statement, fact.Origin, held)
 	}
 	for _, note := range node.Notes {
 		out.Println("  note:", note)
@@ -124,10 +124,10 @@
 	bySource := map[string]string{}
 	where := ""
 	for _, fact := range node.Facts {
-		state, _, _ := strings.Cut(fact.Says, " ")
+		state, _, _ := strings.Cut(fact.Statement, " ")
 		bySource[fact.Source] = strings.TrimRight(state, ",")
-		if fact.Where != "" {
-			where = fact.Where
+		if fact.Origin != "" {
+			where = fact.Origin
 		}
 	}
 	t.Printf("%s\t%s\t%s\t%s\t%s\t%s\n", node.ID, node.Phase, dash(bySource["discovery"]), dash(bySource["files"]),
@@ -142,7 +142,7 @@
 		Args:  usage(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return endpoint.call(cmd.Context(), func(ctx context.Context, client *control.Client) error {
-				changed, err := client.Accept(ctx)
+				changed, err := client.AcceptRemovals(ctx)
 				if err != nil {
 					return err
 				}
--- a/internal/fleet/reconcile/property_test.go
+++ b/internal/fleet/reconcile/property_test.go
@@ -120,7 +120,7 @@
 		return
 	}
 	s.probed = fmt.Sprint("b", s.incarnation)
-	answer := &control.State{Boot: s.probed, PID: s.pid, Started: s.controller.StartDigest, Applied: s.applied}
+	answer := &control.State{Boot: s.probed, PID: s.pid, StartDigest: s.controller.StartDigest, AppliedRevision: s.applied}
 	s.controller.RecordProbe(s.now, answer, true, nil)
 }
 
@@ -146,13 +146,13 @@
 
 // apply is the broker's side of a command.
 func (s *simulation) apply(command *Command) *control.Outcome {
-	outcome := &control.Outcome{Code: control.Taken, Boot: command.Incarnation}
+	outcome := &control.Outcome{Code: control.CodeApplied, Boot: command.Incarnation}
 	if command.BaseEdition == s.applied {
 		s.applied = command.TargetEdition
 	} else if s.applied != command.TargetEdition {
-		outcome.Code = control.OldBase
+		outcome.Code = control.CodeStaleBase
 	}
-	outcome.Applied = s.applied
+	outcome.AppliedRevision = s.applied
 	return outcome
 }
 
