--- a/internal/broker/server/block_test.go
+++ b/internal/broker/server/block_test.go
@@ -16,7 +16,7 @@
 	"poppyarch/internal/testkit/fake"
 )
 
-// blockRig is one block node that the broker's list names, and a connection to the broker.
+// blockRig starts one block node, which the endpoint list names, and a broker, and connects to the broker.
 func blockRig(t *testing.T, hook func(redcon.Conn, redcon.Command) bool) (*fake.Block, net.Conn, *bufio.Reader, func()) {
 	t.Helper()
 	r := newRig(t)
@@ -26,16 +26,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
-	go b.Serve(ln)
+	serveBlock(t, b, ln)
 	r.disc.Set(discovery.Endpoint{ID: "s-0", Addr: ln.Addr().String(), Zone: "room", Shard: 0, State: "up"})
 	base, stop := r.broker(`,"listen":"127.0.0.1:0","object":null`)
 	c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	closeOnCleanup(t, c)
+	setDeadline(t, c, time.Now().Add(patience))
 	return b, c, bufio.NewReader(c), stop
 }
 
@@ -51,7 +50,7 @@
 
 func answerOf(t *testing.T, c net.Conn, in *bufio.Reader, cmd string, lines int) (out string) {
 	t.Helper()
-	io.WriteString(c, cmd)
+	send(t, c, cmd)
 	for range lines {
 		line, err := in.ReadString('\n')
 		if err != nil {
@@ -62,7 +61,7 @@
 	return out
 }
 
-func TestBlocksAreServed(t *testing.T) {
+func TestBlockReadReturnsWhatWasWritten(t *testing.T) {
 	_, c, in, _ := blockRig(t, nil)
 	if got := answerOf(t, c, in, command("BLK.WRITE", "object-complete", "w1", "hello"), 2); got != "$5\r\nhello\r\n" {
 		t.Errorf("write: %q", got)
@@ -72,14 +71,14 @@
 	}
 }
 
-// A node breaks off after it got a request: what may run twice goes again, what must not fails and never does.
-func TestBrokenNodeConnections(t *testing.T) {
+// A node closes the connection after it got a request: only an idempotent request is retried, another one fails.
+func TestLostNodeConnectionRetriesOnlyIdempotentRequests(t *testing.T) {
 	var broke atomic.Int32
 	b, c, in, _ := blockRig(t, func(rc redcon.Conn, cmd redcon.Command) bool {
 		if broke.Add(1)%2 == 0 {
 			return false
 		}
-		rc.Close()
+		_ = rc.Close() // the connection is lost
 		return true
 	})
 	if got := answerOf(t, c, in, command("BLK.READ", "object-read", "safe"), 2); got != "$0\r\n\r\n" {
@@ -97,8 +96,8 @@
 	}
 }
 
-// Turned away, unsafe work never ran: it goes again.
-func TestTurnedAwayWorkGoesAgain(t *testing.T) {
+// A rejected attempt was not executed: it is retried, idempotent or not.
+func TestRejectedAttemptIsRetried(t *testing.T) {
 	var n atomic.Int32
 	_, c, in, _ := blockRig(t, func(rc redcon.Conn, cmd redcon.Command) bool {
 		if n.Add(1) > 1 {
@@ -112,15 +111,14 @@
 	}
 }
 
-// Told to stop, a broker answers what it has taken before it ends.
-func TestStopAnswersWhatWasTaken(t *testing.T) {
+func TestDrainAnswersAcceptedRequests(t *testing.T) {
 	got, answer := make(chan struct{}), make(chan struct{})
 	_, c, in, stop := blockRig(t, func(rc redcon.Conn, cmd redcon.Command) bool {
 		close(got)
 		<-answer
 		return false
 	})
-	io.WriteString(c, command("BLK.WRITE", "object-complete", "w", "x"))
+	send(t, c, command("BLK.WRITE", "object-complete", "w", "x"))
 	<-got
 	ended := make(chan struct{})
 	go func() {
--- a/internal/broker/server/terms_test.go
+++ b/internal/broker/server/clients_test.go
@@ -36,9 +36,9 @@
 	return syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n, Max: n})
 }
 
-// A client goes while its request is at a node, which breaks off only then. What may run twice would go again, but nobody waits for
-// it. Each way of going hides the end from whoever only reads on: behind QUIT, behind malformed input, behind a pipeline.
-func TestNoFurtherAttemptForABlockClientThatHasGone(t *testing.T) {
+// A client disconnects while its request is at a node, which then closes its connection too. The request is idempotent, but
+// nobody waits for a retry. QUIT or malformed input before the end of the connection hides it from a plain reader.
+func TestNoRetryForADisconnectedBlockClient(t *testing.T) {
 	for name, behind := range map[string]string{"close": "", "quit": "*1\r\n$4\r\nQUIT\r\n", "garbage": "garbage\r\n"} {
 		t.Run(name, func(t *testing.T) {
 			came, gone := make(chan struct{}, 8), make(chan struct{})
@@ -48,13 +48,13 @@
 				}
 				came <- struct{}{}
 				<-gone
-				rc.Close()
+				_ = rc.Close() // the connection is lost
 				return true
 			})
 			answerOf(t, c, in, command("BLK.READ", "object-read", "first"), 2) // the broker serves
-			io.WriteString(c, command("BLK.READ", "object-read", "left")+behind)
+			send(t, c, command("BLK.READ", "object-read", "left")+behind)
 			<-came
-			c.Close()
+			_ = c.Close()
 			close(gone)
 			stop() // returns when the broker is through with all that it took
 			seen := 0
@@ -64,15 +64,14 @@
 				}
 			}
 			if seen != 1 {
-				t.Errorf("%d attempts for a client that had gone, want the first alone", seen)
+				t.Errorf("%d attempts for a disconnected client, want 1", seen)
 			}
 		})
 	}
 }
 
-// The same at the object front, where the server hears of a client's end only once a body is read and where nothing has come
-// behind it.
-func TestNoFurtherAttemptForAnObjectClientThatHasGone(t *testing.T) {
+// The same at the object frontend, where net/http notices a disconnect only once the body is read and nothing follows it.
+func TestNoRetryForADisconnectedObjectClient(t *testing.T) {
 	for name, request := range map[string]string{
 		"close":     "GET /art/x HTTP/1.1\r\nHost: b\r\n\r\n",
 		"body":      "GET /art/x HTTP/1.1\r\nHost: b\r\nContent-Length: 5\r\n\r\nhello",
@@ -92,21 +91,21 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			io.WriteString(c, request)
+			send(t, c, request)
 			<-came
-			c.Close()
+			_ = c.Close()
 			close(gone)
 			stop()
 			if n := count(r.stores[home], "GET /art/"); n != 1 {
-				t.Errorf("%d attempts for a client that had gone, want the first alone", n)
+				t.Errorf("%d attempts for a disconnected client, want 1", n)
 			}
 		})
 	}
 }
 
-// Idle clients hold every descriptor that clients may have while discovery is down. Once it is back its list is read all the
-// same, the node that it now names is reached, and a new client is served.
-func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
+// Idle clients hold every descriptor that clients may have while discovery is down. Once it is up its list is read all
+// the same, the node that it now names is reached, and a new client is served.
+func TestDiscoveryRecoversWhileIdleClientsHoldDescriptors(t *testing.T) {
 	const descriptors = 64
 	r := newRig(t)
 	block := fake.NewBlock()
@@ -114,8 +113,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
-	go block.Serve(ln)
+	serveBlock(t, block, ln)
 	r.disc.SetDown(true)
 	text := bytes.Replace(r.configText(`,"listen":"127.0.0.1:0","object":null`), []byte(`"sockets":1024`),
 		fmt.Appendf(nil, `"sockets":%d`, descriptors), 1)
@@ -126,22 +124,22 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
-		if i%2 == 0 { // the others say nothing at all
-			io.WriteString(c, "*1\r\n$4\r\nPING\r\n")
+		closeOnCleanup(t, c)
+		if i%2 == 0 { // the others send nothing
+			_, _ = io.WriteString(c, "*1\r\n$4\r\nPING\r\n") // the broker may have closed it
 		}
 	}
-	eventually(t, "calls in vain", func() bool { return len(r.disc.Calls()) > 2 })
+	eventually(t, "failed calls", func() bool { return len(r.disc.Calls()) > 2 })
 	r.disc.Set(discovery.Endpoint{ID: "s-0", Addr: ln.Addr().String(), Zone: "room", Shard: 0, State: "up"})
 	r.disc.SetDown(false)
-	eventually(t, "an answer by way of the node that the new list names", func() bool {
+	eventually(t, "a reply from the node that the new list names", func() bool {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			return false
 		}
-		defer c.Close()
-		c.SetDeadline(time.Now().Add(patience / 4))
-		io.WriteString(c, command("BLK.READ", "object-read", fmt.Sprint("r", time.Now().UnixNano())))
+		defer func() { _ = c.Close() }()
+		setDeadline(t, c, time.Now().Add(patience/4))
+		_, _ = io.WriteString(c, command("BLK.READ", "object-read", fmt.Sprint("r", time.Now().UnixNano())))
 		line, _ := bufio.NewReader(c).ReadString('\n')
 		return line == "$0\r\n"
 	})
@@ -150,19 +148,21 @@
 	}
 }
 
-// A broker that was killed and starts again with a long list is ready at once, whatever discovery does: one that takes calls
-// and answers none, one that refuses them, and both ways of getting lists.
+// A broker that was killed and starts again with a long list is ready at once, whether discovery accepts calls and answers
+// none or refuses them, with lists that are polled or pushed.
 func TestRestartedBrokerIsReadyWithoutDiscovery(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0") // nobody accepts
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer silent.Close()
+	closeOnCleanup(t, silent)
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	closed.Close()
+	if err := closed.Close(); err != nil {
+		t.Fatal(err)
+	}
 	for _, ln := range []net.Listener{silent, closed} {
 		for _, how := range []string{"ask", "push"} {
 			r := newRig(t)
@@ -179,19 +179,19 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				c.SetDeadline(began.Add(10 * time.Second))
+				setDeadline(t, c, began.Add(10*time.Second))
 				if got := answerOf(t, c, bufio.NewReader(c), "*1\r\n$4\r\nPING\r\n", 1); got != "+PONG\r\n" {
 					t.Errorf("got %q", got)
 				}
-				c.Close()
+				_ = c.Close()
 				p.kill()
 			}
 		}
 	}
 }
 
-// A reload that moves discovery and a drain right behind it, with a request at a node: the broker drains, and the request is answered.
-func TestReloadFollowedByADrain(t *testing.T) {
+// A reload that moves discovery is followed at once by a drain, with a request at a node: the request is answered.
+func TestDrainRightAfterReloadAnswersOpenRequests(t *testing.T) {
 	r := newRig(t)
 	base, p := r.process()
 	home := r.home(base, "/b/k", []byte("x"))
@@ -212,8 +212,8 @@
 	if err := os.Rename(tmp, p.config); err != nil {
 		t.Fatal(err)
 	}
-	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.cmd.Process.Signal(syscall.SIGTERM)
+	p.signal(t, syscall.SIGHUP)
+	p.signal(t, syscall.SIGTERM)
 	eventually(t, "a drain", func() bool { return p.log.count("draining") > 0 })
 	close(answer)
 	if status := <-done; status != http.StatusOK {
@@ -224,7 +224,7 @@
 	}
 }
 
-// Lists that are pushed come on a watch as well: nobody brings them. Without one a broker went on sending to nodes that drained.
+// Pushed lists come by a watch as well. Without one a broker would go on sending to draining nodes.
 func TestPushedListsAreWatched(t *testing.T) {
 	r := newRig(t)
 	text := bytes.Replace(r.configText(""), []byte(`"discovery":"ask"`), []byte(`"discovery":"push"`), 1)
@@ -238,8 +238,8 @@
 	})
 }
 
-// The object front's clients that rest make room for others, and those that say nothing.
-func TestIdleObjectClientsMakeRoom(t *testing.T) {
+// Idle clients of the object frontend, and those that send nothing, are closed in favour of new ones.
+func TestIdleObjectClientsAreClosedForNewOnes(t *testing.T) {
 	r := newRig(t)
 	base, _ := r.broker(`,"tuning":{"client_conns":4,"client_stall":1000}`)
 	addr := strings.TrimPrefix(base, "http://")
@@ -248,20 +248,20 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(patience))
+		closeOnCleanup(t, c)
+		setDeadline(t, c, time.Now().Add(patience))
 		if i%2 == 0 {
 			continue
 		}
-		io.WriteString(c, "GET /_health HTTP/1.1\r\nHost: b\r\n\r\n")
+		send(t, c, "GET /_health HTTP/1.1\r\nHost: b\r\n\r\n")
 		if line, err := bufio.NewReader(c).ReadString('\n'); err != nil || !strings.Contains(line, "200") {
 			t.Fatalf("client %d: %q, %v", i, line, err)
 		}
 	}
 }
 
-// A request at a node that never answers, with far more time than a process has after SIGTERM, is answered before it may be killed.
-func TestObjectDrainAnswersInItsTime(t *testing.T) {
+// A request at a node that never answers, with a deadline far beyond the drain, is answered within the drain time.
+func TestObjectDrainAnswersWithinDrainTime(t *testing.T) {
 	r := newRig(t)
 	base, stop := r.broker(`,"tuning":{"drain_answer":100000,"drain_accept":1000}`)
 	home := r.home(base, "/art/x", []byte("value"))
@@ -279,7 +279,7 @@
 			status <- 0
 			return
 		}
-		resp.Body.Close()
+		_ = resp.Body.Close()
 		status <- resp.StatusCode
 	}()
 	<-got
@@ -289,9 +289,9 @@
 	}
 }
 
-// A second copy of an answer may come some milliseconds behind the first. Here it comes as soon as the next request does, where
-// that is on the same connection within ten milliseconds: it must not be taken for the next request's answer.
-func TestLateSecondAnswerIsNotTheNextOnes(t *testing.T) {
+// A duplicate of a response may come some milliseconds after it, here as soon as the next request on the same connection.
+// It must not be taken for the response to that request.
+func TestLateDuplicateResponseIsNotUsedForTheNextRequest(t *testing.T) {
 	const late = 10 * time.Millisecond
 	var last struct {
 		sync.Mutex
--- /dev/null
+++ b/internal/broker/server/control.go
@@ -0,0 +1,40 @@
+package server
+
+import (
+	"context"
+	"crypto/rand"
+	"encoding/hex"
+	"fmt"
+
+	"poppyarch/internal/broker/control"
+)
+
+// newBootID returns a random name for an incarnation of the broker.
+func newBootID() string {
+	var b [8]byte
+	_, _ = rand.Read(b[:]) // never fails
+	return hex.EncodeToString(b[:])
+}
+
+// startControl serves the control endpoint until ctx is done. rejectChanges makes it reject all further changes.
+func (b *broker) startControl(ctx context.Context) (rejectChanges func(), err error) {
+	id := newBootID()
+	if b.recording != nil {
+		id = b.recording.bootID // the same name here and in the records
+	}
+	ln, err := control.Listen(b.cfg.Control.Listen)
+	if err != nil {
+		return nil, fmt.Errorf("control.listen: %w", err)
+	}
+	s := control.NewServer(b.cfg.Name, id, b.cfg.Control.StartDigest, b.state, b.log)
+	s.SetHook(b.state.hook)
+	b.recording.observeControl(s)
+	s.HandleNodes(b.state.explainNodes, b.state.acceptRemovals)
+	b.log.Info("control: listening", "addr", b.cfg.Control.Listen)
+	b.background.Go(func() {
+		if err := s.Serve(ctx, ln); err != nil {
+			b.log.Error("control: server failed, no more changes are accepted", "err", err)
+		}
+	})
+	return s.Drain, nil
+}
--- a/internal/broker/server/live.go
+++ b/internal/broker/server/live.go
@@ -2,116 +2,152 @@
 
 import (
 	"context"
-	"crypto/rand"
-	"encoding/hex"
 	"fmt"
 	"log/slog"
 	"strconv"
 	"sync"
+	"time"
 
 	"poppyarch/internal/broker/config"
 	"poppyarch/internal/broker/control"
 	"poppyarch/internal/broker/core"
 	"poppyarch/internal/broker/decision"
-	"poppyarch/internal/broker/dispatcher"
 	"poppyarch/internal/fleet/spec"
 	"poppyarch/internal/nodes/discovery"
 	"poppyarch/internal/nodes/membership"
-	"poppyarch/internal/nodes/routing"
-	"poppyarch/internal/timing/clock"
 )
 
-// live is what a running broker takes up: from its configuration at a hangup, and from the control endpoint, which
-// stands over it. Without an endpoint it only passes on.
-type live struct {
-	table  *core.EndpointTable
-	facade *dispatcher.Dispatcher
-	watch  *discovery.Client
-	gate   *core.ConcurrencyLimiter
-	level  *slog.LevelVar
-	hook   func(string)
-	rec    *recording
-
-	mu   sync.Mutex
-	file spec.LiveSettings // as the configuration has it
-	over spec.LiveSettings // as the control endpoint has it
-	all  *membership.Set   // nil: discovery's word goes through as it is
-	part *routing.Subset   // nil: all nodes are used
-	said [3]int64          // words of each source so far: their versions here
-	zone []string
-	log  *slog.Logger
-	time *clock.Clock
-}
-
-func newLive(cfg *config.Config, table *core.EndpointTable, f *dispatcher.Dispatcher, w *discovery.Client, g *core.ConcurrencyLimiter, r *Reloader, c *clock.Clock,
-	log *slog.Logger) *live {
-	l := &live{zone: cfg.Zones, log: log, time: c, table: table, facade: f, watch: w, gate: g, level: &slog.LevelVar{},
-		file: spec.LiveSettings{LogLevel: cfg.LogLevel, Discovery: cfg.DiscoveryAddr, MaxInFlight: cfg.Limits.MaxInFlight}}
-	if r != nil {
-		l.level, l.hook = r.Level, r.ControlHook
-	}
-	if cfg.Control != nil || cfg.Nodes != nil {
-		l.all = membership.New(cfg.Nodes.MembershipOptions(cfg.Policy.SlowStartDuration), c.Now())
-		if cfg.Nodes != nil && cfg.Nodes.Subset > 0 {
-			l.part = routing.NewSubset(cfg.Name, cfg.Nodes.Subset)
-		}
+// membershipTick is how often the timers of the membership are checked.
+const membershipTick = 100 * time.Millisecond
+
+// liveState is what can change in a running broker: some settings, from the configuration at a reload and from the
+// control endpoint, which takes precedence, and the nodes, from discovery, lists in files and operators. It is the
+// control.Broker of the control endpoint.
+type liveState struct {
+	log       *slog.Logger
+	level     *slog.LevelVar
+	limiter   *core.ConcurrencyLimiter
+	discovery *discovery.Client
+	recording *recording
+	hook      func(point string) // of the control endpoint; may be nil
+
+	// mu guards the fields below. Changes of nodes reach the endpoint table and the module under it, in the order in
+	// which they were decided.
+	mu         sync.Mutex
+	configured spec.LiveSettings
+	overrides  spec.LiveSettings // by the control endpoint
+	nodes      nodeSet
+}
+
+func newLiveState(b *broker, reloader *Reloader) *liveState {
+	s := &liveState{
+		log:       b.log,
+		level:     &slog.LevelVar{},
+		limiter:   b.limiter,
+		discovery: b.discovery,
+		recording: b.recording,
+		configured: spec.LiveSettings{
+			LogLevel:    b.cfg.LogLevel,
+			Discovery:   b.cfg.DiscoveryAddr,
+			MaxInFlight: b.cfg.Limits.MaxInFlight,
+		},
+		nodes: newNodeSet(b),
+	}
+	if reloader != nil {
+		s.level = reloader.Level
+		s.hook = reloader.ControlHook
 	}
-	if l.all != nil || cfg.Record != nil {
-		w.OnEndpoints(l.list)
+	if s.nodes.hasMembership() || b.cfg.Record != nil {
+		b.discovery.OnEndpoints(s.updateFromDiscovery)
 	}
-	return l
+	return s
 }
 
-// list takes in discovery's list. Its order with the operators' changes is that of the lock: what stands for a node
-// must reach the table and the module in the order in which it was decided.
-func (l *live) list(nodes []core.Node, full bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.all != nil {
-		// Told on even where nothing has changed: the module counts from discovery's last word.
-		nodes, full = l.merged(l.fromDiscovery(nodes, full)), false
+// start brings the nodes known at the start into force: the initial list of discovery and the lists in files, which
+// are returned, or nil if there are none.
+func (s *liveState) start(cfg *config.Config, initial []core.Node) *nodeLists {
+	if !s.nodes.hasMembership() {
+		s.updateFromDiscovery(initial, true)
+		return nil
+	}
+	s.mu.Lock()
+	s.nodes.mergeDiscovery(initial, true)
+	s.mu.Unlock()
+	var lists *nodeLists
+	if cfg.Nodes != nil {
+		lists = newNodeLists(cfg.Nodes.Files, s, s.log)
+		if complete := lists.readAtStart(); !complete && cfg.Nodes.Mode == "limit" {
+			s.log.Error("nodes: a list cannot be read, only nodes of the other lists are used", "files", cfg.Nodes.Files)
+		}
 	}
-	l.pass(nodes, full)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.nodes.publishInitial(cfg)
+	return lists
 }
 
-func (l *live) pass(nodes []core.Node, full bool) {
-	l.rec.list(l.table, nodes, full, l.watch.Revision())
-	l.table.Update(nodes, full) // first: what the module decides next is checked against it
-	l.facade.UpdateEndpoints(discovery.DecisionEndpoints(nodes), full)
+// updateFromDiscovery applies discovery's endpoint list, or its changes if full is false.
+func (s *liveState) updateFromDiscovery(nodes []core.Node, full bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.nodes.hasMembership() {
+		s.nodes.publish(nodes, full)
+		return
+	}
+	// Published even if nothing has changed: the module resets its backoff at every word from discovery.
+	s.nodes.publish(s.nodes.toCore(s.nodes.mergeDiscovery(nodes, full)), false)
 }
 
-// reload takes up what a hangup brought.
-func (l *live) reload(discovery, level string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.file.Discovery, l.file.LogLevel = discovery, level
-	l.enforce()
+// runMembershipTimers lets the timers of the membership fire until ctx is done.
+func (s *liveState) runMembershipTimers(ctx context.Context) {
+	ticker := time.NewTicker(membershipTick)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		s.mu.Lock()
+		s.nodes.publishChanges(s.nodes.members.Tick(s.nodes.clock.Now()))
+		s.mu.Unlock()
+	}
 }
 
-// inForce is the configuration's word where the endpoint has none.
-func (l *live) inForce() spec.LiveSettings {
-	v := l.file
-	if l.over.LogLevel != "" {
-		v.LogLevel = l.over.LogLevel
+// reload applies the settings of a reloaded configuration.
+func (s *liveState) reload(discoveryAddr, logLevel string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.configured.Discovery = discoveryAddr
+	s.configured.LogLevel = logLevel
+	s.applySettings()
+}
+
+// effective is the configured settings with the overrides. The caller holds mu.
+func (s *liveState) effective() spec.LiveSettings {
+	v := s.configured
+	if s.overrides.LogLevel != "" {
+		v.LogLevel = s.overrides.LogLevel
 	}
-	if l.over.Discovery != "" {
-		v.Discovery = l.over.Discovery
+	if s.overrides.Discovery != "" {
+		v.Discovery = s.overrides.Discovery
 	}
-	if l.over.MaxInFlight != 0 {
-		v.MaxInFlight = l.over.MaxInFlight
+	if s.overrides.MaxInFlight != 0 {
+		v.MaxInFlight = s.overrides.MaxInFlight
 	}
 	return v
 }
 
-func (l *live) enforce() {
-	v := l.inForce()
-	l.watch.SetAddress(v.Discovery)
-	l.level.UnmarshalText([]byte(v.LogLevel)) // checked before
-	l.gate.SetLimit(v.MaxInFlight)
+// applySettings brings the effective settings into force. The caller holds mu.
+func (s *liveState) applySettings() {
+	v := s.effective()
+	s.discovery.SetAddress(v.Discovery)
+	_ = s.level.UnmarshalText([]byte(v.LogLevel)) // valid: both sources are checked before
+	s.limiter.SetLimit(v.MaxInFlight)
 }
 
-// Check reports what cannot be taken up.
-func (l *live) Check(v spec.LiveSettings, nodes []spec.NodeOverride) error {
+// Check returns an error that names the invalid field of a change, or nil.
+func (s *liveState) Check(v spec.LiveSettings, nodes []spec.NodeOverride) error {
 	var level slog.Level
 	if v.LogLevel != "" {
 		if err := level.UnmarshalText([]byte(v.LogLevel)); err != nil {
@@ -124,50 +160,61 @@
 		}
 	}
 	if v.MaxInFlight < 0 {
-		return fmt.Errorf("live.max_open: %d is negative", v.MaxInFlight)
+		return &spec.FieldError{Field: "live.max_open", Problem: fmt.Sprintf("%d is negative", v.MaxInFlight)}
 	}
 	seen := map[string]bool{}
 	for i, n := range nodes {
+		field := fmt.Sprintf("nodes[%d]", i)
 		if err := n.Validate(); err != nil {
-			return fmt.Errorf("nodes[%d]: %w", i, err)
+			return fmt.Errorf("%s: %w", field, err)
 		}
 		if seen[n.ID] {
-			return fmt.Errorf("nodes[%d]: %s is there twice", i, n.ID)
+			return &spec.FieldError{Field: field, Problem: n.ID + " is there twice"}
 		}
 		seen[n.ID] = true
 	}
 	return nil
 }
 
-// Apply takes a checked change up.
-func (l *live) Apply(v spec.LiveSettings, nodes []spec.NodeOverride) (did []control.Effect) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	was := l.inForce()
-	l.over = v
-	now := l.inForce()
-	l.enforce()
+// Apply brings a checked change into force and returns what that altered.
+func (s *liveState) Apply(v spec.LiveSettings, nodes []spec.NodeOverride) []control.Effect {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	before := s.effective()
+	s.overrides = v
+	s.applySettings()
+	effects := settingEffects(before, s.effective())
+	changed := s.nodes.toCore(s.nodes.mergeOperators(nodes))
+	for _, n := range changed {
+		old, known := s.nodes.endpoints.Get(n.ID)
+		effects = append(effects, control.Effect{
+			Setting:  "node " + n.ID,
+			OldValue: nodeEffectState(old, known),
+			NewValue: nodeEffectState(n, n.State != decision.Removed),
+		})
+	}
+	if len(changed) > 0 {
+		s.nodes.publish(changed, false)
+	}
+	return effects
+}
+
+// settingEffects lists the settings that differ.
+func settingEffects(before, after spec.LiveSettings) (effects []control.Effect) {
 	for _, e := range []control.Effect{
-		{Setting: "log", OldValue: was.LogLevel, NewValue: now.LogLevel},
-		{Setting: "discovery", OldValue: was.Discovery, NewValue: now.Discovery},
-		{Setting: "max_open", OldValue: strconv.Itoa(was.MaxInFlight), NewValue: strconv.Itoa(now.MaxInFlight)},
+		{Setting: "log", OldValue: before.LogLevel, NewValue: after.LogLevel},
+		{Setting: "discovery", OldValue: before.Discovery, NewValue: after.Discovery},
+		{Setting: "max_open", OldValue: strconv.Itoa(before.MaxInFlight), NewValue: strconv.Itoa(after.MaxInFlight)},
 	} {
 		if e.OldValue != e.NewValue {
-			did = append(did, e)
+			effects = append(effects, e)
 		}
 	}
-	changed := l.merged(l.fromOperators(nodes))
-	for _, n := range changed {
-		old, ok := l.table.Get(n.ID)
-		did = append(did, control.Effect{Setting: "node " + n.ID, OldValue: nodeState(old, ok), NewValue: nodeState(n, n.State != decision.Removed)})
-	}
-	if len(changed) > 0 {
-		l.pass(changed, false)
-	}
-	return did
+	return effects
 }
 
-func nodeState(n core.Node, known bool) string {
+// nodeEffectState names a node's state in the control endpoint's effects.
+func nodeEffectState(n core.Node, known bool) string {
 	switch {
 	case !known:
 		return "out"
@@ -177,40 +224,54 @@
 	return "up"
 }
 
-// FillState fills in what is in force.
-func (l *live) FillState(st *control.State) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	st.Stats = l.rec.figures()
-	st.Live, st.EndpointListRevision, st.NodeCount, st.InFlight = l.inForce(), l.watch.Revision(), l.table.Len(), l.gate.InFlight()
+// FillState fills in what the broker knows: endpoint list, nodes, requests in flight, settings in force.
+func (s *liveState) FillState(st *control.State) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	st.Stats = s.recording.stats()
+	st.Live = s.effective()
+	st.EndpointListRevision = s.discovery.Revision()
+	st.NodeCount = s.nodes.endpoints.Len()
+	st.InFlight = s.limiter.InFlight()
 }
 
-// newBoot names a boot.
-func newBoot() string {
-	var b [8]byte
-	rand.Read(b[:])
-	return hex.EncodeToString(b[:])
+// nodesExplanation is the answer to GET /v1/nodes.
+type nodesExplanation struct {
+	Epoch        uint64                   `json:"epoch"`
+	HeldRemovals []string                 `json:"held,omitempty"`
+	HeldReason   string                   `json:"why,omitempty"`
+	Nodes        []membership.Explanation `json:"nodes"`
 }
 
-// control serves the endpoint until ctx is done. end, called at the start of a drain, has it take no more changes.
-func (l *live) control(ctx context.Context, cfg *config.Config, behind *sync.WaitGroup, log *slog.Logger) (end func(), err error) {
-	id := newBoot()
-	if l.rec != nil {
-		id = l.rec.id // the boot has one name, here and in its records
+// explainNodes says where the known state of a node comes from, or of all nodes if id is empty.
+func (s *liveState) explainNodes(id string) any {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	members := s.nodes.members
+	if id != "" {
+		return members.Explain(id)
 	}
-	ln, err := control.Listen(cfg.Control.Listen)
-	if err != nil {
-		return nil, fmt.Errorf("control.listen: %w", err)
+	held, reason := members.HeldRemovals(membership.Files)
+	out := nodesExplanation{
+		Epoch:        members.Epoch(),
+		HeldRemovals: held,
+		HeldReason:   reason,
+		Nodes:        []membership.Explanation{},
 	}
-	s := control.NewServer(cfg.Name, id, cfg.Control.StartDigest, l, log)
-	s.SetHook(l.hook)
-	l.rec.control(s)
-	s.HandleNodes(l.explain, l.accept)
-	log.Info("control: listening", "addr", cfg.Control.Listen)
-	behind.Go(func() {
-		if err := s.Serve(ctx, ln); err != nil {
-			log.Error("control: ended", "err", err)
-		}
-	})
-	return s.Drain, nil
+	for _, m := range members.Members() {
+		out.Nodes = append(out.Nodes, members.Explain(m.ID))
+	}
+	return out
+}
+
+// acceptRemovals brings the removals into force that the membership holds back, and returns how many nodes changed.
+func (s *liveState) acceptRemovals() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	changed := s.nodes.members.AcceptRemovals(membership.Files, s.nodes.clock.Now())
+	if len(changed) > 0 {
+		s.log.Info("nodes: held removals accepted by an operator", "changed", len(changed))
+		s.nodes.publishChanges(changed)
+	}
+	return len(changed)
 }
--- /dev/null
+++ b/internal/broker/server/nodelists.go
@@ -0,0 +1,260 @@
+package server
+
+import (
+	"context"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"poppyarch/internal/nodes/filewatch"
+	"poppyarch/internal/nodes/membership"
+	"poppyarch/internal/nodes/nodefile"
+	"poppyarch/internal/timing/clock"
+)
+
+// maxLoggedFaults bounds the log lines on the rows of one reading.
+const maxLoggedFaults = 20
+
+// nodeLists keeps the node lists in files merged into the nodes of a liveState. After readAtStart one goroutine
+// owns it, that of run; the lists are read without the liveState's mutex, so that discovery never waits for a file.
+type nodeLists struct {
+	paths     []string
+	state     *liveState
+	log       *slog.Logger
+	readPaths []string                    // files and directories of the last reading
+	valid     map[string]membership.Entry // last valid content of each row, by node
+	csv       nodefile.Reader             // of a single CSV list
+	reason    string                      // why removals are held, as it was last logged
+}
+
+// listUpdate is what a reading of the lists has changed.
+type listUpdate struct {
+	changed  []membership.Member
+	settled  bool // the files did not change while they were read
+	complete bool // all files could be read
+}
+
+func newNodeLists(paths []string, state *liveState, log *slog.Logger) *nodeLists {
+	return &nodeLists{paths: paths, state: state, log: log, valid: map[string]membership.Entry{}}
+}
+
+// readAtStart reads and merges all lists. It reports whether all files could be read.
+func (l *nodeLists) readAtStart() (complete bool) {
+	doc, _ := l.load(func() bool { return true })
+	return l.merge(doc, true).complete
+}
+
+// run follows the files until ctx is done.
+func (l *nodeLists) run(ctx context.Context) {
+	w, err := filewatch.New(filewatch.DefaultTimes())
+	if err != nil {
+		l.log.Warn("nodes: no file change notifications from the system, the lists are polled", "err", err)
+	}
+	defer w.Close()
+	w.Watch(l.readPaths)
+	unsettled := true // a change between the first reading and now is found by reading once more
+	for {
+		change, ok := w.Next(ctx, unsettled)
+		if !ok {
+			return
+		}
+		update := l.read(func() bool { return change.Settled && w.Same() })
+		unsettled = !update.settled
+		w.Watch(l.readPaths)
+		l.logUpdate(&update, time.Since(change.Since))
+	}
+}
+
+// read reads and merges the lists. settled is asked once the texts are in memory: whether the files have not changed
+// meanwhile.
+func (l *nodeLists) read(settled func() bool) listUpdate {
+	if changed, ok := l.mergeChangedRows(settled); ok {
+		return listUpdate{changed: changed, settled: true, complete: true}
+	}
+	doc, isSettled := l.load(settled)
+	return l.merge(doc, isSettled)
+}
+
+// logUpdate logs a reading that has changed something or was incomplete.
+func (l *nodeLists) logUpdate(u *listUpdate, delay time.Duration) {
+	if len(u.changed) > 0 || !u.complete {
+		l.log.Info("nodes: lists read", "rows", len(l.valid), "changed", len(u.changed), "settled", u.settled,
+			"complete", u.complete, "delay", delay.Round(time.Millisecond))
+	}
+	for _, m := range u.changed {
+		l.log.Debug("nodes: node changed", "node", m.ID, "state", m.State, "addr", m.Addr,
+			"started", clock.Duration(m.StartedAt).String())
+	}
+}
+
+// mergeChangedRows merges the rows of a single settled CSV list that have changed. It reports false, and has merged
+// nothing, if there are more or other lists, or if rows have been added, removed or are invalid.
+func (l *nodeLists) mergeChangedRows(settled func() bool) (changed []membership.Member, ok bool) {
+	if len(l.paths) != 1 || !isCSV(l.paths[0]) {
+		return nil, false
+	}
+	text, err := os.ReadFile(l.paths[0])
+	if err != nil || !settled() {
+		return nil, false
+	}
+	doc, rows, onlyRows := l.csv.Read(l.paths[0], string(text))
+	if !onlyRows || len(l.valid) != len(doc.Rows) {
+		return nil, false
+	}
+	entries := make([]membership.Entry, 0, len(rows))
+	for i := range rows {
+		e := l.entry(&rows[i])
+		l.valid[e.ID] = e
+		entries = append(entries, e)
+	}
+	return l.publish(func(members *membership.Set, version int64, now clock.Micros) []membership.Member {
+		return members.Update(membership.Files, version, entries, nil, now)
+	}), true
+}
+
+// merge merges all lists. An invalid row keeps its last valid content. A list that cannot be read, or that was being
+// written, removes no node.
+func (l *nodeLists) merge(doc *nodefile.Doc, settled bool) listUpdate {
+	next := make(map[string]membership.Entry, len(doc.Rows))
+	for i := range doc.Rows {
+		next[doc.Rows[i].ID] = l.entry(&doc.Rows[i])
+	}
+	l.logFaults(doc.Faults)
+	for _, fault := range doc.Faults {
+		if !fault.Warn && fault.Node != "" {
+			l.keepValid(next, fault.Node)
+		}
+	}
+	if !doc.Whole || !settled {
+		for id := range l.valid {
+			l.keepValid(next, id)
+		}
+	}
+	l.valid = next
+	entries := make([]membership.Entry, 0, len(next))
+	for _, e := range next {
+		entries = append(entries, e)
+	}
+	changed := l.publish(func(members *membership.Set, version int64, now clock.Micros) []membership.Member {
+		return members.Replace(membership.Files, version, entries, now)
+	})
+	return listUpdate{changed: changed, settled: settled, complete: doc.Whole}
+}
+
+// keepValid adds the last valid content of a node's row to next, if next has no row of it.
+func (l *nodeLists) keepValid(next map[string]membership.Entry, id string) {
+	if _, ok := next[id]; ok {
+		return
+	}
+	if old, ok := l.valid[id]; ok {
+		next[id] = old
+	}
+}
+
+// logFaults logs the first faults of a reading.
+func (l *nodeLists) logFaults(faults []nodefile.Fault) {
+	for _, f := range faults[:min(len(faults), maxLoggedFaults)] {
+		text := "nodes: invalid row, the other rows are used"
+		if f.Warn {
+			text = "nodes: row used with a warning"
+		}
+		l.log.Warn(text, "at", f.Pos.String(), "key", f.Key, "what", f.Text)
+	}
+	if more := len(faults) - maxLoggedFaults; more > 0 {
+		l.log.Warn("nodes: more invalid rows", "count", more)
+	}
+}
+
+// publish merges an update of the lists into the nodes, publishes what changes and returns it. Only this is done
+// under the liveState's mutex.
+func (l *nodeLists) publish(merge func(*membership.Set, int64, clock.Micros) []membership.Member) []membership.Member {
+	l.state.mu.Lock()
+	defer l.state.mu.Unlock()
+	nodes := &l.state.nodes
+	changed := merge(nodes.members, nodes.nextVersion(membership.Files), nodes.clock.Now())
+	nodes.publishChanges(changed)
+	if _, reason := nodes.members.HeldRemovals(membership.Files); reason != l.reason {
+		l.reason = reason
+		if reason != "" {
+			l.log.Error("nodes: " + reason)
+		}
+	}
+	return changed
+}
+
+// entry converts a row.
+func (l *nodeLists) entry(r *nodefile.Row) membership.Entry {
+	e := membership.Entry{
+		ID:         r.ID,
+		Addr:       r.Addr,
+		ObjectAddr: r.Objects,
+		Shard:      r.Shard,
+		Zone:       l.state.nodes.zoneNumber(r.Zone),
+		Kind:       r.Kind,
+		Capacity:   r.Capacity,
+		Origin:     r.Pos.String(),
+	}
+	switch r.State {
+	case "draining":
+		e.State = membership.Draining
+	case "out":
+		e.State = membership.OutOfService
+	}
+	return e
+}
+
+// load reads and parses all lists. If the files have changed meanwhile, as settled says, what follows the last whole
+// line of a CSV list may be part of a row and is left out.
+func (l *nodeLists) load(settled func() bool) (doc *nodefile.Doc, isSettled bool) {
+	texts := newFileTexts(l.paths)
+	doc = nodefile.LoadAll(l.paths, nodefile.Files{Read: texts.read, List: texts.list})
+	isSettled = settled()
+	if !isSettled {
+		doc = nodefile.LoadAll(l.paths, nodefile.Files{Read: texts.readWholeLines, List: texts.list})
+	}
+	l.readPaths = texts.paths
+	return doc, isSettled
+}
+
+// fileTexts reads each file once, so that parsing it twice sees the same text.
+type fileTexts struct {
+	files map[string]fileText
+	paths []string // files and directories that were read, those to be read first among them
+}
+
+type fileText struct {
+	text []byte
+	err  error
+}
+
+func newFileTexts(paths []string) *fileTexts {
+	return &fileTexts{files: map[string]fileText{}, paths: append([]string(nil), paths...)}
+}
+
+func (t *fileTexts) read(path string) ([]byte, error) {
+	f, ok := t.files[path]
+	if !ok {
+		t.paths = append(t.paths, path)
+		f.text, f.err = os.ReadFile(path)
+		t.files[path] = f
+	}
+	return f.text, f.err
+}
+
+// readWholeLines is read without what follows the last line end of a CSV file.
+func (t *fileTexts) readWholeLines(path string) ([]byte, error) {
+	text, err := t.read(path)
+	if isCSV(path) {
+		text = text[:strings.LastIndexByte(string(text), '\n')+1]
+	}
+	return text, err
+}
+
+func (t *fileTexts) list(dir string) ([]string, error) {
+	t.paths = append(t.paths, dir)
+	return filewatch.Lists(dir)
+}
+
+func isCSV(path string) bool { return strings.EqualFold(filepath.Ext(path), ".csv") }
--- /dev/null
+++ b/internal/broker/server/nodeset.go
@@ -0,0 +1,209 @@
+package server
+
+import (
+	"slices"
+
+	"poppyarch/internal/broker/config"
+	"poppyarch/internal/broker/core"
+	"poppyarch/internal/broker/decision"
+	"poppyarch/internal/broker/dispatcher"
+	"poppyarch/internal/fleet/spec"
+	"poppyarch/internal/nodes/discovery"
+	"poppyarch/internal/nodes/membership"
+	"poppyarch/internal/nodes/routing"
+	"poppyarch/internal/timing/clock"
+)
+
+// nodeSet merges the sources of nodes and publishes the result to the endpoint table, the decision module and the
+// recorder. It is guarded by the mutex of its liveState.
+type nodeSet struct {
+	clock      *clock.Clock
+	endpoints  *core.EndpointTable
+	dispatcher *dispatcher.Dispatcher
+	discovery  *discovery.Client
+	recording  *recording
+	zones      []string // names, by number
+
+	members  *membership.Set // nil: discovery's list is used as it is
+	subset   *routing.Subset // nil: all nodes are used
+	versions [3]int64        // of each source's last update
+}
+
+func newNodeSet(b *broker) nodeSet {
+	s := nodeSet{
+		clock:      b.clock,
+		endpoints:  b.endpoints,
+		dispatcher: b.dispatcher,
+		discovery:  b.discovery,
+		recording:  b.recording,
+		zones:      b.cfg.Zones,
+	}
+	if b.cfg.Control == nil && b.cfg.Nodes == nil {
+		return s
+	}
+	s.members = membership.New(b.cfg.Nodes.MembershipOptions(b.cfg.Policy.SlowStartDuration), b.clock.Now())
+	s.resetSubset(b.cfg)
+	return s
+}
+
+// hasMembership reports whether there are sources of nodes besides discovery.
+func (s *nodeSet) hasMembership() bool { return s.members != nil }
+
+// resetSubset starts the broker's subset of a large fleet anew, if the configuration asks for one.
+func (s *nodeSet) resetSubset(cfg *config.Config) {
+	if cfg.Nodes != nil && cfg.Nodes.Subset > 0 {
+		s.subset = routing.NewSubset(cfg.Name, cfg.Nodes.Subset)
+	}
+}
+
+// publishInitial publishes all members known at the start.
+func (s *nodeSet) publishInitial(cfg *config.Config) {
+	s.members.EndInitialSync()
+	s.resetSubset(cfg) // chosen from all of them at once
+	s.publish(s.toCore(s.members.Members()), true)
+}
+
+// publish brings nodes into force, as the whole list or as changes.
+func (s *nodeSet) publish(nodes []core.Node, full bool) {
+	s.recording.nodeChanges(s.endpoints, nodes, full, s.discovery.Revision())
+	s.endpoints.Update(nodes, full) // first: what the module decides next is checked against it
+	s.dispatcher.UpdateEndpoints(discovery.DecisionEndpoints(nodes), full)
+}
+
+// publishChanges publishes changes of the membership, if there are any.
+func (s *nodeSet) publishChanges(changed []membership.Member) {
+	if len(changed) > 0 {
+		s.publish(s.toCore(changed), false)
+	}
+}
+
+// nextVersion numbers an update of a source.
+func (s *nodeSet) nextVersion(source membership.Source) int64 {
+	s.versions[source]++
+	return s.versions[source]
+}
+
+// mergeDiscovery merges discovery's list, or its changes if full is false, and returns what changed.
+func (s *nodeSet) mergeDiscovery(nodes []core.Node, full bool) []membership.Member {
+	entries := make([]membership.Entry, 0, len(nodes))
+	var removed []string
+	for _, n := range nodes {
+		if n.State == decision.Removed {
+			removed = append(removed, n.ID)
+			continue
+		}
+		e := membership.Entry{
+			ID:         n.ID,
+			Addr:       n.Addr,
+			ObjectAddr: n.ObjectAddr,
+			Shard:      n.Shard,
+			Zone:       n.Zone,
+			StartedAt:  n.StartedAt,
+		}
+		if n.State == decision.Draining {
+			e.State = membership.Draining
+		}
+		entries = append(entries, e)
+	}
+	version := s.nextVersion(membership.Discovery)
+	if full {
+		return s.members.Replace(membership.Discovery, version, entries, s.clock.Now())
+	}
+	return s.members.Update(membership.Discovery, version, entries, removed, s.clock.Now())
+}
+
+// mergeOperators merges the operators' overrides, all of them, and returns what changed.
+func (s *nodeSet) mergeOperators(overrides []spec.NodeOverride) []membership.Member {
+	entries := make([]membership.Entry, 0, len(overrides))
+	for _, n := range overrides {
+		e := membership.Entry{
+			ID:         n.ID,
+			Addr:       n.Addr,
+			ObjectAddr: n.ObjectAddr,
+			Shard:      n.Shard,
+			Zone:       s.zoneNumber(n.Zone),
+			Origin:     "fleet nodes",
+		}
+		switch n.State {
+		case spec.NodeDraining:
+			e.State = membership.Draining
+		case spec.NodeRemoved:
+			e.State = membership.OutOfService
+		}
+		entries = append(entries, e)
+	}
+	return s.members.Replace(membership.Operators, s.nextVersion(membership.Operators), entries, s.clock.Now())
+}
+
+// zoneNumber is the number of a zone; an unknown one counts as the first.
+func (s *nodeSet) zoneNumber(name string) int { return max(slices.Index(s.zones, name), 0) }
+
+// toCore converts changes of the membership. With a subset, nodes outside it are left out, and the change of one
+// node may bring others into it.
+func (s *nodeSet) toCore(changed []membership.Member) []core.Node {
+	nodes := make([]core.Node, 0, len(changed))
+	if s.subset != nil {
+		changed = s.withinSubset(changed)
+	}
+	medianCapacity := 0.0
+	if slices.ContainsFunc(changed, func(m membership.Member) bool { return m.Capacity > 0 }) {
+		medianCapacity = s.members.MedianCapacity()
+	}
+	for _, m := range changed {
+		n := core.Node{
+			ID:         m.ID,
+			Addr:       m.Addr,
+			ObjectAddr: m.ObjectAddr,
+			Shard:      m.Shard,
+			Zone:       m.Zone,
+			StartedAt:  m.StartedAt,
+		}
+		if medianCapacity > 0 {
+			n.Capacity = m.Capacity / medianCapacity
+		}
+		switch m.State {
+		case membership.Draining:
+			n.State = decision.Draining
+		case membership.OutOfService:
+			n.State = decision.Removed
+		}
+		nodes = append(nodes, n)
+	}
+	return nodes
+}
+
+// withinSubset is what changes mean for the subset of the fleet that this broker uses. A node that drains or is out
+// of service is always included, and another takes its place in the subset.
+func (s *nodeSet) withinSubset(changed []membership.Member) (out []membership.Member) {
+	var up []routing.Entry
+	var gone []string
+	listed := map[string]bool{}
+	for _, m := range changed {
+		listed[m.ID] = true
+		if m.State == membership.Up {
+			up = append(up, routing.Entry{Node: routing.Node{ID: m.ID, Weight: m.Capacity}, Shard: m.Shard})
+		} else {
+			gone = append(gone, m.ID)
+		}
+	}
+	added, dropped := s.subset.Change(up, gone)
+	for _, m := range changed {
+		switch {
+		case m.State != membership.Up || s.subset.Uses(m.ID):
+			out = append(out, m)
+		case slices.Contains(dropped, m.ID):
+			out = append(out, membership.Member{ID: m.ID, State: membership.OutOfService})
+		}
+	}
+	for _, id := range added {
+		if m, ok := s.members.Get(id); ok && !listed[id] {
+			out = append(out, m)
+		}
+	}
+	for _, id := range dropped {
+		if !listed[id] {
+			out = append(out, membership.Member{ID: id, State: membership.OutOfService})
+		}
+	}
+	return out
+}
--- a/internal/broker/server/object_test.go
+++ b/internal/broker/server/object_test.go
@@ -14,7 +14,7 @@
 	"poppyarch/internal/nodes/discovery"
 )
 
-func TestObjectsAndRanges(t *testing.T) {
+func TestObjectReadsRangesAndConditions(t *testing.T) {
 	r := newRig(t)
 	base, _ := r.broker("")
 	body := noise(200_000, 1) // longer than the buffer: streamed
@@ -62,9 +62,9 @@
 	}
 }
 
-// A node dies in the middle of a range and comes back cold: the rest is read from it, pinned to the version that
-// the first half came from, and the client has one whole answer.
-func TestRangeResentAfterNodeComesBackCold(t *testing.T) {
+// A node restarts in the middle of a range: the rest is read from it, pinned to the version that the first part came
+// from, and the client gets one complete response.
+func TestRangeReadResumesAfterNodeRestart(t *testing.T) {
 	r := newRig(t)
 	base, _ := r.broker("")
 	body := noise(50_000, 2)
@@ -112,8 +112,8 @@
 	}
 }
 
-// The object is overwritten between the attempts: the answer is one version or the other, never both.
-func TestResentRangeNeverMixesVersions(t *testing.T) {
+// The object is overwritten between the attempts: the response has one version or the other, never both.
+func TestResumedRangeReadNeverMixesVersions(t *testing.T) {
 	r := newRig(t)
 	base, _ := r.broker("")
 	old, fresh := noise(50_000, 3), noise(50_000, 4)
@@ -138,8 +138,8 @@
 	}
 }
 
-// After the first byte a failure must show: the client sees a body that ends early, and nothing is resent.
-func TestBreakAfterFirstByteIsVisible(t *testing.T) {
+// After the first byte a failure truncates the body, so that the client notices it, and nothing is retried.
+func TestFailureAfterFirstByteTruncatesTheBody(t *testing.T) {
 	r := newRig(t)
 	base, _ := r.broker("")
 	body := noise(300_000, 5)
@@ -158,7 +158,7 @@
 	}
 }
 
-// upload opens one and sends parts first to last.
+// upload creates a multipart upload and returns its id.
 func (r *rig) upload(base, path string) string {
 	r.t.Helper()
 	a := r.do("POST", base+path+"?uploads", nil)
@@ -171,9 +171,10 @@
 	return out.UploadID
 }
 
-func (r *rig) part(base, path, id string, n int, body []byte) string {
+// uploadPart uploads a part of /art/poster and returns its ETag.
+func (r *rig) uploadPart(base, id string, n int, body []byte) string {
 	r.t.Helper()
-	a := r.do("PUT", fmt.Sprintf("%s%s?partNumber=%d&uploadId=%s", base, path, n, id), body)
+	a := r.do("PUT", fmt.Sprintf("%s/art/poster?partNumber=%d&uploadId=%s", base, n, id), body)
 	if a.status != 200 || a.header.Get("ETag") == "" {
 		r.t.Fatalf("part %d: %d %s", n, a.status, a.body)
 	}
@@ -189,28 +190,28 @@
 	return []byte(b.String() + "</CompleteMultipartUpload>")
 }
 
-// The broker is killed before the final part. Another takes the upload over by nothing but its id, and the upload
-// completes once, however often the client asks.
-func TestUploadOutlivesItsBroker(t *testing.T) {
+// The broker is killed before the last part. Another one continues the upload by its id alone, and it is completed
+// once, however often the client asks.
+func TestUploadContinuesAtAnotherBroker(t *testing.T) {
 	r := newRig(t)
 	base, first := r.process()
 	one, two, three := noise(70_000, 6), noise(80_000, 7), noise(900, 8)
 	id := r.upload(base, "/art/poster")
-	tags := []string{r.part(base, "/art/poster", id, 1, one), r.part(base, "/art/poster", id, 2, two)}
+	tags := []string{r.uploadPart(base, id, 1, one), r.uploadPart(base, id, 2, two)}
 	first.kill()
 	base, _ = r.process()
 	a := r.do("GET", base+"/art/poster?uploadId="+id, nil)
 	if a.status != 200 || bytes.Count(a.body, []byte("<Part>")) != 2 || !bytes.Contains(a.body, []byte("<UploadId>"+id+"<")) {
 		t.Fatalf("list parts: %d %s", a.status, a.body)
 	}
-	tags = append(tags, r.part(base, "/art/poster", id, 3, three))
-	for range 2 { // the client did not hear the first answer and asks again
+	tags = append(tags, r.uploadPart(base, id, 3, three))
+	for range 2 { // the client did not get the first response and retries
 		a = r.do("POST", base+"/art/poster?uploadId="+id, completion(tags...))
 		if a.status != 200 || !bytes.Contains(a.body, []byte("-3")) {
 			t.Fatalf("complete: %d %s", a.status, a.body)
 		}
 	}
-	if n := r.stores[0].Completions("/art/poster") + r.stores[1].Completions("/art/poster"); n != 1 {
+	if n := r.completions("/art/poster"); n != 1 {
 		t.Errorf("%d completions, want 1", n)
 	}
 	if got := r.do("GET", base+"/art/poster", nil); !bytes.Equal(got.body, bytes.Join([][]byte{one, two, three}, nil)) {
@@ -218,65 +219,76 @@
 	}
 }
 
-// The node dies after it completed and before it said so. The call is not sent again: reading back shows the end.
-func TestCompletionWithUnclearEndIsReadBack(t *testing.T) {
+// The node restarts after it completed an upload and before it answered, or before it completed it. The call is not
+// retried: reading back shows the outcome.
+func TestCompletionWithUnknownOutcomeIsVerified(t *testing.T) {
 	for _, ran := range []bool{true, false} {
-		t.Run(fmt.Sprint("ran=", ran), func(t *testing.T) {
-			r := newRig(t)
-			base, _ := r.broker("")
-			id := r.upload(base, "/art/poster")
-			tag := r.part(base, "/art/poster", id, 1, noise(1000, 9))
-			wait := "20000" // confirmed long before
-			if !ran {
-				wait = "3000" // looked for until the client's time is up
-			}
-			var posts atomic.Int32
-			for i, s := range r.stores {
-				s.SetHook(func(w http.ResponseWriter, q *http.Request, next func()) {
-					if q.Method != "POST" {
-						next()
-						return
-					}
-					if posts.Add(1) > 1 {
-						next()
-						return
-					}
-					if ran {
-						s.Cut(&cut{ResponseWriter: w}, q)
-					}
-					go func() {
-						r.nodes[i].Kill()
-						if err := r.nodes[i].Restart(); err != nil {
-							t.Error(err)
-						}
-					}()
-					<-q.Context().Done()
-					panic(http.ErrAbortHandler)
-				})
-			}
-			a := r.do("POST", base+"/art/poster?uploadId="+id, completion(tag), "X-Timeout-Ms", wait)
-			done := r.stores[0].Completions("/art/poster") + r.stores[1].Completions("/art/poster")
-			if posts.Load() != 1 {
-				t.Errorf("the call reached the node %d times, want 1", posts.Load())
-			}
-			if ran && (a.status != 200 || done != 1) {
-				t.Errorf("ran: %d %s, %d completions", a.status, a.body, done)
-			}
-			if !ran && (a.status != 500 && a.status != 504 || done != 0 || a.header.Get("Retry-After") != "") {
-				t.Errorf("did not run: %d %s, %d completions", a.status, a.body, done)
-			}
-			// The client asks anew: at the latest now there is exactly one completion.
-			if a = r.do("POST", base+"/art/poster?uploadId="+id, completion(tag)); a.status != 200 {
-				t.Errorf("asked anew: %d %s", a.status, a.body)
+		t.Run(fmt.Sprint("ran=", ran), func(t *testing.T) { testUnknownCompletion(t, ran) })
+	}
+}
+
+func testUnknownCompletion(t *testing.T, ran bool) {
+	r := newRig(t)
+	base, _ := r.broker("")
+	id := r.upload(base, "/art/poster")
+	tag := r.uploadPart(base, id, 1, noise(1000, 9))
+	wait := "20000" // verified long before
+	if !ran {
+		wait = "3000" // looked for until the client's deadline
+	}
+	posts := r.restartAtFirstPost(ran)
+	a := r.do("POST", base+"/art/poster?uploadId="+id, completion(tag), "X-Timeout-Ms", wait)
+	done := r.completions("/art/poster")
+	if posts.Load() != 1 {
+		t.Errorf("the call reached the node %d times, want 1", posts.Load())
+	}
+	if ran && (a.status != 200 || done != 1) {
+		t.Errorf("ran: %d %s, %d completions", a.status, a.body, done)
+	}
+	if !ran && (a.status != 500 && a.status != 504 || done != 0 || a.header.Get("Retry-After") != "") {
+		t.Errorf("did not run: %d %s, %d completions", a.status, a.body, done)
+	}
+	// After a retry of the client there is exactly one completion.
+	if a = r.do("POST", base+"/art/poster?uploadId="+id, completion(tag)); a.status != 200 {
+		t.Errorf("retried: %d %s", a.status, a.body)
+	}
+	if done = r.completions("/art/poster"); done != 1 {
+		t.Errorf("%d completions, want 1", done)
+	}
+}
+
+// restartAtFirstPost has the node that gets the first POST restart without an answer, after it has executed the call
+// if ran. It returns the count of POSTs.
+func (r *rig) restartAtFirstPost(ran bool) *atomic.Int32 {
+	var posts atomic.Int32
+	for i, s := range r.stores {
+		s.SetHook(func(w http.ResponseWriter, q *http.Request, next func()) {
+			if q.Method != "POST" || posts.Add(1) > 1 {
+				next()
+				return
 			}
-			if done = r.stores[0].Completions("/art/poster") + r.stores[1].Completions("/art/poster"); done != 1 {
-				t.Errorf("%d completions, want 1", done)
+			if ran {
+				s.Cut(&cut{ResponseWriter: w}, q)
 			}
+			go func() {
+				r.nodes[i].Kill()
+				if err := r.nodes[i].Restart(); err != nil {
+					r.t.Error(err)
+				}
+			}()
+			<-q.Context().Done()
+			panic(http.ErrAbortHandler)
 		})
 	}
+	return &posts
+}
+
+// completions is how often an upload of the object was completed.
+func (r *rig) completions(path string) int {
+	return r.stores[0].Completions(path) + r.stores[1].Completions(path)
 }
 
-func TestAbortAndFaultsInS3Terms(t *testing.T) {
+func TestAbortAndErrorsHaveS3Codes(t *testing.T) {
 	r := newRig(t)
 	base, _ := r.broker(`,"tuning":{"max_object":1000}`)
 	id := r.upload(base, "/art/x")
@@ -315,8 +327,8 @@
 	}
 }
 
-// No node for the shard: refused at once, with advice on when to come back.
-func TestRefusalSaysWhenToComeBack(t *testing.T) {
+// Without a node for the shard a request is rejected at once, with Retry-After.
+func TestRejectionCarriesRetryAfter(t *testing.T) {
 	r := newRig(t)
 	r.disc.Set(discovery.Endpoint{ID: "s-0", State: "removed", Addr: r.nodes[0].Addr()},
 		discovery.Endpoint{ID: "s-1", State: "removed", Addr: r.nodes[1].Addr()})
@@ -327,8 +339,8 @@
 	}
 }
 
-// A node that never answers: 504 by the client's deadline.
-func TestDeadline(t *testing.T) {
+// A node never answers: 504 by the client's deadline.
+func TestDeadlineEndsARequestWithGatewayTimeout(t *testing.T) {
 	r := newRig(t)
 	for _, s := range r.stores {
 		s.SetHook(func(_ http.ResponseWriter, q *http.Request, _ func()) { <-q.Context().Done() })
@@ -342,7 +354,7 @@
 	}
 }
 
-// cut lets so many bytes of an answer's body through and swallows the rest.
+// cut passes so many bytes of a response's body on and drops the rest.
 type cut struct {
 	http.ResponseWriter
 	left int
--- a/internal/broker/server/process.go
+++ b/internal/broker/server/process.go
@@ -21,17 +21,20 @@
 func (e *ConfigError) Unwrap() error { return e.Err }
 
 // RunProcess is a broker process: it sets the runtime up as the configuration says, serves, drains on SIGTERM and
-// SIGINT, and reads the configuration anew on SIGHUP. It logs to out.
+// SIGINT, and reloads the configuration on SIGHUP. It logs to out. A configuration that it cannot start from is a
+// *ConfigError.
 func RunProcess(ctx context.Context, getenv func(string) string, listen ListenFunc, out io.Writer) error {
 	return RunProcessWithHook(ctx, getenv, listen, out, nil)
 }
 
-// RunProcessWithHook is Process with a hook into the control endpoint, so that tests can kill it at the points named there.
-func RunProcessWithHook(ctx context.Context, getenv func(string) string, listen ListenFunc, out io.Writer, hook func(string)) error {
-	// First of all, since a SIGHUP that nobody handles ends the process. It is handled until the process ends, in a
-	// drain as well; two in quick succession are one, read after the second.
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
+// RunProcessWithHook is RunProcess with a hook for the control endpoint, by which tests stop the process at the
+// points named in package control.
+func RunProcessWithHook(ctx context.Context, getenv func(string) string, listen ListenFunc, out io.Writer,
+	controlHook func(point string)) error {
+	// First of all, since a SIGHUP that nobody handles ends the process. It is handled until the process ends, also
+	// in a drain. Two in quick succession count as one, and the configuration is read after the second.
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
 	cfg, err := config.Load(getenv)
 	if err != nil {
 		return &ConfigError{err}
@@ -45,35 +48,10 @@
 	log := slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: &level})).With("broker", cfg.Name)
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	return Run(ctx, cfg, listen, &Reloader{Hangups: hup, Getenv: getenv, Level: &level, ControlHook: hook}, log)
-}
-
-// Reloader is how a running broker takes up a new configuration.
-type Reloader struct {
-	Hangups     <-chan os.Signal
-	Getenv      func(string) string
-	Level       *slog.LevelVar
-	ControlHook func(string) // of the control endpoint; nil but in tests
-}
-
-// run reads the configuration at each hangup until ctx is done. A faulty one changes nothing.
-func (r *Reloader) run(ctx context.Context, cfg *config.Config, l *live, log *slog.Logger) {
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-r.Hangups:
-		}
-		next, restart, err := cfg.Reload(r.Getenv)
-		if err != nil {
-			log.Error("reload: faulty configuration, nothing changed", "err", err)
-			continue
-		}
-		cfg = next
-		l.reload(cfg.DiscoveryAddr, cfg.LogLevel)
-		log.Info("reload: configuration read", "discovery", cfg.DiscoveryAddr, "log", cfg.LogLevel)
-		if len(restart) > 0 {
-			log.Warn("reload: other keys have changed, which take effect at the next start", "keys", restart)
-		}
-	}
+	return Run(ctx, cfg, listen, &Reloader{
+		Hangups:     hangups,
+		Getenv:      getenv,
+		Level:       &level,
+		ControlHook: controlHook,
+	}, log)
 }
--- a/internal/broker/server/recording.go
+++ b/internal/broker/server/recording.go
@@ -20,190 +20,204 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// recording joins a broker with its recorder. A nil one records nothing.
+// recordingCloseTimeout bounds the writing of what is left at the end.
+const recordingCloseTimeout = time.Second
+
+// recording connects a broker with its recorder, whose goroutine it owns from startRecording to close. A nil one
+// records nothing.
 type recording struct {
-	r     *record.Recorder
-	ring  *record.Ring
-	cfg   *config.Config
-	id    string
-	down  atomic.Bool // discovery's last call failed
-	watch atomic.Pointer[discovery.Client]
+	cfg           *config.Config
+	bootID        string
+	recorder      *record.Recorder
+	ring          *record.Ring // nil: records go to files
+	discoveryDown atomic.Bool  // the last call to discovery failed
+	discovery     atomic.Pointer[discovery.Client]
 }
 
-// newRecording starts a recorder as the configuration says, or returns nil.
-func newRecording(cfg *config.Config, c *clock.Clock, g *core.ConcurrencyLimiter, table *core.EndpointTable, log *slog.Logger) (*recording, error) {
+// startRecording starts a recorder as the configuration says. It returns nil if nothing is to be recorded.
+func startRecording(cfg *config.Config, c *clock.Clock, limiter *core.ConcurrencyLimiter, endpoints *core.EndpointTable,
+	log *slog.Logger) (*recording, error) {
 	if cfg.Record == nil {
 		return nil, nil
 	}
+	r := &recording{cfg: cfg, bootID: newBootID()}
+	sink, err := r.newSink()
+	if err != nil {
+		return nil, err
+	}
 	o := cfg.Record
-	x := &recording{cfg: cfg, id: newBoot()}
-	boot := record.Boot{Name: cfg.Name, ID: x.id}
-	for _, k := range cfg.Policy.Classes {
-		boot.Classes = append(boot.Classes, record.Class{Name: k.Name, Aim: k.LatencyObjective.Microseconds(), Due: k.Deadline.Microseconds(), Worth: k.PriorityWeight})
+	options := record.Options{
+		Sample: o.SampleFraction,
+		Flush:  time.Duration(o.FlushIntervalMS) * time.Millisecond,
+		Beat:   time.Duration(o.HeartbeatMS) * time.Millisecond,
+	}
+	r.recorder = record.New(options, r.boot(), c.Now, r.levels(limiter, endpoints), sink)
+	go r.recorder.Run() // close waits for it
+	log.Info("record: started", "dir", o.Dir, "sample", o.SampleFraction, "boot", r.bootID)
+	return r, nil
+}
+
+// newSink opens the directory for records, or a ring in memory where none is configured.
+func (r *recording) newSink() (record.Sink, error) {
+	o := r.cfg.Record
+	if o.Dir == "" {
+		r.ring = record.NewRing(r.cfg.Name, r.bootID, int(o.TotalBytes))
+		return r.ring, nil
 	}
-	for _, p := range cfg.Policy.Plans {
-		boot.Plans = append(boot.Plans, record.Plan{Name: p.Name, Price: p.PriceFactor})
+	dir, err := record.NewDir(o.Dir, r.cfg.Name, r.bootID, o.SegmentBytes, o.TotalBytes)
+	if err != nil {
+		return nil, fmt.Errorf("record.dir: %w", err)
 	}
-	var sink record.Sink
-	if o.Dir == "" {
-		x.ring = record.NewRing(cfg.Name, x.id, int(o.TotalBytes))
-		sink = x.ring
-	} else {
-		d, err := record.NewDir(o.Dir, cfg.Name, x.id, o.SegmentBytes, o.TotalBytes)
-		if err != nil {
-			return nil, fmt.Errorf("record.dir: %w", err)
-		}
-		sink = d
+	return dir, nil
+}
+
+// boot describes the broker's incarnation in the records.
+func (r *recording) boot() record.Boot {
+	boot := record.Boot{Name: r.cfg.Name, ID: r.bootID}
+	for _, k := range r.cfg.Policy.Classes {
+		boot.Classes = append(boot.Classes, record.Class{
+			Name:  k.Name,
+			Aim:   k.LatencyObjective.Microseconds(),
+			Due:   k.Deadline.Microseconds(),
+			Worth: k.PriorityWeight,
+		})
+	}
+	for _, p := range r.cfg.Policy.Plans {
+		boot.Plans = append(boot.Plans, record.Plan{Name: p.Name, Price: p.PriceFactor})
 	}
+	return boot
+}
+
+// levels returns the function that fills in a heartbeat. The recorder's goroutine alone calls it.
+func (r *recording) levels(limiter *core.ConcurrencyLimiter, endpoints *core.EndpointTable) func(*record.Beat) {
 	heap := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
-	level := func(b *record.Beat) {
+	return func(b *record.Beat) {
 		metrics.Read(heap)
-		b.Open, b.Heap, b.Threads, b.Nodes = g.InFlight(), heap[0].Value.Uint64(), int64(runtime.NumGoroutine()), int64(table.Len())
-		if w := x.watch.Load(); w != nil {
-			b.List = w.Revision()
+		b.Open = limiter.InFlight()
+		b.Heap = heap[0].Value.Uint64()
+		b.Threads = int64(runtime.NumGoroutine())
+		b.Nodes = int64(endpoints.Len())
+		if d := r.discovery.Load(); d != nil {
+			b.List = d.Revision()
 		}
 	}
-	x.r = record.New(record.Options{Sample: o.SampleFraction, Flush: time.Duration(o.FlushIntervalMS) * time.Millisecond,
-		Beat: time.Duration(o.HeartbeatMS) * time.Millisecond}, boot, c.Now, level, sink)
-	go x.r.Run()
-	log.Info("record: on", "dir", o.Dir, "sample", o.SampleFraction, "boot", x.id)
-	return x, nil
 }
 
-// close writes what is left.
-func (x *recording) close() {
-	if x == nil {
+// close writes what is left and ends the recorder.
+func (r *recording) close() {
+	if r == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), recordingCloseTimeout)
 	defer cancel()
-	x.r.Close(ctx)
+	r.recorder.Close(ctx)
 }
 
-func (x *recording) recorder() *record.Recorder {
-	if x == nil {
+// requests is the recorder of requests, nil if nothing is recorded.
+func (r *recording) requests() *record.Recorder {
+	if r == nil {
 		return nil
 	}
-	return x.r
+	return r.recorder
 }
 
-func (x *recording) note(k record.Kind, subject, text string, value int64) {
-	if x != nil {
-		x.r.Note(k, subject, text, value)
+// note records an event of the whole broker.
+func (r *recording) note(k record.Kind, text string) {
+	if r != nil {
+		r.recorder.Note(k, "", text, 0)
 	}
 }
 
-// module records what the module believes of a node. Its words are "node N ...".
-func (x *recording) module(text string) {
-	if x == nil {
+// decisionLog records a log line of the decision module that is about a node: "node NAME TEXT".
+func (r *recording) decisionLog(line string) {
+	if r == nil {
 		return
 	}
-	if rest, ok := strings.CutPrefix(text, "node "); ok {
-		node, what, _ := strings.Cut(rest, " ")
-		x.r.Note(record.KindNode, node, what, 0)
+	if rest, ok := strings.CutPrefix(line, "node "); ok {
+		node, text, _ := strings.Cut(rest, " ")
+		r.recorder.Note(record.KindNode, node, text, 0)
 	}
 }
 
-// list records the entries of a list that differ from what is known.
-func (x *recording) list(table *core.EndpointTable, nodes []core.Node, full bool, rev int64) {
-	if x == nil {
+// nodeChanges records how nodes about to be published differ from those in force. revision is that of the endpoint
+// list.
+func (r *recording) nodeChanges(endpoints *core.EndpointTable, nodes []core.Node, full bool, revision int64) {
+	if r == nil {
 		return
 	}
 	listed := map[string]bool{}
 	for _, n := range nodes {
 		listed[n.ID] = true
-		old, known := table.Get(n.ID)
-		switch {
-		case !known && n.State == decision.Removed:
-		case !known:
-			x.r.Note(record.KindList, n.ID, "known "+stateName(n.State)+" "+strconv.FormatInt(n.StartedAt, 10), rev)
-		case old.State != n.State:
-			x.r.Note(record.KindList, n.ID, stateName(n.State), rev)
-		case old.StartedAt != n.StartedAt:
-			x.r.Note(record.KindList, n.ID, "started "+strconv.FormatInt(n.StartedAt, 10), rev)
-		case old.Addr != n.Addr:
-			x.r.Note(record.KindList, n.ID, "moved "+n.Addr, rev)
+		old, known := endpoints.Get(n.ID)
+		if text := nodeChange(old, known, n); text != "" {
+			r.recorder.Note(record.KindList, n.ID, text, revision)
 		}
 	}
-	if full {
-		for _, n := range table.All() {
-			if !listed[n.ID] {
-				x.r.Note(record.KindList, n.ID, "gone", rev)
-			}
+	if !full {
+		return
+	}
+	for _, n := range endpoints.All() {
+		if !listed[n.ID] {
+			r.recorder.Note(record.KindList, n.ID, recordedState(decision.Removed), revision)
 		}
 	}
 }
 
-func stateName(s decision.EndpointState) string {
-	return map[decision.EndpointState]string{decision.Ready: "up", decision.Draining: "draining", decision.Removed: "gone"}[s]
+// nodeChange describes a change of one node in the records; empty: none.
+func nodeChange(old core.Node, known bool, n core.Node) string {
+	startedAt := strconv.FormatInt(n.StartedAt, 10)
+	switch {
+	case !known && n.State == decision.Removed:
+		return ""
+	case !known:
+		return "known " + recordedState(n.State) + " " + startedAt
+	case old.State != n.State:
+		return recordedState(n.State)
+	case old.StartedAt != n.StartedAt:
+		return "started " + startedAt
+	case old.Addr != n.Addr:
+		return "moved " + n.Addr
+	}
+	return ""
+}
+
+// recordedState names a state in the records.
+func recordedState(s decision.EndpointState) string {
+	switch s {
+	case decision.Draining:
+		return "draining"
+	case decision.Removed:
+		return "gone"
+	}
+	return "up"
 }
 
-// discovery records its versions, and when it is out of reach.
-func (x *recording) discovery(w *discovery.Client) {
-	if x == nil {
+// observeDiscovery records the revision of its list in heartbeats, and when it becomes unreachable and reachable.
+func (r *recording) observeDiscovery(d *discovery.Client) {
+	if r == nil {
 		return
 	}
-	x.watch.Store(w)
-	w.OnResult(func(err error) {
-		if err != nil {
-			if !x.down.Swap(true) {
-				x.r.Note(record.KindDiscovery, "", "down: "+err.Error(), 0)
-			}
-			return
-		}
-		if x.down.Swap(false) {
-			x.r.Note(record.KindDiscovery, "", "answers", 0)
+	r.discovery.Store(d)
+	d.OnResult(func(err error) {
+		wasDown := r.discoveryDown.Swap(err != nil)
+		switch {
+		case err != nil && !wasDown:
+			r.note(record.KindDiscovery, "down: "+err.Error())
+		case err == nil && wasDown:
+			r.note(record.KindDiscovery, "answers")
 		}
 	})
 }
 
-// control records changes of the fleet's, and gives the ring out.
-func (x *recording) control(s *control.Server) {
-	if x == nil {
+// observeControl records changes by the control endpoint, and lets it serve the records in memory.
+func (r *recording) observeControl(s *control.Server) {
+	if r == nil {
 		return
 	}
 	s.OnChange(func(c *control.Change, o *control.Outcome) {
-		x.r.Note(record.KindControl, strconv.FormatUint(c.FleetRevision, 10), string(o.Code), int64(c.Revision))
+		r.recorder.Note(record.KindControl, strconv.FormatUint(c.FleetRevision, 10), string(o.Code), int64(c.Revision))
 	})
-	if x.ring != nil {
-		s.HandleRecords(x.ring.Segment)
-	}
-}
-
-// figures are the last second's, for the fleet's view.
-func (x *recording) figures() *control.Stats {
-	if x == nil {
-		return nil
-	}
-	s := x.r.Latest()
-	if s == nil {
-		return nil
-	}
-	out := &control.Stats{Span: s.Span, Requests: []control.RequestStats{}, Nodes: []control.NodeStats{}, Dropped: x.r.Dropped()}
-	for i := range s.Groups {
-		g := &s.Groups[i]
-		if int(g.Class) >= len(x.cfg.Policy.Classes) || int(g.Plan) >= len(x.cfg.Policy.Plans) {
-			continue
-		}
-		q := record.Of(&g.Latency)
-		out.Requests = append(out.Requests, control.RequestStats{Class: x.cfg.Policy.Classes[g.Class].Name, Plan: x.cfg.Policy.Plans[g.Plan].Name,
-			Served: g.Count[record.Served], Late: g.Late, Rejected: g.Count[record.Refused], Failed: g.Count[record.Failed] + g.Count[record.Overdue],
-			P50: q.P50, P99: q.P99})
-	}
-	for _, v := range s.Volumes {
-		out.Volumes = append(out.Volumes, control.VolumeStats{Volume: v.Volume, Count: v.Count, CountError: v.Error, Rejected: v.Refused,
-			Failed: v.Failed, Late: v.Late})
-	}
-	for i := range s.Nodes {
-		n := &s.Nodes[i]
-		q := record.Of(&n.Latency)
-		f := control.NodeStats{Node: n.Node, Served: n.Outcomes[core.Served], TimedOut: n.Outcomes[core.TimedOut], P50: q.P50, P99: q.P99}
-		for k, c := range n.Outcomes {
-			if core.Outcome(k) != core.Served && core.Outcome(k) != core.TimedOut {
-				f.Other += c
-			}
-		}
-		out.Nodes = append(out.Nodes, f)
+	if r.ring != nil {
+		s.HandleRecords(r.ring.Segment)
 	}
-	return out
 }
--- /dev/null
+++ b/internal/broker/server/reload.go
@@ -0,0 +1,39 @@
+package server
+
+import (
+	"context"
+	"log/slog"
+	"os"
+
+	"poppyarch/internal/broker/config"
+)
+
+// Reloader reloads the configuration of a running broker.
+type Reloader struct {
+	Hangups     <-chan os.Signal
+	Getenv      func(string) string
+	Level       *slog.LevelVar
+	ControlHook func(point string) // see control.Server.SetHook; nil except in tests
+}
+
+// run reloads the configuration at each hangup until ctx is done. An invalid one changes nothing.
+func (r *Reloader) run(ctx context.Context, cfg *config.Config, state *liveState, log *slog.Logger) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-r.Hangups:
+		}
+		next, needRestart, err := cfg.Reload(r.Getenv)
+		if err != nil {
+			log.Error("reload: invalid configuration, nothing changed", "err", err)
+			continue
+		}
+		cfg = next
+		state.reload(cfg.DiscoveryAddr, cfg.LogLevel)
+		log.Info("reload: configuration read", "discovery", cfg.DiscoveryAddr, "log", cfg.LogLevel)
+		if len(needRestart) > 0 {
+			log.Warn("reload: other keys have changed, they take effect at the next start", "keys", needRestart)
+		}
+	}
+}
--- a/internal/broker/server/reload_test.go
+++ b/internal/broker/server/reload_test.go
@@ -15,36 +15,36 @@
 	"poppyarch/internal/testkit/fake"
 )
 
-// eventually waits for what must come.
+// eventually waits until ok.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never came: " + what)
+			t.Fatal("never happened: " + what)
 		}
 	}
 }
 
-// lines keeps what a process logs.
-type lines struct {
+// logBuffer keeps what a process logs.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *lines) count(s string) int {
+func (l *logBuffer) count(s string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.text.String(), s)
 }
 
 // find is the first group of the first match.
-func (l *lines) find(pattern string) string {
+func (l *logBuffer) find(pattern string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if m := regexp.MustCompile(pattern).FindStringSubmatch(l.text.String()); m != nil {
@@ -53,9 +53,9 @@
 	return ""
 }
 
-// A SIGHUP that nobody handles ends the process. Handled, it turns the broker to the discovery that the file now names,
-// whatever LB_DISCOVERY said at the start; a faulty file changes nothing; and the same holds in a drain.
-func TestHangupReadsTheConfigurationAnew(t *testing.T) {
+// A SIGHUP moves the broker to the discovery service that the file now names, whatever LB_DISCOVERY said at the start.
+// An invalid file changes nothing. The same holds in a drain.
+func TestHangupReloadsTheConfiguration(t *testing.T) {
 	r := newRig(t)
 	other := fake.NewDiscovery()
 	otherNode, err := fake.Start(other)
@@ -80,11 +80,11 @@
 		if err := os.Rename(tmp, p.config); err != nil {
 			t.Fatal(err)
 		}
-		p.cmd.Process.Signal(syscall.SIGHUP)
+		p.signal(t, syscall.SIGHUP)
 		eventually(t, line, func() bool { return p.log.count(line) >= times })
 	}
-	hangup([]byte(`{"discovery":`), "reload: faulty configuration", 1)
-	hangup(bytes.Replace(old, []byte(`"cores":1`), []byte(`"cores":"x"`), 1), "reload: faulty configuration", 2)
+	hangup([]byte(`{"discovery":`), "reload: invalid configuration", 1)
+	hangup(bytes.Replace(old, []byte(`"cores":1`), []byte(`"cores":"x"`), 1), "reload: invalid configuration", 2)
 	if n := len(other.Calls()); n != 0 {
 		t.Errorf("%d calls to a discovery that no configuration named", n)
 	}
@@ -92,15 +92,15 @@
 	hangup(bytes.Replace(moved, []byte(`"name":"t1"`), []byte(`"name":"t1","log":"debug"`), 1), "reload: configuration read", 1)
 	eventually(t, "a list from the new discovery", func() bool { return len(other.Calls()) > 1 })
 	if p.log.count("discovery: node") == 0 {
-		t.Error("the new level of the log was not taken up")
+		t.Error("the new log level is not in force")
 	}
-	r.list(0, 0) // from the old one, which has nothing to say any more
+	r.list(0, 0) // from the old one, which no longer counts
 	eventually(t, "the object at the other store", func() bool {
 		r.do("PUT", base+"/b/k", []byte("y"))
 		return r.stores[1-home].Get("/b/k") != nil
 	})
-	// Twice in a row, and with a key that waits for the next start.
-	p.cmd.Process.Signal(syscall.SIGHUP)
+	// Two hangups in a row, and a key that needs a restart.
+	p.signal(t, syscall.SIGHUP)
 	hangup(bytes.Replace(moved, []byte(`"cores":1`), []byte(`"cores":2`), 1), "keys=[limits]", 1)
 
 	// In a drain, with a request open.
@@ -115,7 +115,7 @@
 	done := make(chan int, 1)
 	go func() { done <- r.do("GET", base+"/b/k", nil).status }()
 	<-got
-	p.cmd.Process.Signal(syscall.SIGTERM)
+	p.signal(t, syscall.SIGTERM)
 	eventually(t, "a drain", func() bool { return p.log.count("draining") > 0 })
 	before := p.log.count("reload: configuration read")
 	hangup(old, "reload: configuration read", before+1)
--- a/internal/broker/server/rig_test.go
+++ b/internal/broker/server/rig_test.go
@@ -21,10 +21,10 @@
 	"poppyarch/internal/testkit/fake"
 )
 
-// patience bounds every wait for what must come; a run that meets it has failed. No verdict hangs on less.
+// patience bounds every wait for what must happen; a run that reaches it has failed.
 const patience = 30 * time.Second
 
-// TestMain lets the test binary be a broker process of its own, which a test can kill.
+// TestMain lets the test binary run as a broker process, which a test can kill.
 func TestMain(m *testing.M) {
 	if os.Getenv("POPPYARCH_TEST_SERVE") != "" {
 		if err := limitDescriptors(); err != nil {
@@ -42,7 +42,7 @@
 
 func listenTCP(_ context.Context, addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
 
-// settings for stand-ins: long aims, so that no slow machine changes a verdict.
+// testSettings have long latency objectives, so that a slow machine changes no result.
 const testSettings = `{"balancers":1,"discovery":"ask","zones":["room"],
  "classes":[
   {"name":"object-read","aim_ns":20000000000,"give_up_ns":25000000000,"importance":1,"repeat":"retryable"},
@@ -54,7 +54,7 @@
   "max_retry_after_ns":2000000000},
  "specifics":{"mean_units":1,"max_units":8,"n_shards":2,"cold_bears":1000,"fair_worth":0.3}}`
 
-// rig is two object servers and a discovery; brokers come and go.
+// rig is two object servers and a discovery service, with brokers as a test starts them.
 type rig struct {
 	t      *testing.T
 	stores []*fake.Objects
@@ -88,7 +88,7 @@
 	return r
 }
 
-// list tells discovery of both nodes; boot is when each last started.
+// list has discovery list both nodes; boot is when each last started, in ms.
 func (r *rig) list(boot ...int64) {
 	for i, b := range boot {
 		r.disc.Set(discovery.Endpoint{ID: fmt.Sprint("s-", i), Addr: r.nodes[i].Addr(), Zone: "room", Shard: i,
@@ -112,13 +112,13 @@
 	  "complete_class":"object-complete","default_plan":"basis"}%s}`, discoveryAddr, known, testSettings, extra)
 }
 
-// broker runs one in this process and returns the base of its addresses and how to stop it.
+// broker runs a broker in this process and returns the base of its URLs and a function that drains it.
 func (r *rig) broker(extra string) (base string, stop func()) {
 	r.t.Helper()
 	return r.brokerFrom(r.configText(extra))
 }
 
-// brokerFrom is broker with a configuration of the caller's.
+// brokerFrom is broker with a given configuration.
 func (r *rig) brokerFrom(text []byte) (base string, stop func()) {
 	r.t.Helper()
 	cfg, err := config.Parse(text, func(string) string { return "" })
@@ -158,36 +158,36 @@
 	}
 }
 
-// child is a broker as a process of its own.
+// child is a broker in a process of its own.
 type child struct {
 	cmd    *exec.Cmd
 	config string // its configuration file
-	log    *lines
+	log    *logBuffer
 	killed bool
 }
 
 func (c *child) kill() {
 	if !c.killed {
 		c.killed = true
-		c.cmd.Process.Kill()
-		c.cmd.Wait()
+		_ = c.cmd.Process.Kill() // it may have ended
+		_ = c.cmd.Wait()         // it was killed
 	}
 }
 
-// process starts a broker as a process of its own.
+// process starts a broker in a process of its own.
 func (r *rig) process(env ...string) (base string, c *child) {
 	r.t.Helper()
 	return r.start(r.configText(""), env...)
 }
 
-// start is process with a configuration of the caller's.
+// start is process with a given configuration.
 func (r *rig) start(text []byte, env ...string) (base string, c *child) {
 	r.t.Helper()
 	path := filepath.Join(r.t.TempDir(), "config.json")
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		r.t.Fatal(err)
 	}
-	c = &child{cmd: exec.Command(os.Args[0]), config: path, log: &lines{}}
+	c = &child{cmd: exec.Command(os.Args[0]), config: path, log: &logBuffer{}}
 	c.cmd.Env = append(append(os.Environ(), "POPPYARCH_TEST_SERVE=1", "LB_CONFIG="+path), env...)
 	c.cmd.Stderr = c.log
 	if err := c.cmd.Start(); err != nil {
@@ -201,7 +201,7 @@
 	return "http://" + base, c
 }
 
-// answer is what a client got.
+// answer is a response as a client got it.
 type answer struct {
 	status int
 	header http.Header
@@ -209,7 +209,7 @@
 	err    error // of reading the body
 }
 
-// do sends one request. Every one has exactly one final answer: a second would show on the connection.
+// do sends one request and returns its response.
 func (r *rig) do(method, url string, body []byte, header ...string) answer {
 	r.t.Helper()
 	req, err := http.NewRequest(method, url, bytes.NewReader(body))
@@ -223,12 +223,12 @@
 	if err != nil {
 		r.t.Fatalf("%s %s: %v", method, url, err)
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	b, err := io.ReadAll(resp.Body)
 	return answer{resp.StatusCode, resp.Header, b, err}
 }
 
-// home is the store that keeps an object, found by storing it.
+// home stores an object and returns the number of the store that has it.
 func (r *rig) home(base, path string, body []byte) int {
 	r.t.Helper()
 	if a := r.do("PUT", base+path, body); a.status != 200 {
@@ -243,7 +243,7 @@
 	return 0
 }
 
-// count is how many requests of a store begin so.
+// count is how many requests that a store got have the prefix.
 func count(s *fake.Objects, prefix string) (n int) {
 	for _, line := range s.Requests() {
 		if strings.HasPrefix(line, prefix) {
@@ -261,3 +261,46 @@
 	}
 	return b
 }
+
+// closeOnCleanup closes c at the end of the test, if it is still open.
+func closeOnCleanup(t *testing.T, c io.Closer) {
+	t.Helper()
+	t.Cleanup(func() { _ = c.Close() })
+}
+
+// serveBlock runs a block node until the end of the test.
+func serveBlock(t *testing.T, b *fake.Block, ln net.Listener) {
+	t.Helper()
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		_ = b.Serve(ln) // ends when the listener is closed
+	}()
+	t.Cleanup(func() {
+		_ = ln.Close()
+		<-done
+	})
+}
+
+func setDeadline(t *testing.T, c net.Conn, at time.Time) {
+	t.Helper()
+	if err := c.SetDeadline(at); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// send writes text to a connection that must be open.
+func send(t *testing.T, w io.Writer, text string) {
+	t.Helper()
+	if _, err := io.WriteString(w, text); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// signal sends a signal to a process that must be running.
+func (c *child) signal(t *testing.T, sig os.Signal) {
+	t.Helper()
+	if err := c.cmd.Process.Signal(sig); err != nil {
+		t.Fatal(err)
+	}
+}
--- a/internal/broker/server/size_test.go
+++ b/internal/broker/server/scale_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"encoding/json"
 	"fmt"
+	"io"
 	"net"
 	"net/http/httptest"
 	"os"
@@ -16,23 +17,23 @@
 	"poppyarch/internal/testkit/fake"
 )
 
-// thousand lists 1,024 nodes, each with a shard of its own, over the given addresses.
-func thousand(addrs []string, state func(i int) string) (out []discovery.Endpoint) {
+// thousandNodes lists 1,024 nodes, each with a shard of its own, over the given addresses.
+func thousandNodes(addrs []string, state func(i int) string) (out []discovery.Endpoint) {
 	for i := range 1024 {
 		out = append(out, discovery.Endpoint{ID: fmt.Sprintf("s-%04d", i), Addr: addrs[i%len(addrs)], Zone: "room", Shard: i, State: state(i)})
 	}
 	return out
 }
 
-// ask sends a read for each shard, all at once, and counts the answers by their first byte. Each has exactly one.
-func ask(t *testing.T, addr, id string, shards []int) map[byte]int {
+// readShards sends a read for each shard, all at once, and counts the replies by their first byte.
+func readShards(t *testing.T, addr, id string, shards []int) map[byte]int {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	closeOnCleanup(t, c)
+	setDeadline(t, c, time.Now().Add(patience))
 	in, got := bufio.NewReader(c), map[byte]int{}
 	var out strings.Builder
 	for i, shard := range shards {
@@ -43,23 +44,25 @@
 			fmt.Fprintf(&out, "$%d\r\n%s\r\n", len(w), w)
 		}
 	}
-	go c.Write([]byte(out.String()))
+	go func() { _, _ = io.WriteString(c, out.String()) }() // an error shows as missing replies
 	for range shards {
 		line, err := in.ReadString('\n')
 		if err != nil {
 			t.Fatalf("after %v: %v", got, err)
 		}
 		if line[0] == '$' {
-			in.ReadString('\n')
+			if _, err := in.ReadString('\n'); err != nil {
+				t.Fatalf("after %v: %v", got, err)
+			}
 		}
 		got[line[0]]++
 	}
 	return got
 }
 
-// 1,024 nodes at 64 addresses, 1,024 brokers, the least memory and a tenth of the descriptors that the nodes would take: the
-// list is taken up whole from the configuration, by a change and after a SIGHUP; every request has its one answer, also
-// those that find no descriptor for another connection; the process stays within its descriptors and drains.
+// With 1,024 nodes at 64 addresses, 1,024 brokers, little memory and a tenth of the descriptors that the nodes would
+// take, the whole list comes into force from the configuration, by a change and after a SIGHUP. Every request gets one
+// reply, also without a descriptor for another connection, and the process stays within its descriptors and drains.
 func TestThousandNodesUnderSmallLimits(t *testing.T) {
 	const sockets = 96
 	r := newRig(t)
@@ -70,14 +73,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { ln.Close() })
-		go block.Serve(ln)
+		serveBlock(t, block, ln)
 		addrs = append(addrs, ln.Addr().String())
 	}
 	up := func(int) string { return "up" }
 	first, other := fake.NewDiscovery(), fake.NewDiscovery()
-	first.Set(thousand(addrs, up)...)
-	other.Set(thousand(addrs, up)...)
+	first.Set(thousandNodes(addrs, up)...)
+	other.Set(thousandNodes(addrs, up)...)
 	one, two := httptest.NewServer(first), httptest.NewServer(other)
 	t.Cleanup(one.Close)
 	t.Cleanup(two.Close)
@@ -109,21 +111,21 @@
 			t.Errorf("%s: %d descriptors of %d, %v", what, len(fds), sockets, err)
 		}
 	}
-	served("from the configuration", ask(t, addr, "a", all), len(all))
-	first.Set(thousand(addrs, func(i int) string { return []string{"up", "draining"}[i%2] })...)
-	eventually(t, "the change is known", func() bool { return ask(t, addr, fmt.Sprint("b", time.Now().UnixNano()), odd[:1])['-'] == 1 })
-	if got := ask(t, addr, "c", odd); got['-'] != len(odd) {
+	served("from the configuration", readShards(t, addr, "a", all), len(all))
+	first.Set(thousandNodes(addrs, func(i int) string { return []string{"up", "draining"}[i%2] })...)
+	eventually(t, "the change is known", func() bool { return readShards(t, addr, fmt.Sprint("b", time.Now().UnixNano()), odd[:1])['-'] == 1 })
+	if got := readShards(t, addr, "c", odd); got['-'] != len(odd) {
 		t.Errorf("draining nodes: %v", got)
 	}
 	if err := os.WriteFile(c.config, text(at(two.URL)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c.cmd.Process.Signal(syscall.SIGHUP)
+	c.signal(t, syscall.SIGHUP)
 	eventually(t, "the list of the new address is known", func() bool {
-		return ask(t, addr, fmt.Sprint("d", time.Now().UnixNano()), odd[:1])['$'] == 1
+		return readShards(t, addr, fmt.Sprint("d", time.Now().UnixNano()), odd[:1])['$'] == 1
 	})
-	served("after SIGHUP", ask(t, addr, "e", all), len(all))
-	c.cmd.Process.Signal(syscall.SIGTERM)
+	served("after SIGHUP", readShards(t, addr, "e", all), len(all))
+	c.signal(t, syscall.SIGTERM)
 	if err := c.cmd.Wait(); err != nil {
 		t.Errorf("drain: %v\n%s", err, c.log.text.String())
 	}
--- a/internal/broker/server/server.go
+++ b/internal/broker/server/server.go
@@ -1,12 +1,14 @@
-// Package server puts one broker together and runs it until it is told to stop.
+// Package server assembles one broker from its configuration, runs it until it is told to stop and drains it.
+//
+// Run starts the goroutines of a broker and returns when all of them have ended. The background ones (decisions,
+// discovery, connection pools, node lists, reload, control endpoint) outlive the frontends, which need them while
+// they drain. The recorder is started first and closed last.
 package server
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"log/slog"
-	"net"
 	"sync"
 
 	"poppyarch/internal/backend/blockstore"
@@ -22,141 +24,126 @@
 	"poppyarch/internal/transport/pool"
 )
 
-// ListenFunc opens a listening socket.
-type ListenFunc func(ctx context.Context, addr string) (net.Listener, error)
-
-// front is what this package needs of either front.
-type front interface {
-	Serve(net.Listener) error
-	Drain(context.Context) error
-}
-
-// Run serves until ctx is done, then drains: new connections are taken a while longer, idle ones are closed, all
-// that was taken is answered. reload may be nil.
-func Run(ctx context.Context, cfg *config.Config, listen ListenFunc, reload *Reloader, log *slog.Logger) error {
-	lim := &cfg.Limits
-	c := clock.New()
-	table := core.NewEndpointTable()
-	gate := core.NewConcurrencyLimiter(lim.MaxInFlight)
-	rec, err := newRecording(cfg, c, gate, table, log)
-	if err != nil {
+// Run serves until ctx is done and then drains: new connections are accepted a while longer, idle ones are closed,
+// and every request that was accepted is answered. reloader may be nil.
+func Run(ctx context.Context, cfg *config.Config, listen ListenFunc, reloader *Reloader, log *slog.Logger) error {
+	b := &broker{
+		cfg:       cfg,
+		log:       log,
+		clock:     clock.New(),
+		endpoints: core.NewEndpointTable(),
+		limiter:   core.NewConcurrencyLimiter(cfg.Limits.MaxInFlight),
+	}
+	var err error
+	if b.recording, err = startRecording(cfg, b.clock, b.limiter, b.endpoints, log); err != nil {
 		return err
 	}
-	defer rec.close()
-	facade, err := dispatcher.New(cfg.Policy, func(text string) {
-		log.Info("module: " + text)
-		rec.module(text)
-	})
-	if err != nil {
-		return err
-	}
-	known, err := cfg.InitialList.Nodes(cfg.Zones)
-	if err != nil {
-		return fmt.Errorf("known: %w", err)
-	}
-	watch := discovery.New(cfg.DiscoveryAddr, cfg.InitialList.Revision, cfg.Zones, table, facade, lim, log)
-	l := newLive(cfg, table, facade, watch, gate, reload, c, log)
-	l.rec = rec
-	rec.discovery(watch)
-	files, err := l.begin(cfg, known)
-	if err != nil {
+	defer b.recording.close()
+	if err := b.assemble(reloader); err != nil {
 		return err
 	}
 
-	// What the fronts stand on outlives them: it stops when they have drained.
-	back, stop := context.WithCancel(context.WithoutCancel(ctx))
-	var behind sync.WaitGroup
-	defer behind.Wait()
+	// The background outlives the frontends: it is stopped once they have drained.
+	background, stop := context.WithCancel(context.WithoutCancel(ctx))
+	defer b.background.Wait()
 	defer stop()
-	// With both fronts on, each has its half of the descriptors, so that neither starves the other.
-	clients, nodes := lim.ClientConns, lim.NodeConns
-	if cfg.Listen != "" && cfg.Object != nil {
-		clients, nodes = clients/2, nodes/2
-	}
-	behind.Go(func() { core.RunDecisions(back, facade, c) })
-	behind.Go(func() { watch.Run(back) })
-	if reload != nil {
-		behind.Go(func() { reload.run(back, cfg, l, log) })
-	}
-	if l.all != nil {
-		behind.Go(func() { l.ticks(back) })
-	}
-	if files != nil {
-		behind.Go(func() { files.run(back) })
-	}
+	b.startBackground(background, reloader)
 	if cfg.Control != nil {
-		end, err := l.control(back, cfg, &behind, log)
+		rejectChanges, err := b.startControl(background)
 		if err != nil {
 			return err
 		}
-		defer context.AfterFunc(ctx, end)()
+		defer context.AfterFunc(ctx, rejectChanges)()
 	}
-
-	fronts := map[string]front{}
-	if cfg.Listen != "" {
-		conns := pool.New(lim, nodes, c)
-		behind.Go(func() { conns.Run(back) })
-		b := core.NewBroker(facade, table, gate, blockstore.New(conns, c, lim), c, lim)
-		b.SetRecorder(rec.recorder())
-		fronts[cfg.Listen] = block.New(b, block.NewSchema(&cfg.Policy, cfg.Shards, lim), clients, c, lim, log)
+	frontends := b.startFrontends(background)
+	defer context.AfterFunc(ctx, func() { b.recording.note(record.KindDrain, "draining") })()
+	if err := serve(ctx, clock.Duration(cfg.Limits.DrainTotalTime), frontends, listen, log); err != nil {
+		return err
 	}
-	if cfg.Object != nil {
-		conns := pool.New(lim, nodes, c) // a pool of its own: its connections speak HTTP
-		behind.Go(func() { conns.Run(back) })
-		b := core.NewBroker(facade, table, gate, objectstore.New(conns, c, lim), c, lim)
-		b.SetRecorder(rec.recorder())
-		fronts[cfg.Object.Listen] = object.New(b, cfg, clients, c, log)
+	b.recording.note(record.KindStop, "stopped")
+	return nil
+}
+
+// broker is the parts of a running broker.
+type broker struct {
+	cfg        *config.Config
+	log        *slog.Logger
+	clock      *clock.Clock
+	endpoints  *core.EndpointTable
+	limiter    *core.ConcurrencyLimiter
+	recording  *recording // nil: nothing is recorded
+	dispatcher *dispatcher.Dispatcher
+	discovery  *discovery.Client
+	state      *liveState
+	nodeLists  *nodeLists     // nil: no lists in files
+	background sync.WaitGroup // the goroutines that outlive the frontends
+}
+
+// assemble makes the parts that know nodes and brings the initial endpoint list into force. It starts no goroutine.
+func (b *broker) assemble(reloader *Reloader) (err error) {
+	b.dispatcher, err = dispatcher.New(b.cfg.Policy, func(text string) {
+		b.log.Info("module: " + text)
+		b.recording.decisionLog(text)
+	})
+	if err != nil {
+		return err
 	}
-	defer context.AfterFunc(ctx, func() { rec.note(record.KindDrain, "", "draining", 0) })()
-	err = run(ctx, cfg, fronts, listen, log)
-	if err == nil {
-		rec.note(record.KindStop, "", "stopped", 0)
+	initial, err := b.cfg.InitialList.Nodes(b.cfg.Zones)
+	if err != nil {
+		return fmt.Errorf("known: %w", err)
 	}
-	return err
+	b.discovery = discovery.New(b.cfg.DiscoveryAddr, b.cfg.InitialList.Revision, b.cfg.Zones, b.endpoints, b.dispatcher,
+		&b.cfg.Limits, b.log)
+	b.state = newLiveState(b, reloader)
+	b.recording.observeDiscovery(b.discovery)
+	b.nodeLists = b.state.start(b.cfg, initial)
+	return nil
 }
 
-// run serves the fronts and drains them.
-func run(ctx context.Context, cfg *config.Config, fronts map[string]front, listen ListenFunc, log *slog.Logger) error {
-	var listeners []net.Listener
-	var serving sync.WaitGroup
-	failed := make(chan error, len(fronts))
-	defer serving.Wait()
-	closeAll := func() {
-		for _, ln := range listeners {
-			ln.Close()
-		}
+// startBackground starts the goroutines that run until ctx is done.
+func (b *broker) startBackground(ctx context.Context, reloader *Reloader) {
+	b.background.Go(func() { core.RunDecisions(ctx, b.dispatcher, b.clock) })
+	b.background.Go(func() { b.discovery.Run(ctx) })
+	if reloader != nil {
+		b.background.Go(func() { reloader.run(ctx, b.cfg, b.state, b.log) })
 	}
-	defer closeAll()
-	for addr, f := range fronts {
-		ln, err := listen(ctx, addr)
-		if err != nil {
-			return fmt.Errorf("listen: %w", err)
-		}
-		listeners = append(listeners, ln)
-		serving.Go(func() {
-			if err := f.Serve(ln); err != nil && !errors.Is(err, net.ErrClosed) {
-				failed <- err
-			}
-		})
-		log.Info("serving", "addr", ln.Addr().String())
+	if b.state.nodes.hasMembership() {
+		b.background.Go(func() { b.state.runMembershipTimers(ctx) })
 	}
-	select {
-	case <-ctx.Done():
-	case err := <-failed:
-		return fmt.Errorf("serve: %w", err)
+	if b.nodeLists != nil {
+		b.background.Go(func() { b.nodeLists.run(ctx) })
 	}
-	log.Info("draining")
-	total, cancel := context.WithTimeout(context.WithoutCancel(ctx), clock.Duration(cfg.Limits.DrainTotalTime))
-	defer cancel()
-	var draining sync.WaitGroup
-	for addr, f := range fronts {
-		draining.Go(func() {
-			if err := f.Drain(total); err != nil {
-				log.Error("drain: not all was answered", "addr", addr, "err", err)
-			}
-		})
-	}
-	draining.Wait()
-	log.Info("stopped")
-	return nil
+}
+
+// startFrontends makes the frontends, by address, and starts their connection pools.
+func (b *broker) startFrontends(ctx context.Context) map[string]frontend {
+	// With both frontends on, each has half of the descriptors, so that neither starves the other.
+	limits := &b.cfg.Limits
+	clientConns, nodeConns := limits.ClientConns, limits.NodeConns
+	if b.cfg.Listen != "" && b.cfg.Object != nil {
+		clientConns /= 2
+		nodeConns /= 2
+	}
+	frontends := map[string]frontend{}
+	if b.cfg.Listen != "" {
+		backend := blockstore.New(b.startPool(ctx, nodeConns), b.clock, limits)
+		requests := core.NewBroker(b.dispatcher, b.endpoints, b.limiter, backend, b.clock, limits)
+		requests.SetRecorder(b.recording.requests())
+		schema := block.NewSchema(&b.cfg.Policy, b.cfg.Shards, limits)
+		frontends[b.cfg.Listen] = block.New(requests, schema, clientConns, b.clock, limits, b.log)
+	}
+	if b.cfg.Object != nil {
+		backend := objectstore.New(b.startPool(ctx, nodeConns), b.clock, limits)
+		requests := core.NewBroker(b.dispatcher, b.endpoints, b.limiter, backend, b.clock, limits)
+		requests.SetRecorder(b.recording.requests())
+		frontends[b.cfg.Object.Listen] = object.New(requests, b.cfg, clientConns, b.clock, b.log)
+	}
+	return frontends
+}
+
+// startPool makes a connection pool of one frontend's own, as their connections speak different protocols.
+func (b *broker) startPool(ctx context.Context, conns int) *pool.Pool {
+	p := pool.New(&b.cfg.Limits, conns, b.clock)
+	b.background.Go(func() { p.Run(ctx) })
+	return p
 }
--- a/internal/broker/server/transcript_test.go
+++ b/internal/broker/server/transcript_test.go
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	p := &recordingProxy{listener: listener, target: target}
-	t.Cleanup(func() { listener.Close() })
+	closeOnCleanup(t, listener)
 	go p.serve()
 	return p
 }
@@ -59,17 +59,17 @@
 
 // pass copies both ways until either side closes.
 func (p *recordingProxy) pass(client net.Conn) {
-	defer client.Close()
+	defer func() { _ = client.Close() }()
 	server, err := net.Dial("tcp", p.target)
 	if err != nil {
 		return
 	}
-	defer server.Close()
+	defer func() { _ = server.Close() }()
 	go func() {
-		io.Copy(client, server)
-		client.Close()
+		_, _ = io.Copy(client, server) // until either side closes
+		_ = client.Close()
 	}()
-	io.Copy(server, io.TeeReader(client, p))
+	_, _ = io.Copy(server, io.TeeReader(client, p))
 }
 
 // Write keeps what a client sent.
@@ -129,8 +129,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { listener.Close() })
-	go node.Serve(listener)
+	serveBlock(t, node, listener)
 	proxy := newRecordingProxy(t, listener.Addr().String())
 	r.disc.Set(discovery.Endpoint{ID: "s-0", Addr: proxy.addr(), Zone: "room", Shard: 0, State: "up"})
 	base, _ := r.broker(`,"listen":"127.0.0.1:0","object":null`)
@@ -161,7 +160,7 @@
 		}
 		answer := readBlockAnswer(t, bufio.NewReader(conn))
 		fmt.Fprintf(&transcript, "> %q\n< %q\n", request, answer)
-		conn.Close()
+		_ = conn.Close()
 	}
 	fmt.Fprintf(&transcript, "to the storage node: %q\n", proxy.recorded())
 	compareTranscript(t, "transcript-block.txt", transcript.String())
@@ -196,7 +195,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { conn.Close() })
+	closeOnCleanup(t, conn)
 	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
 		t.Fatal(err)
 	}
@@ -268,7 +267,7 @@
 	if _, err := io.ReadAll(response.Body); err != nil {
 		s.t.Fatalf("%s %s: %v", method, target, err)
 	}
-	response.Body.Close()
+	_ = response.Body.Close()
 	answer := normaliseDates(raw.String())
 	fmt.Fprintf(&s.transcript, "> %q\n< %q\n", request, answer)
 	return answer
