--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost hosts many instances of the decision module and speaks the simulator's wire on
-// standard input and output. The instances share nothing.
+// Command simhost hosts instances of the decision module for the platform's simulator. It reads the simulator's
+// messages from standard input and answers on standard output. The instances share nothing.
 package main
 
 import (
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -1,5 +1,9 @@
-// Package simulator translates between the simulator's lines and the module's events and actions.
-// It decides nothing.
+// Package simulator hosts instances of the decision module for the platform's simulator. It translates between the
+// lines of the simulator's protocol and the module's events and actions, and decides nothing.
+//
+// The simulator sends batches: a mark with the time, messages for any number of instances, and the request to
+// answer. The host then steps each instance that was named and answers with the actions. The names that the protocol
+// uses are mapped to the module's terms in wire.go and nowhere else.
 package simulator
 
 import (
@@ -7,8 +11,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"math"
-	"strconv"
 	"strings"
 	"time"
 
@@ -17,70 +19,84 @@
 	"poppyarch/policy"
 )
 
-var outcomes = map[string]decision.Outcome{
-	"served": decision.Served, "server_error": decision.NodeError, "turned_away": decision.Rejected,
-	"no_answer": decision.TimedOut, "no_connection": decision.ConnectFailed,
-	"connection_lost": decision.ConnectionLost, "called_off": decision.Cancelled, "not_sent": decision.NotAttempted,
-}
+// Buffer sizes, in bytes.
+const (
+	readBufferSize  = 1 << 20
+	writeBufferSize = 1 << 18
+)
 
-var states = map[string]decision.EndpointState{
-	"": decision.Ready, "ready": decision.Ready, "draining": decision.Draining, "gone": decision.Removed,
+// LineError is an error in the input, with the number of its line, counted from 1.
+type LineError struct {
+	Line int
+	Err  error
 }
 
-var listKinds = map[string]decision.EventKind{
-	"D": decision.EndpointsChanged, "F": decision.EndpointsReplaced, "C": decision.EndpointsReplaced, "X": decision.EndpointWatchFailed,
-}
+func (e *LineError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
+func (e *LineError) Unwrap() error { return e.Err }
 
-// instance is one hosted scheduler with the events of the batch at hand.
+// instance is one hosted scheduler with the events of the batch being read.
 type instance struct {
-	id      int
-	sched   *policy.Scheduler
-	events  []decision.Event
-	pending bool
+	id        int
+	scheduler *policy.Scheduler
+	events    []decision.Event
+	inBatch   bool // listed in batch.instances
+}
+
+// batch is the batch being read.
+type batch struct {
+	open      bool
+	frame     int64
+	now       time.Duration
+	target    int         // id that the next messages are for; noTarget before the first
+	instance  *instance   // with that id; nil if it is not configured
+	instances []*instance // those to be stepped, in the order in which they were named
 }
 
-// host reads batches and writes replies.
+// noTarget is the target of a batch that has not named one.
+const noTarget = -1
+
+// host reads batches and writes the answers to them.
 type host struct {
-	in      *bufio.Reader
-	out     *bufio.Writer
-	line    int
-	insts   map[int]*instance
-	touched []*instance
-	at      *instance
-	named   int // the instance that the next events are for; -1 outside a batch's first name
-	lists   map[int64][]decision.Endpoint
-	now     time.Duration
-	frame   int64
-	open    bool
-	acts    []decision.Action
-	buf     []byte
+	in        *bufio.Reader
+	out       *bufio.Writer
+	line      int // lines read
+	instances map[int]*instance
+	rosters   map[int64][]decision.Endpoint // endpoint lists, by their number
+	batch     batch
+
+	// Buffers.
+	actions []decision.Action
+	text    []byte
 }
 
-// Serve answers batches until the end of input. An error names the line and the reason.
+// Serve answers batches until the end of the input. An error in the input is a *LineError.
 func Serve(r io.Reader, w io.Writer) error {
 	h := &host{
-		in: bufio.NewReaderSize(r, 1<<20), out: bufio.NewWriterSize(w, 1<<18),
-		insts: map[int]*instance{}, lists: map[int64][]decision.Endpoint{}, named: -1,
+		in:        bufio.NewReaderSize(r, readBufferSize),
+		out:       bufio.NewWriterSize(w, writeBufferSize),
+		instances: map[int]*instance{},
+		rosters:   map[int64][]decision.Endpoint{},
+		batch:     batch{target: noTarget},
 	}
 	for {
-		text, err := h.next()
-		if err == io.EOF && text == "" {
-			if h.open {
-				return fmt.Errorf("line %d: input ends inside a batch", h.line)
+		text, err := h.readLine()
+		if errors.Is(err, io.EOF) && text == "" {
+			if h.batch.open {
+				return &LineError{h.line, errors.New("input ends inside a batch")}
 			}
 			return nil
 		}
-		if err != nil && err != io.EOF {
-			return fmt.Errorf("line %d: %w", h.line, err)
+		if err != nil && !errors.Is(err, io.EOF) {
+			return &LineError{h.line, err}
 		}
-		if err := h.take(text); err != nil {
-			return fmt.Errorf("line %d: %w", h.line, err)
+		if err := h.handleLine(text); err != nil {
+			return &LineError{h.line, err}
 		}
 	}
 }
 
-// next reads one line without its end.
-func (h *host) next() (string, error) {
+// readLine reads one line without its end. The last one may come with io.EOF.
+func (h *host) readLine() (string, error) {
 	text, err := h.in.ReadString('\n')
 	if text != "" {
 		h.line++
@@ -88,345 +104,179 @@
 	return strings.TrimSuffix(strings.TrimSuffix(text, "\n"), "\r"), err
 }
 
-// take handles one line.
-func (h *host) take(text string) error {
-	tag, rest, _ := strings.Cut(text, " ")
-	if tag == "" && rest == "" {
+// handleLine handles one line. An empty one is ignored.
+func (h *host) handleLine(text string) error {
+	name, rest, _ := strings.Cut(text, " ")
+	if name == "" && rest == "" {
 		return nil
 	}
-	f := fields{rest: rest}
-	if tag == "mark" {
-		return h.mark(&f)
-	}
-	if !h.open {
-		return fmt.Errorf("%q outside a batch", tag)
-	}
-	switch tag {
-	case "over_to_you":
-		return h.reply()
-	case "target_instance":
-		f.parse()
-		h.named, h.at = int(f.num("initiator_id")), nil
-		h.at = h.insts[h.named]
-		return f.err
-	case "roster":
-		return h.roster(&f)
-	case "configure":
-		return h.configure(&f)
-	case "down":
-		return h.down()
-	}
-	ev, err := h.event(tag, &f)
+	f := &fields{text: rest}
+	if name == messageBatch {
+		return h.openBatch(f)
+	}
+	if !h.batch.open {
+		return fmt.Errorf("%q outside a batch", name)
+	}
+	switch name {
+	case messageAnswer:
+		return h.answer()
+	case messageTarget:
+		return h.setTarget(f)
+	case messageRoster:
+		return h.readRoster(f)
+	case messageConfigure:
+		return h.configure(f)
+	case messageRemove:
+		return h.remove()
+	}
+	ev, err := h.event(name, f)
 	if err != nil {
 		return err
 	}
-	if h.at == nil {
-		return fmt.Errorf("%q for instance %d, which was not configured", tag, h.named)
-	}
-	h.push(ev)
-	return nil
+	return h.addEvent(name, &ev)
 }
 
-// mark opens a batch.
-func (h *host) mark(f *fields) error {
-	if h.open {
+func (h *host) openBatch(f *fields) error {
+	if h.batch.open {
 		return errors.New("a batch inside a batch")
 	}
 	f.parse()
-	h.now, h.frame = time.Duration(f.num("t_ns")), f.num("frame")
-	h.open, h.at, h.named = true, nil, -1
+	h.batch.now = time.Duration(f.int("t_ns"))
+	h.batch.frame = f.int("frame")
+	h.batch.open = true
+	h.batch.target = noTarget
+	h.batch.instance = nil
 	return f.err
 }
 
-// push queues an event for the instance that was named last.
-func (h *host) push(ev decision.Event) {
-	if !h.at.pending {
-		h.at.pending = true
-		h.touched = append(h.touched, h.at)
+func (h *host) setTarget(f *fields) error {
+	f.parse()
+	h.batch.target = int(f.int("initiator_id"))
+	h.batch.instance = h.instances[h.batch.target]
+	return f.err
+}
+
+// addEvent adds an event for the target instance.
+func (h *host) addEvent(name string, ev *decision.Event) error {
+	i := h.batch.instance
+	if i == nil {
+		return fmt.Errorf("%q for instance %d, which was not configured", name, h.batch.target)
+	}
+	if !i.inBatch {
+		i.inBatch = true
+		h.batch.instances = append(h.batch.instances, i)
 	}
-	h.at.events = append(h.at.events, ev)
+	i.events = append(i.events, *ev)
+	return nil
 }
 
-// configure starts an instance, in place of an older one with its number.
+// configure starts an instance. It replaces an older one of the same id.
 func (h *host) configure(f *fields) error {
-	f.parseText("profile_data")
-	seed, text := f.unum("entropy"), f.str("profile_data")
+	f.parseWithText("profile_data")
+	seed := f.uint("entropy")
+	text := f.str("profile_data")
 	if f.err != nil {
 		return f.err
 	}
-	if h.named < 0 {
+	if h.batch.target < 0 {
 		return errors.New("configure without an instance")
 	}
 	cfg, err := settings.Parse(text, seed)
 	if err != nil {
 		return err
 	}
-	sched, err := policy.New(cfg)
+	scheduler, err := policy.New(cfg)
 	if err != nil {
 		return err
 	}
-	h.forget()
-	h.at = &instance{id: h.named, sched: sched, pending: true}
-	h.insts[h.named] = h.at
-	h.touched = append(h.touched, h.at)
+	h.dropInstance()
+	i := &instance{id: h.batch.target, scheduler: scheduler, inBatch: true}
+	h.instances[i.id] = i
+	h.batch.instance = i
+	h.batch.instances = append(h.batch.instances, i)
 	return nil
 }
 
-// down forgets an instance and whatever the batch held for it so far.
-func (h *host) down() error {
-	if h.at == nil {
-		return fmt.Errorf("down for instance %d, which was not configured", h.named)
+// remove removes the target instance and what the batch has for it so far.
+func (h *host) remove() error {
+	if h.batch.instance == nil {
+		return fmt.Errorf("down for instance %d, which was not configured", h.batch.target)
 	}
-	h.forget()
-	h.at = nil
+	h.dropInstance()
+	h.batch.instance = nil
 	return nil
 }
 
-// forget drops the named instance.
-func (h *host) forget() {
-	if h.at == nil {
+// dropInstance forgets the target instance, if there is one.
+func (h *host) dropInstance() {
+	if h.batch.instance == nil {
 		return
 	}
-	for i, t := range h.touched {
-		if t == h.at {
-			h.touched = append(h.touched[:i], h.touched[i+1:]...)
+	for k, i := range h.batch.instances {
+		if i == h.batch.instance {
+			h.batch.instances = append(h.batch.instances[:k], h.batch.instances[k+1:]...)
 			break
 		}
 	}
-	delete(h.insts, h.named)
+	delete(h.instances, h.batch.target)
 }
 
-// roster reads a numbered list and its rows.
-func (h *host) roster(f *fields) error {
+// readRoster reads an endpoint list: its number and the rows that follow.
+func (h *host) readRoster(f *fields) error {
 	f.parse()
-	id, n := f.num("roster_id"), f.num("records")
+	id, records := f.int("roster_id"), f.int("records")
 	if f.err != nil {
 		return f.err
 	}
-	if n < 0 {
+	if records < 0 {
 		return errors.New("roster with a negative number of records")
 	}
-	list := []decision.Endpoint{}
-	for ; n > 0; n-- {
-		text, err := h.next()
-		if err != nil && text == "" {
-			return fmt.Errorf("roster ends early: %w", err)
-		}
-		tag, rest, _ := strings.Cut(text, " ")
-		if tag != "row" {
-			return fmt.Errorf("want a row, got %q", tag)
-		}
-		r := fields{rest: rest}
-		r.parse()
-		state, ok := states[r.str("readiness")]
-		if !ok {
-			return fmt.Errorf("unknown readiness %q", r.str("readiness"))
-		}
-		m := decision.Endpoint{
-			Node: r.str("target"), Shard: int(r.num("pod")), Zone: int(r.num("zone")), State: state,
-			StartedAt: time.Duration(r.num("came_up_ns")),
-		}
-		if r.err != nil {
-			return r.err
+	endpoints := []decision.Endpoint{}
+	for ; records > 0; records-- {
+		e, err := h.readRosterRow()
+		if err != nil {
+			return err
 		}
-		if m.Node == "" {
-			return errors.New("a row without a target")
-		}
-		list = append(list, m)
+		endpoints = append(endpoints, e)
 	}
-	h.lists[id] = list
+	h.rosters[id] = endpoints
 	return nil
 }
 
-// event turns one line into an event.
-func (h *host) event(tag string, f *fields) (decision.Event, error) {
-	f.parse()
-	ev := decision.Event{ID: f.unum("call"), Attempt: int(f.num("seq_no")), Node: f.str("target")}
-	switch tag {
-	case "ingress":
-		ev.Kind = decision.RequestArrived
-		if f.str("lies_in") == "" {
-			f.kv = append(f.kv, [2]string{"lies_in", "-1"})
-		}
-		ev.Arrival = decision.Arrival{
-			Class: int(f.num("cls")), Plan: int(f.num("service_level")), Volume: f.str("disk"), Key: f.str("item"),
-			Units: f.float("weight"), Shard: int(f.float("lies_in")), Brokers: int(f.float("mounts")),
-			Deadline: time.Duration(f.num("due_ns")),
-		}
-	case "finished":
-		ev.Kind = decision.AttemptEnded
-		o, ok := outcomes[f.str("rc")]
-		if !ok {
-			return ev, fmt.Errorf("%s: unknown rc %q", tag, f.str("rc"))
-		}
-		ev.Outcome, ev.Final = o, f.num("final") == 1
-		if usage := int(f.num("volume_use")); usage > 0 {
-			ev.Usage = decision.VolumeUsage{Known: true, Percent: usage - 1}
-		}
-		ev.UnitsElsewhere = f.float("others_got")
-	case "begun":
-		ev.Kind = decision.ResponseStarted
-	case "expired":
-		ev.Kind = decision.ClientDisconnected
-	case "fired":
-		ev.Kind, ev.Token = decision.TimerFired, f.unum("label")
-	case "memo", "probe_result": // nothing that the module uses
-		ev.Kind, ev.Token = decision.TimerFired, 0
-	case "discovery":
-		kind, ok := listKinds[f.str("scope")]
-		if !ok {
-			return ev, fmt.Errorf("discovery: unknown scope %q", f.str("scope"))
-		}
-		ev.Kind = kind
-		if kind != decision.EndpointWatchFailed {
-			list, ok := h.lists[f.num("roster_id")]
-			if !ok {
-				return ev, fmt.Errorf("discovery: unknown roster %d", f.num("roster_id"))
-			}
-			ev.Endpoints = list
-		}
-	default:
-		return ev, fmt.Errorf("unknown message %q", tag)
+func (h *host) readRosterRow() (decision.Endpoint, error) {
+	text, err := h.readLine()
+	if err != nil && text == "" {
+		return decision.Endpoint{}, fmt.Errorf("roster ends early: %w", err)
 	}
-	return ev, f.err
-}
-
-// reply runs every touched instance and writes what they do.
-func (h *host) reply() error {
-	for _, t := range h.touched {
-		h.acts = t.sched.Step(h.now, t.events, h.acts[:0])
-		t.events, t.pending = t.events[:0], false
-		if len(h.acts) > 0 {
-			fmt.Fprintf(h.out, "for initiator_id=%d\n", t.id)
-		}
-		for i := range h.acts {
-			h.buf = appendAction(h.buf[:0], &h.acts[i])
-			if _, err := h.out.Write(h.buf); err != nil {
-				return err
-			}
-		}
+	name, rest, _ := strings.Cut(text, " ")
+	if name != messageRosterRow {
+		return decision.Endpoint{}, fmt.Errorf("want a row, got %q", name)
 	}
-	h.touched, h.open = h.touched[:0], false
-	fmt.Fprintf(h.out, "next frame=%d\n", h.frame)
-	return h.out.Flush()
+	return decodeEndpoint(&fields{text: rest})
 }
 
-// appendAction writes one action as a line.
-func appendAction(b []byte, a *decision.Action) []byte {
-	call := func(tag string) []byte {
-		return strconv.AppendUint(append(append(b, tag...), " call="...), a.ID, 10)
-	}
-	after := func(b []byte, name string) []byte {
-		return strconv.AppendInt(append(b, name...), int64(a.After), 10)
-	}
-	switch a.Kind {
-	case decision.Forward:
-		b = append(append(call("route"), " target="...), a.Node...)
-		b = after(b, " cap_ns=")
-	case decision.Shed:
-		b = call("say_no")
-		if a.After > 0 {
-			b = after(b, " hold_off_ns=")
+// answer steps every instance of the batch, writes what they do and ends the batch. Errors of writing stay in the
+// buffered writer and are returned by Flush.
+func (h *host) answer() error {
+	for _, i := range h.batch.instances {
+		h.actions = i.scheduler.Step(h.batch.now, i.events, h.actions[:0])
+		i.events = i.events[:0]
+		i.inBatch = false
+		h.text = h.text[:0]
+		if len(h.actions) > 0 {
+			h.text = fmt.Appendf(h.text, "for initiator_id=%d\n", i.id)
 		}
-	case decision.Fail:
-		b = call("abort")
-	case decision.SetTimer:
-		b = strconv.AppendUint(append(after(b, "arm in_ns="), " label="...), a.Token, 10)
-	case decision.WatchEndpoints:
-		b = append(b, "tail enable=1"...)
-	case decision.WriteLog:
-		b = append(append(b, "say_log line="...), a.Text...)
-	}
-	return append(b, '\n')
-}
-
-// fields holds the name=value pairs of one line; the first error sticks.
-type fields struct {
-	rest string
-	kv   [][2]string
-	err  error
-}
-
-// parse splits the line at single spaces.
-func (f *fields) parse() { f.parseText("") }
-
-// parseText does the same; the field named text runs to the end of the line.
-func (f *fields) parseText(text string) {
-	for rest := f.rest; rest != ""; {
-		name, after, ok := strings.Cut(rest, "=")
-		if !ok || name == "" || strings.Contains(name, " ") {
-			f.fail(fmt.Errorf("malformed field near %q", clip(rest)))
-			return
+		for k := range h.actions {
+			h.text = appendAction(h.text, &h.actions[k])
 		}
-		value := after
-		if name != text {
-			value, rest, _ = strings.Cut(after, " ")
-		} else {
-			rest = ""
+		if _, err := h.out.Write(h.text); err != nil {
+			return err
 		}
-		f.kv = append(f.kv, [2]string{name, value})
 	}
-}
-
-func clip(s string) string {
-	if len(s) > 40 {
-		return s[:40]
-	}
-	return s
-}
-
-func (f *fields) fail(err error) {
-	if f.err == nil {
-		f.err = err
-	}
-}
-
-// str returns a field, empty when absent.
-func (f *fields) str(name string) string {
-	for i := range f.kv {
-		if f.kv[i][0] == name {
-			return f.kv[i][1]
-		}
-	}
-	return ""
-}
-
-// num returns a whole number, 0 when absent.
-func (f *fields) num(name string) int64 {
-	s := f.str(name)
-	if s == "" {
-		return 0
-	}
-	v, err := strconv.ParseInt(s, 10, 64)
-	if err != nil {
-		f.fail(fmt.Errorf("%s=%q is not a whole number", name, clip(s)))
-	}
-	return v
-}
-
-// unum returns a number from 0 on, 0 when absent.
-func (f *fields) unum(name string) uint64 {
-	s := f.str(name)
-	if s == "" {
-		return 0
-	}
-	v, err := strconv.ParseUint(s, 10, 64)
-	if err != nil {
-		f.fail(fmt.Errorf("%s=%q is not a number from 0 on", name, clip(s)))
-	}
-	return v
-}
-
-// float returns a number, 0 when absent.
-func (f *fields) float(name string) float64 {
-	s := f.str(name)
-	if s == "" {
-		return 0
-	}
-	v, err := strconv.ParseFloat(s, 64)
-	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		f.fail(fmt.Errorf("%s=%q is not a number", name, clip(s)))
-		return 0
+	h.batch.instances = h.batch.instances[:0]
+	h.batch.open = false
+	if _, err := fmt.Fprintf(h.out, "next frame=%d\n", h.batch.frame); err != nil {
+		return err
 	}
-	return v
+	return h.out.Flush()
 }
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -1,6 +1,7 @@
 package simulator
 
 import (
+	"errors"
 	"strings"
 	"testing"
 )
@@ -16,13 +17,14 @@
 const arrival = "mark t_ns=2000 frame=2\ntarget_instance initiator_id=3\ningress call=77 due_ns=4000002000 lies_in=0 " +
 	"service_level=0 weight=2 disk=d cls=0 item=k mounts=1\nover_to_you\n"
 
+// run serves the given input and returns the output.
 func run(in string) (string, error) {
 	var out strings.Builder
 	err := Serve(strings.NewReader(in), &out)
 	return out.String(), err
 }
 
-func TestARequestIsSent(t *testing.T) {
+func TestArrivalIsForwarded(t *testing.T) {
 	out, err := run(opening + arrival)
 	if err != nil {
 		t.Fatal(err)
@@ -33,13 +35,13 @@
 	}
 }
 
-func TestEmptyBatch(t *testing.T) {
+func TestEmptyBatchIsAnswered(t *testing.T) {
 	if out, err := run("mark t_ns=1 frame=9\nover_to_you\n"); err != nil || out != "next frame=9\n" {
 		t.Fatalf("got %q, %v", out, err)
 	}
 }
 
-func TestListsAreRenumberedWithinABatch(t *testing.T) {
+func TestRosterNumberMayBeReusedWithinABatch(t *testing.T) {
 	batch := "mark t_ns=3000 frame=2\nroster roster_id=0 records=1\nrow readiness=gone target=target_a pod=0\n" +
 		"target_instance initiator_id=3\ndiscovery rev=2 scope=D roster_id=0\n" +
 		"roster roster_id=0 records=1\nrow readiness=ready target=target_b pod=0\ndiscovery rev=3 scope=D roster_id=0\n" +
@@ -50,7 +52,7 @@
 	}
 }
 
-func TestDownAndConfigureInOneBatch(t *testing.T) {
+func TestInstanceMayBeReplacedWithinABatch(t *testing.T) {
 	batch := "mark t_ns=3000 frame=3\ntarget_instance initiator_id=3\nexpired call=77\ndown\n" + settingsLine +
 		"roster roster_id=1 records=0\ndiscovery rev=1 scope=C roster_id=1\nover_to_you\n"
 	out, err := run(opening + arrival + batch)
@@ -59,7 +61,7 @@
 	}
 }
 
-func TestBadInputIsNamed(t *testing.T) {
+func TestInvalidInputIsAnErrorWithItsLine(t *testing.T) {
 	for in, part := range map[string]string{
 		"what\n":                           "line 1: \"what\" outside a batch",
 		"mark t_ns=x frame=1\n":            "line 1: t_ns=\"x\"",
@@ -72,18 +74,25 @@
 		strings.Replace(opening, `"retryable"`, `"maybe"`, 1):                                       "classes[0].repeat",
 		strings.Replace(opening, `"usual_rate":5`, `"usual_rate":-5`, 1):                            "settings.policies[0].usual_rate",
 	} {
-		if _, err := run(in); err == nil || !strings.Contains(err.Error(), part) {
-			t.Errorf("%q: got %v, want %q", clip(in), err, part)
+		_, err := run(in)
+		if err == nil || !strings.Contains(err.Error(), part) {
+			t.Errorf("%q: got %v, want %q", truncate(in), err, part)
+		}
+		var line *LineError
+		if !errors.As(err, &line) || line.Line < 1 {
+			t.Errorf("%q: %#v is no LineError", truncate(in), err)
 		}
 	}
 }
 
-// FuzzServe looks for input that panics or is answered without end.
+// FuzzServe looks for input that panics or does not end.
 func FuzzServe(f *testing.F) {
 	for _, seed := range []string{"", opening, opening + arrival, opening + arrival +
 		"mark t_ns=9000 frame=3\ntarget_instance initiator_id=3\nfinished call=77 seq_no=0 target=target_a rc=turned_away\n" +
 		"fired label=1\nexpired call=78\nprobe_result target=target_a rc=served gauge=backlog:3\ndown\nover_to_you\n"} {
 		f.Add(seed)
 	}
-	f.Fuzz(func(t *testing.T, in string) { run(in) })
+	f.Fuzz(func(_ *testing.T, in string) {
+		_, _ = run(in) // any error is fine
+	})
 }
