--- a/internal/fleet/supervisor/fakes_test.go
+++ b/internal/fleet/supervisor/fakes_test.go
@@ -159,13 +159,13 @@
 
 func (h *fakeHandle) Identity() process.Identity { return h.process.id }
 
-func (h *fakeHandle) Done() <-chan error {
-	done := make(chan error, 1)
-	go func() {
-		<-h.process.done
-		done <- errors.New("killed")
-	}()
-	return done
+func (h *fakeHandle) Wait(ctx context.Context) error {
+	select {
+	case <-h.process.done:
+		return errors.New("killed")
+	case <-ctx.Done():
+		return ctx.Err()
+	}
 }
 
 func (h *fakeHandle) Terminate() error {
--- a/internal/fleet/supervisor/instance.go
+++ b/internal/fleet/supervisor/instance.go
@@ -77,16 +77,10 @@
 	instance.handle = p
 	instance.generation++
 	exited := &processExited{instance: instance, generation: instance.generation, pid: p.Identity().PID}
-	done := p.Done()
 	s.watchers.Go(func() {
-		select {
-		case exited.err = <-done:
-		case <-s.closing:
-			return
-		}
-		select {
-		case s.events <- exited:
-		case <-s.closing:
+		exited.err = p.Wait(s.watching)
+		if s.watching.Err() == nil {
+			s.send(s.watching, exited)
 		}
 	})
 }
--- a/internal/fleet/supervisor/local.go
+++ b/internal/fleet/supervisor/local.go
@@ -64,26 +64,19 @@
 	if err != nil {
 		return nil, err
 	}
-	handle, err := process.Open(id)
-	if err != nil && !errors.Is(err, process.ErrExited) {
+	if err := id.CheckRunning(); err != nil && !errors.Is(err, process.ErrExited) {
 		_ = cmd.Process.Kill() // fails only where it has ended
 		return nil, err
 	}
-	return &localProcess{id: id, handle: handle, done: exited}, nil
+	return &localProcess{id: id, exited: exited}, nil
 }
 
 // Adopt returns a broker's process that an earlier agent started, or process.ErrExited.
 func (b *LocalBrokers) Adopt(id process.Identity) (Process, error) {
-	handle, err := process.Open(id)
-	if err != nil {
+	if err := id.CheckRunning(); err != nil {
 		return nil, err
 	}
-	done := make(chan error, 1)
-	go func() { // it ends with the process
-		<-handle.Done()
-		done <- errors.New("ended; how is known only to the agent that started it")
-	}()
-	return &localProcess{id: id, handle: handle, done: done}, nil
+	return &localProcess{id: id}, nil
 }
 
 // Find looks for the broker's process of a launch.
@@ -94,20 +87,29 @@
 // localProcess is a Process of this machine.
 type localProcess struct {
 	id     process.Identity
-	handle *process.Handle // nil: it ended at once
-	done   <-chan error
+	exited <-chan error // receives how it ended; nil: an earlier agent started it
 }
 
+// errAdoptedExit is how a process has ended that an earlier agent started.
+var errAdoptedExit = errors.New("ended; how is known only to the agent that started it")
+
 func (p *localProcess) Identity() process.Identity { return p.id }
-func (p *localProcess) Done() <-chan error         { return p.done }
-func (p *localProcess) Terminate() error           { return p.signal(syscall.SIGTERM) }
-func (p *localProcess) Kill() error                { return p.signal(syscall.SIGKILL) }
+func (p *localProcess) Terminate() error           { return p.id.Signal(syscall.SIGTERM) }
+func (p *localProcess) Kill() error                { return p.id.Signal(syscall.SIGKILL) }
 
-func (p *localProcess) signal(sig syscall.Signal) error {
-	if p.handle == nil {
-		return process.ErrExited
+func (p *localProcess) Wait(ctx context.Context) error {
+	if p.exited == nil {
+		if err := p.id.Wait(ctx); err != nil {
+			return err
+		}
+		return errAdoptedExit
+	}
+	select {
+	case err := <-p.exited:
+		return err
+	case <-ctx.Done():
+		return ctx.Err()
 	}
-	return p.handle.Signal(sig)
 }
 
 // Probe asks a broker for its state, and whether its front ends answer.
--- a/internal/fleet/supervisor/report.go
+++ b/internal/fleet/supervisor/report.go
@@ -12,7 +12,7 @@
 // requestReport has a report sent before the interval has passed.
 func (s *Supervisor) requestReport() {
 	select {
-	case s.reportUp <- struct{}{}:
+	case s.reportNow <- struct{}{}:
 	default: // it has been requested already
 	}
 }
@@ -58,7 +58,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-		case <-s.reportUp:
+		case <-s.reportNow:
 		}
 		var current observation
 		if s.runInLoop(ctx, func() error { current = s.observe(); return nil }) != nil {
--- a/internal/fleet/supervisor/supervisor.go
+++ b/internal/fleet/supervisor/supervisor.go
@@ -27,8 +27,9 @@
 // Process is the process of a broker, started by this agent or by an earlier one.
 type Process interface {
 	Identity() process.Identity
-	Done() <-chan error // receives once, how it ended
-	Terminate() error   // asks it to drain
+	// Wait returns how the process ended, nil for exit code 0; or the error of ctx once that is done. It is called once.
+	Wait(ctx context.Context) error
+	Terminate() error // asks it to drain
 	Kill() error
 }
 
@@ -112,11 +113,12 @@
 	clock   *clock.Clock
 	log     *slog.Logger
 
-	events   chan event
-	reportUp chan struct{}  // has a report sent before the interval has passed
-	calls    sync.WaitGroup // calls to brokers and the manager; Run waits for them
-	watchers sync.WaitGroup // of processes; Close waits for them
-	closing  chan struct{}  // ends the watchers
+	events       chan event
+	reportNow    chan struct{}  // has a report sent before the interval has passed
+	calls        sync.WaitGroup // calls to brokers and the manager; Run waits for them
+	watchers     sync.WaitGroup // of processes; Close waits for them
+	watching     context.Context
+	stopWatching context.CancelFunc // called by Close
 
 	// Owned by the goroutine of Run.
 	journal        *journal.Journal
@@ -147,26 +149,29 @@
 	if err != nil {
 		return nil, err
 	}
+	// Processes are watched between Run and Close too, by Drain, and so not by the context of Run.
+	watching, stopWatching := context.WithCancel(context.Background())
 	return &Supervisor{
-		options:     options.withDefaults(),
-		runner:      runner,
-		brokers:     brokers,
-		manager:     manager,
-		clock:       clock.New(),
-		log:         log,
-		events:      make(chan event, eventQueueLength),
-		reportUp:    make(chan struct{}, 1),
-		closing:     make(chan struct{}),
-		journal:     j,
-		state:       state,
-		instances:   map[string]*managedInstance{},
-		retryBudget: retry.NewBudget(retryBudgetCapacity, retryBudgetPerCall),
+		options:      options.withDefaults(),
+		runner:       runner,
+		brokers:      brokers,
+		manager:      manager,
+		clock:        clock.New(),
+		log:          log,
+		events:       make(chan event, eventQueueLength),
+		reportNow:    make(chan struct{}, 1),
+		watching:     watching,
+		stopWatching: stopWatching,
+		journal:      j,
+		state:        state,
+		instances:    map[string]*managedInstance{},
+		retryBudget:  retry.NewBudget(retryBudgetCapacity, retryBudgetPerCall),
 	}, nil
 }
 
 // Close closes the journal, after Run and Drain have returned. Processes keep running.
 func (s *Supervisor) Close() error {
-	close(s.closing)
+	s.stopWatching()
 	s.watchers.Wait()
 	return s.journal.Close()
 }
--- a/internal/host/process/process_test.go
+++ b/internal/host/process/process_test.go
@@ -1,6 +1,7 @@
 package process
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"os"
@@ -66,39 +67,45 @@
 	id, _ := startSleeper(t, "launch-3")
 	reusedPID := id
 	reusedPID.StartTicks++
-	if _, err := Open(reusedPID); !errors.Is(err, ErrExited) {
+	if err := reusedPID.CheckRunning(); !errors.Is(err, ErrExited) {
 		t.Errorf("another start time: %v", err)
 	}
 	rebooted := id
 	rebooted.BootID = "another boot"
-	if _, err := Open(rebooted); !errors.Is(err, ErrExited) {
+	if err := rebooted.CheckRunning(); !errors.Is(err, ErrExited) {
 		t.Errorf("another boot: %v", err)
 	}
 }
 
-func TestHandleSignalsUntilTheProcessHasEnded(t *testing.T) {
+func TestProcessIsSignalledAndAwaitedUntilItHasEnded(t *testing.T) {
 	id, exited := startSleeper(t, "launch-4")
-	handle, err := Open(id)
-	if err != nil {
+	if err := id.CheckRunning(); err != nil {
 		t.Fatal(err)
 	}
-	select {
-	case <-handle.Done():
-		t.Fatal("done while it runs")
-	default:
+	expired, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
+	defer cancel()
+	if err := id.Wait(expired); !errors.Is(err, context.DeadlineExceeded) {
+		t.Fatalf("waited for a running process: %v", err)
 	}
-	if err := handle.Signal(syscall.SIGKILL); err != nil {
+	waited := make(chan error, 1)
+	go func() { waited <- id.Wait(t.Context()) }()
+	if err := id.Signal(syscall.SIGKILL); err != nil {
 		t.Fatal(err)
 	}
-	<-handle.Done()
+	if err := <-waited; err != nil {
+		t.Errorf("waited for the end: %v", err)
+	}
 	if err := <-exited; err == nil {
 		t.Error("a killed process has no error")
 	}
-	if err := handle.Signal(syscall.SIGKILL); !errors.Is(err, ErrExited) {
+	if err := id.Signal(syscall.SIGKILL); !errors.Is(err, ErrExited) {
 		t.Errorf("a signal after the end: %v", err)
 	}
-	if _, err := Open(id); !errors.Is(err, ErrExited) {
-		t.Errorf("open after the end: %v", err)
+	if err := id.CheckRunning(); !errors.Is(err, ErrExited) {
+		t.Errorf("a check after the end: %v", err)
+	}
+	if err := id.Wait(t.Context()); err != nil {
+		t.Errorf("waited after the end: %v", err)
 	}
 }
 
@@ -142,20 +149,19 @@
 	var pid int
 	_, scanErr := fmt.Fscan(output, &pid)
 	id, err := Identify(pid)
-	handle, openErr := Open(id)
 	if err := parent.Process.Kill(); err != nil {
 		t.Error(err)
 	}
 	if err := parent.Wait(); err == nil {
 		t.Error("a killed parent has no error")
 	}
-	if scanErr != nil || err != nil || openErr != nil {
-		t.Fatalf("the child %d of the parent: %v, %v, %v", pid, scanErr, err, openErr)
+	if scanErr != nil || err != nil {
+		t.Fatalf("the child %d of the parent: %v, %v", pid, scanErr, err)
 	}
-	select {
-	case <-handle.Done():
-	case <-time.After(30 * time.Second):
-		t.Errorf("the child still runs; killed: %v", handle.Signal(syscall.SIGKILL))
+	patience, cancel := context.WithTimeout(t.Context(), 30*time.Second)
+	defer cancel()
+	if err := id.Wait(patience); err != nil {
+		t.Errorf("the child still runs: %v; killed: %v", err, id.Signal(syscall.SIGKILL))
 	}
 }
 
--- a/internal/testkit/cluster/cluster.go
+++ b/internal/testkit/cluster/cluster.go
@@ -331,11 +331,7 @@
 	if err != nil {
 		return err
 	}
-	h, err := process.Open(id)
-	if err != nil {
-		return err
-	}
-	return h.Signal(syscall.SIGKILL)
+	return id.Signal(syscall.SIGKILL)
 }
 
 // Close ends everything: agents drain their brokers, what is left after a while is killed.
@@ -376,10 +372,8 @@
 	all.Wait()
 	var err error
 	for _, id := range left {
-		if h, e := process.Open(id); e == nil {
-			_ = h.Signal(syscall.SIGKILL)
-			<-h.Done()
-			err = errors.Join(err, fmt.Errorf("broker with pid %d had to be killed", id.PID))
+		if id.Signal(syscall.SIGKILL) == nil {
+			err = errors.Join(err, fmt.Errorf("broker with pid %d had to be killed", id.PID), id.Wait(context.Background()))
 		}
 	}
 	for _, stop := range s.stops {
--- a/internal/testkit/cluster/play.go
+++ b/internal/testkit/cluster/play.go
@@ -6,11 +6,11 @@
 	"slices"
 	"strings"
 	"sync"
+	"syscall"
 	"time"
 
 	"github.com/tidwall/redcon"
 
-	"poppyarch/internal/host/process"
 	"poppyarch/internal/observability/incident"
 	"poppyarch/internal/observability/incident/check"
 	"poppyarch/internal/testkit/fake"
@@ -53,12 +53,8 @@
 		if err != nil {
 			return nil, err
 		}
-		h, err := process.Open(id)
-		if err != nil {
-			return nil, err
-		}
 		at := now()
-		if err := h.Signal(9); err != nil {
+		if err := id.Signal(syscall.SIGKILL); err != nil {
 			return nil, err
 		}
 		say(name + " killed")
