--- a/internal/timing/timerwheel/timerwheel.go
+++ b/internal/timing/timerwheel/timerwheel.go
@@ -1,150 +1,185 @@
-// Package timerwheel is a hierarchical timing wheel: many timers of which most are moved or stopped before they fire. It has
-// no clock and no goroutine; the owner says what time it is. Times are microseconds.
+// Package timerwheel is a hierarchical timing wheel: a set of many timers of which most are moved or stopped before they
+// fire. Set and Stop take constant time. It reads no clock and starts no goroutine; the owner says what time it is.
 package timerwheel
 
+import "poppyarch/internal/timing/clock"
+
 const (
-	levels = 4
-	bits   = 8
-	slots  = 1 << bits
-	mask   = slots - 1
+	levels   = 4
+	slotBits = 8
+	slots    = 1 << slotBits // of one level
+	slotMask = slots - 1
 )
 
-// Timer is one entry. The zero value is stopped.
+// tickCount is a time in units of a wheel's tick.
+type tickCount int64
+
+// Timer is one entry of a Wheel. The zero value is stopped.
 type Timer struct {
-	ID         string
-	At         int64
-	prev, next *Timer
-	list       *Timer // head of the slot it is in; nil: stopped
+	ID         string       // for the owner; the wheel does not read it
+	deadline   clock.Micros // as set
+	prev, next *Timer       // in the slot's ring
+	slot       *Timer       // head of the slot's ring; nil: stopped
 }
 
-// Active reports whether it waits to fire.
-func (t *Timer) Active() bool { return t.list != nil }
+// Active reports whether the timer waits to fire.
+func (t *Timer) Active() bool { return t.slot != nil }
 
-// Wheel holds timers. A timer fires at the first Advance at or after its time, early by nothing and late by less than a
-// tick's width.
+// pushBack appends the timer to the ring of a slot.
+func (t *Timer) pushBack(slot *Timer) {
+	t.slot = slot
+	t.prev = slot.prev
+	t.next = slot
+	slot.prev.next = t
+	slot.prev = t
+}
+
+// unlink takes the timer out of its ring.
+func (t *Timer) unlink() {
+	t.prev.next = t.next
+	t.next.prev = t.prev
+	t.prev = nil
+	t.next = nil
+	t.slot = nil
+}
+
+// initRing makes a Timer the head of an empty ring.
+func (t *Timer) initRing() {
+	t.prev = t
+	t.next = t
+}
+
+// Wheel holds timers. A timer fires at the first Advance at or after its deadline rounded up to a tick: never early, and
+// late by less than a tick.
 type Wheel struct {
-	tick  int64 // width of a slot of the lowest level
-	now   int64 // in ticks: everything up to here has fired
-	slot  [levels][slots]Timer
-	far   Timer // beyond the highest level
-	count int
+	tick     clock.Micros         // width of a slot of the lowest level
+	now      tickCount            // everything up to here has fired
+	slot     [levels][slots]Timer // heads of the rings
+	overflow Timer                // head of the ring of timers beyond the highest level
+	count    int                  // active timers
 }
 
-// New returns an empty wheel that begins at now. width is the finest distance that it keeps apart.
-func New(now, width int64) *Wheel {
-	w := &Wheel{tick: width, now: now / width}
-	for l := range w.slot {
-		for s := range w.slot[l] {
-			h := &w.slot[l][s]
-			h.prev, h.next = h, h
+// New returns an empty wheel whose time is now. tick is its resolution.
+func New(now, tick clock.Micros) *Wheel {
+	w := &Wheel{tick: tick, now: tickCount(now / tick)}
+	for level := range w.slot {
+		for i := range w.slot[level] {
+			w.slot[level][i].initRing()
 		}
 	}
-	w.far.prev, w.far.next = &w.far, &w.far
+	w.overflow.initRing()
 	return w
 }
 
-// Len counts the timers that wait.
+// Len is the number of active timers.
 func (w *Wheel) Len() int { return w.count }
 
-// Set has a timer fire at at, whatever was set before.
-func (w *Wheel) Set(t *Timer, at int64) {
+// Set makes a timer fire at deadline, in place of any earlier setting.
+func (w *Wheel) Set(t *Timer, deadline clock.Micros) {
 	w.Stop(t)
-	t.At = at
+	t.deadline = deadline
 	w.count++
-	w.put(t)
+	w.insert(t)
 }
 
-// Stop takes a timer out.
+// Stop deactivates a timer.
 func (w *Wheel) Stop(t *Timer) {
-	if t.list == nil {
+	if !t.Active() {
 		return
 	}
-	t.prev.next, t.next.prev = t.next, t.prev
-	t.prev, t.next, t.list = nil, nil, nil
+	t.unlink()
 	w.count--
 }
 
-// put files a timer by how far off it is. Times are rounded up, so that none fires early.
-func (w *Wheel) put(t *Timer) {
-	due := (t.At + w.tick - 1) / w.tick
-	due = max(due, w.now+1)
-	h := &w.far
-	for l := range levels {
-		// In a level the slots ahead of now within one turn are free of mix-ups.
-		if due>>(bits*l)-w.now>>(bits*l) < slots {
-			h = &w.slot[l][due>>(bits*l)&mask]
+// dueTick is the tick at which a timer fires. It is rounded up, so that no timer fires early.
+func (w *Wheel) dueTick(t *Timer) tickCount {
+	return tickCount((t.deadline + w.tick - 1) / w.tick)
+}
+
+// insert links a timer into the slot of its deadline, at the lowest level that reaches so far.
+func (w *Wheel) insert(t *Timer) {
+	due := max(w.dueTick(t), w.now+1)
+	slot := &w.overflow
+	for level := range levels {
+		shift := slotBits * level
+		// Within one turn of a level each slot stands for a single time.
+		if due>>shift-w.now>>shift < slots {
+			slot = &w.slot[level][due>>shift&slotMask]
 			break
 		}
 	}
-	t.prev, t.next, t.list = h.prev, h, h
-	h.prev.next = t
-	h.prev = t
+	t.pushBack(slot)
 }
 
-// Advance goes on to now and calls fire for every timer whose time has come, in the order of their ticks. fire may set
-// and stop timers.
-func (w *Wheel) Advance(now int64, fire func(*Timer)) {
-	end := now / w.tick
+// Advance moves the time to now and calls fire for each timer whose deadline has passed, tick by tick. fire may set and
+// stop timers.
+func (w *Wheel) Advance(now clock.Micros, fire func(*Timer)) {
+	end := tickCount(now / w.tick)
 	for w.now < end {
 		if w.count == 0 {
 			w.now = end
 			return
 		}
 		w.now++
-		// Where a level has come round, its next slot is spread over the levels below; from the top, so that what
-		// falls through falls all the way.
-		for l := levels - 1; l > 0; l-- {
-			if w.now&(1<<(bits*l)-1) == 0 {
-				if l == levels-1 {
-					w.spread(&w.far)
-				}
-				w.spread(&w.slot[l][w.now>>(bits*l)&mask])
-			}
-		}
-		h := &w.slot[0][w.now&mask]
-		for h.next != h {
-			t := h.next
+		w.cascadeLevels()
+		slot := &w.slot[0][w.now&slotMask]
+		for slot.next != slot {
+			t := slot.next
 			w.Stop(t)
 			fire(t)
 		}
 	}
 }
 
-// spread files a slot's timers anew. Those that are due in this very tick go to the slot that is about to fire.
-func (w *Wheel) spread(h *Timer) {
-	list := h.next
-	last := h.prev
-	if list == h {
+// cascadeLevels moves timers to lower levels where a level has completed a turn. It begins at the top, since a timer may
+// descend several levels at once.
+func (w *Wheel) cascadeLevels() {
+	for level := levels - 1; level > 0; level-- {
+		shift := slotBits * level
+		if w.now&(1<<shift-1) != 0 {
+			continue
+		}
+		if level == levels-1 {
+			w.cascade(&w.overflow)
+		}
+		w.cascade(&w.slot[level][w.now>>shift&slotMask])
+	}
+}
+
+// cascade inserts the timers of a slot again. Those that are due in the present tick go into the slot that is about to fire.
+func (w *Wheel) cascade(slot *Timer) {
+	if slot.next == slot {
 		return
 	}
-	h.prev, h.next = h, h
-	last.next = nil
-	for t := list; t != nil; {
+	first := slot.next
+	slot.prev.next = nil
+	slot.initRing()
+	for t := first; t != nil; {
 		next := t.next
-		if (t.At+w.tick-1)/w.tick <= w.now {
-			s := &w.slot[0][w.now&mask]
-			t.prev, t.next, t.list = s.prev, s, s
-			s.prev.next = t
-			s.prev = t
+		if w.dueTick(t) <= w.now {
+			t.pushBack(&w.slot[0][w.now&slotMask])
 		} else {
-			w.put(t)
+			w.insert(t)
 		}
 		t = next
 	}
 }
 
-// Next is a time up to which nothing fires; the owner advances at it at the latest. ok is false where no timer waits.
-func (w *Wheel) Next() (at int64, ok bool) {
+// Next is a time before which no timer fires; the owner advances then at the latest. It may be early. ok is false where no
+// timer is active.
+func (w *Wheel) Next() (at clock.Micros, ok bool) {
 	if w.count == 0 {
 		return 0, false
 	}
-	for d := int64(1); d < slots; d++ {
-		if h := &w.slot[0][(w.now+d)&mask]; h.next != h {
-			return (w.now + d) * w.tick, true
+	due := w.now + 1
+	for ; due < w.now+slots; due++ {
+		slot := &w.slot[0][due&slotMask]
+		if slot.next != slot {
+			break
 		}
-		if (w.now+d)&mask == 0 { // here a higher level comes down
-			return (w.now + d) * w.tick, true
+		if due&slotMask == 0 { // the next turn, at which timers descend from a higher level
+			break
 		}
 	}
-	return (w.now + slots) * w.tick, true
+	return clock.Micros(due) * w.tick, true
 }
--- a/internal/timing/timerwheel/timerwheel_test.go
+++ b/internal/timing/timerwheel/timerwheel_test.go
@@ -9,85 +9,129 @@
 	"pgregory.net/rapid"
 
 	"poppyarch/internal/testkit/fixedseed"
+	"poppyarch/internal/timing/clock"
 )
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
-// Against a plain list: every timer fires once, at the first advance at or after its time, and stopped ones never.
-func TestAgainstList(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		const tick = 10
-		now := rapid.Int64Range(0, 1<<40).Draw(t, "start")
-		w := New(now, tick)
-		timers := make([]Timer, 12)
-		want := map[int]int64{}
-		for i := range timers {
-			timers[i].ID = fmt.Sprint(i)
+// wheelModel drives a wheel and a plain map of the deadlines that it should hold.
+type wheelModel struct {
+	wheel     *Wheel
+	now       clock.Micros
+	timers    []Timer
+	deadlines map[string]clock.Micros // of the active timers, by ID
+}
+
+const modelTick = 10
+
+func newWheelModel(now clock.Micros) *wheelModel {
+	m := &wheelModel{
+		wheel:     New(now, modelTick),
+		now:       now,
+		timers:    make([]Timer, 12),
+		deadlines: map[string]clock.Micros{},
+	}
+	for i := range m.timers {
+		m.timers[i].ID = fmt.Sprint(i)
+	}
+	return m
+}
+
+func (m *wheelModel) set(timer *Timer, deadline clock.Micros) {
+	m.wheel.Set(timer, deadline)
+	m.deadlines[timer.ID] = max(deadline, m.now)
+}
+
+func (m *wheelModel) stop(timer *Timer) {
+	m.wheel.Stop(timer)
+	delete(m.deadlines, timer.ID)
+}
+
+// checkNext checks that no timer would fire before the time that Next returns.
+func (m *wheelModel) checkNext(t *rapid.T) {
+	next, ok := m.wheel.Next()
+	if !ok {
+		return
+	}
+	for id, at := range m.deadlines {
+		roundedUp := (at + modelTick - 1) / modelTick * modelTick
+		if at+modelTick < next && roundedUp < next && at > m.now {
+			t.Fatalf("timer %s at %d, but nothing is said to fire before %d", id, at, next)
+		}
+	}
+}
+
+// advance moves the time on and checks that exactly the timers that are due fire.
+func (m *wheelModel) advance(t *rapid.T, step clock.Micros) {
+	m.now += step
+	m.wheel.Advance(m.now, func(timer *Timer) {
+		at, ok := m.deadlines[timer.ID]
+		if !ok || at > m.now {
+			t.Fatalf("timer %s fired at %d, set to %d (%v)", timer.ID, m.now, at, ok)
+		}
+		delete(m.deadlines, timer.ID)
+	})
+	for id, at := range m.deadlines {
+		if at <= m.now-modelTick {
+			t.Fatalf("timer %s at %d has not fired by %d", id, at, m.now)
 		}
+	}
+}
+
+func TestTimersFireOnceAtTheirDeadline(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := newWheelModel(rapid.Int64Range(0, 1<<40).Draw(t, "start"))
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			i := rapid.IntRange(0, len(timers)-1).Draw(t, "timer")
+			timer := &m.timers[rapid.IntRange(0, len(m.timers)-1).Draw(t, "timer")]
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
-				at := now + rapid.SampledFrom([]int64{-5, 1, 10, 2555, 2560, 700000, 1 << 28, 1 << 38, 1 << 45}).Draw(t, "in") + rapid.Int64Range(0, 3000).Draw(t, "and")
-				w.Set(&timers[i], at)
-				want[i] = max(at, now)
+				in := rapid.SampledFrom([]int64{-5, 1, 10, 2555, 2560, 700000, 1 << 28, 1 << 38, 1 << 45}).Draw(t, "in")
+				m.set(timer, m.now+in+rapid.Int64Range(0, 3000).Draw(t, "and"))
 			case 2:
-				w.Stop(&timers[i])
-				delete(want, i)
+				m.stop(timer)
 			default:
-				if next, ok := w.Next(); ok && len(want) > 0 {
-					for i, at := range want {
-						if at+tick < next && (at+tick-1)/tick*tick < next && at > now {
-							t.Fatalf("timer %d at %d, but nothing is said to fire before %d", i, at, next)
-						}
-					}
-				}
-				now += rapid.SampledFrom([]int64{1, 9, 10, 300, 2560, 655360, 5000000}).Draw(t, "step")
-				w.Advance(now, func(x *Timer) {
-					var i int
-					fmt.Sscan(x.ID, &i)
-					at, ok := want[i]
-					if !ok || at > now {
-						t.Fatalf("timer %d fired at %d, set to %d (%v)", i, now, at, ok)
-					}
-					delete(want, i)
-				})
-				for i, at := range want {
-					if at <= now-tick {
-						t.Fatalf("timer %d at %d has not fired by %d", i, at, now)
-					}
-				}
+				m.checkNext(t)
+				m.advance(t, rapid.SampledFrom([]int64{1, 9, 10, 300, 2560, 655360, 5000000}).Draw(t, "step"))
 			}
-			if w.Len() != len(want) {
-				t.Fatalf("%d timers, want %d", w.Len(), len(want))
+			if m.wheel.Len() != len(m.deadlines) {
+				t.Fatalf("%d timers, want %d", m.wheel.Len(), len(m.deadlines))
 			}
 		}
 	})
 }
 
-// list is a heap of deadlines, as plain code would have it.
-type item struct {
-	at int64
-	i  int
+// deadline is an entry of a deadlineHeap.
+type deadline struct {
+	at    int64
+	index int // in the heap
 }
-type list struct {
-	items []*item
+
+// deadlineHeap is what the benchmark compares the wheel with.
+type deadlineHeap struct {
+	items []*deadline
 }
 
-func (l *list) Len() int           { return len(l.items) }
-func (l *list) Less(a, b int) bool { return l.items[a].at < l.items[b].at }
-func (l *list) Swap(a, b int) {
-	l.items[a], l.items[b] = l.items[b], l.items[a]
-	l.items[a].i, l.items[b].i = a, b
+func (h *deadlineHeap) Len() int           { return len(h.items) }
+func (h *deadlineHeap) Less(a, b int) bool { return h.items[a].at < h.items[b].at }
+func (h *deadlineHeap) Swap(a, b int) {
+	h.items[a], h.items[b] = h.items[b], h.items[a]
+	h.items[a].index = a
+	h.items[b].index = b
 }
-func (l *list) Push(x any) { it := x.(*item); it.i = len(l.items); l.items = append(l.items, it) }
-func (l *list) Pop() any {
-	it := l.items[len(l.items)-1]
-	l.items = l.items[:len(l.items)-1]
-	return it
+
+func (h *deadlineHeap) Push(x any) {
+	d := x.(*deadline)
+	d.index = len(h.items)
+	h.items = append(h.items, d)
+}
+
+func (h *deadlineHeap) Pop() any {
+	last := h.items[len(h.items)-1]
+	h.items = h.items[:len(h.items)-1]
+	return last
 }
 
-// Deadlines that are moved again and again before they come.
+// BenchmarkTimers moves deadlines again and again before they come.
 func BenchmarkTimers(b *testing.B) {
 	const n = 100_000
 	r := rand.New(rand.NewPCG(1, 2))
@@ -105,21 +149,21 @@
 		}
 	})
 	b.Run("heap", func(b *testing.B) {
-		l := &list{}
-		items := make([]item, n)
+		h := &deadlineHeap{}
+		items := make([]deadline, n)
 		for i := range items {
 			items[i].at = 1000 + r.Int64N(30_000_000)
-			heap.Push(l, &items[i])
+			heap.Push(h, &items[i])
 		}
 		now := int64(0)
 		for b.Loop() {
 			now += 10
 			it := &items[r.IntN(n)]
 			it.at = now + 1000 + r.Int64N(30_000_000)
-			heap.Fix(l, it.i)
-			for l.items[0].at <= now {
-				l.items[0].at = now + 30_000_000
-				heap.Fix(l, 0)
+			heap.Fix(h, it.index)
+			for h.items[0].at <= now {
+				h.items[0].at = now + 30_000_000
+				heap.Fix(h, 0)
 			}
 		}
 	})
