--- a/internal/host/agent/agent.go
+++ b/internal/host/agent/agent.go
@@ -1,5 +1,3 @@
-// Package agent runs the broker instances of an inventory: it starts them, restarts what crashes, drains what
-// should stop, rolls restarts, and follows changes of the inventory.
 package agent
 
 import (
@@ -7,8 +5,8 @@
 	"errors"
 	"fmt"
 	"log/slog"
+	"maps"
 	"slices"
-	"sort"
 	"sync"
 
 	"poppyarch/internal/host/inventory"
@@ -17,209 +15,124 @@
 // ErrUnknownInstance says that the inventory has no such instance.
 var ErrUnknownInstance = errors.New("no such instance")
 
-// Agent runs instances. Calls that change something come one after the other.
+// Agent runs instances. Operations that change something are carried out one at a time.
 type Agent struct {
 	load     func() ([]inventory.Instance, error)
 	launcher Launcher
-	times    Timing
+	timing   Timing
 	log      *slog.Logger
-	running  sync.WaitGroup
-	ctx      context.Context // of all runners
-	stop     context.CancelFunc
 
-	op      sync.Mutex // held by the call that changes something
-	mu      sync.Mutex
-	runners map[string]*runner
-	ends    map[string]context.CancelFunc
-}
+	ctx     context.Context // of all runners; Close ends it
+	cancel  context.CancelFunc
+	running sync.WaitGroup // the runners' goroutines
 
-// New returns an agent without instances; Reload brings them.
-func New(load func() ([]inventory.Instance, error), l Launcher, times Timing, log *slog.Logger) *Agent {
-	ctx, stop := context.WithCancel(context.Background())
-	return &Agent{load: load, launcher: l, times: times, log: log, ctx: ctx, stop: stop,
-		runners: map[string]*runner{}, ends: map[string]context.CancelFunc{}}
+	operation sync.Mutex // held by the operation in progress
+	mu        sync.Mutex // guards runners
+	runners   map[string]*runner
 }
 
-// ReloadResult tells what a reload did.
-type ReloadResult struct {
-	Added     []string `json:"added"`
-	Removed   []string `json:"removed"`
-	Restarted []string `json:"restarted"`
-	Unchanged int      `json:"unchanged"`
+// New returns an agent without instances; Reload starts them. load reads the inventory.
+func New(load func() ([]inventory.Instance, error), l Launcher, timing Timing, log *slog.Logger) *Agent {
+	ctx, cancel := context.WithCancel(context.Background())
+	return &Agent{
+		load:     load,
+		launcher: l,
+		timing:   timing,
+		log:      log,
+		ctx:      ctx,
+		cancel:   cancel,
+		runners:  map[string]*runner{},
+	}
 }
 
-// Reload reads the inventory and brings the instances in line with it. A faulty inventory changes nothing. What
-// was removed is drained, what is new started, what changed restarted one at a time, the rest left alone.
-func (a *Agent) Reload(ctx context.Context) (ReloadResult, error) {
-	a.op.Lock()
-	defer a.op.Unlock()
-	c := ReloadResult{Added: []string{}, Removed: []string{}, Restarted: []string{}}
-	list, err := a.load()
+// Start starts instances, or where names is empty all that the inventory enables. It does not wait for them.
+func (a *Agent) Start(_ context.Context, names []string) error {
+	a.operation.Lock()
+	defer a.operation.Unlock()
+	runners, err := a.selectRunners(names)
 	if err != nil {
-		return c, err
+		return err
 	}
-	wanted := map[string]inventory.Instance{}
-	list = slices.Clone(list)
-	for i, in := range list {
-		list[i] = in.WithoutFleetFields()
-		in = list[i]
-		wanted[in.Name] = in
-	}
-	for _, name := range a.names() {
-		if _, ok := wanted[name]; !ok {
-			c.Removed = append(c.Removed, name)
+	for _, r := range runners {
+		if s := r.snapshot(); len(names) > 0 || s.instance.Enabled {
+			r.setDesired(true, s.instance)
 		}
 	}
-	if err := a.remove(ctx, c.Removed); err != nil { // first, since its address may be another's now
-		return c, err
-	}
-	var roll []inventory.Instance
-	for _, in := range list {
-		r := a.runner(in.Name)
-		if r == nil {
-			c.Added = append(c.Added, in.Name)
-			a.add(in)
-			continue
-		}
-		s, old, _ := r.get()
-		switch {
-		case old == in:
-			c.Unchanged++
-		case !s.ShouldRun && !in.Enabled || s.State == Stopped && old.Enabled == in.Enabled:
-			r.want(s.ShouldRun, in) // takes the change up when it is started
-			c.Unchanged++
-		default:
-			roll = append(roll, in)
-		}
-	}
-	for _, in := range roll {
-		if err := a.cycle(ctx, a.runner(in.Name), in); err != nil {
-			return c, err
-		}
-		c.Restarted = append(c.Restarted, in.Name)
-	}
-	a.log.Info("agent: inventory read", "added", c.Added, "removed", c.Removed, "restarted", c.Restarted,
-		"unchanged", c.Unchanged)
-	return c, nil
-}
-
-// add starts keeping an instance.
-func (a *Agent) add(in inventory.Instance) {
-	r := newRunner(in, a.launcher, a.times, a.log)
-	r.want(in.Enabled, in)
-	ctx, cancel := context.WithCancel(a.ctx)
-	a.mu.Lock()
-	a.runners[in.Name], a.ends[in.Name] = r, cancel
-	a.mu.Unlock()
-	a.running.Go(func() { r.run(ctx) })
+	return nil
 }
 
-// remove drains instances, all at once, and forgets them.
-func (a *Agent) remove(ctx context.Context, names []string) error {
-	for _, name := range names {
-		a.mu.Lock()
-		a.ends[name]()
-		a.mu.Unlock()
+// Stop drains instances, or where names is empty all, at the same time. It returns when they have ended.
+func (a *Agent) Stop(ctx context.Context, names []string) error {
+	a.operation.Lock()
+	defer a.operation.Unlock()
+	runners, err := a.selectRunners(names)
+	if err != nil {
+		return err
 	}
-	for _, name := range names {
-		select {
-		case <-a.runner(name).done:
-		case <-ctx.Done():
-			return ctx.Err()
+	for _, r := range runners {
+		r.setDesired(false, r.snapshot().instance)
+	}
+	for _, r := range runners {
+		if err := r.waitStopped(ctx); err != nil {
+			return err
 		}
-		a.mu.Lock()
-		delete(a.runners, name)
-		delete(a.ends, name)
-		a.mu.Unlock()
 	}
 	return nil
 }
 
-// cycle stops an instance, and starts it as in says, if it should run.
-func (a *Agent) cycle(ctx context.Context, r *runner, in inventory.Instance) error {
-	r.want(false, in)
-	if err := r.until(ctx, Stopped); err != nil {
-		return fmt.Errorf("%s: not stopped: %w", in.Name, err)
-	}
-	if !in.Enabled {
-		return nil
+// Restart drains and starts instances one at a time, each once the previous one is ready. It ends with an error at the
+// first that does not become ready, so that a faulty change takes down one instance and not all. Where names is empty, it
+// restarts those that run.
+func (a *Agent) Restart(ctx context.Context, names []string) error {
+	a.operation.Lock()
+	defer a.operation.Unlock()
+	runners, err := a.selectRunners(names)
+	if err != nil {
+		return err
 	}
-	return a.begin(ctx, r, in)
-}
-
-// begin starts an instance and waits until it answers.
-func (a *Agent) begin(ctx context.Context, r *runner, in inventory.Instance) error {
-	r.want(true, in)
-	ready, cancel := context.WithTimeout(ctx, a.times.ReadyTimeout)
-	defer cancel()
-	if err := r.until(ready, Running); err != nil {
-		s, _, _ := r.get()
-		return fmt.Errorf("%s: does not answer after its restart: %w (%s)", in.Name, err, s.Error)
+	for _, r := range runners {
+		s := r.snapshot()
+		if !s.status.ShouldRun && len(names) == 0 {
+			continue
+		}
+		if err := r.restart(ctx, s.instance, true); err != nil {
+			return err
+		}
 	}
 	return nil
 }
 
-// Start has instances run. Without names it means all that the inventory enables.
-func (a *Agent) Start(_ context.Context, names []string) error {
-	return a.each(names, func(r *runner, in inventory.Instance) error {
-		if len(names) > 0 || in.Enabled {
-			r.want(true, in)
-		}
-		return nil
-	})
-}
-
-// Stop drains instances, all at once, and returns when they have ended.
-func (a *Agent) Stop(ctx context.Context, names []string) error {
-	return a.each(names, func(r *runner, in inventory.Instance) error {
-		r.want(false, in)
-		return nil
-	}, func(r *runner, in inventory.Instance) error {
-		if err := r.until(ctx, Stopped); err != nil {
-			return fmt.Errorf("%s: not stopped: %w", in.Name, err)
+// Status lists the instances by name.
+func (a *Agent) Status() []Status {
+	out := []Status{}
+	for _, name := range a.names() {
+		if r := a.runner(name); r != nil {
+			out = append(out, r.snapshot().status)
 		}
-		return nil
-	})
+	}
+	return out
 }
 
-// Restart drains and starts instances one at a time, each once the one before it answers. At the first that does
-// not it stops, so that a bad change takes one instance and not all. Instances that do not run are left alone.
-func (a *Agent) Restart(ctx context.Context, names []string) error {
-	return a.each(names, func(r *runner, in inventory.Instance) error {
-		if s, _, _ := r.get(); !s.ShouldRun && len(names) == 0 {
-			return nil
-		}
-		r.want(false, in)
-		if err := r.until(ctx, Stopped); err != nil {
-			return fmt.Errorf("%s: not stopped: %w", in.Name, err)
-		}
-		return a.begin(ctx, r, in)
-	})
+// Close drains all instances and returns when they have ended.
+func (a *Agent) Close() {
+	a.cancel()
+	a.running.Wait()
 }
 
-// each calls every step for all the named instances, or for all there are.
-func (a *Agent) each(names []string, steps ...func(*runner, inventory.Instance) error) error {
-	a.op.Lock()
-	defer a.op.Unlock()
-	all := a.names()
+// selectRunners returns the runners of the named instances, or all by name where names is empty.
+func (a *Agent) selectRunners(names []string) ([]*runner, error) {
 	if len(names) == 0 {
-		names = all
+		names = a.names()
 	}
+	out := make([]*runner, 0, len(names))
 	for _, name := range names {
-		if !slices.Contains(all, name) {
-			return fmt.Errorf("%s: %w", name, ErrUnknownInstance)
-		}
-	}
-	for _, step := range steps {
-		for _, name := range names {
-			r := a.runner(name)
-			_, spec, _ := r.get()
-			if err := step(r, spec); err != nil {
-				return err
-			}
+		r := a.runner(name)
+		if r == nil {
+			return nil, fmt.Errorf("%s: %w", name, ErrUnknownInstance)
 		}
+		out = append(out, r)
 	}
-	return nil
+	return out, nil
 }
 
 func (a *Agent) runner(name string) *runner {
@@ -228,30 +141,8 @@
 	return a.runners[name]
 }
 
-func (a *Agent) names() (out []string) {
+func (a *Agent) names() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for name := range a.runners {
-		out = append(out, name)
-	}
-	sort.Strings(out)
-	return out
-}
-
-// Status lists the instances by name.
-func (a *Agent) Status() []Status {
-	out := []Status{}
-	for _, name := range a.names() {
-		if r := a.runner(name); r != nil {
-			s, _, _ := r.get()
-			out = append(out, s)
-		}
-	}
-	return out
-}
-
-// Close drains everything and returns when all has ended.
-func (a *Agent) Close() {
-	a.stop()
-	a.running.Wait()
+	return slices.Sorted(maps.Keys(a.runners))
 }
--- a/internal/host/agent/agent_test.go
+++ b/internal/host/agent/agent_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"log/slog"
 	"net"
 	"net/http"
@@ -17,123 +16,138 @@
 	"poppyarch/internal/host/inventory"
 )
 
-// stage is a launcher whose processes live in memory.
-type stage struct {
-	mu    sync.Mutex
-	log   []string // starts, terminations and kills, in order
-	live  map[string]*actor
-	mute  map[string]bool          // never answers
-	stays map[string]time.Duration // drains for so long
-	pid   int
-	fails map[string]error // cannot start
+// fakeLauncher starts processes that live in memory.
+type fakeLauncher struct {
+	mu         sync.Mutex
+	events     []string // starts, drains and kills, in order
+	live       map[string]*fakeProcess
+	neverReady map[string]bool
+	drainTime  map[string]time.Duration
+	startError map[string]error
+	lastPID    int
 }
 
-type actor struct {
-	s    *stage
-	name string
-	pid  int
-	done chan error
-	once sync.Once
+type fakeProcess struct {
+	launcher *fakeLauncher
+	name     string
+	pid      int
+	done     chan error
+	once     sync.Once
 }
 
-func newStage() *stage {
-	return &stage{live: map[string]*actor{}, mute: map[string]bool{}, stays: map[string]time.Duration{},
-		fails: map[string]error{}}
+func newFakeLauncher() *fakeLauncher {
+	return &fakeLauncher{
+		live:       map[string]*fakeProcess{},
+		neverReady: map[string]bool{},
+		drainTime:  map[string]time.Duration{},
+		startError: map[string]error{},
+	}
 }
 
-func (s *stage) note(format string, args ...any) {
-	s.log = append(s.log, fmt.Sprintf(format, args...))
+// record is called with mu held.
+func (l *fakeLauncher) record(format string, args ...any) {
+	l.events = append(l.events, fmt.Sprintf(format, args...))
 }
 
-func (s *stage) Start(in inventory.Instance) (Process, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if err := s.fails[in.Name]; err != nil {
+func (l *fakeLauncher) Start(in inventory.Instance) (Process, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if err := l.startError[in.Name]; err != nil {
 		return nil, err
 	}
-	if s.live[in.Name] != nil {
-		s.note("%s started twice", in.Name)
+	if l.live[in.Name] != nil {
+		l.record("%s started twice", in.Name)
 	}
-	s.pid++
-	a := &actor{s: s, name: in.Name, pid: s.pid, done: make(chan error, 1)}
-	s.live[in.Name] = a
-	s.note("start %s %d", in.Name, in.MemoryMB)
-	return a, nil
+	l.lastPID++
+	p := &fakeProcess{launcher: l, name: in.Name, pid: l.lastPID, done: make(chan error, 1)}
+	l.live[in.Name] = p
+	l.record("start %s %d", in.Name, in.MemoryMB)
+	return p, nil
 }
 
-func (s *stage) Ready(_ context.Context, in inventory.Instance) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.live[in.Name] != nil && !s.mute[in.Name]
+func (l *fakeLauncher) Ready(_ context.Context, in inventory.Instance) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.live[in.Name] != nil && !l.neverReady[in.Name]
 }
 
-func (a *actor) PID() int           { return a.pid }
-func (a *actor) Done() <-chan error { return a.done }
+// setStartError makes the starts of an instance fail; nil lets them succeed again.
+func (l *fakeLauncher) setStartError(name string, err error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.startError[name] = err
+}
 
-func (a *actor) end(err error) {
-	a.once.Do(func() {
-		a.s.mu.Lock()
-		delete(a.s.live, a.name)
-		a.s.mu.Unlock()
-		a.done <- err
-	})
+// crash ends an instance's process.
+func (l *fakeLauncher) crash(name string) {
+	l.mu.Lock()
+	p := l.live[name]
+	l.mu.Unlock()
+	p.end(errors.New("exit status 2"))
 }
 
-func (a *actor) Terminate() error {
-	a.s.mu.Lock()
-	defer a.s.mu.Unlock()
-	a.s.note("drain %s", a.name)
-	time.AfterFunc(a.s.stays[a.name], func() { a.end(nil) })
-	return nil
+// takeEvents returns the events since the last call.
+func (l *fakeLauncher) takeEvents() []string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	out := l.events
+	l.events = nil
+	return out
 }
 
-func (a *actor) Kill() error {
-	a.s.mu.Lock()
-	a.s.note("kill %s", a.name)
-	a.s.mu.Unlock()
-	a.end(errors.New("killed"))
-	return nil
+func (p *fakeProcess) PID() int           { return p.pid }
+func (p *fakeProcess) Done() <-chan error { return p.done }
+
+func (p *fakeProcess) end(err error) {
+	p.once.Do(func() {
+		p.launcher.mu.Lock()
+		delete(p.launcher.live, p.name)
+		p.launcher.mu.Unlock()
+		p.done <- err
+	})
 }
 
-// crash ends an instance's process.
-func (s *stage) crash(name string) {
-	s.mu.Lock()
-	a := s.live[name]
-	s.mu.Unlock()
-	a.end(errors.New("exit status 2"))
+func (p *fakeProcess) Terminate() error {
+	p.launcher.mu.Lock()
+	defer p.launcher.mu.Unlock()
+	p.launcher.record("drain %s", p.name)
+	time.AfterFunc(p.launcher.drainTime[p.name], func() { p.end(nil) })
+	return nil
 }
 
-// took returns the notes since the last call.
-func (s *stage) took() []string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	out := s.log
-	s.log = nil
-	return out
+func (p *fakeProcess) Kill() error {
+	p.launcher.mu.Lock()
+	p.launcher.record("kill %s", p.name)
+	p.launcher.mu.Unlock()
+	p.end(errors.New("killed"))
+	return nil
 }
 
-// play runs a test against an agent with instances a, b and c, c being disabled.
-func play(t *testing.T, f func(t *testing.T, a *Agent, s *stage, list *[]inventory.Instance)) {
+// withAgent runs a test against an agent with the instances a, b and c, of which c is disabled. The inventory is invalid
+// while list is nil.
+func withAgent(t *testing.T, f func(t *testing.T, a *Agent, l *fakeLauncher, list *[]inventory.Instance)) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		list := []inventory.Instance{{Name: "a", Enabled: true}, {Name: "b", Enabled: true}, {Name: "c"}}
-		s := newStage()
-		a := New(func() ([]inventory.Instance, error) {
+		load := func() ([]inventory.Instance, error) {
 			if list == nil {
 				return nil, errors.New("inv.csv:3: colour: unknown key")
 			}
 			return list, nil
-		}, s, DefaultTiming(), slog.New(slog.NewTextHandler(io.Discard, nil)))
+		}
+		l := newFakeLauncher()
+		a := New(load, l, DefaultTiming(), slog.New(slog.DiscardHandler))
 		defer a.Close()
 		if _, err := a.Reload(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		settle()
-		s.took()
-		f(t, a, s, &list)
+		l.takeEvents()
+		f(t, a, l, &list)
 	})
 }
 
-// settle lets what goes on come to rest.
+// settle waits until the runners have reached the desired state.
 func settle() {
 	time.Sleep(100 * time.Millisecond)
 	synctest.Wait()
@@ -153,19 +167,19 @@
 	}
 }
 
-func TestStartsWhatTheInventoryEnables(t *testing.T) {
-	play(t, func(t *testing.T, a *Agent, s *stage, _ *[]inventory.Instance) {
+func TestEnabledInstancesAreStarted(t *testing.T) {
+	withAgent(t, func(t *testing.T, a *Agent, _ *fakeLauncher, _ *[]inventory.Instance) {
 		expect(t, "states", states(a), []State{Running, Running, Stopped})
 	})
 }
 
-func TestCrashesRestartWithGrowingWaits(t *testing.T) {
-	play(t, func(t *testing.T, a *Agent, s *stage, _ *[]inventory.Instance) {
+func TestCrashedInstanceRestartsWithExponentialBackoff(t *testing.T) {
+	withAgent(t, func(t *testing.T, a *Agent, l *fakeLauncher, _ *[]inventory.Instance) {
 		var waits []time.Duration
 		for range 8 {
 			began := time.Now()
-			s.crash("a")
-			for len(s.took()) == 0 {
+			l.crash("a")
+			for len(l.takeEvents()) == 0 {
 				time.Sleep(10 * time.Millisecond)
 			}
 			waits = append(waits, time.Since(began).Round(100*time.Millisecond))
@@ -178,15 +192,15 @@
 			t.Errorf("%+v", st)
 		}
 		time.Sleep(2 * time.Minute) // a long run ends the doubling
-		s.crash("a")
+		l.crash("a")
 		time.Sleep(600 * time.Millisecond)
-		expect(t, "after a long run", s.took(), []string{"start a 0"})
+		expect(t, "after a long run", l.takeEvents(), []string{"start a 0"})
 	})
 }
 
-func TestStopDrainsAndStaysStopped(t *testing.T) {
-	play(t, func(t *testing.T, a *Agent, s *stage, _ *[]inventory.Instance) {
-		s.stays["a"] = 3 * time.Second
+func TestStoppedInstanceDrainsAndStaysStopped(t *testing.T) {
+	withAgent(t, func(t *testing.T, a *Agent, l *fakeLauncher, _ *[]inventory.Instance) {
+		l.drainTime["a"] = 3 * time.Second
 		began := time.Now()
 		if err := a.Stop(t.Context(), []string{"a"}); err != nil {
 			t.Fatal(err)
@@ -195,7 +209,7 @@
 			t.Errorf("stop returned after %v, the drain takes 3 s", took)
 		}
 		time.Sleep(time.Hour)
-		expect(t, "notes", s.took(), []string{"drain a"})
+		expect(t, "events", l.takeEvents(), []string{"drain a"})
 		expect(t, "states", states(a), []State{Stopped, Running, Stopped})
 		if err := a.Start(t.Context(), []string{"a", "c"}); err != nil {
 			t.Fatal(err)
@@ -205,52 +219,52 @@
 	})
 }
 
-func TestDrainThatDoesNotEndIsKilled(t *testing.T) {
-	play(t, func(t *testing.T, a *Agent, s *stage, _ *[]inventory.Instance) {
-		s.stays["a"] = time.Hour
+func TestInstanceIsKilledAfterDrainTimeout(t *testing.T) {
+	withAgent(t, func(t *testing.T, a *Agent, l *fakeLauncher, _ *[]inventory.Instance) {
+		l.drainTime["a"] = time.Hour
 		if err := a.Stop(t.Context(), []string{"a"}); err != nil {
 			t.Fatal(err)
 		}
-		expect(t, "notes", s.took(), []string{"drain a", "kill a"})
+		expect(t, "events", l.takeEvents(), []string{"drain a", "kill a"})
 	})
 }
 
-func TestStopDuringBackoff(t *testing.T) {
-	play(t, func(t *testing.T, a *Agent, s *stage, _ *[]inventory.Instance) {
-		s.crash("a")
+func TestStopDuringBackoffCancelsNextStart(t *testing.T) {
+	withAgent(t, func(t *testing.T, a *Agent, l *fakeLauncher, _ *[]inventory.Instance) {
+		l.crash("a")
 		synctest.Wait()
 		if err := a.Stop(t.Context(), []string{"a"}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Hour)
-		expect(t, "notes", s.took(), nil)
+		expect(t, "events", l.takeEvents(), nil)
 	})
 }
 
-func TestRestartRollsOneByOne(t *testing.T) {
-	play(t, func(t *testing.T, a *Agent, s *stage, _ *[]inventory.Instance) {
+func TestRestartIsRollingAndStopsAtFirstFailure(t *testing.T) {
+	withAgent(t, func(t *testing.T, a *Agent, l *fakeLauncher, _ *[]inventory.Instance) {
 		if err := a.Restart(t.Context(), nil); err != nil {
 			t.Fatal(err)
 		}
-		expect(t, "notes", s.took(), []string{"drain a", "start a 0", "drain b", "start b 0"})
+		expect(t, "events", l.takeEvents(), []string{"drain a", "start a 0", "drain b", "start b 0"})
 		expect(t, "states", states(a), []State{Running, Running, Stopped})
-		s.mute["a"] = true // a bad change: the first does not come up, the second must be left alone
+		l.neverReady["a"] = true // a bad change: the first does not come up, the second must be left alone
 		if err := a.Restart(t.Context(), nil); err == nil {
 			t.Error("no error though a does not answer")
 		}
-		expect(t, "notes", s.took(), []string{"drain a", "start a 0"})
+		expect(t, "events", l.takeEvents(), []string{"drain a", "start a 0"})
 		expect(t, "states", states(a), []State{Starting, Running, Stopped})
 	})
 }
 
-func TestReloadReconciles(t *testing.T) {
-	play(t, func(t *testing.T, a *Agent, s *stage, list *[]inventory.Instance) {
+func TestReloadReconcilesInstancesWithInventory(t *testing.T) {
+	withAgent(t, func(t *testing.T, a *Agent, l *fakeLauncher, list *[]inventory.Instance) {
 		old := *list
 		*list = nil
 		if _, err := a.Reload(t.Context()); err == nil {
 			t.Error("a faulty inventory was taken")
 		}
-		expect(t, "after a faulty inventory", s.took(), nil)
+		expect(t, "after a faulty inventory", l.takeEvents(), nil)
 		*list = []inventory.Instance{{Name: "b", Enabled: true, MemoryMB: 64}, old[2], {Name: "d", Enabled: true}}
 		c, err := a.Reload(t.Context())
 		if err != nil {
@@ -260,47 +274,44 @@
 		expect(t, "removed", c.Removed, []string{"a"})
 		expect(t, "restarted", c.Restarted, []string{"b"})
 		settle()
-		notes := s.took()
-		slices.Sort(notes)
-		expect(t, "notes", notes, []string{"drain a", "drain b", "start b 64", "start d 0"})
+		events := l.takeEvents()
+		slices.Sort(events)
+		expect(t, "events", events, []string{"drain a", "drain b", "start b 64", "start d 0"})
 		expect(t, "states", states(a), []State{Running, Stopped, Running})
 		c, err = a.Reload(t.Context())
 		if err != nil || c.Unchanged != 3 {
 			t.Errorf("%+v %v", c, err)
 		}
-		expect(t, "after a reload without changes", s.took(), nil)
+		expect(t, "after a reload without changes", l.takeEvents(), nil)
 	})
 }
 
-func TestUnknownNamesChangeNothing(t *testing.T) {
-	play(t, func(t *testing.T, a *Agent, s *stage, _ *[]inventory.Instance) {
+func TestUnknownNameChangesNothing(t *testing.T) {
+	withAgent(t, func(t *testing.T, a *Agent, l *fakeLauncher, _ *[]inventory.Instance) {
 		if err := a.Stop(t.Context(), []string{"a", "x"}); !errors.Is(err, ErrUnknownInstance) {
 			t.Errorf("got %v", err)
 		}
-		expect(t, "notes", s.took(), nil)
+		expect(t, "events", l.takeEvents(), nil)
 	})
 }
 
-func TestFailedStartsAreRetried(t *testing.T) {
-	play(t, func(t *testing.T, a *Agent, s *stage, _ *[]inventory.Instance) {
-		s.mu.Lock()
-		s.fails["c"] = errors.New("no such file")
-		s.mu.Unlock()
-		a.Start(t.Context(), []string{"c"})
+func TestFailedStartIsRetried(t *testing.T) {
+	withAgent(t, func(t *testing.T, a *Agent, l *fakeLauncher, _ *[]inventory.Instance) {
+		l.setStartError("c", errors.New("no such file"))
+		if err := a.Start(t.Context(), []string{"c"}); err != nil {
+			t.Fatal(err)
+		}
 		settle()
 		if st := a.Status()[2]; st.State != Backoff || st.Error != "no such file" {
 			t.Errorf("%+v", st)
 		}
-		s.mu.Lock()
-		delete(s.fails, "c")
-		s.mu.Unlock()
+		l.setStartError("c", nil)
 		time.Sleep(time.Second)
 		expect(t, "states", states(a), []State{Running, Running, Running})
 	})
 }
 
-// The socket carries the calls, and a socket that a killed agent left behind is taken over.
-func TestSocket(t *testing.T) {
+func TestCallOverSocketThatAKilledAgentLeft(t *testing.T) {
 	path := t.TempDir() + "/agent.sock"
 	if _, err := Call(t.Context(), path, "GET", "status", Request{}); !errors.Is(err, ErrNoAgent) {
 		t.Errorf("got %v", err)
@@ -310,12 +321,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Listen(path); err == nil {
-			t.Fatal("two agents on one socket")
+		if _, err := Listen(path); !errors.Is(err, ErrAgentRunning) {
+			t.Fatalf("two agents on one socket: %v", err)
 		}
-		a := New(func() ([]inventory.Instance, error) { return []inventory.Instance{{Name: "c"}}, nil }, newStage(),
-			DefaultTiming(), slog.New(slog.NewTextHandler(io.Discard, nil)))
-		srv := serve(ln, a)
+		load := func() ([]inventory.Instance, error) { return []inventory.Instance{{Name: "c"}}, nil }
+		a := New(load, newFakeLauncher(), DefaultTiming(), slog.New(slog.DiscardHandler))
+		kill := serve(t, ln, a)
 		r, err := Call(t.Context(), path, "POST", "reload", Request{})
 		if err != nil || len(r.Changes.Added) != 1 || len(r.Instances) != 1 {
 			t.Errorf("%+v %v", r, err)
@@ -323,15 +334,25 @@
 		if _, err := Call(t.Context(), path, "POST", "start", Request{Names: []string{"x"}}); !errors.Is(err, ErrUnknownInstance) {
 			t.Errorf("got %v", err)
 		}
-		srv()
+		kill()
 		a.Close()
 	}
 }
 
-// serve answers calls on ln and returns how to die without tidying up.
-func serve(ln net.Listener, a *Agent) func() {
+// serve answers calls on ln. The function that it returns ends that and leaves the socket behind, as a kill does.
+func serve(t *testing.T, ln net.Listener, a *Agent) (kill func()) {
+	t.Helper()
 	ln.(*net.UnixListener).SetUnlinkOnClose(false)
 	srv := &http.Server{Handler: Handler(a)}
-	go srv.Serve(ln)
-	return func() { srv.Close() }
+	ended := make(chan error, 1)
+	go func() { ended <- srv.Serve(ln) }()
+	return func() {
+		t.Helper()
+		if err := srv.Close(); err != nil {
+			t.Error(err)
+		}
+		if err := <-ended; !errors.Is(err, http.ErrServerClosed) {
+			t.Error(err)
+		}
+	}
 }
--- a/internal/host/agent/runner.go
+++ b/internal/host/agent/runner.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"errors"
+	"fmt"
 	"log/slog"
 	"sync"
 	"time"
@@ -9,228 +11,305 @@
 	"poppyarch/internal/host/inventory"
 )
 
-// State is what an instance is doing.
-type State string
-
-// The states.
-const (
-	Stopped  State = "stopped"
-	Starting State = "starting" // its process runs, but does not answer yet
-	Running  State = "running"
-	Stopping State = "stopping" // told to drain
-	Backoff  State = "backoff"  // crashed, waits for its next start
-)
-
-// Timing are the agent's waits.
+// Timing bounds the agent's waits.
 type Timing struct {
 	InitialBackoff time.Duration // after a crash; doubles with each further one
 	MaxBackoff     time.Duration
-	StableAfter    time.Duration // a run of this length ends the doubling
+	StableAfter    time.Duration // a run of this length resets the backoff
 	DrainTimeout   time.Duration // from SIGTERM to SIGKILL
-	ReadyTimeout   time.Duration // from the start to the first answer, in a rolling restart
-	PollInterval   time.Duration // between two looks whether an instance answers
+	ReadyTimeout   time.Duration // from the start until ready, in a restart
+	PollInterval   time.Duration // between two readiness checks
 }
 
-// DefaultTiming suit brokers whose longest deadline is some seconds.
+// DefaultTiming suits brokers whose longest deadline is some seconds.
 func DefaultTiming() Timing {
-	return Timing{InitialBackoff: 500 * time.Millisecond, MaxBackoff: 30 * time.Second, StableAfter: time.Minute,
-		DrainTimeout: 15 * time.Second, ReadyTimeout: 30 * time.Second, PollInterval: 50 * time.Millisecond}
+	return Timing{
+		InitialBackoff: 500 * time.Millisecond,
+		MaxBackoff:     30 * time.Second,
+		StableAfter:    time.Minute,
+		DrainTimeout:   15 * time.Second,
+		ReadyTimeout:   30 * time.Second,
+		PollInterval:   50 * time.Millisecond,
+	}
 }
 
 // Process is a started broker.
 type Process interface {
 	PID() int
-	Done() <-chan error // gives how it ended
+	Done() <-chan error // delivers once how it ended
 	Terminate() error   // asks it to drain
 	Kill() error
 }
 
-// Launcher starts brokers and looks whether they answer.
+// Launcher starts brokers and checks their readiness.
 type Launcher interface {
 	Start(inventory.Instance) (Process, error)
 	Ready(context.Context, inventory.Instance) bool
 }
 
-// Status is an instance as the agent sees it.
-type Status struct {
-	Name         string    `json:"name"`
-	State        State     `json:"state"`
-	ShouldRun    bool      `json:"wanted"` // whether it should run
-	PID          int       `json:"pid,omitempty"`
-	Listen       string    `json:"listen,omitempty"`
-	ObjectListen string    `json:"object_listen,omitempty"`
-	Restarts     int       `json:"restarts"` // after crashes
-	Since        time.Time `json:"since"`
-	Error        string    `json:"error,omitempty"` // of the last crash or failed start
-}
+// errUnexpectedExit is the error of a process that exited with code 0 and was not asked to.
+var errUnexpectedExit = errors.New("ended with exit code 0 though it was not asked to")
 
-// runner keeps one instance as it should be.
+// runner brings the process of one instance into its desired state.
 type runner struct {
 	launcher Launcher
-	times    Timing
+	timing   Timing
 	log      *slog.Logger
-	poke     chan struct{} // what is wanted has changed; holds one
-	done     chan struct{} // the runner has ended
+	cancel   context.CancelFunc // ends run
+	wake     chan struct{}      // the desired state has changed; holds one
+	done     chan struct{}      // closed when run has ended
+
+	mu       sync.Mutex
+	instance inventory.Instance
+	status   Status
+	changed  chan struct{} // closed at each change of status
+}
+
+// snapshot is a runner's state at one moment.
+type snapshot struct {
+	status   Status
+	instance inventory.Instance
+	changed  <-chan struct{} // closed at the next change of status
+}
 
-	mu      sync.Mutex
-	spec    inventory.Instance
-	status  Status
-	changed chan struct{} // closed at each change of status
+// newRunner returns a runner; cancel ends the context that run is given.
+func newRunner(instance inventory.Instance, l Launcher, timing Timing, log *slog.Logger, cancel context.CancelFunc) *runner {
+	return &runner{
+		launcher: l,
+		timing:   timing,
+		log:      log.With("instance", instance.Name),
+		cancel:   cancel,
+		wake:     make(chan struct{}, 1),
+		done:     make(chan struct{}),
+		instance: instance,
+		status:   Status{Name: instance.Name, State: Stopped, Since: time.Now()},
+		changed:  make(chan struct{}),
+	}
 }
 
-func newRunner(spec inventory.Instance, l Launcher, times Timing, log *slog.Logger) *runner {
-	return &runner{launcher: l, times: times, log: log.With("instance", spec.Name), spec: spec,
-		poke: make(chan struct{}, 1), done: make(chan struct{}), changed: make(chan struct{}),
-		status: Status{Name: spec.Name, State: Stopped, Since: time.Now()}}
+func (r *runner) snapshot() snapshot {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	status := r.status
+	status.Listen = r.instance.Listen
+	status.ObjectListen = r.instance.ObjectListen
+	return snapshot{status: status, instance: r.instance, changed: r.changed}
 }
 
-// want says whether the instance should run, from now on as spec has it.
-func (r *runner) want(run bool, spec inventory.Instance) {
+// setDesired says whether the instance should run, from its next start on with these settings.
+func (r *runner) setDesired(shouldRun bool, instance inventory.Instance) {
 	r.mu.Lock()
-	r.status.ShouldRun, r.spec = run, spec
+	r.status.ShouldRun = shouldRun
+	r.instance = instance
 	r.mu.Unlock()
 	select {
-	case r.poke <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-// get returns the status, the spec, and a channel that closes at the next change.
-func (r *runner) get() (Status, inventory.Instance, <-chan struct{}) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	s := r.status
-	s.Listen, s.ObjectListen = r.spec.Listen, r.spec.ObjectListen
-	return s, r.spec, r.changed
+// update takes up new settings where this needs no restart: nothing has changed, or the instance does not run. It reports
+// whether that was so.
+func (r *runner) update(instance inventory.Instance) bool {
+	s := r.snapshot()
+	if s.instance == instance {
+		return true
+	}
+	staysStopped := !s.status.ShouldRun && !instance.Enabled
+	if staysStopped || s.status.State == Stopped && s.instance.Enabled == instance.Enabled {
+		r.setDesired(s.status.ShouldRun, instance)
+		return true
+	}
+	return false
 }
 
-// set records a new state.
-func (r *runner) set(state State, change func(*Status)) {
-	r.mu.Lock()
-	r.status.State, r.status.Since = state, time.Now()
-	if change != nil {
-		change(&r.status)
+// restart stops the instance and, where start is set, starts it with these settings and waits until it is ready.
+func (r *runner) restart(ctx context.Context, instance inventory.Instance, start bool) error {
+	r.setDesired(false, instance)
+	if err := r.waitStopped(ctx); err != nil {
+		return err
 	}
-	close(r.changed)
-	r.changed = make(chan struct{})
-	r.mu.Unlock()
+	if !start {
+		return nil
+	}
+	r.setDesired(true, instance)
+	ctx, cancel := context.WithTimeout(ctx, r.timing.ReadyTimeout)
+	defer cancel()
+	if err := r.waitFor(ctx, Running); err != nil {
+		lastError := r.snapshot().status.Error
+		return fmt.Errorf("%s: does not answer after its restart: %w (%s)", instance.Name, err, lastError)
+	}
+	return nil
 }
 
-// until waits for a state, or for ctx.
-func (r *runner) until(ctx context.Context, state State) error {
+func (r *runner) waitStopped(ctx context.Context) error {
+	if err := r.waitFor(ctx, Stopped); err != nil {
+		return fmt.Errorf("%s: not stopped: %w", r.snapshot().instance.Name, err)
+	}
+	return nil
+}
+
+// waitFor waits until the instance is in a state, or for the end of ctx.
+func (r *runner) waitFor(ctx context.Context, state State) error {
 	for {
-		s, _, changed := r.get()
-		if s.State == state {
+		s := r.snapshot()
+		if s.status.State == state {
 			return nil
 		}
 		select {
-		case <-changed:
+		case <-s.changed:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// run keeps the instance until ctx is done, then drains it.
+// setState records a new state with the changes of the status that belong to it.
+func (r *runner) setState(state State, change func(*Status)) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.status.State = state
+	r.status.Since = time.Now()
+	if change != nil {
+		change(&r.status)
+	}
+	close(r.changed)
+	r.changed = make(chan struct{})
+}
+
+// run keeps the instance in its desired state until ctx is done; it then drains it.
 func (r *runner) run(ctx context.Context) {
 	defer close(r.done)
-	wait := r.times.InitialBackoff
+	backoff := r.timing.InitialBackoff
 	for ctx.Err() == nil {
-		s, spec, _ := r.get()
-		if !s.ShouldRun {
-			if s.State != Stopped {
-				r.set(Stopped, nil)
-			}
-			select {
-			case <-r.poke:
-			case <-ctx.Done():
+		s := r.snapshot()
+		if !s.status.ShouldRun {
+			if s.status.State != Stopped {
+				r.setState(Stopped, nil)
 			}
+			r.waitForChange(ctx, nil)
 			continue
 		}
-		began := time.Now()
-		err, asked := r.once(ctx, spec)
-		if asked {
-			wait = r.times.InitialBackoff
-			r.set(Stopped, func(s *Status) { s.PID, s.Error = 0, "" })
+		startedAt := time.Now()
+		requested, err := r.runProcess(ctx, s.instance)
+		if requested {
+			backoff = r.timing.InitialBackoff
+			r.setState(Stopped, func(s *Status) {
+				s.PID = 0
+				s.Error = ""
+			})
 			continue
 		}
-		if time.Since(began) >= r.times.StableAfter {
-			wait = r.times.InitialBackoff
-		}
-		text := "ended with exit code 0 though it was not asked to"
-		if err != nil {
-			text = err.Error()
-		}
-		r.log.Error("agent: instance crashed", "err", text, "next_start_in", wait)
-		r.set(Backoff, func(s *Status) { s.PID, s.Error, s.Restarts = 0, text, s.Restarts+1 })
-		next := time.NewTimer(wait)
-		select {
-		case <-next.C:
-		case <-r.poke: // stopped meanwhile, or to be started at once
-		case <-ctx.Done():
+		if time.Since(startedAt) >= r.timing.StableAfter {
+			backoff = r.timing.InitialBackoff
 		}
-		next.Stop()
-		wait = min(2*wait, r.times.MaxBackoff)
+		r.backOff(ctx, backoff, err)
+		backoff = min(2*backoff, r.timing.MaxBackoff)
+	}
+	r.setState(Stopped, nil)
+}
+
+// backOff records a crash and waits for the next start. A change of the desired state ends the wait.
+func (r *runner) backOff(ctx context.Context, wait time.Duration, crash error) {
+	if crash == nil {
+		crash = errUnexpectedExit
+	}
+	r.log.Error("agent: instance crashed, restarting it after the backoff", "err", crash.Error(), "next_start_in", wait)
+	r.setState(Backoff, func(s *Status) {
+		s.PID = 0
+		s.Error = crash.Error()
+		s.Restarts++
+	})
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
+	r.waitForChange(ctx, timer.C)
+}
+
+// waitForChange waits for a change of the desired state, the timer or the end of ctx.
+func (r *runner) waitForChange(ctx context.Context, timer <-chan time.Time) {
+	select {
+	case <-timer:
+	case <-r.wake:
+	case <-ctx.Done():
 	}
-	r.set(Stopped, nil)
 }
 
-// once runs the process once. asked is true where it ended because it should.
-func (r *runner) once(ctx context.Context, spec inventory.Instance) (err error, asked bool) {
-	p, err := r.launcher.Start(spec)
+// runProcess runs the process once. requested reports that it ended because it should; otherwise err is how it ended, nil
+// for exit code 0.
+func (r *runner) runProcess(ctx context.Context, instance inventory.Instance) (requested bool, err error) {
+	p, err := r.launcher.Start(instance)
 	if err != nil {
-		return err, false
+		return false, err
 	}
-	r.set(Starting, func(s *Status) { s.PID = p.PID() })
+	r.setState(Starting, func(s *Status) { s.PID = p.PID() })
 	r.log.Info("agent: instance started", "pid", p.PID())
-	looking, stop := context.WithCancel(ctx)
-	defer stop()
+	exited, err := r.superviseProcess(ctx, p, instance)
+	if exited {
+		return false, err
+	}
+	r.drainProcess(p)
+	return true, nil
+}
+
+// superviseProcess follows a process until it exits by itself or should end.
+func (r *runner) superviseProcess(ctx context.Context, p Process, instance inventory.Instance) (exited bool, err error) {
+	pollCtx, stopPolling := context.WithCancel(ctx)
 	ready := make(chan struct{})
-	go r.look(looking, spec, ready)
+	var polling sync.WaitGroup
+	polling.Go(func() { r.pollReady(pollCtx, instance, ready) })
+	defer polling.Wait()
+	defer stopPolling()
 	for {
 		select {
 		case err := <-p.Done():
-			return err, false
+			return true, err
 		case <-ready:
-			ready = nil
-			r.set(Running, nil)
-			r.log.Info("agent: instance answers", "pid", p.PID())
+			ready = nil // closed once
+			r.setState(Running, nil)
+			r.log.Info("agent: instance is ready", "pid", p.PID())
 			continue
-		case <-r.poke:
+		case <-r.wake:
 		case <-ctx.Done():
 		}
-		if s, _, _ := r.get(); s.ShouldRun && ctx.Err() == nil {
-			continue
+		if !r.snapshot().status.ShouldRun || ctx.Err() != nil {
+			return false, nil
 		}
-		break
-	}
-	stop()
-	r.set(Stopping, nil)
-	r.log.Info("agent: instance told to drain", "pid", p.PID())
-	p.Terminate()
-	drain := time.NewTimer(r.times.DrainTimeout)
-	defer drain.Stop()
-	select {
-	case <-p.Done():
-	case <-drain.C:
-		r.log.Error("agent: instance did not drain in time, killed", "pid", p.PID())
-		p.Kill()
-		<-p.Done()
 	}
-	return nil, true
 }
 
-// look closes ready when the instance answers.
-func (r *runner) look(ctx context.Context, spec inventory.Instance, ready chan<- struct{}) {
-	for {
-		if r.launcher.Ready(ctx, spec) {
-			close(ready)
-			return
-		}
+// pollReady closes ready when the instance is ready.
+func (r *runner) pollReady(ctx context.Context, instance inventory.Instance, ready chan<- struct{}) {
+	for !r.launcher.Ready(ctx, instance) {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(r.times.PollInterval):
+		case <-time.After(r.timing.PollInterval):
 		}
 	}
+	close(ready)
+}
+
+// drainProcess asks a process to drain and kills it where it does not end in time.
+func (r *runner) drainProcess(p Process) {
+	r.setState(Stopping, nil)
+	r.log.Info("agent: instance draining", "pid", p.PID())
+	_ = p.Terminate() // fails only where it has ended, which Done delivers
+	timer := time.NewTimer(r.timing.DrainTimeout)
+	defer timer.Stop()
+	if exited, _ := waitExit(p, timer.C); exited { // with whatever code, after a drain
+		return
+	}
+	r.log.Error("agent: instance did not drain in time, killing it", "pid", p.PID())
+	_ = p.Kill()            // as Terminate
+	_, _ = waitExit(p, nil) // it was killed
+}
+
+// waitExit waits for the end of a process, or for timeout. err is how the process ended.
+func waitExit(p Process, timeout <-chan time.Time) (exited bool, err error) {
+	select {
+	case err := <-p.Done():
+		return true, err
+	case <-timeout:
+		return false, nil
+	}
 }
