--- a/internal/host/agent/socket.go
+++ b/internal/host/agent/socket.go
@@ -8,6 +8,9 @@
 	"time"
 )
 
+// socketMode keeps other users from giving the agent orders.
+const socketMode = 0o600
+
 // ErrAgentRunning says that another agent listens on a socket.
 var ErrAgentRunning = errors.New("an agent runs already")
 
@@ -23,7 +26,7 @@
 			return nil, err
 		}
 	}
-	return ln, os.Chmod(path, privateFileMode)
+	return ln, os.Chmod(path, socketMode)
 }
 
 // replaceSocket listens on path in place of a socket that nobody listens on. listenErr is why a listener could not be
