--- a/internal/broker/decision/endpoint.go
+++ b/internal/broker/decision/endpoint.go
@@ -24,3 +24,6 @@
 	StartedAt time.Duration // 0: long ago
 	Capacity  float64       // against a usual node; 0: unknown
 }
+
+// RelativeCapacity is the node's capacity against a usual node, 1 if it is unknown.
+func (e *Endpoint) RelativeCapacity() float64 { return oneIfUnset(e.Capacity) }
--- a/internal/broker/decision/event.go
+++ b/internal/broker/decision/event.go
@@ -14,6 +14,9 @@
 	Deadline time.Duration
 }
 
+// EffectiveUnits is the request's units, 1 where they are not given.
+func (a *Arrival) EffectiveUnits() float64 { return oneIfUnset(a.Units) }
+
 // VolumeUsage is what a node's meter says of a volume, over all nodes in a finished period.
 type VolumeUsage struct {
 	Known   bool
--- a/policy/depth.go
+++ b/policy/depth.go
@@ -119,7 +119,7 @@
 	if n.depth < 1 && n.health.suspect {
 		part *= s.fleet.trialSuccess * s.fleet.trialSuccess
 	}
-	capacity := oneIfUnset(n.Capacity)
+	capacity := n.RelativeCapacity()
 	n.latency += part * (s.fleet.latency/capacity - n.latency)
 	n.meanSizeLatency += part * (s.fleet.meanSizeLatency/capacity - n.meanSizeLatency)
 	depth := s.fleet.depth
--- a/policy/nodes.go
+++ b/policy/nodes.go
@@ -91,7 +91,7 @@
 
 // newNode returns a node with the estimates that its capacity suggests until it is measured.
 func (s *Scheduler) newNode(e *decision.Endpoint) *node {
-	capacity := oneIfUnset(e.Capacity)
+	capacity := e.RelativeCapacity()
 	return &node{
 		flowOf:    map[*volume]*flow{},
 		objective: s.cfg.Classes[0].LatencyObjective.Seconds(),
--- a/policy/request.go
+++ b/policy/request.go
@@ -87,7 +87,7 @@
 	r := &request{id: ev.ID, arrival: ev.Arrival}
 	r.slowStartDraw = reservedDrawRange * s.random.Float64()
 	r.admissionDraw = s.random.Float64()
-	r.arrival.Units = oneIfUnset(r.arrival.Units)
+	r.arrival.Units = r.arrival.EffectiveUnits()
 	s.requests.open[r.id] = r
 	if r.arrival.Class < 0 || r.arrival.Class >= len(s.cfg.Classes) {
 		s.act(decision.Action{Kind: decision.Fail, ID: r.id})
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -12,7 +12,6 @@
 package policy
 
 import (
-	"cmp"
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -200,8 +199,5 @@
 	}
 }
 
-// oneIfUnset is v, or 1 where v is not above 0.
-func oneIfUnset(v float64) float64 { return cmp.Or(max(v, 0), 1) }
-
 // seconds converts seconds to a duration.
 func seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
