--- a/internal/nodes/nodefile/nodefile_test.go
+++ b/internal/nodes/nodefile/nodefile_test.go
@@ -150,44 +150,60 @@
 	}
 }
 
-// What is written reads back the same, in either form.
-func TestWrittenListsReadBack(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		var rows []Row
-		for k := range rapid.IntRange(1, 8).Draw(t, "rows") {
-			r := Row{ID: fmt.Sprint("n", k), Addr: fmt.Sprintf("10.0.0.%d:1", k), Shard: k, State: rapid.SampledFrom([]string{"up", "draining", "out"}).Draw(t, "state"),
-				Zone: rapid.SampledFrom([]string{"", "r1", "true", "07", "a: b"}).Draw(t, "zone"), Cores: float64(rapid.IntRange(0, 4).Draw(t, "cores"))}
-			if rapid.Bool().Draw(t, "labels") {
-				r.Labels = map[string]string{"k": "v", "a": ""}
-			}
-			if rapid.Bool().Draw(t, "group") {
-				r.Groups = []string{"g1"}
-			}
-			r.Capacity = r.Cores
-			rows = append(rows, r)
+func drawRows(t *rapid.T) []Row {
+	var rows []Row
+	for k := range rapid.IntRange(1, 8).Draw(t, "rows") {
+		r := Row{
+			ID:    fmt.Sprint("n", k),
+			Addr:  fmt.Sprintf("10.0.0.%d:1", k),
+			Shard: k,
+			State: rapid.SampledFrom([]string{"up", "draining", "out"}).Draw(t, "state"),
+			Zone:  rapid.SampledFrom([]string{"", "r1", "true", "07", "a: b"}).Draw(t, "zone"),
+			Cores: float64(rapid.IntRange(0, 4).Draw(t, "cores")),
+		}
+		if rapid.Bool().Draw(t, "labels") {
+			r.Labels = map[string]string{"k": "v", "a": ""}
+		}
+		if rapid.Bool().Draw(t, "group") {
+			r.Groups = []string{"g1"}
 		}
-		y, err := YAML(rows)
+		r.Capacity = r.Cores
+		rows = append(rows, r)
+	}
+	return rows
+}
+
+// checkRows compares rows but for their positions and for the group that rows without one are written in.
+func checkRows(t *rapid.T, got, want []Row) {
+	t.Helper()
+	byID := map[string]Row{}
+	for _, r := range got {
+		r.Pos = Pos{}
+		if slices.Equal(r.Groups, []string{"nodes"}) {
+			r.Groups = nil
+		}
+		byID[r.ID] = r
+	}
+	for _, r := range want {
+		if !reflect.DeepEqual(byID[r.ID], r) {
+			t.Fatalf("got\n%+v\nwant\n%+v", byID[r.ID], r)
+		}
+	}
+}
+
+func TestWrittenListsReadBackInEitherFormat(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		rows := drawRows(t)
+		encodedYAML, err := YAML(rows)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for file, text := range map[string][]byte{"n.csv": CSV(rows), "n.yaml": y} {
+		for file, text := range map[string][]byte{"n.csv": CSV(rows), "n.yaml": encodedYAML} {
 			d := Parse(file, text)
 			if len(d.Faults) > 0 || len(d.Rows) != len(rows) {
 				t.Fatalf("%s: %v\n%s", file, faults(d), text)
 			}
-			by := map[string]Row{}
-			for _, r := range d.Rows {
-				r.Pos = Pos{}
-				if slices.Equal(r.Groups, []string{"nodes"}) {
-					r.Groups = nil
-				}
-				by[r.ID] = r
-			}
-			for _, r := range rows {
-				if !reflect.DeepEqual(by[r.ID], r) {
-					t.Fatalf("%s:\n%+v\n%+v\n%s", file, by[r.ID], r, text)
-				}
-			}
+			checkRows(t, d.Rows, rows)
 			if diff := Diff(rows, d.Rows); len(diff) > 0 {
 				t.Fatalf("%+v", diff)
 			}
--- a/internal/nodes/routing/routing_test.go
+++ b/internal/nodes/routing/routing_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"maps"
 	"slices"
+	"strings"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -70,75 +71,110 @@
 	})
 }
 
-// Whatever is changed, one step at a time or all at once: the table holds the same, old epochs stay as they were, and the subset is
-// that of the whole table, told in full by what begins and ends.
-func TestTableAndSubset(t *testing.T) {
+// subsetModel is a subset with what it should hold.
+type subsetModel struct {
+	subset *Subset
+	nodes  map[string]Entry // by id
+	used   map[string]bool
+}
+
+// testShards lie in different chunks of the table.
+var testShards = []int{0, 70, 140}
+
+// drawChange returns entries to set and nodes to remove, no node twice.
+func drawChange(t *rapid.T) (set []Entry, gone []string) {
+	for range rapid.IntRange(1, 4).Draw(t, "changes") {
+		id := fmt.Sprint("n", rapid.IntRange(0, 9).Draw(t, "node"))
+		shard := rapid.SampledFrom(testShards).Draw(t, "shard")
+		if slices.Contains(gone, id) || slices.ContainsFunc(set, func(x Entry) bool { return x.ID == id }) {
+			continue
+		}
+		if rapid.IntRange(0, 2).Draw(t, "gone") == 0 {
+			gone = append(gone, id)
+		} else {
+			set = append(set, Entry{Node: Node{ID: id, Weight: 1}, Shard: shard})
+		}
+	}
+	return set, gone
+}
+
+// change applies a change and checks that what begins and ends is reported exactly.
+func (m *subsetModel) change(t *rapid.T, set []Entry, gone []string) {
+	t.Helper()
+	for _, id := range gone {
+		delete(m.nodes, id)
+	}
+	for _, e := range set {
+		m.nodes[e.ID] = e
+	}
+	begin, end := m.subset.Change(set, gone)
+	for _, id := range begin {
+		if m.used[id] {
+			t.Fatalf("%s begins twice", id)
+		}
+		m.used[id] = true
+	}
+	for _, id := range end {
+		if !m.used[id] {
+			t.Fatalf("%s ends and was not used", id)
+		}
+		delete(m.used, id)
+	}
+}
+
+// shardNodes is what a shard should hold.
+func (m *subsetModel) shardNodes(shard int) []Node {
+	var nodes []Node
+	for _, e := range m.nodes {
+		if e.Shard == shard {
+			nodes = append(nodes, e.Node)
+		}
+	}
+	slices.SortFunc(nodes, func(a, b Node) int { return strings.Compare(a.ID, b.ID) })
+	return nodes
+}
+
+// check compares the table and the subset with what they should be.
+func (m *subsetModel) check(t *rapid.T) {
+	t.Helper()
+	if m.subset.Table().Len() != len(m.nodes) {
+		t.Fatalf("%d nodes, want %d", m.subset.Table().Len(), len(m.nodes))
+	}
+	want := map[string]bool{}
+	for _, shard := range testShards {
+		nodes := m.shardNodes(shard)
+		if !slices.Equal(nodes, m.subset.Table().Nodes(shard)) {
+			t.Fatalf("shard %d: %v, want %v", shard, m.subset.Table().Nodes(shard), nodes)
+		}
+		k := m.subset.K
+		if k == 0 {
+			k = len(nodes)
+		}
+		for _, id := range Rendezvous(m.subset.Broker, nodes, k) {
+			want[id] = true
+		}
+	}
+	if !maps.Equal(want, m.used) || m.subset.Len() != len(m.used) {
+		t.Fatalf("uses %v, want %v", m.used, want)
+	}
+}
+
+// TestTableAndSubsetFollowChanges also holds earlier epochs of the table unchanged.
+func TestTableAndSubsetFollowChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := NewSubset("b1", rapid.IntRange(0, 3).Draw(t, "k"))
-		want := map[string]Entry{}
-		used := map[string]bool{}
-		var old *Table
-		var was []Node
+		m := &subsetModel{subset: NewSubset("b1", rapid.IntRange(0, 3).Draw(t, "k")), nodes: map[string]Entry{}, used: map[string]bool{}}
+		var earlier *Table
+		var earlierNodes []Node
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			var set []Entry
-			var gone []string
-			for range rapid.IntRange(1, 4).Draw(t, "changes") {
-				e := Entry{Node{ID: fmt.Sprint("n", rapid.IntRange(0, 9).Draw(t, "node")), Weight: 1}, rapid.IntRange(0, 2).Draw(t, "shard") * 70}
-				if slices.Contains(gone, e.ID) || slices.ContainsFunc(set, func(x Entry) bool { return x.ID == e.ID }) {
-					continue
-				}
-				if rapid.IntRange(0, 2).Draw(t, "gone") == 0 {
-					gone = append(gone, e.ID)
-					delete(want, e.ID)
-				} else {
-					set = append(set, e)
-					want[e.ID] = e
-				}
-			}
+			set, gone := drawChange(t)
 			if rapid.IntRange(0, 5).Draw(t, "keep") == 0 {
-				old, was = s.Table(), slices.Clone(s.Table().Nodes(70))
-			}
-			begin, end := s.Change(set, gone)
-			for _, id := range begin {
-				if used[id] {
-					t.Fatalf("%s begins twice", id)
-				}
-				used[id] = true
-			}
-			for _, id := range end {
-				if !used[id] {
-					t.Fatalf("%s ends and was not used", id)
-				}
-				delete(used, id)
-			}
-			if s.Table().Len() != len(want) {
-				t.Fatalf("%d nodes, want %d", s.Table().Len(), len(want))
-			}
-			all := map[string]bool{}
-			for _, n := range []int{0, 70, 140} {
-				var nodes []Node
-				for _, e := range want {
-					if e.Shard == n {
-						nodes = append(nodes, e.Node)
-					}
-				}
-				slices.SortFunc(nodes, func(a, b Node) int { return slices.Compare([]byte(a.ID), []byte(b.ID)) })
-				if !slices.Equal(nodes, s.Table().Nodes(n)) {
-					t.Fatalf("shard %d: %v, want %v", n, s.Table().Nodes(n), nodes)
-				}
-				k := s.K
-				if k == 0 {
-					k = len(nodes)
-				}
-				for _, id := range Rendezvous("b1", nodes, k) {
-					all[id] = true
-				}
-			}
-			if !maps.Equal(all, used) || s.Len() != len(used) {
-				t.Fatalf("uses %v, want %v", used, all)
+				earlier = m.subset.Table()
+				earlierNodes = slices.Clone(earlier.Nodes(testShards[1]))
 			}
-			if old != nil && !slices.Equal(old.Nodes(70), was) {
-				t.Fatal("an old epoch has changed")
+			m.change(t, set, gone)
+			m.check(t)
+			if earlier != nil && !slices.Equal(earlier.Nodes(testShards[1]), earlierNodes) {
+				t.Fatal("an earlier epoch has changed")
 			}
 		}
 	})
--- a/internal/observability/incident/incident_test.go
+++ b/internal/observability/incident/incident_test.go
@@ -114,49 +114,67 @@
 	return out
 }
 
-func (w *world) boot(b, k int, up, down int64) *incident.Stream {
-	type item struct {
-		end int64
-		e   record.Event
-	}
-	var items []item
-	note := func(t int64, kind record.Kind, subject, text string, value int64) {
-		if t >= up && t < down {
-			items = append(items, item{t, record.Event{At: t, Kind: kind, Note: &record.Note{Subject: subject, Text: text, Value: value}}})
-		}
-	}
-	for t := up; t < down; t += int64(w.r.ExpFloat64() / w.rate * float64(sec)) {
-		e, end := w.serve(t, fmt.Sprintf("v%d", w.r.IntN(6)))
-		if end < down {
-			items = append(items, item{end, e})
-		}
+// bootEvents collects the events of one incarnation of a broker, each with the time at which it is recorded.
+type bootEvents struct {
+	world *world
+	up    int64
+	down  int64
+	items []bootEvent
+}
+
+type bootEvent struct {
+	end int64
+	e   record.Event
+}
+
+// note adds a note, if the broker was up.
+func (x *bootEvents) note(t int64, kind record.Kind, subject, text string, value int64) {
+	if t >= x.up && t < x.down {
+		e := record.Event{At: t, Kind: kind, Note: &record.Note{Subject: subject, Text: text, Value: value}}
+		x.items = append(x.items, bootEvent{t, e})
 	}
-	for volume, s := range w.surge {
-		for t := max(s.from, up); t < min(s.to, down); t += int64(w.r.ExpFloat64() / (w.rate * 2) * float64(sec)) {
-			e, end := w.serve(t, volume)
-			if end < down {
-				items = append(items, item{end, e})
-			}
+}
+
+// requests adds the requests that arrive between two times at a rate, and end while the broker is up.
+func (x *bootEvents) requests(from, to int64, rate float64, volume func() string) {
+	for t := max(from, x.up); t < min(to, x.down); t += int64(x.world.r.ExpFloat64() / rate * float64(sec)) {
+		if e, end := x.world.serve(t, volume()); end < x.down {
+			x.items = append(x.items, bootEvent{end, e})
 		}
 	}
+}
+
+// changes adds the notes of what happens in the world.
+func (x *bootEvents) changes() {
+	w := x.world
 	for node, d := range w.drained {
 		delay := w.r.Int64N(200 * ms)
-		note(d.from+delay, record.KindList, fmt.Sprint("s-", node), "draining", 10+int64(node))
-		note(d.to+w.r.Int64N(200*ms), record.KindList, fmt.Sprint("s-", node), "up", 20+int64(node))
+		x.note(d.from+delay, record.KindList, fmt.Sprint("s-", node), "draining", 10+int64(node))
+		x.note(d.to+w.r.Int64N(200*ms), record.KindList, fmt.Sprint("s-", node), "up", 20+int64(node))
 	}
 	for node, c := range w.cold {
-		note(c.from+w.r.Int64N(300*ms), record.KindNode, fmt.Sprint("s-", node), "may have restarted: outcome 4", 0)
+		x.note(c.from+w.r.Int64N(300*ms), record.KindNode, fmt.Sprint("s-", node), "may have restarted: outcome 4", 0)
 	}
-	for v := int64(0); v < w.length/(5*sec); v++ { // the list changes now and then, so that clocks can be told
-		note(v*5*sec+2*sec+w.r.Int64N(150*ms), record.KindList, "s-x", fmt.Sprint("moved 10.0.0.", v), 100+v)
+	for v := int64(0); v < w.length/(5*sec); v++ { // the list changes now and then, so that clocks can be compared
+		x.note(v*5*sec+2*sec+w.r.Int64N(150*ms), record.KindList, "s-x", fmt.Sprint("moved 10.0.0.", v), 100+v)
 	}
 	if d := w.discoff; d != nil {
-		note(d.from+w.r.Int64N(2*sec), record.KindDiscovery, "", "down: status 503", 0)
-		note(d.to+w.r.Int64N(2*sec), record.KindDiscovery, "", "answers", 0)
+		x.note(d.from+w.r.Int64N(2*sec), record.KindDiscovery, "", "down: status 503", 0)
+		x.note(d.to+w.r.Int64N(2*sec), record.KindDiscovery, "", "answers", 0)
+	}
+}
+
+func (w *world) boot(b, k int, up, down int64) *incident.Stream {
+	events := &bootEvents{world: w, up: up, down: down}
+	events.requests(up, down, w.rate, func() string { return fmt.Sprintf("v%d", w.r.IntN(6)) })
+	for volume, s := range w.surge {
+		events.requests(s.from, s.to, w.rate*2, func() string { return volume })
 	}
+	events.changes()
 	for t := up; t < down; t += 500 * ms {
-		items = append(items, item{t, record.Event{At: t, Kind: record.KindBeat, Beat: &record.Beat{Wall: t}}})
+		events.items = append(events.items, bootEvent{t, record.Event{At: t, Kind: record.KindBeat, Beat: &record.Beat{Wall: t}}})
 	}
+	items := events.items
 	sort.SliceStable(items, func(x, y int) bool { return items[x].end < items[y].end })
 	ahead := w.zero + w.clocks[b]
 	if k > 0 {
--- a/tools/measure/subset.go
+++ b/tools/measure/subset.go
@@ -2,7 +2,7 @@
 
 import (
 	"fmt"
-	"math"
+	"slices"
 
 	"github.com/spf13/cobra"
 	"gonum.org/v1/gonum/stat"
@@ -40,63 +40,83 @@
 		Run: func(*cobra.Command, []string) { compareSubsets() }}
 }
 
+// subsetSize is how many nodes each broker gets.
+const subsetSize = 20
+
+// subsetWay is a way to give each broker a part of the nodes.
+type subsetWay struct {
+	name string
+	pick func(brokers []string, nodes []routing.Node, size int) map[string][]string
+}
+
+var subsetWays = []subsetWay{
+	{"rounds of shuffles", routing.Rounds},
+	{"weighted rendezvous", rendezvous},
+	{"weighted rendezvous, bounded", routing.Bounded},
+}
+
 func compareSubsets() {
-	const k = 20
 	fmt.Println("| nodes | brokers | way | picks of the most picked, against the mean | not picked at all | deviation, against the mean | connections moved at 1 % of the nodes removed, besides theirs | at 20 % |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- |")
-	for _, x := range []struct{ nodes, brokers int }{{100, 40}, {1000, 200}, {10000, 400}} {
-		b := subsetBrokers(x.brokers)
-		for _, way := range []struct {
-			name string
-			f    func([]string, []routing.Node, int) map[string][]string
-		}{{"rounds of shuffles", routing.Rounds}, {"weighted rendezvous", rendezvous}, {"weighted rendezvous, bounded", routing.Bounded}} {
-			before := way.f(b, subsetNodes(x.nodes, 0), k)
-			count := map[string]float64{}
-			total := 0.0
-			for _, list := range before {
-				for _, id := range list {
-					count[id]++
-					total++
-				}
-			}
-			mean := total / float64(x.nodes)
-			var all []float64
-			most := 0.0
-			for _, n := range subsetNodes(x.nodes, 0) {
-				all = append(all, count[n.ID])
-				most = math.Max(most, count[n.ID])
-			}
-			none := 0
-			for _, v := range all {
-				if v == 0 {
-					none++
-				}
-			}
-			_, dev := stat.MeanStdDev(all, nil)
-			var moved []string
-			for _, share := range []float64{0.01, 0.2} {
-				gone := int(share * float64(x.nodes))
-				after := way.f(b, subsetNodes(x.nodes, gone), k)
-				lost := map[string]bool{}
-				for _, n := range subsetNodes(x.nodes, 0)[:gone] {
-					lost[n.ID] = true
-				}
-				n := 0
-				for name, list := range before {
-					now := map[string]bool{}
-					for _, id := range after[name] {
-						now[id] = true
-					}
-					for _, id := range list {
-						if !now[id] && !lost[id] {
-							n++
-						}
-					}
-				}
-				moved = append(moved, fmt.Sprintf("%.1f %%", 100*float64(n)/total))
+	for _, size := range []struct{ nodes, brokers int }{{100, 40}, {1000, 200}, {10000, 400}} {
+		for _, way := range subsetWays {
+			fmt.Println(way.measure(size.nodes, size.brokers))
+		}
+	}
+}
+
+// measure returns a row of the table.
+func (w subsetWay) measure(nodes, brokers int) string {
+	names := subsetBrokers(brokers)
+	before := w.pick(names, subsetNodes(nodes, 0), subsetSize)
+	picks := countPicks(before, nodes)
+	mean := stat.Mean(picks, nil)
+	_, deviation := stat.MeanStdDev(picks, nil)
+	unpicked := 0
+	for _, n := range picks {
+		if n == 0 {
+			unpicked++
+		}
+	}
+	total := mean * float64(nodes)
+	var moved [2]float64
+	for i, share := range []float64{0.01, 0.2} {
+		removed := int(share * float64(nodes))
+		after := w.pick(names, subsetNodes(nodes, removed), subsetSize)
+		moved[i] = 100 * float64(countMoved(before, after, removed, nodes)) / total
+	}
+	return fmt.Sprintf("| %d | %d | %s | %.2f | %.1f %% | %.2f | %.1f %% | %.1f %% |", nodes, brokers, w.name, slices.Max(picks)/mean,
+		100*float64(unpicked)/float64(nodes), deviation/mean, moved[0], moved[1])
+}
+
+// countPicks returns how often each node is picked.
+func countPicks(subsets map[string][]string, nodes int) []float64 {
+	count := map[string]float64{}
+	for _, subset := range subsets {
+		for _, id := range subset {
+			count[id]++
+		}
+	}
+	picks := make([]float64, 0, nodes)
+	for _, n := range subsetNodes(nodes, 0) {
+		picks = append(picks, count[n.ID])
+	}
+	return picks
+}
+
+// countMoved counts the picks that are gone though their nodes are not among the removed ones.
+func countMoved(before, after map[string][]string, removed, nodes int) int {
+	gone := map[string]bool{}
+	for _, n := range subsetNodes(nodes, 0)[:removed] {
+		gone[n.ID] = true
+	}
+	moved := 0
+	for broker, subset := range before {
+		for _, id := range subset {
+			if !gone[id] && !slices.Contains(after[broker], id) {
+				moved++
 			}
-			fmt.Printf("| %d | %d | %s | %.2f | %.1f %% | %.2f | %s | %s |\n", x.nodes, x.brokers, way.name, most/mean, 100*float64(none)/float64(x.nodes), dev/mean,
-				moved[0], moved[1])
 		}
 	}
+	return moved
 }
