--- a/cmd/poppyarch/fleet_test.go
+++ b/cmd/poppyarch/fleet_test.go
@@ -29,188 +29,241 @@
 // patience bounds every wait for what must come; a run that meets it has failed. No verdict hangs on less.
 const patience = 90 * time.Second
 
-// Eight brokers under load through both fronts. During a rollout brokers and an agent are killed outright, and the manager
-// too; then everything comes back, is rolled back in the middle of another rollout, and takes a node change. Each broker
-// ends in one state, which is as wanted and as reported; no boot took a change twice; every request that was answered got
-// exactly one answer, its own.
-func TestEightBrokersThroughKills(t *testing.T) {
-	dir := t.TempDir()
-	s, err := cluster.New(cluster.Options{Dir: dir, Program: os.Args[0], Env: []string{"POPPYARCH_TEST_MAIN=1"}, Nodes: 3, Blocks: 5, Objects: 3,
-		Agents: 2, Soak: 100 * time.Millisecond})
+// appliedChangeLine is what a broker logs for a change from its control endpoint.
+const appliedChangeLine = "control: change applied"
+
+// runningFleet is a fleet of processes on loopback.
+type runningFleet struct {
+	t       *testing.T
+	ctx     context.Context
+	cluster *cluster.Stack
+	dir     string
+	load    *fake.Traffic
+}
+
+// startFleet starts a fleet and ends it with the test. If the test has failed, the logs are printed.
+func startFleet(ctx context.Context, t *testing.T, options cluster.Options) *runningFleet {
+	t.Helper()
+	options.Dir = t.TempDir()
+	options.Program = os.Args[0]
+	options.Env = []string{"POPPYARCH_TEST_MAIN=1"}
+	s, err := cluster.New(options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), 4*time.Minute)
-	defer cancel()
-	defer func() {
+	f := &runningFleet{t: t, ctx: ctx, cluster: s, dir: options.Dir}
+	t.Cleanup(func() {
 		if err := s.Close(); err != nil {
 			t.Error(err)
 		}
 		if t.Failed() {
-			for _, name := range []string{"manager.log", "agent1.log", "agent2.log"} {
-				b, _ := os.ReadFile(filepath.Join(dir, name))
-				t.Logf("%s:\n%s", name, b)
-			}
+			f.printLogs("manager.log", "agent1.log", "agent2.log")
 		}
-	}()
+	})
 	if err := s.Start(ctx); err != nil {
 		t.Fatal(err)
 	}
-	run := func(args ...string) string {
-		t.Helper()
-		out, err := s.Run(args...)
-		if err != nil {
-			t.Fatalf("%v: %v\n%s", args, err, out)
-		}
-		return out
-	}
-	settled := func(what string) api.Overview {
-		t.Helper()
-		for end := time.Now().Add(patience); ; time.Sleep(50 * time.Millisecond) {
-			o, err := s.Client.Overview(ctx, nil, nil)
-			if err == nil && o.Settled {
-				return o
-			}
-			if time.Now().After(end) {
-				out, _ := s.Run("status")
-				t.Fatalf("%s: never settled: %v\n%s", what, err, out)
-			}
-		}
-	}
-	if err := s.Inventory(map[string]string{"memory_mb": "96"}); err != nil {
-		t.Fatal(err)
+	return f
+}
+
+func (f *runningFleet) printLogs(names ...string) {
+	for _, name := range names {
+		b, err := os.ReadFile(filepath.Join(f.dir, name))
+		f.t.Logf("%s: %v\n%s", name, err, b)
 	}
-	run("apply", "--note", "first")
-	settled("first apply")
+}
 
-	load := &fake.Traffic{Blocks: s.Block, Objects: s.Front, Read: "artwork-read", Write: "job-new", Plan: "basis", Shards: 3, Clients: 3,
-		Pause: 5 * time.Millisecond, Patience: 20 * time.Second}
-	loading, stop := context.WithCancel(ctx)
-	var traffic sync.WaitGroup
-	traffic.Go(func() { load.Run(loading) })
-	defer traffic.Wait()
-	defer stop()
+// run runs a fleet command that has to succeed.
+func (f *runningFleet) run(args ...string) string {
+	f.t.Helper()
+	out, err := f.cluster.Run(args...)
+	if err != nil {
+		f.t.Fatalf("%v: %v\n%s", args, err, out)
+	}
+	return out
+}
 
-	// A rollout that restarts everything, and kills while it runs.
-	if err := s.Inventory(map[string]string{"memory_mb": "128", "max_open": "2000"}); err != nil {
-		t.Fatal(err)
+// apply changes the instances' settings in the inventory and applies it.
+func (f *runningFleet) apply(settings map[string]string, args ...string) {
+	f.t.Helper()
+	if err := f.cluster.Inventory(settings); err != nil {
+		f.t.Fatal(err)
 	}
-	run("apply", "--note", "second", "--id", "second")
-	run("apply", "--note", "second", "--id", "second") // asked again: carried out once
-	until := func(what string, ok func(api.Overview) bool) {
-		t.Helper()
-		for end := time.Now().Add(patience); ; time.Sleep(20 * time.Millisecond) {
-			if o, err := s.Client.Overview(ctx, nil, nil); err == nil && ok(o) {
-				return
-			}
-			if time.Now().After(end) {
-				t.Fatal("never came: " + what)
-			}
+	f.run(append([]string{"apply"}, args...)...)
+}
+
+// await waits until the fleet is as it should be.
+func (f *runningFleet) await(what string, ok func(api.Overview) bool) api.Overview {
+	f.t.Helper()
+	for end := time.Now().Add(patience); ; time.Sleep(20 * time.Millisecond) {
+		o, err := f.cluster.Client.Overview(f.ctx, nil, nil)
+		if err == nil && ok(o) {
+			return o
 		}
-	}
-	until("a wave after the canary", func(o api.Overview) bool { return len(o.Rollouts) > 0 && o.Rollouts[0].Wave >= 1 })
-	s.Kill("agent1")
-	for _, name := range []string{"b2", "o2"} { // brokers of the agent that lives
-		if err := s.KillBroker(ctx, name); err != nil {
-			t.Log(err) // it is just being restarted
+		if time.Now().After(end) {
+			out, _ := f.cluster.Run("status")
+			f.t.Fatalf("%s: never came: %v\n%s", what, err, out)
 		}
 	}
-	if err := s.KillBroker(ctx, "b1"); err != nil { // and of the one that is dead
-		t.Log(err)
+}
+
+func (f *runningFleet) awaitSettled(what string) api.Overview {
+	f.t.Helper()
+	return f.await(what, func(o api.Overview) bool { return o.Settled })
+}
+
+// startTraffic sends requests until the returned function is called.
+func (f *runningFleet) startTraffic() (stop func()) {
+	f.load = &fake.Traffic{
+		Blocks:   f.cluster.Block,
+		Objects:  f.cluster.Front,
+		Read:     "artwork-read",
+		Write:    "job-new",
+		Plan:     "basis",
+		Shards:   3,
+		Clients:  3,
+		Pause:    5 * time.Millisecond,
+		Patience: 20 * time.Second,
 	}
-	s.Kill("manager")
-	if _, err := s.Run("--timeout", "1s", "status"); exitCode(err) != exitNoAgent {
-		t.Errorf("without a manager: %v", err)
+	ctx, cancel := context.WithCancel(f.ctx)
+	var traffic sync.WaitGroup
+	traffic.Go(func() { f.load.Run(ctx) })
+	stop = func() {
+		cancel()
+		traffic.Wait()
 	}
-	if err := s.Manager(); err != nil {
-		t.Fatal(err)
+	f.t.Cleanup(stop)
+	return stop
+}
+
+// killDuringRollout kills an agent, brokers of both agents and the manager while a rollout restarts every broker.
+func (f *runningFleet) killDuringRollout() {
+	f.t.Helper()
+	f.apply(map[string]string{"memory_mb": "128", "max_open": "2000"}, "--note", "second", "--id", "second")
+	f.run("apply", "--note", "second", "--id", "second") // repeated: carried out once
+	f.await("a wave after the canary", func(o api.Overview) bool { return len(o.Rollouts) > 0 && o.Rollouts[0].Wave >= 1 })
+	f.cluster.Kill("agent1")
+	for _, name := range []string{"b2", "o2", "b1"} { // two of the agent that lives, one of the dead one
+		if err := f.cluster.KillBroker(f.ctx, name); err != nil {
+			f.t.Log(err) // it is just being restarted
+		}
 	}
-	if err := s.Agent(1); err != nil {
-		t.Fatal(err)
+	f.cluster.Kill("manager")
+	if _, err := f.cluster.Run("--timeout", "1s", "status"); exitCode(err) != exitNoAgent {
+		f.t.Errorf("without a manager: %v", err)
 	}
-	settled("after the kills")
-
-	// Another one, and the way back while it goes; then a node change.
-	if err := s.Inventory(map[string]string{"memory_mb": "112"}); err != nil {
-		t.Fatal(err)
+	if err := f.cluster.Manager(); err != nil {
+		f.t.Fatal(err)
 	}
-	run("apply", "--note", "third")
-	until("something released", func(o api.Overview) bool { return len(o.Rollouts) > 0 && o.Rollouts[0].Released > 0 })
-	run("rollout", "rollback", "--to", "2", "--wait")
-	run("nodes", "drain", "s-2", "--wait")
-	o := settled("after the rollback")
-	if o.Revision != 5 || len(o.Nodes) != 1 {
-		t.Errorf("revision %d, node changes %v", o.Revision, o.Nodes)
+	if err := f.cluster.Agent(1); err != nil {
+		f.t.Fatal(err)
 	}
+	f.awaitSettled("after the kills")
+}
 
-	// Nothing new reaches the drained node any more, while the others work on.
-	seen := len(s.Stores[2].Seen())
-	served := load.Served.Load()
-	until("more traffic", func(api.Overview) bool { return load.Served.Load() > served+200 })
-	if now := len(s.Stores[2].Seen()); now != seen {
-		t.Errorf("%d commands reached a drained node", now-seen)
+// rollBackAndDrain rolls an active rollout back, drains a node, and checks that no new request reaches it.
+func (f *runningFleet) rollBackAndDrain() {
+	f.t.Helper()
+	f.apply(map[string]string{"memory_mb": "112"}, "--note", "third")
+	f.await("something released", func(o api.Overview) bool { return len(o.Rollouts) > 0 && o.Rollouts[0].Released > 0 })
+	f.run("rollout", "rollback", "--to", "2", "--wait")
+	f.run("nodes", "drain", "s-2", "--wait")
+	if o := f.awaitSettled("after the rollback"); o.Revision != 5 || len(o.Nodes) != 1 {
+		f.t.Errorf("revision %d, node overrides %v", o.Revision, o.Nodes)
 	}
-	run("nodes", "back", "s-2", "--wait")
-	o = settled("after the node's return")
-	stop()
-	traffic.Wait()
+	seen := len(f.cluster.Stores[2].Seen())
+	served := f.load.Served.Load()
+	f.await("more traffic", func(api.Overview) bool { return f.load.Served.Load() > served+200 })
+	if now := len(f.cluster.Stores[2].Seen()); now != seen {
+		f.t.Errorf("%d commands reached a drained node", now-seen)
+	}
+	f.run("nodes", "clear", "s-2", "--wait")
+}
 
+// checkInstances checks that all are current, each in an incarnation of its own.
+func (f *runningFleet) checkInstances(o api.Overview) {
+	f.t.Helper()
 	if len(o.Instances) != 8 {
-		t.Fatalf("%d instances", len(o.Instances))
+		f.t.Fatalf("%d instances", len(o.Instances))
 	}
-	out := run("status")
+	out := f.run("status")
 	if strings.Count(out, "current") != 8 || !strings.Contains(out, "settled") {
-		t.Errorf("status:\n%s", out)
+		f.t.Errorf("status:\n%s", out)
 	}
-	boots := map[string]string{}
+	incarnations := map[string]bool{}
 	for _, i := range o.Instances {
-		if !i.Current || !i.Available || i.Revision != 2 && i.Revision != 4 || i.Report.AppliedEdition != i.TargetEdition || boots[i.Report.Incarnation] != "" {
-			t.Errorf("%+v", i)
+		released := i.Revision == 2 || i.Revision == 4
+		if !i.Current || !i.Available || !released || i.Report.AppliedEdition != i.TargetEdition || incarnations[i.Report.Incarnation] {
+			f.t.Errorf("%+v", i)
 		}
-		boots[i.Report.Incarnation] = i.Name
+		incarnations[i.Report.Incarnation] = true
 	}
-	// What each process said itself, from its own log: every change that a boot took, once.
-	{
-		logs, err := filepath.Glob(filepath.Join(dir, "run*", "*.log"))
-		if err != nil || len(logs) != 8 {
-			t.Errorf("logs %v, %v", logs, err)
+}
+
+// checkChangesAppliedOnce reads from the brokers' own logs that each took changes, and none twice.
+func (f *runningFleet) checkChangesAppliedOnce(line string) {
+	f.t.Helper()
+	logs, err := filepath.Glob(filepath.Join(f.dir, "run*", "*.log"))
+	if err != nil || len(logs) != 8 {
+		f.t.Errorf("logs %v, %v", logs, err)
+	}
+	for _, name := range logs {
+		b, err := os.ReadFile(name)
+		if err != nil {
+			f.t.Fatal(err)
 		}
-		for _, name := range logs {
-			b, err := os.ReadFile(name)
-			if err != nil {
-				t.Fatal(err)
+		applied := map[string]int{}
+		for _, l := range strings.Split(string(b), "\n") {
+			if _, rest, ok := strings.Cut(l, line); ok {
+				_, id, _ := strings.Cut(rest, " id=")
+				id, _, _ = strings.Cut(id, " ")
+				applied[id]++
 			}
-			taken := map[string]int{}
-			for _, l := range strings.Split(string(b), "\n") {
-				if _, rest, ok := strings.Cut(l, "control: change applied"); ok {
-					_, id, _ := strings.Cut(rest, " id=")
-					id, _, _ = strings.Cut(id, " ")
-					taken[id]++
-				}
-			}
-			for id, n := range taken {
-				if n > 1 {
-					t.Errorf("%s: %s was taken %d times", name, id, n)
-				}
-			}
-			if len(taken) == 0 {
-				t.Errorf("%s: no change was ever taken", name)
+		}
+		for id, n := range applied {
+			if n > 1 {
+				f.t.Errorf("%s: %s was applied %d times", name, id, n)
 			}
 		}
+		if len(applied) == 0 {
+			f.t.Errorf("%s: no change was ever applied", name)
+		}
 	}
-	t.Log(load)
-	if load.Wrong.Load() > 0 || load.Silent.Load() > 0 || load.Served.Load() < 300 {
-		t.Errorf("%v %v", load, load.Complaints())
+}
+
+// checkTraffic checks that clients got no wrong answer and that nothing ran twice.
+func (f *runningFleet) checkTraffic() {
+	f.t.Helper()
+	f.t.Log(f.load)
+	if f.load.Wrong.Load() > 0 || f.load.Silent.Load() > 0 || f.load.Served.Load() < 300 {
+		f.t.Errorf("%v %v", f.load, f.load.Complaints())
 	}
 	var all [][]string
-	for _, b := range s.Stores {
+	for _, b := range f.cluster.Stores {
 		all = append(all, b.Seen())
 	}
 	if twice := fake.Twice(all...); len(twice) > 0 {
-		t.Errorf("ran twice: %v", twice)
+		f.t.Errorf("ran twice: %v", twice)
 	}
 }
 
+// TestFleetSurvivesKillsUnderLoad rolls changes out over eight brokers while agents, brokers and the manager are killed.
+func TestFleetSurvivesKillsUnderLoad(t *testing.T) {
+	ctx, cancel := context.WithTimeout(t.Context(), 4*time.Minute)
+	defer cancel()
+	f := startFleet(ctx, t, cluster.Options{Nodes: 3, Blocks: 5, Objects: 3, Agents: 2, Soak: 100 * time.Millisecond})
+	f.apply(map[string]string{"memory_mb": "96"}, "--note", "first")
+	f.awaitSettled("first apply")
+	stop := f.startTraffic()
+	f.killDuringRollout()
+	f.rollBackAndDrain()
+	o := f.awaitSettled("after the node's return")
+	stop()
+	f.checkInstances(o)
+	f.checkChangesAppliedOnce(appliedChangeLine)
+	f.checkTraffic()
+}
+
 func exitCode(err error) int {
 	var e *exec.ExitError
 	if errors.As(err, &e) {
@@ -266,8 +319,11 @@
 		{[]string{"agents", "list"}, 0, "silent"},
 		{[]string{"agents", "retire", "nobody"}, exitUsage, "agent nobody"},
 		{[]string{"nodes", "back", "s-9"}, exitUsage, "s-9"},
+		{[]string{"nodes", "clear", "s-9"}, exitUsage, "s-9"},
 		{[]string{"nodes", "drain", "s-0"}, 0, "revision 2"},
 		{[]string{"nodes", "list"}, 0, "drain"},
+		{[]string{"nodes", "remove", "s-0", "--dry-run"}, 0, "nothing was changed"},
+		{[]string{"nodes", "out", "s-0", "--dry-run"}, 0, "nothing was changed"},
 		{[]string{"--json", "history"}, 0, `"rev": 2`},
 		{[]string{"--config", bad, "status"}, exitUsage, "bad.csv:1"},
 	} {
--- a/examples/tour/main.go
+++ b/examples/tour/main.go
@@ -4,6 +4,7 @@
 
 import (
 	"context"
+	"errors"
 	"flag"
 	"fmt"
 	"os"
@@ -34,11 +35,11 @@
 	}
 }
 
-// guide tells what is done and what comes of it.
+// guide shows each step and its result.
 type guide struct {
-	s     *cluster.Stack
-	start time.Time
-	pace  time.Duration
+	cluster *cluster.Stack
+	start   time.Time
+	pace    time.Duration
 }
 
 func (g *guide) say(format string, args ...any) {
@@ -50,57 +51,91 @@
 	fmt.Printf("\n== %s\n", title)
 }
 
-// show runs a command before the reader's eyes.
+// show runs a fleet command and prints it with its output.
 func (g *guide) show(args ...string) error {
 	fmt.Println("$ poppyarch fleet", strings.Join(args, " "))
-	out, err := g.s.Run(args...)
+	out, err := g.cluster.Run(args...)
 	for _, l := range strings.Split(strings.TrimRight(out, "\n"), "\n") {
 		fmt.Println("    " + l)
 	}
 	return err
 }
 
-func run(ctx context.Context, program string, pace time.Duration) (err error) {
+// findProgram returns the path of poppyarch, which is beside this program unless it is named.
+func findProgram(program string) (string, error) {
 	if program == "" {
 		self, err := os.Executable()
 		if err != nil {
-			return err
+			return "", err
 		}
 		program = filepath.Join(filepath.Dir(self), "poppyarch")
 	}
 	if _, err := exec.LookPath(program); err != nil {
-		return fmt.Errorf("build first, by go build -o bin/ ./cmd/... ./examples/... there: %w", err)
+		return "", fmt.Errorf("build first, by go build -o bin/ ./cmd/... ./examples/... there: %w", err)
+	}
+	return program, nil
+}
+
+func run(ctx context.Context, program string, pace time.Duration) (err error) {
+	program, err = findProgram(program)
+	if err != nil {
+		return err
 	}
 	dir, err := os.MkdirTemp("", "tour")
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(dir) }()
+	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
 	s, err := cluster.New(cluster.Options{Dir: dir, Program: program, Nodes: 3, Blocks: 3, Objects: 2, Agents: 2, Soak: 500 * time.Millisecond})
 	if err != nil {
 		return err
 	}
-	g := &guide{s: s, start: time.Now(), pace: pace}
+	g := &guide{cluster: s, start: time.Now(), pace: pace}
 	defer func() {
 		g.step("Cleaning up")
-		if e := s.Close(); err == nil {
-			err = e
-		}
+		err = errors.Join(err, s.Close())
 		g.say("agents have drained their brokers, everything has ended")
 	}()
+	if err := g.install(ctx, dir); err != nil {
+		return err
+	}
+	load := &fake.Traffic{
+		Blocks:  s.Block,
+		Objects: s.Front,
+		Read:    "artwork-read",
+		Write:   "job-new",
+		Plan:    "basis",
+		Shards:  3,
+		Clients: 2,
+		Pause:   5 * time.Millisecond,
+	}
+	if err := g.operateUnderLoad(ctx, load); err != nil {
+		return err
+	}
+	g.step("What the clients saw of all this")
+	g.say("%v", load)
+	fmt.Println("          cut off are requests whose connection ended with a killed or drained broker; no answer was wrong or came twice")
+	if n := load.Wrong.Load(); n > 0 {
+		return fmt.Errorf("%d wrong answers: %v", n, load.Complaints())
+	}
+	return nil
+}
+
+// install starts the installation and rolls the first inventory out.
+func (g *guide) install(ctx context.Context, dir string) error {
 	fmt.Println("== An installation on loopback: discovery, 3 storage nodes, a manager, 2 agents, and 5 brokers to come")
-	if err := s.Start(ctx); err != nil {
+	if err := g.cluster.Start(ctx); err != nil {
 		return err
 	}
 	g.say("discovery and storage nodes serve; the manager answers; the agents have registered")
-	if err := s.Inventory(map[string]string{"memory_mb": "96"}); err != nil {
+	if err := g.cluster.Inventory(map[string]string{"memory_mb": "96"}); err != nil {
 		return err
 	}
 	text, err := os.ReadFile(filepath.Join(dir, "inventory.yaml"))
 	if err != nil {
 		return err
 	}
-	g.step("What is wanted: an inventory")
+	g.step("The desired state: an inventory")
 	fmt.Println("    " + strings.ReplaceAll(strings.TrimRight(string(text), "\n"), "\n", "\n    "))
 	g.step("Applying it: a canary first, then waves, each one soaked before the next")
 	if err := g.show("apply", "--wait", "--note", "first"); err != nil {
@@ -109,24 +144,41 @@
 	if err := g.settled(ctx); err != nil {
 		return err
 	}
-	g.step("What there is now")
-	if err := g.show("status"); err != nil {
-		return err
-	}
+	g.step("The fleet now")
+	return g.show("status")
+}
 
-	g.step("Traffic through both fronts: blocks over RESP2, objects over HTTP")
-	load := &fake.Traffic{Blocks: s.Block, Objects: s.Front, Read: "artwork-read", Write: "job-new", Plan: "basis", Shards: 3, Clients: 2,
-		Pause: 5 * time.Millisecond}
-	on, stop := context.WithCancel(ctx)
+// operateUnderLoad changes the fleet while clients send requests.
+func (g *guide) operateUnderLoad(ctx context.Context, load *fake.Traffic) error {
+	g.step("Traffic through both frontends: blocks over RESP2, objects over HTTP")
+	loadCtx, stop := context.WithCancel(ctx)
 	var traffic sync.WaitGroup
-	traffic.Go(func() { load.Run(on) })
+	traffic.Go(func() { load.Run(loadCtx) })
 	defer traffic.Wait()
 	defer stop()
-	time.Sleep(pace)
+	time.Sleep(g.pace)
 	g.say("so far %v", load)
+	if err := g.killBrokerDuringRollout(ctx); err != nil {
+		return err
+	}
+	g.step("An operator drains a storage node: at every broker at once, without a restart")
+	if err := g.show("nodes", "drain", "s-2", "--wait", "--note", "disk swap"); err != nil {
+		return err
+	}
+	if err := g.show("nodes", "clear", "s-2", "--wait"); err != nil {
+		return err
+	}
+	g.step("Back to the first revision")
+	if err := g.show("rollout", "rollback", "--to", "1", "--wait"); err != nil {
+		return err
+	}
+	return g.show("history")
+}
 
+// killBrokerDuringRollout rolls a change out and kills a broker meanwhile.
+func (g *guide) killBrokerDuringRollout(ctx context.Context) error {
 	g.step("A change that restarts every broker, and a broker killed in the middle of it")
-	if err := s.Inventory(map[string]string{"memory_mb": "128", "log": "debug"}); err != nil {
+	if err := g.cluster.Inventory(map[string]string{"memory_mb": "128", "log": "debug"}); err != nil {
 		return err
 	}
 	if err := g.show("plan"); err != nil {
@@ -138,7 +190,7 @@
 	if err := g.follow(ctx, func(r state.RolloutStatus) bool { return r.Wave >= 1 }); err != nil {
 		return err
 	}
-	if err := s.KillBroker(ctx, "b2"); err != nil {
+	if err := g.cluster.KillBroker(ctx, "b2"); err != nil {
 		g.say("b2 is just being restarted: %v", err)
 	} else {
 		g.say("b2 killed with SIGKILL")
@@ -149,40 +201,14 @@
 	if err := g.settled(ctx); err != nil {
 		return err
 	}
-	if err := g.show("status"); err != nil {
-		return err
-	}
-
-	g.step("An operator drains a storage node: at every broker at once, without a restart")
-	if err := g.show("nodes", "drain", "s-2", "--wait", "--note", "disk swap"); err != nil {
-		return err
-	}
-	if err := g.show("nodes", "back", "s-2", "--wait"); err != nil {
-		return err
-	}
-	g.step("Back to the first revision")
-	if err := g.show("rollout", "rollback", "--to", "1", "--wait"); err != nil {
-		return err
-	}
-	if err := g.show("history"); err != nil {
-		return err
-	}
-	stop()
-	traffic.Wait()
-	g.step("What the clients saw of all this")
-	g.say("%v", load)
-	fmt.Println("          cut off are requests whose connection ended with a killed or drained broker; no answer was wrong or came twice")
-	if n := load.Wrong.Load(); n > 0 {
-		return fmt.Errorf("%d wrong answers: %v", n, load.Complaints())
-	}
-	return nil
+	return g.show("status")
 }
 
 // follow tells a rollout's progress until ok.
 func (g *guide) follow(ctx context.Context, ok func(state.RolloutStatus) bool) error {
 	last := ""
 	for {
-		progress, err := g.s.Client.Wait(ctx, 0, 50*time.Millisecond)
+		progress, err := g.cluster.Client.Wait(ctx, 0, 50*time.Millisecond)
 		if err != nil {
 			return err
 		}
@@ -205,7 +231,7 @@
 
 func (g *guide) settled(ctx context.Context) error {
 	for {
-		o, err := g.s.Client.Overview(ctx, nil, nil)
+		o, err := g.cluster.Client.Overview(ctx, nil, nil)
 		if err != nil {
 			return err
 		}
