--- a/internal/broker/server/control.go
+++ b/internal/broker/server/control.go
@@ -27,7 +27,9 @@
 		return nil, fmt.Errorf("control.listen: %w", err)
 	}
 	s := control.NewServer(b.cfg.Name, id, b.cfg.Control.StartDigest, b.state, b.log)
-	s.SetHook(b.state.hook)
+	if b.reloader != nil {
+		s.SetHook(b.reloader.ControlHook)
+	}
 	b.recording.observeControl(s)
 	s.HandleNodes(b.state.explainNodes, b.state.acceptRemovals)
 	b.log.Info("control: listening", "addr", b.cfg.Control.Listen)
--- a/internal/broker/server/live.go
+++ b/internal/broker/server/live.go
@@ -29,7 +29,6 @@
 	limiter   *core.ConcurrencyLimiter
 	discovery *discovery.Client
 	recording *recording
-	hook      func(point string) // of the control endpoint; may be nil
 
 	// mu guards the fields below. Changes of nodes reach the endpoint table and the module under it, in the order in
 	// which they were decided.
@@ -39,7 +38,7 @@
 	nodes      nodeSet
 }
 
-func newLiveState(b *broker, reloader *Reloader) *liveState {
+func newLiveState(b *broker) *liveState {
 	s := &liveState{
 		log:       b.log,
 		level:     &slog.LevelVar{},
@@ -53,9 +52,8 @@
 		},
 		nodes: newNodeSet(b),
 	}
-	if reloader != nil {
-		s.level = reloader.Level
-		s.hook = reloader.ControlHook
+	if b.reloader != nil {
+		s.level = b.reloader.Level
 	}
 	if s.nodes.hasMembership() || b.cfg.Record != nil {
 		b.discovery.OnEndpoints(s.updateFromDiscovery)
--- a/internal/broker/server/nodelists_test.go
+++ b/internal/broker/server/nodelists_test.go
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	b.discovery = discovery.New("127.0.0.1:1", discovery.NoRevision, nil, b.endpoints, b.dispatcher, &cfg.Limits, b.log)
-	state := newLiveState(b, nil)
+	state := newLiveState(b)
 	state.nodes.members = membership.New(membership.Options{SlowStart: 1}, b.clock.Now())
 	return newNodeLists(paths, state, b.log)
 }
--- a/internal/broker/server/server.go
+++ b/internal/broker/server/server.go
@@ -29,6 +29,7 @@
 func Run(ctx context.Context, cfg *config.Config, listen ListenFunc, reloader *Reloader, log *slog.Logger) error {
 	b := &broker{
 		cfg:       cfg,
+		reloader:  reloader,
 		log:       log,
 		clock:     clock.New(),
 		endpoints: core.NewEndpointTable(),
@@ -39,7 +40,7 @@
 		return err
 	}
 	defer b.recording.close()
-	if err := b.assemble(reloader); err != nil {
+	if err := b.assemble(); err != nil {
 		return err
 	}
 
@@ -47,16 +48,16 @@
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer b.background.Wait()
 	defer stop()
-	b.startBackground(background, reloader)
+	b.startBackground(background)
 	if cfg.Control != nil {
 		rejectChanges, err := b.startControl(background)
 		if err != nil {
 			return err
 		}
-		defer context.AfterFunc(ctx, rejectChanges)()
+		b.onDrain(ctx, background, rejectChanges)
 	}
 	frontends := b.startFrontends(background)
-	defer context.AfterFunc(ctx, func() { b.recording.note(record.KindDrain, "draining") })()
+	b.onDrain(ctx, background, func() { b.recording.note(record.KindDrain, "draining") })
 	if err := serve(ctx, clock.Duration(cfg.Limits.DrainTotalTime), frontends, listen, log); err != nil {
 		return err
 	}
@@ -67,6 +68,7 @@
 // broker is the parts of a running broker.
 type broker struct {
 	cfg        *config.Config
+	reloader   *Reloader // nil: the configuration is not reloaded
 	log        *slog.Logger
 	clock      *clock.Clock
 	endpoints  *core.EndpointTable
@@ -80,7 +82,7 @@
 }
 
 // assemble makes the parts that know nodes and brings the initial endpoint list into force. It starts no goroutine.
-func (b *broker) assemble(reloader *Reloader) (err error) {
+func (b *broker) assemble() (err error) {
 	b.dispatcher, err = dispatcher.New(b.cfg.Policy, func(text string) {
 		b.log.Info("module: " + text)
 		b.recording.decisionLog(text)
@@ -94,18 +96,18 @@
 	}
 	b.discovery = discovery.New(b.cfg.DiscoveryAddr, b.cfg.InitialList.Revision, b.cfg.Zones, b.endpoints, b.dispatcher,
 		&b.cfg.Limits, b.log)
-	b.state = newLiveState(b, reloader)
+	b.state = newLiveState(b)
 	b.recording.observeDiscovery(b.discovery)
 	b.nodeLists = b.state.start(b.cfg, initial)
 	return nil
 }
 
 // startBackground starts the goroutines that run until ctx is done.
-func (b *broker) startBackground(ctx context.Context, reloader *Reloader) {
+func (b *broker) startBackground(ctx context.Context) {
 	b.background.Go(func() { core.RunDecisions(ctx, b.dispatcher, b.clock) })
 	b.background.Go(func() { b.discovery.Run(ctx) })
-	if reloader != nil {
-		b.background.Go(func() { reloader.run(ctx, b.cfg, b.state, b.log) })
+	if b.reloader != nil {
+		b.background.Go(func() { b.reloader.run(ctx, b.cfg, b.state, b.log) })
 	}
 	if b.state.nodes.hasMembership() {
 		b.background.Go(func() { b.state.runMembershipTimers(ctx) })
@@ -115,6 +117,19 @@
 	}
 }
 
+// onDrain runs f when ctx is done, which starts the drain, unless the broker has ended before.
+func (b *broker) onDrain(ctx, background context.Context, f func()) {
+	b.background.Go(func() {
+		select {
+		case <-ctx.Done():
+		case <-background.Done():
+		}
+		if ctx.Err() != nil {
+			f()
+		}
+	})
+}
+
 // startFrontends makes the frontends, by address, and starts their connection pools.
 func (b *broker) startFrontends(ctx context.Context) map[string]frontend {
 	// With both frontends on, each has half of the descriptors, so that neither starves the other.
