--- a/internal/host/inventory/csv.go
+++ b/internal/host/inventory/csv.go
@@ -5,67 +5,88 @@
 	"encoding/csv"
 	"errors"
 	"io"
+	"slices"
 	"strings"
 )
 
+const nameColumn = "name"
+
 // parseCSV reads a header and a row for each instance. An empty cell sets nothing.
 func parseCSV(path string, text []byte) ([]host, error) {
 	r := csv.NewReader(bytes.NewReader(text))
-	r.TrimLeadingSpace, r.Comment = true, '#'
-	header, err := r.Read()
-	if err == io.EOF {
-		return nil, &Error{File: path, Line: 1, Reason: "no header"}
-	}
+	r.TrimLeadingSpace = true
+	r.Comment = '#'
+	header, err := readHeader(path, r)
 	if err != nil {
-		return nil, csvError(path, err)
-	}
-	at := map[string]int{}
-	for i, key := range header {
-		key = strings.TrimSpace(key)
-		header[i] = key
-		line, _ := r.FieldPos(i)
-		if _, twice := at[key]; twice {
-			return nil, &Error{path, line, key, "column given twice"}
-		}
-		at[key] = i
-		if key != "name" {
-			if err := known(path, line, "", key); err != nil {
-				return nil, err
-			}
-		}
-	}
-	if _, ok := at["name"]; !ok {
-		return nil, &Error{path, 1, "name", "column missing"}
+		return nil, err
 	}
 	var hosts []host
 	seen := map[string]bool{}
 	for {
 		row, err := r.Read()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return hosts, nil
 		}
 		if err != nil {
 			return nil, csvError(path, err)
 		}
 		line, _ := r.FieldPos(0)
-		h := host{name: strings.TrimSpace(row[at["name"]]), line: line, vars: map[string]value{}}
+		h := hostOfRow(header, row, line)
 		if seen[h.name] {
-			return nil, &Error{path, line, h.name, "instance given twice"}
+			return nil, &Error{File: path, Line: line, Key: h.name, Err: errors.New("instance given twice")}
 		}
 		seen[h.name] = true
-		for i, cell := range row {
-			if cell = strings.TrimSpace(cell); cell != "" && header[i] != "name" {
-				h.vars[header[i]] = value{cell, line}
-			}
-		}
 		hosts = append(hosts, h)
 	}
 }
 
+// readHeader reads and checks the names of the columns.
+func readHeader(path string, r *csv.Reader) ([]string, error) {
+	header, err := r.Read()
+	if errors.Is(err, io.EOF) {
+		return nil, &Error{File: path, Line: 1, Err: errors.New("no header")}
+	}
+	if err != nil {
+		return nil, csvError(path, err)
+	}
+	for i := range header {
+		column := strings.TrimSpace(header[i])
+		header[i] = column
+		line, _ := r.FieldPos(i)
+		if slices.Contains(header[:i], column) {
+			return nil, &Error{File: path, Line: line, Key: column, Err: errors.New("column given twice")}
+		}
+		if column == nameColumn {
+			continue
+		}
+		if err := checkKey(path, line, "", column); err != nil {
+			return nil, err
+		}
+	}
+	if !slices.Contains(header, nameColumn) {
+		return nil, &Error{File: path, Line: 1, Key: nameColumn, Err: errors.New("column missing")}
+	}
+	return header, nil
+}
+
+func hostOfRow(header, row []string, line int) host {
+	h := host{line: line, settings: map[string]value{}}
+	for i, cell := range row {
+		cell = strings.TrimSpace(cell)
+		switch {
+		case header[i] == nameColumn:
+			h.name = cell
+		case cell != "":
+			h.settings[header[i]] = value{text: cell, line: line}
+		}
+	}
+	return h
+}
+
 func csvError(path string, err error) error {
-	var pe *csv.ParseError
-	if errors.As(err, &pe) {
-		return &Error{File: path, Line: pe.Line, Reason: pe.Err.Error()}
+	var parseErr *csv.ParseError
+	if errors.As(err, &parseErr) {
+		return &Error{File: path, Line: parseErr.Line, Err: parseErr.Err}
 	}
-	return &Error{File: path, Reason: err.Error()}
+	return &Error{File: path, Err: err}
 }
--- a/internal/host/inventory/inventory_test.go
+++ b/internal/host/inventory/inventory_test.go
@@ -1,11 +1,12 @@
 package inventory
 
 import (
+	"errors"
 	"strings"
 	"testing"
 )
 
-const good = `
+const nestedGroups = `
 all:
   vars: {config: base.json, memory_mb: 128, log: warn}
   hosts:
@@ -28,13 +29,13 @@
     n1: {}
 `
 
-func TestYAMLPrecedence(t *testing.T) {
-	list, err := Parse("/etc/p/inv.yaml", []byte(good))
+func TestYAMLSettingsOfInnerGroupsOverrideOuterOnes(t *testing.T) {
+	list, err := Parse("/etc/p/inv.yaml", []byte(nestedGroups))
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := []Instance{
-		// n1 is in olten, in proof below it, and in spare: proof lies deeper than spare and wins.
+		// n1 is in olten, in proof below it, and in spare: proof is deeper than spare and overrides it.
 		{Name: "n1", Config: "/etc/p/base.json", Listen: "127.0.0.1:7001", Discovery: "127.0.0.1:8500", Log: "debug", Cores: 0.5, MemoryMB: 192, Groups: "olten,spare,proof"},
 		{Name: "n2", Config: "/etc/p/base.json", Listen: "127.0.0.1:7002", Discovery: "127.0.0.1:8500", Log: "warn", Cores: 2, MemoryMB: 64, Enabled: true, Groups: "olten"},
 		{Name: "n3", Config: "/etc/p/base.json", Listen: "127.0.0.1:7003", Log: "error", MemoryMB: 128, Groups: "spare"},
@@ -50,7 +51,7 @@
 	}
 }
 
-func TestCSV(t *testing.T) {
+func TestCSVRowsAreSortedAndEmptyCellsSetNothing(t *testing.T) {
 	list, err := Parse("inv.csv", []byte("name, listen,config,memory_mb,enabled\nb,127.0.0.1:2,/c.json,,false\n# spare\na,127.0.0.1:1,c.json,64,\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -61,7 +62,6 @@
 	}
 }
 
-// Each error names the file, the line and the key.
 func TestErrorsNameFileLineAndKey(t *testing.T) {
 	for _, x := range []struct{ file, text, want string }{
 		{"i.csv", "", "i.csv:1: no header"},
@@ -88,7 +88,11 @@
 		{"i.txt", "", "i.txt: an inventory ends in"},
 	} {
 		_, err := Parse(x.file, []byte(x.text))
-		if err == nil || !strings.HasPrefix(err.Error(), x.want) && !strings.Contains(err.Error(), x.want) {
+		var inventoryErr *Error
+		if !errors.As(err, &inventoryErr) || inventoryErr.File != x.file {
+			t.Errorf("%q: got %v, want an Error of %s", x.text, err, x.file)
+		}
+		if err == nil || !strings.Contains(err.Error(), x.want) {
 			t.Errorf("%q: got %v, want %s", x.text, err, x.want)
 		}
 	}
