--- a/internal/nodes/nodefile/yaml.go
+++ b/internal/nodes/nodefile/yaml.go
@@ -6,12 +6,13 @@
 	"maps"
 	"net/netip"
 	"path/filepath"
-	"regexp"
 	"slices"
 	"strconv"
 
 	"go.yaml.in/yaml/v3"
 	"go4.org/netipx"
+
+	"poppyarch/internal/yamltree"
 )
 
 // groupAll is the name of the group that contains all nodes.
@@ -47,11 +48,7 @@
 func (b *builder) yaml(path string, text []byte) {
 	var doc yaml.Node
 	if err := yaml.Unmarshal(text, &doc); err != nil {
-		f := Fault{Pos: Pos{path, 1, 0}, Text: err.Error()}
-		if m := regexp.MustCompile(`line (\d+)`).FindStringSubmatch(err.Error()); m != nil {
-			f.Pos.Line, _ = strconv.Atoi(m[1])
-		}
-		b.fault(f)
+		b.fault(Fault{Pos: Pos{path, yamltree.ErrorLine(err), 0}, Text: err.Error()})
 		b.doc.Whole = false
 		return
 	}
@@ -80,37 +77,25 @@
 	t.b.fault(Fault{Pos: t.pos(n), Key: key, Text: fmt.Sprintf(format, args...)})
 }
 
-func resolved(n *yaml.Node) *yaml.Node {
-	if n.Kind == yaml.AliasNode {
-		return n.Alias
-	}
-	return n
-}
-
-// each walks a mapping.
+// each calls f for the pairs of a mapping; faulty ones are reported and left out.
 func (t *tree) each(n *yaml.Node, at string, f func(key string, k, v *yaml.Node)) {
-	n = resolved(n)
-	if n.Kind == yaml.ScalarNode && n.Tag == "!!null" {
-		return
-	}
-	if n.Kind != yaml.MappingNode {
-		t.fault(n, at, "must be a mapping")
-		return
-	}
-	seen := map[string]bool{}
-	for i := 0; i+1 < len(n.Content); i += 2 {
-		k, v := n.Content[i], n.Content[i+1]
-		if k.Kind != yaml.ScalarNode || k.Tag == "!!merge" {
-			t.fault(k, at, "keys must be plain names")
-			continue
-		}
-		if seen[k.Value] {
-			t.fault(k, at+"."+k.Value, "key given twice: the first counts")
-			continue
-		}
-		seen[k.Value] = true
-		f(k.Value, k, v)
-	}
+	_ = yamltree.EachPair(n, yamltree.Visitor{ // neither function returns an error
+		Pair: func(key string, k, v *yaml.Node) error {
+			f(key, k, v)
+			return nil
+		},
+		Fault: func(f yamltree.Fault, n *yaml.Node, key string) error {
+			switch f {
+			case yamltree.NotMapping:
+				t.fault(n, at, "must be a mapping")
+			case yamltree.KeyNotPlain:
+				t.fault(n, at, "keys must be plain names")
+			case yamltree.KeyRepeated:
+				t.fault(n, at+"."+key, "key given twice: the first counts")
+			}
+			return nil
+		},
+	})
 }
 
 func (t *tree) kind(name string, n *yaml.Node) {
@@ -132,7 +117,7 @@
 }
 
 func (t *tree) include(n *yaml.Node) {
-	n = resolved(n)
+	n = yamltree.Resolve(n)
 	list := []*yaml.Node{n}
 	if n.Kind == yaml.SequenceNode {
 		list = n.Content
@@ -179,7 +164,7 @@
 // nets are the addresses that a group's nodes may have: prefixes, ranges and single ones.
 func (t *tree) nets(g *group, n *yaml.Node, at string) {
 	var set netipx.IPSetBuilder
-	n = resolved(n)
+	n = yamltree.Resolve(n)
 	list := []*yaml.Node{n}
 	if n.Kind == yaml.SequenceNode {
 		list = n.Content
@@ -238,7 +223,7 @@
 
 func (t *tree) vars(n *yaml.Node, at string, to map[string]field) {
 	t.each(n, at, func(key string, k, v *yaml.Node) {
-		v = resolved(v)
+		v = yamltree.Resolve(v)
 		if !slices.Contains(known, key) {
 			t.fault(k, at+"."+key, "unknown key")
 			return
