--- a/cmd/poppyarch/incident.go
+++ b/cmd/poppyarch/incident.go
@@ -97,7 +97,7 @@
 			out := textoutput.NewPrinter(cmd.OutOrStdout())
 			for i := range analysis.Episodes {
 				e := &analysis.Episodes[i]
-				out.Printf("%d  %s  %s: %s, %s\n", e.ID, e.Begin.Words(), e.Kind, e.Subject, e.Took())
+				out.Printf("%d  %s  %s: %s, %s\n", e.ID, e.Begin.Format(), e.Kind, e.Subject, e.FormatDuration())
 			}
 			return out.Err()
 		},
@@ -229,10 +229,10 @@
 
 func (f *incidentFlags) analysisOptions() incident.Options {
 	options := incident.DefaultOptions()
-	options.Slow = f.slow
-	options.Surge = f.surge
-	options.Notice = f.notice.Microseconds()
-	options.Wall = f.clocks.Microseconds()
+	options.SlowFactor = f.slow
+	options.SurgeFactor = f.surge
+	options.NotificationTime = f.notice.Microseconds()
+	options.MaxClockSkew = f.clocks.Microseconds()
 	if !f.ended {
 		options.Now = time.Now().UnixMicro()
 	}
--- a/internal/observability/incident/analyse.go
+++ b/internal/observability/incident/analysis.go
@@ -2,18 +2,18 @@
 
 // Options are an analysis's assumptions. Times are microseconds.
 type Options struct {
-	From, To int64 // only what touches this span; 0: everything
-	Now      int64 // of the reference; a boot without a word for three heartbeats before it is dead; 0: the latest word
-	Notice   int64 // a list version is told to every broker within this
-	Wall     int64 // wall clocks of machines differ by at most this
-	Slow     float64
-	Surge    float64
-	Refused  float64
+	From, To         int64 // only what touches this span; 0: everything
+	Now              int64 // of the reference; a boot without a word for three heartbeats before it is dead; 0: the latest word
+	NotificationTime int64 // a list version is told to every broker within this
+	MaxClockSkew     int64 // wall clocks of machines differ by at most this
+	SlowFactor       float64
+	SurgeFactor      float64
+	RejectedShare    float64
 }
 
 // DefaultOptions suit brokers on machines whose clocks are kept.
 func DefaultOptions() Options {
-	return Options{Notice: 500_000, Wall: 1_000_000, Slow: 3, Surge: 4, Refused: 0.05}
+	return Options{NotificationTime: 500_000, MaxClockSkew: 1_000_000, SlowFactor: 3, SurgeFactor: 4, RejectedShare: 0.05}
 }
 
 // Kind is what an episode is.
@@ -36,8 +36,8 @@
 
 // Bound is a time that is known to lie between two.
 type Bound struct {
-	Lo int64 `json:"lo"`
-	Hi int64 `json:"hi"`
+	Earliest int64 `json:"lo"`
+	Latest   int64 `json:"hi"`
 }
 
 // Episode is something that went on for a while.
@@ -77,14 +77,14 @@
 
 // Second is what was answered in one second, over all brokers whose records are there.
 type Second struct {
-	At      int64 `json:"at"`
-	Served  int64 `json:"served"`
-	Late    int64 `json:"late"`
-	Refused int64 `json:"refused"`
-	Failed  int64 `json:"failed"`
-	P50     int64 `json:"p50"`
-	P99     int64 `json:"p99"`
-	Blind   int   `json:"blind"` // brokers of which nothing is known in it
+	At             int64 `json:"at"`
+	Served         int64 `json:"served"`
+	Late           int64 `json:"late"`
+	Refused        int64 `json:"refused"`
+	Failed         int64 `json:"failed"`
+	P50            int64 `json:"p50"`
+	P99            int64 `json:"p99"`
+	UnknownBrokers int   `json:"blind"` // brokers of which nothing is known in it
 }
 
 // Analysis is the outcome.
--- a/internal/observability/incident/view.go
+++ b/internal/observability/incident/analyzer.go
@@ -13,121 +13,121 @@
 	"poppyarch/internal/observability/sketch"
 )
 
-// view is everything on the reference's clock.
-type view struct {
-	o      Options
-	a      *Analysis
-	s      []*Stream
-	clocks []Clock
-	nodes  map[string]*nodeView
+// analyzer is everything on the reference's clock.
+type analyzer struct {
+	options  Options
+	analysis *Analysis
+	streams  []*Stream
+	clocks   []Clock
+	nodes    map[string]*nodeView
 }
 
 // nodeView is what all brokers saw of a node.
 type nodeView struct {
-	answers []int64
-	silent  []try
-	refused []try
-	usual   int64 // slowest usual answer
+	responses    []int64
+	timedOut     []attempt
+	refused      []attempt
+	usualLatency int64 // slowest usual answer
 }
 
 // Analyse works everything out. Streams may come in any order.
 func Analyse(streams []*Stream, o Options) *Analysis {
 	streams = slices.DeleteFunc(slices.Clone(streams), func(s *Stream) bool { return len(s.frames) == 0 })
 	sort.Slice(streams, func(a, b int) bool {
-		return cmp.Or(cmp.Compare(streams[a].Name, streams[b].Name), cmp.Compare(streams[a].begin(), streams[b].begin()), cmp.Compare(streams[a].ID, streams[b].ID)) < 0
+		return cmp.Or(cmp.Compare(streams[a].Name, streams[b].Name), cmp.Compare(streams[a].start(), streams[b].start()), cmp.Compare(streams[a].ID, streams[b].ID)) < 0
 	})
-	v := &view{o: o, s: streams, a: &Analysis{Sampled: 1, groups: map[int64]map[string]*GroupImpact{}, Knowledge: []Span{}, Episodes: []Episode{}, Seconds: []Second{}},
+	v := &analyzer{options: o, streams: streams, analysis: &Analysis{Sampled: 1, groups: map[int64]map[string]*GroupImpact{}, Knowledge: []Span{}, Episodes: []Episode{}, Seconds: []Second{}},
 		nodes: map[string]*nodeView{}}
-	v.clocks = clocks(streams, o.Notice, o.Wall)
-	v.a.Clocks = v.clocks
+	v.clocks = compareClocks(streams, o.NotificationTime, o.MaxClockSkew)
+	v.analysis.Clocks = v.clocks
 	for i, s := range streams {
-		v.a.Events += s.events
+		v.analysis.Events += s.events
 		if s.Boot.Sample > 0 {
-			v.a.Sampled = min(v.a.Sampled, s.Boot.Sample)
+			v.analysis.Sampled = min(v.analysis.Sampled, s.Boot.Sample)
 		}
 		off := v.clocks[i].Offset
-		if b := s.begin() + off; v.a.From == 0 || b < v.a.From {
-			v.a.From = b
+		if b := s.start() + off; v.analysis.From == 0 || b < v.analysis.From {
+			v.analysis.From = b
 		}
-		v.a.To = max(v.a.To, s.end()+off)
-		if !slices.Contains(v.a.Brokers, s.Name) {
-			v.a.Brokers = append(v.a.Brokers, s.Name)
+		v.analysis.To = max(v.analysis.To, s.end()+off)
+		if !slices.Contains(v.analysis.Brokers, s.Name) {
+			v.analysis.Brokers = append(v.analysis.Brokers, s.Name)
 		}
 	}
-	if v.o.Now == 0 {
-		v.o.Now = v.a.To
+	if v.options.Now == 0 {
+		v.options.Now = v.analysis.To
 	}
-	v.a.To = max(v.a.To, min(v.o.Now, v.a.To+second))
-	v.knowledge()
-	v.merge()
-	v.brokers()
-	for _, name := range v.a.Nodes {
-		v.unanswered(name, NodeSilent, v.nodes[name].silent)
-		v.unanswered(name, NodeDown, v.nodes[name].refused)
+	v.analysis.To = max(v.analysis.To, min(v.options.Now, v.analysis.To+second))
+	v.collectKnowledge()
+	v.mergeStreams()
+	v.findBrokerDeaths()
+	for _, name := range v.analysis.Nodes {
+		v.findUnanswered(name, NodeSilent, v.nodes[name].timedOut)
+		v.findUnanswered(name, NodeDown, v.nodes[name].refused)
 	}
-	v.slow()
-	v.surges()
-	v.fromNotes()
-	v.refusals()
+	v.findSlowNodes()
+	v.findSurges()
+	v.findNotedEpisodes()
+	v.findRejections()
 	v.finish()
-	return v.a
+	return v.analysis
 }
 
-// knowledge brings the spans of all boots to one clock and fills what lies between boots.
-func (v *view) knowledge() {
-	for i := 0; i < len(v.s); {
+// collectKnowledge brings the spans of all boots to one clock and fills what lies between boots.
+func (v *analyzer) collectKnowledge() {
+	for i := 0; i < len(v.streams); {
 		j := i
-		for j < len(v.s) && v.s[j].Name == v.s[i].Name {
+		for j < len(v.streams) && v.streams[j].Name == v.streams[i].Name {
 			j++
 		}
-		v.broker(i, j)
+		v.collectBrokerKnowledge(i, j)
 		i = j
 	}
-	sort.SliceStable(v.a.Knowledge, func(x, y int) bool {
-		a, b := v.a.Knowledge[x], v.a.Knowledge[y]
+	sort.SliceStable(v.analysis.Knowledge, func(x, y int) bool {
+		a, b := v.analysis.Knowledge[x], v.analysis.Knowledge[y]
 		return cmp.Or(cmp.Compare(a.Broker, b.Broker), cmp.Compare(a.From, b.From)) < 0
 	})
 }
 
-// broker does it for one broker's boots, from i to before j.
-func (v *view) broker(i, j int) {
-	name := v.s[i].Name
+// collectBrokerKnowledge does it for one broker's boots, from i to before j.
+func (v *analyzer) collectBrokerKnowledge(i, j int) {
+	name := v.streams[i].Name
 	var spans []Span
-	at := v.a.From
+	at := v.analysis.From
 	for k := i; k < j; k++ {
-		s, off := v.s[k], v.clocks[k].Offset
-		begin, end := s.begin()+off, s.end()+off
-		if k == i && begin > v.a.From {
-			spans = append(spans, Span{Broker: name, State: NotRecorded, From: v.a.From, To: begin, Text: "no records before"})
+		s, off := v.streams[k], v.clocks[k].Offset
+		begin, end := s.start()+off, s.end()+off
+		if k == i && begin > v.analysis.From {
+			spans = append(spans, Span{Broker: name, State: NotRecorded, From: v.analysis.From, To: begin, Text: "no records before"})
 		}
 		spans = append(spans, Span{Broker: name, Boot: s.ID, State: Known, From: max(begin, at), To: end})
 		for _, h := range s.knowledge() {
 			h.From, h.To = h.From+off, h.To+off
 			spans = append(spans, h)
 		}
-		next := v.a.To
+		next := v.analysis.To
 		if k+1 < j {
-			next = v.s[k+1].begin() + v.clocks[k+1].Offset
+			next = v.streams[k+1].start() + v.clocks[k+1].Offset
 		}
-		period := s.period()
+		period := s.heartbeatInterval()
 		switch {
 		case next <= end && k+1 < j: // two boots under one name at once, or a clock that was set back
 			spans = append(spans, Span{Broker: name, Boot: s.ID, State: Known, From: next, To: end,
 				Text: "two boots of this name at once, by clocks known to " + fmt.Sprint(v.clocks[k].Error+v.clocks[k+1].Error, " µs")})
 		case s.stopped:
 			spans = append(spans, Span{Broker: name, Boot: s.ID, State: Stopped, From: end, To: next})
-		case k+1 == j && v.o.Now-end <= 3*period:
+		case k+1 == j && v.options.Now-end <= 3*period:
 			spans = append(spans, Span{Broker: name, Boot: s.ID, State: NotRecorded, From: end, To: next, Text: "it may still run"})
 		default:
 			spans = append(spans, Span{Broker: name, Boot: s.ID, State: Dead, From: end, To: next, Slack: min(period, max(next-end, 0))})
 		}
 		at = next
 	}
-	v.a.Knowledge = append(v.a.Knowledge, carve(spans)...)
+	v.analysis.Knowledge = append(v.analysis.Knowledge, subtractHoles(spans)...)
 }
 
-// carve takes the holes of a broker out of what is known of it.
-func carve(spans []Span) (out []Span) {
+// subtractHoles takes the holes of a broker out of what is known of it.
+func subtractHoles(spans []Span) (out []Span) {
 	var known, holes []Span
 	for _, s := range spans {
 		if s.State == Known {
@@ -163,11 +163,11 @@
 	return out
 }
 
-// merge combines what all brokers saw, on the reference's clock.
-func (v *view) merge() {
-	v.a.groups = map[int64]map[string]*GroupImpact{}
+// mergeStreams combines what all brokers saw, on the reference's clock.
+func (v *analyzer) mergeStreams() {
+	v.analysis.groups = map[int64]map[string]*GroupImpact{}
 	latencies := map[int64]*sketch.Sketch{}
-	for i, s := range v.s {
+	for i, s := range v.streams {
 		offset := v.clocks[i].Offset
 		v.mergeNodes(s, offset)
 		v.mergeGroups(s, offset)
@@ -176,14 +176,14 @@
 	for _, node := range v.nodes {
 		node.sort()
 	}
-	v.a.Nodes = slices.Sorted(maps.Keys(v.nodes))
-	for sec := slot(v.a.From); sec <= v.a.To; sec += second {
-		v.a.Seconds = append(v.a.Seconds, v.second(sec, latencies[sec]))
+	v.analysis.Nodes = slices.Sorted(maps.Keys(v.nodes))
+	for sec := secondOf(v.analysis.From); sec <= v.analysis.To; sec += second {
+		v.analysis.Seconds = append(v.analysis.Seconds, v.second(sec, latencies[sec]))
 	}
 }
 
 // node returns the named node's view, which it creates.
-func (v *view) node(name string) *nodeView {
+func (v *analyzer) node(name string) *nodeView {
 	node := v.nodes[name]
 	if node == nil {
 		node = &nodeView{}
@@ -196,19 +196,19 @@
 const usualQuantile = 0.995
 
 // mergeNodes adds what one incarnation saw of each node.
-func (v *view) mergeNodes(s *Stream, offset int64) {
+func (v *analyzer) mergeNodes(s *Stream, offset int64) {
 	for name, from := range s.nodes {
 		to := v.node(name)
-		for _, at := range from.answers {
-			to.answers = append(to.answers, at+offset)
+		for _, at := range from.responses {
+			to.responses = append(to.responses, at+offset)
 		}
-		to.silent = appendShifted(to.silent, from.silent, offset)
+		to.timedOut = appendShifted(to.timedOut, from.timedOut, offset)
 		to.refused = appendShifted(to.refused, from.refused, offset)
 		var latency sketch.Sketch
 		for _, bySecond := range from.latency {
 			latency.Merge(bySecond)
 		}
-		to.usual = max(to.usual, latency.Quantile(usualQuantile))
+		to.usualLatency = max(to.usualLatency, latency.Quantile(usualQuantile))
 	}
 	for _, n := range s.notes {
 		if (n.kind == record.KindNode || n.kind == record.KindList) && n.subject != "" {
@@ -217,28 +217,28 @@
 	}
 }
 
-func appendShifted(to, from []try, offset int64) []try {
+func appendShifted(to, from []attempt, offset int64) []attempt {
 	for _, t := range from {
-		to = append(to, try{sent: t.sent + offset, done: t.done + offset})
+		to = append(to, attempt{sent: t.sent + offset, done: t.done + offset})
 	}
 	return to
 }
 
 func (n *nodeView) sort() {
-	slices.Sort(n.answers)
-	byTime := func(a, b try) int { return cmp.Or(cmp.Compare(a.sent, b.sent), cmp.Compare(a.done, b.done)) }
-	slices.SortFunc(n.silent, byTime)
+	slices.Sort(n.responses)
+	byTime := func(a, b attempt) int { return cmp.Or(cmp.Compare(a.sent, b.sent), cmp.Compare(a.done, b.done)) }
+	slices.SortFunc(n.timedOut, byTime)
 	slices.SortFunc(n.refused, byTime)
 }
 
 // mergeGroups adds one incarnation's requests, by second, class and plan.
-func (v *view) mergeGroups(s *Stream, offset int64) {
+func (v *analyzer) mergeGroups(s *Stream, offset int64) {
 	for sec, byGroup := range s.groups {
-		at := slot(sec + offset)
-		impacts := v.a.groups[at]
+		at := secondOf(sec + offset)
+		impacts := v.analysis.groups[at]
 		if impacts == nil {
 			impacts = map[string]*GroupImpact{}
-			v.a.groups[at] = impacts
+			v.analysis.groups[at] = impacts
 		}
 		for g, counted := range byGroup {
 			class, plan := s.groupNames(g)
@@ -264,7 +264,7 @@
 	return class, plan
 }
 
-func (g *GroupImpact) add(t *tally) {
+func (g *GroupImpact) add(t *groupCounts) {
 	g.Served += t.count[record.Served]
 	g.Late += t.late
 	g.Refused += t.count[record.Refused]
@@ -276,12 +276,12 @@
 func mergeLatencies(latencies map[int64]*sketch.Sketch, s *Stream, offset int64) {
 	for _, index := range s.latency {
 		index.Build()
-		for sec := slot(s.begin()); sec <= s.end(); sec += second {
+		for sec := secondOf(s.start()); sec <= s.end(); sec += second {
 			latency := index.Span(sec, sec+second)
 			if latency.Count() == 0 {
 				continue
 			}
-			at := slot(sec + offset)
+			at := secondOf(sec + offset)
 			if latencies[at] == nil {
 				latencies[at] = &sketch.Sketch{}
 			}
@@ -291,9 +291,9 @@
 }
 
 // second sums one second over all brokers. latency is nil if nothing was served.
-func (v *view) second(sec int64, latency *sketch.Sketch) Second {
+func (v *analyzer) second(sec int64, latency *sketch.Sketch) Second {
 	sum := Second{At: sec}
-	for _, g := range v.a.groups[sec] {
+	for _, g := range v.analysis.groups[sec] {
 		sum.Served += g.Served
 		sum.Late += g.Late
 		sum.Refused += g.Refused
@@ -303,17 +303,17 @@
 		sum.P50 = latency.Quantile(0.5)
 		sum.P99 = latency.Quantile(0.99)
 	}
-	for _, name := range v.a.Brokers {
-		if !v.knows(name, sec, sec+second) {
-			sum.Blind++
+	for _, name := range v.analysis.Brokers {
+		if !v.isKnown(name, sec, sec+second) {
+			sum.UnknownBrokers++
 		}
 	}
 	return sum
 }
 
-// knows reports whether anything is known of a broker within a span.
-func (v *view) knows(broker string, from, to int64) bool {
-	for _, s := range v.a.Knowledge {
+// isKnown reports whether anything is known of a broker within a span.
+func (v *analyzer) isKnown(broker string, from, to int64) bool {
+	for _, s := range v.analysis.Knowledge {
 		if s.Broker == broker && s.State == Known && s.From < to && s.To > from {
 			return true
 		}
@@ -321,27 +321,27 @@
 	return false
 }
 
-// gaps words the gaps that a span of time touches, so that a bound in it can be doubted.
-func (v *view) gaps(from, to int64) (out []string) {
-	for _, s := range v.a.Knowledge {
+// describeGaps words the gaps that a span of time touches, so that a bound in it can be doubted.
+func (v *analyzer) describeGaps(from, to int64) (out []string) {
+	for _, s := range v.analysis.Knowledge {
 		if s.State != Known && s.State != NotRecorded && s.From < to && s.To > from {
-			out = append(out, fmt.Sprintf("%s: %s from %s to %s", s.Broker, s.State, Clockface(s.From), Clockface(s.To)))
+			out = append(out, fmt.Sprintf("%s: %s from %s to %s", s.Broker, s.State, FormatTime(s.From), FormatTime(s.To)))
 		}
 	}
 	return out
 }
 
-func (v *view) add(e Episode) {
-	e.Begin.Hi, e.End.Hi = max(e.Begin.Hi, e.Begin.Lo), max(e.End.Hi, e.End.Lo)
+func (v *analyzer) addEpisode(e Episode) {
+	e.Begin.Latest, e.End.Latest = max(e.Begin.Latest, e.Begin.Earliest), max(e.End.Latest, e.End.Earliest)
 	for _, b := range []Bound{e.Begin, e.End} {
 		if e.Kind == BrokerDead || e.Kind == BrokerDrain || e.Kind == Rollout {
 			break // its own records say it, whatever others know
 		}
-		for _, g := range v.gaps(b.Lo, b.Hi) {
+		for _, g := range v.describeGaps(b.Earliest, b.Latest) {
 			if !slices.Contains(e.Doubt, g) && !strings.HasPrefix(g, e.Subject+": ") {
 				e.Doubt = append(e.Doubt, g)
 			}
 		}
 	}
-	v.a.Episodes = append(v.a.Episodes, e)
+	v.analysis.Episodes = append(v.analysis.Episodes, e)
 }
--- a/internal/observability/incident/check/check.go
+++ b/internal/observability/incident/check/check.go
@@ -72,11 +72,11 @@
 		if c.boundsHold(e, truth) {
 			found = true
 		} else {
-			wrongBounds = append(wrongBounds, fmt.Sprintf("%s to %s", e.Begin.Words(), e.End.Words()))
+			wrongBounds = append(wrongBounds, fmt.Sprintf("%s to %s", e.Begin.Format(), e.End.Format()))
 		}
 	}
-	begin := incident.Clockface(truth.Begin)
-	end := incident.Clockface(truth.End)
+	begin := incident.FormatTime(truth.Begin)
+	end := incident.FormatTime(truth.End)
 	switch {
 	case len(wrongBounds) > 0:
 		c.report("%s %s: was from %s to %s, reported as %v", truth.Kind, truth.Subject, begin, end, wrongBounds)
@@ -88,14 +88,14 @@
 // mayBe reports whether an episode is of a truth's kind and subject and overlaps it.
 func (c *comparison) mayBe(e *incident.Episode, truth Truth) bool {
 	slack := c.options.Slack
-	return e.Kind == truth.Kind && e.Subject == truth.Subject && e.Begin.Lo <= truth.End+slack && e.End.Hi >= truth.Begin-slack
+	return e.Kind == truth.Kind && e.Subject == truth.Subject && e.Begin.Earliest <= truth.End+slack && e.End.Latest >= truth.Begin-slack
 }
 
 // boundsHold reports whether the bounds of an episode contain the truth's begin and end.
 func (c *comparison) boundsHold(e *incident.Episode, truth Truth) bool {
 	slack := c.options.Slack
-	begin := e.Begin.Lo-slack <= truth.Begin && truth.Begin <= e.Begin.Hi+slack
-	end := e.End.Lo-slack <= truth.End && truth.End <= e.End.Hi+slack
+	begin := e.Begin.Earliest-slack <= truth.Begin && truth.Begin <= e.Begin.Latest+slack
+	end := e.End.Earliest-slack <= truth.End && truth.End <= e.End.Latest+slack
 	stillOpen := e.Open && truth.End >= c.analysis.To-slack
 	return begin && (end || stillOpen)
 }
@@ -105,7 +105,7 @@
 		e := &c.analysis.Episodes[i]
 		compared := c.options.Kinds == nil || slices.Contains(c.options.Kinds, e.Kind)
 		if compared && !c.matched[i] {
-			c.report("%s %s from %s to %s: invented (%v)", e.Kind, e.Subject, e.Begin.Words(), e.End.Words(), e.Evidence)
+			c.report("%s %s from %s to %s: invented (%v)", e.Kind, e.Subject, e.Begin.Format(), e.End.Format(), e.Evidence)
 		}
 	}
 }
@@ -119,15 +119,15 @@
 			continue
 		}
 		if span.State == incident.Known && span.From < gap.To-tolerance && span.To > gap.From+tolerance {
-			c.report("%s: known from %s to %s, though nothing was recorded from %s to %s", gap.Broker, incident.Clockface(span.From),
-				incident.Clockface(span.To), incident.Clockface(gap.From), incident.Clockface(gap.To))
+			c.report("%s: known from %s to %s, though nothing was recorded from %s to %s", gap.Broker, incident.FormatTime(span.From),
+				incident.FormatTime(span.To), incident.FormatTime(gap.From), incident.FormatTime(gap.To))
 		}
 		if span.State == gap.State && distance(span.From, gap.From) <= tolerance && distance(span.To, gap.To) <= tolerance {
 			covered = true
 		}
 	}
 	if !covered {
-		c.report("%s: no span %q from %s to %s", gap.Broker, gap.State, incident.Clockface(gap.From), incident.Clockface(gap.To))
+		c.report("%s: no span %q from %s to %s", gap.Broker, gap.State, incident.FormatTime(gap.From), incident.FormatTime(gap.To))
 	}
 }
 
@@ -140,7 +140,7 @@
 			return g.Broker == span.Broker && g.State == span.State && span.From < g.To+c.options.Gap && span.To > g.From-c.options.Gap
 		})
 		if !real {
-			c.report("%s: %s from %s to %s: invented", span.Broker, span.State, incident.Clockface(span.From), incident.Clockface(span.To))
+			c.report("%s: %s from %s to %s: invented", span.Broker, span.State, incident.FormatTime(span.From), incident.FormatTime(span.To))
 		}
 	}
 }
--- a/internal/observability/incident/clocks.go
+++ b/internal/observability/incident/clocks.go
@@ -19,9 +19,9 @@
 	Text   string `json:"text,omitempty"`
 }
 
-// versions are when a boot saw each version of the list first. One that it heard after its watch had ended tells nothing of the
+// listRevisions are when a boot saw each version of the list first. One that it heard after its watch had ended tells nothing of the
 // clocks: it was made while nobody told it. Taken for told at once it moved a boot's clock by 0.8 s, over the whole of a death.
-func (s *Stream) versions() map[int64]int64 {
+func (s *Stream) listRevisions() map[int64]int64 {
 	out, down := map[int64]int64{}, false
 	late := map[int64]bool{}
 	for _, n := range s.notes {
@@ -44,23 +44,23 @@
 	}
 	// What a boot knew from the start was not told to it then.
 	for v, at := range out {
-		if at < s.begin()+second {
+		if at < s.start()+second {
 			delete(out, v)
 		}
 	}
 	return out
 }
 
-// clocks bounds the offsets of all boots against the one that has seen most. A version of the list is told to each
+// compareClocks bounds the offsets of all boots against the one that has seen most. A version of the list is told to each
 // broker within notice of its making, so the offset lies within notice of the difference of the times at which two boots
 // saw it; every shared version bounds it again. Boots that share none go by the wall clocks they were set by, which
 // may be off by wall.
-func clocks(streams []*Stream, notice, wall int64) []Clock {
+func compareClocks(streams []*Stream, notice, wall int64) []Clock {
 	out := make([]Clock, len(streams))
 	ref, most := 0, -1
 	seen := make([]map[int64]int64, len(streams))
 	for i, s := range streams {
-		seen[i] = s.versions()
+		seen[i] = s.listRevisions()
 		if len(seen[i]) > most {
 			ref, most = i, len(seen[i])
 		}
--- a/internal/observability/incident/collect/collect.go
+++ b/internal/observability/incident/collect/collect.go
@@ -131,9 +131,9 @@
 		if p.Damaged > 0 {
 			bad += p.Damaged
 			if last == 0 {
-				last = s.Newest()
+				last = s.LastFrame()
 			}
-			s.Damage(last, p.Damaged)
+			s.AddDamage(last, p.Damaged)
 		}
 		if p.Last {
 			return
@@ -149,15 +149,15 @@
 			ok, err := d.Next(&e)
 			if err != nil { // whole, and yet not to be read: of another version
 				found.Faults = append(found.Faults, fmt.Sprintf("%s boot %s frame %d: %v", s.Name, s.ID, last, err))
-				s.Damage(last-1, len(p.Frame.Events)) // it is not there, as far as what is known goes
+				s.AddDamage(last-1, len(p.Frame.Events)) // it is not there, as far as what is known goes
 				return
 			}
 			if !ok {
 				found.Frames++
-				s.Frame(last, p.Frame.Now)
+				s.AddFrame(last, p.Frame.Now)
 				return
 			}
-			s.Event(&e)
+			s.AddEvent(&e)
 		}
 	})
 	return bad
--- a/internal/observability/incident/words.go
+++ b/internal/observability/incident/format.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Clockface words a time, to the millisecond, in UTC.
-func Clockface(us int64) string { return time.UnixMicro(us).UTC().Format("15:04:05.000") }
+// FormatTime words a time, to the millisecond, in UTC.
+func FormatTime(us int64) string { return time.UnixMicro(us).UTC().Format("15:04:05.000") }
 
-// Words is an uncertain time: to the point where it is known well, else from and to.
-func (b Bound) Words() string {
-	if b.Hi-b.Lo <= 50_000 {
-		return Clockface(b.Lo)
+// Format is an uncertain time: to the point where it is known well, else from and to.
+func (b Bound) Format() string {
+	if b.Latest-b.Earliest <= 50_000 {
+		return FormatTime(b.Earliest)
 	}
-	return Clockface(b.Lo) + " to " + Clockface(b.Hi)
+	return FormatTime(b.Earliest) + " to " + FormatTime(b.Latest)
 }
 
-// Took words how long an episode lasted, between the least and the most.
-func (e *Episode) Took() string {
-	least, most := max(e.End.Lo-e.Begin.Hi, 0), e.End.Hi-e.Begin.Lo
+// FormatDuration words how long an episode lasted, between the least and the most.
+func (e *Episode) FormatDuration() string {
+	least, most := max(e.End.Earliest-e.Begin.Latest, 0), e.End.Latest-e.Begin.Earliest
 	f := func(v int64) string { return fmt.Sprintf("%.1f s", float64(v)/1e6) }
 	switch {
 	case e.Open:
@@ -31,11 +31,11 @@
 
 // Change is an episode that only one of two analyses has, or that differs.
 type Change struct {
-	What   string   `json:"what"` // "only in the first", "only in the second", "in both"
-	Kind   Kind     `json:"kind"`
-	Who    string   `json:"subject"`
-	First  *Episode `json:"first,omitempty"`
-	Second *Episode `json:"second,omitempty"`
+	Presence string   `json:"what"` // "only in the first", "only in the second", "in both"
+	Kind     Kind     `json:"kind"`
+	Subject  string   `json:"subject"`
+	First    *Episode `json:"first,omitempty"`
+	Second   *Episode `json:"second,omitempty"`
 }
 
 // Diff holds two incidents against each other: episodes of one kind and subject are matched in their order.
--- a/internal/observability/incident/incident_test.go
+++ b/internal/observability/incident/incident_test.go
@@ -181,16 +181,16 @@
 		ahead += w.back
 	}
 	s := incident.NewStream(fmt.Sprintf("n%d", b), fmt.Sprintf("boot%d-%d", b, k))
-	s.Event(&record.Event{At: up + ahead, Kind: record.KindBoot, Boot: &record.Boot{Name: s.Name, ID: s.ID, Began: up + ahead, Beat: 500 * ms, Sample: 1,
+	s.AddEvent(&record.Event{At: up + ahead, Kind: record.KindBoot, Boot: &record.Boot{Name: s.Name, ID: s.ID, Began: up + ahead, Beat: 500 * ms, Sample: 1,
 		Classes: []record.Class{{Name: "artwork-read", Aim: 400 * ms, Due: 2500 * ms, Worth: 2}}, Plans: []record.Plan{{Name: "basis", Price: 0.8}}}})
-	s.Frame(1, up+ahead)
+	s.AddFrame(1, up+ahead)
 	seq := uint64(1)
 	next := 0
 	for t := up + 50*ms; t < down; t += 50 * ms { // what was not written when it died is lost with it
 		seq++
 		missing := in(w.cut[b], t)
 		if !missing {
-			s.Frame(seq, t+ahead)
+			s.AddFrame(seq, t+ahead)
 		}
 		var lost record.Lost
 		for next < len(items) && items[next].end < t {
@@ -207,10 +207,10 @@
 				continue
 			}
 			x.e.At += ahead
-			s.Event(&x.e)
+			s.AddEvent(&x.e)
 		}
 		if lost.Events > 0 {
-			s.Event(&record.Event{At: t + ahead, Kind: record.KindLost, Lost: &lost})
+			s.AddEvent(&record.Event{At: t + ahead, Kind: record.KindLost, Lost: &lost})
 		}
 	}
 	return s
@@ -413,7 +413,7 @@
 	var got []string
 	for _, c := range incident.Diff(incident.Analyse(x.streams(), incident.DefaultOptions()), incident.Analyse(y.streams(), incident.DefaultOptions())) {
 		if c.Kind != incident.NodeCold {
-			got = append(got, c.What+" "+string(c.Kind)+" "+c.Who)
+			got = append(got, c.Presence+" "+string(c.Kind)+" "+c.Subject)
 		}
 	}
 	if want := []string{"in both node silent s-1", "only in the second broker dead n0"}; !slices.Equal(got, want) {
--- a/internal/observability/incident/notes.go
+++ b/internal/observability/incident/noted_episodes.go
@@ -10,42 +10,42 @@
 	"poppyarch/internal/observability/record"
 )
 
-// at is a note on the reference's clock.
-type at struct {
+// timedNote is a note on the reference's clock.
+type timedNote struct {
 	note
 	broker string
 	error  int64
 }
 
-// fromNotes finds what brokers noted themselves: drains, discovery, restarts, rollouts.
-func (v *view) fromNotes() {
-	var all []at
-	for i, s := range v.s {
+// findNotedEpisodes finds what brokers noted themselves: drains, discovery, restarts, rollouts.
+func (v *analyzer) findNotedEpisodes() {
+	var all []timedNote
+	for i, s := range v.streams {
 		for _, n := range s.notes {
 			n.at += v.clocks[i].Offset
-			all = append(all, at{n, s.Name, v.clocks[i].Error})
+			all = append(all, timedNote{n, s.Name, v.clocks[i].Error})
 		}
 	}
 	sort.SliceStable(all, func(a, b int) bool { return all[a].at < all[b].at })
-	v.drains(all)
-	v.discovery(all)
-	v.restarts(all)
-	v.rollouts(all)
-	for i, s := range v.s {
+	v.findNodeDrains(all)
+	v.findDiscoveryOutages(all)
+	v.findNodeRestarts(all)
+	v.findRollouts(all)
+	for i, s := range v.streams {
 		for _, n := range s.notes {
 			if n.kind == record.KindDrain {
 				from := n.at + v.clocks[i].Offset
 				end := s.end() + v.clocks[i].Offset
-				v.add(Episode{Kind: BrokerDrain, Subject: s.Name, Begin: Bound{from, from}, End: Bound{end, end}, Open: !s.stopped,
+				v.addEpisode(Episode{Kind: BrokerDrain, Subject: s.Name, Begin: Bound{from, from}, End: Bound{end, end}, Open: !s.stopped,
 					Evidence: []string{"boot " + s.ID + " noted it"}})
 			}
 		}
 	}
 }
 
-// drains joins what brokers were told of a node. Each is told within the notice time, so the true change lies up to
+// findNodeDrains joins what brokers were told of a node. Each is told within the notice time, so the true change lies up to
 // that much before the first.
-func (v *view) drains(all []at) {
+func (v *analyzer) findNodeDrains(all []timedNote) {
 	type open struct {
 		first, last int64
 		who         []string
@@ -54,8 +54,8 @@
 	end := func(node string, b Bound, opened bool) {
 		o := on[node]
 		delete(on, node)
-		v.add(Episode{Kind: NodeDrain, Subject: node, Begin: Bound{o.first - v.o.Notice, o.first}, End: b, Open: opened,
-			Evidence: []string{fmt.Sprintf("told to %s from %s to %s", strings.Join(o.who, " "), Clockface(o.first), Clockface(o.last))}})
+		v.addEpisode(Episode{Kind: NodeDrain, Subject: node, Begin: Bound{o.first - v.options.NotificationTime, o.first}, End: b, Open: opened,
+			Evidence: []string{fmt.Sprintf("told to %s from %s to %s", strings.Join(o.who, " "), FormatTime(o.first), FormatTime(o.last))}})
 	}
 	for _, n := range all {
 		if n.kind != record.KindList {
@@ -73,23 +73,23 @@
 				o.who = append(o.who, n.broker)
 			}
 		case (n.text == "up" || n.text == "gone") && o != nil:
-			end(n.subject, Bound{n.at - v.o.Notice, n.at}, false)
+			end(n.subject, Bound{n.at - v.options.NotificationTime, n.at}, false)
 		}
 	}
 	for _, node := range slices.Sorted(maps.Keys(on)) {
-		end(node, Bound{v.a.To, v.a.To}, true)
+		end(node, Bound{v.analysis.To, v.analysis.To}, true)
 	}
 }
 
-// hangs is how long a watch call may hang before a broker gives it up.
-const hangs = 2_500_000
+// maxHangingCall is how long a watch call may hang before a broker gives it up.
+const maxHangingCall = 2_500_000
 
-func (v *view) discovery(all []at) {
+func (v *analyzer) findDiscoveryOutages(all []timedNote) {
 	down := map[string]int64{} // brokers that found it down, since
 	var from Bound
 	var who []string
 	end := func(b Bound, opened bool) {
-		v.add(Episode{Kind: DiscoveryDown, Subject: "discovery", Begin: from, End: b, Open: opened, Evidence: []string{"found by " + strings.Join(who, " ")}})
+		v.addEpisode(Episode{Kind: DiscoveryDown, Subject: "discovery", Begin: from, End: b, Open: opened, Evidence: []string{"found by " + strings.Join(who, " ")}})
 		who = nil
 		clear(down)
 	}
@@ -102,7 +102,7 @@
 		}
 		if strings.HasPrefix(n.text, "down") {
 			if len(down) == 0 && len(who) == 0 {
-				from = Bound{n.at - hangs, n.at}
+				from = Bound{n.at - maxHangingCall, n.at}
 			}
 			down[n.broker] = n.at
 			if !slices.Contains(who, n.broker) {
@@ -110,17 +110,17 @@
 			}
 		} else if len(who) > 0 {
 			// Asked every half second and then up to four seconds apart while it is down.
-			end(Bound{max(n.at-4_500_000, from.Hi), n.at}, false)
+			end(Bound{max(n.at-4_500_000, from.Latest), n.at}, false)
 		}
 	}
 	if len(who) > 0 {
-		end(Bound{v.a.To, v.a.To}, true)
+		end(Bound{v.analysis.To, v.analysis.To}, true)
 	}
 }
 
-// restarts joins signs that a node's process is another than before. It is cold until a second in which its median is no more
+// findNodeRestarts joins signs that a node's process is another than before. It is cold until a second in which its median is no more
 // than half above its usual one.
-func (v *view) restarts(all []at) {
+func (v *analyzer) findNodeRestarts(all []timedNote) {
 	last := map[string]int64{}
 	for _, n := range all {
 		started := n.kind == record.KindList && strings.HasPrefix(n.text, "started ")
@@ -134,11 +134,11 @@
 		last[n.subject] = n.at
 		b := Bound{n.at - 5*second, n.at}
 		if w := v.nodes[n.subject]; w != nil {
-			if i := sort.Search(len(w.answers), func(i int) bool { return w.answers[i] >= n.at }) - 1; i >= 0 {
-				b.Lo = max(b.Lo, w.answers[i])
+			if i := sort.Search(len(w.responses), func(i int) bool { return w.responses[i] >= n.at }) - 1; i >= 0 {
+				b.Earliest = max(b.Earliest, w.responses[i])
 			}
 		}
-		e := Episode{Kind: NodeCold, Subject: n.subject, Begin: b, End: Bound{n.at, v.a.To}, Open: true, Evidence: []string{n.broker + ": " + n.text}}
+		e := Episode{Kind: NodeCold, Subject: n.subject, Begin: b, End: Bound{n.at, v.analysis.To}, Open: true, Evidence: []string{n.broker + ": " + n.text}}
 		bySec, usual := v.medians(n.subject)
 		for _, sec := range slices.Sorted(maps.Keys(bySec)) {
 			k := bySec[sec]
@@ -147,15 +147,15 @@
 			}
 			if float64(k.Quantile(0.5)) <= 1.5*float64(usual) {
 				e.End, e.Open = Bound{max(sec-second, n.at), sec + second}, false
-				e.Evidence = append(e.Evidence, fmt.Sprintf("as quick as usual (%d ms) in the second from %s", usual/1000, Clockface(sec)))
+				e.Evidence = append(e.Evidence, fmt.Sprintf("as quick as usual (%d ms) in the second from %s", usual/1000, FormatTime(sec)))
 				break
 			}
 		}
-		v.add(e)
+		v.addEpisode(e)
 	}
 }
 
-func (v *view) rollouts(all []at) {
+func (v *analyzer) findRollouts(all []timedNote) {
 	type span struct {
 		from, to int64
 		who      []string
@@ -177,7 +177,7 @@
 	}
 	for _, rev := range slices.Sorted(maps.Keys(byRev)) {
 		x := byRev[rev]
-		v.add(Episode{Kind: Rollout, Subject: "revision " + rev, Begin: Bound{x.from, x.from}, End: Bound{x.to, x.to},
+		v.addEpisode(Episode{Kind: Rollout, Subject: "revision " + rev, Begin: Bound{x.from, x.from}, End: Bound{x.to, x.to},
 			Evidence: []string{"taken by " + strings.Join(x.who, " ")}})
 	}
 }
--- a/internal/observability/incident/report/html.go
+++ b/internal/observability/incident/report/html.go
@@ -95,7 +95,7 @@
 
 func describeSpan(a *incident.Analysis) string {
 	day := time.UnixMicro(a.From).UTC().Format("2006-01-02")
-	return day + ", " + incident.Clockface(a.From) + " to " + incident.Clockface(a.To) + " UTC"
+	return day + ", " + incident.FormatTime(a.From) + " to " + incident.FormatTime(a.To) + " UTC"
 }
 
 // timeAxis maps times to positions on the page.
@@ -189,7 +189,7 @@
 		X:     t.axis.position(s.From),
 		W:     max(t.axis.position(s.To)-t.axis.position(s.From), minSpanWidth),
 		Class: "s-" + cssName(string(s.State)),
-		Title: fmt.Sprintf("%s: %s\n%s to %s\n%s", s.Broker, s.State, incident.Clockface(s.From), incident.Clockface(s.To), s.Text),
+		Title: fmt.Sprintf("%s: %s\n%s to %s\n%s", s.Broker, s.State, incident.FormatTime(s.From), incident.FormatTime(s.To), s.Text),
 	}
 }
 
@@ -200,15 +200,15 @@
 		if !selected(e) {
 			continue
 		}
-		x := t.axis.position(e.Begin.Lo)
+		x := t.axis.position(e.Begin.Earliest)
 		bars = append(bars, bar{
 			X:     x,
-			W:     max(t.axis.position(e.End.Hi)-x, minBarWidth),
+			W:     max(t.axis.position(e.End.Latest)-x, minBarWidth),
 			ID:    e.ID,
 			Class: "k-" + cssName(string(e.Kind)),
-			Title: fmt.Sprintf("%d  %s: %s\nbegin %s\nend %s\nlasted %s", e.ID, e.Kind, e.Subject, e.Begin.Words(), e.End.Words(), e.Took()),
-			Fuzzy: t.axis.position(e.Begin.Hi) - x,
-			Tail:  max(t.axis.position(e.End.Hi)-t.axis.position(e.End.Lo), 0),
+			Title: fmt.Sprintf("%d  %s: %s\nbegin %s\nend %s\nlasted %s", e.ID, e.Kind, e.Subject, e.Begin.Format(), e.End.Format(), e.FormatDuration()),
+			Fuzzy: t.axis.position(e.Begin.Latest) - x,
+			Tail:  max(t.axis.position(e.End.Latest)-t.axis.position(e.End.Earliest), 0),
 		})
 	}
 	return bars
@@ -217,7 +217,7 @@
 func cssName(s string) string { return strings.ReplaceAll(s, " ", "-") }
 
 var pageTemplate = template.Must(template.New("page").Funcs(template.FuncMap{
-	"clock": incident.Clockface,
+	"clock": incident.FormatTime,
 	"join":  func(l []string) string { return strings.Join(l, "\n") },
 	"plus":  func(a, b float64) float64 { return a + b },
 	"minus": func(a, b float64) float64 { return a - b },
@@ -228,5 +228,5 @@
 			W int
 		}{p, w}
 	},
-	"took": func(e incident.Episode) string { return e.Took() },
+	"took": func(e incident.Episode) string { return e.FormatDuration() },
 }).Parse(source))
--- a/internal/observability/incident/report/page.go
+++ b/internal/observability/incident/report/page.go
@@ -61,7 +61,7 @@
 <h2>Episodes</h2>
 <input id="q" type="search" placeholder="Search episodes, nodes, evidence" aria-label="search">
 <table id="t"><thead><tr><th>No</th><th>Episode</th><th>Who</th><th>Begin</th><th>End</th><th>Lasted</th><th class="n">Late</th><th class="n">Refused</th><th class="n">Failed</th><th class="n">Worth</th><th>Evidence</th></tr></thead><tbody>
-{{range .Episodes}}<tr id="e{{.ID}}"><td>{{.ID}}</td><td>{{.Kind}}</td><td>{{.Subject}}</td><td>{{.Begin.Words}}</td><td>{{if .Open}}still going on{{else}}{{.End.Words}}{{end}}</td><td>{{took .}}</td>
+{{range .Episodes}}<tr id="e{{.ID}}"><td>{{.ID}}</td><td>{{.Kind}}</td><td>{{.Subject}}</td><td>{{.Begin.Format}}</td><td>{{if .Open}}still going on{{else}}{{.End.Format}}{{end}}</td><td>{{took .}}</td>
 <td class="n">{{.Impact.Late}}</td><td class="n">{{.Impact.Refused}}</td><td class="n">{{.Impact.Failed}}</td><td class="n">{{printf "%.0f" .Impact.Worth}}</td>
 <td><pre>{{join .Evidence}}</pre>{{if .Doubt}}<pre class="doubt">a bound falls into a gap:
 {{join .Doubt}}</pre>{{end}}{{if .Overlaps}}<small>with {{range .Overlaps}}<a href="#e{{.}}">{{.}}</a> {{end}}</small>{{end}}</td></tr>
--- a/internal/observability/incident/report/plot.go
+++ b/internal/observability/incident/report/plot.go
@@ -58,7 +58,7 @@
 		l := lineBuilder{line: line{Name: name, Class: "l-" + name}}
 		for _, s := range a.Seconds {
 			v := values(s)
-			if v == nil || s.Blind == len(a.Brokers) {
+			if v == nil || s.UnknownBrokers == len(a.Brokers) {
 				l.endPiece()
 				continue
 			}
@@ -69,7 +69,7 @@
 		p.Lines = append(p.Lines, l.line)
 	}
 	for _, s := range a.Seconds {
-		if s.Blind > 0 {
+		if s.UnknownBrokers > 0 {
 			p.Blind = append(p.Blind, blindBar(a, axis, s))
 		}
 	}
@@ -79,7 +79,7 @@
 // blindBar shades a second in which nothing is known of some brokers.
 func blindBar(a *incident.Analysis, axis timeAxis, s incident.Second) bar {
 	class := "blind-some"
-	if s.Blind == len(a.Brokers) {
+	if s.UnknownBrokers == len(a.Brokers) {
 		class = "blind-all"
 	}
 	return bar{
@@ -87,7 +87,7 @@
 		W:     max(axis.position(s.At+secondMicros)-axis.position(s.At), minSpanWidth),
 		H:     plotHeight,
 		Class: class,
-		Title: fmt.Sprintf("%s: nothing is known of %d of %d brokers", incident.Clockface(s.At), s.Blind, len(a.Brokers)),
+		Title: fmt.Sprintf("%s: nothing is known of %d of %d brokers", incident.FormatTime(s.At), s.UnknownBrokers, len(a.Brokers)),
 	}
 }
 
--- a/internal/observability/incident/report/report_test.go
+++ b/internal/observability/incident/report/report_test.go
@@ -18,13 +18,13 @@
 	for k, span := range [][2]int64{{1, 10}, {16, 25}} {
 		s := incident.NewStream("n<1>", string(rune('a'+k)))
 		begin := span[0] * sec
-		s.Event(&record.Event{At: begin, Kind: record.KindBoot, Boot: &record.Boot{Name: "n<1>", ID: s.ID, Began: begin, Beat: sec / 2, Sample: 1,
+		s.AddEvent(&record.Event{At: begin, Kind: record.KindBoot, Boot: &record.Boot{Name: "n<1>", ID: s.ID, Began: begin, Beat: sec / 2, Sample: 1,
 			Classes: []record.Class{{Name: "read", Aim: sec, Worth: 1}}, Plans: []record.Plan{{Name: "p", Price: 1}}}})
 		seq := uint64(0)
 		for at := begin; at < span[1]*sec; at += sec / 5 {
 			seq++
-			s.Frame(seq, at)
-			s.Event(&record.Event{At: at, Kind: record.KindRequest, Request: &record.Request{Volume: "v", Units: 1, Took: 20_000, Tries: []record.Try{{Node: "s-1", Took: 19_000}}}})
+			s.AddFrame(seq, at)
+			s.AddEvent(&record.Event{At: at, Kind: record.KindRequest, Request: &record.Request{Volume: "v", Units: 1, Took: 20_000, Tries: []record.Try{{Node: "s-1", Took: 19_000}}}})
 		}
 		list = append(list, s)
 	}
@@ -37,7 +37,7 @@
 	a := twoBoots()
 	blind := 0
 	for _, s := range a.Seconds {
-		if s.Blind == 1 {
+		if s.UnknownBrokers == 1 {
 			blind++
 			if s.At < 10*sec || s.At >= 16*sec || s.Served > 0 {
 				t.Errorf("%+v", s)
--- a/internal/observability/incident/report/text.go
+++ b/internal/observability/incident/report/text.go
@@ -22,8 +22,8 @@
 func Text(w io.Writer, a *incident.Analysis) error {
 	p := textoutput.NewPrinter(w)
 	day := time.UnixMicro(a.From).UTC().Format("2006-01-02")
-	p.Printf("%s, %s to %s UTC: %d brokers, %d nodes, %d events, %d episodes\n", day, incident.Clockface(a.From),
-		incident.Clockface(a.To), len(a.Brokers), len(a.Nodes), a.Events, len(a.Episodes))
+	p.Printf("%s, %s to %s UTC: %d brokers, %d nodes, %d events, %d episodes\n", day, incident.FormatTime(a.From),
+		incident.FormatTime(a.To), len(a.Brokers), len(a.Nodes), a.Events, len(a.Episodes))
 	if a.Sampled < 1 {
 		p.Printf("requests were sampled, 1 in %.0f at the least: impacts count the recorded ones\n", 1/a.Sampled)
 	}
@@ -44,12 +44,12 @@
 	t := textoutput.NewTable(w, "\nNO", "EPISODE", "WHO", "BEGIN", "END", "LASTED", "LATE", "REFUSED", "FAILED", "WORTH", "WITH")
 	for i := range episodes {
 		e := &episodes[i]
-		end := e.End.Words()
+		end := e.End.Format()
 		if e.Open {
 			end = "still going on"
 		}
 		overlaps := strings.Trim(fmt.Sprint(e.Overlaps), "[]")
-		t.Printf("%d\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%.0f\t%s\n", e.ID, e.Kind, e.Subject, e.Begin.Words(), end, e.Took(),
+		t.Printf("%d\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%.0f\t%s\n", e.ID, e.Kind, e.Subject, e.Begin.Format(), end, e.FormatDuration(),
 			e.Impact.Late, e.Impact.Refused, e.Impact.Failed, e.Impact.Worth, overlaps)
 	}
 	return t.Flush()
@@ -64,7 +64,7 @@
 			continue
 		}
 		unknown++
-		t.Printf("  %s\t%s\t%s to %s\t%s\n", s.Broker, s.State, incident.Clockface(s.From), incident.Clockface(s.To), describeGap(s))
+		t.Printf("  %s\t%s\t%s to %s\t%s\n", s.Broker, s.State, incident.FormatTime(s.From), incident.FormatTime(s.To), describeGap(s))
 	}
 	if unknown == 0 {
 		t.Println("  nothing")
@@ -90,7 +90,7 @@
 	}
 	e := &a.Episodes[id-1]
 	p := textoutput.NewPrinter(w)
-	p.Printf("%d  %s: %s\nbegin   %s\nend     %s\nlasted  %s\n", e.ID, e.Kind, e.Subject, e.Begin.Words(), e.End.Words(), e.Took())
+	p.Printf("%d  %s: %s\nbegin   %s\nend     %s\nlasted  %s\n", e.ID, e.Kind, e.Subject, e.Begin.Format(), e.End.Format(), e.FormatDuration())
 	for _, evidence := range e.Evidence {
 		p.Println("seen   ", evidence)
 	}
@@ -117,7 +117,7 @@
 	t := textoutput.NewTable(w, "EPISODE", "WHO", "FIRST", "SECOND", "LATE", "REFUSED", "FAILED", "WORTH")
 	for _, c := range changes {
 		x, y := impact(c.First), impact(c.Second)
-		t.Printf("%s\t%s\t%s\t%s\t%d > %d\t%d > %d\t%d > %d\t%.0f > %.0f\n", c.Kind, c.Who, duration(c.First), duration(c.Second),
+		t.Printf("%s\t%s\t%s\t%s\t%d > %d\t%d > %d\t%d > %d\t%.0f > %.0f\n", c.Kind, c.Subject, duration(c.First), duration(c.Second),
 			x.Late, y.Late, x.Refused, y.Refused, x.Failed, y.Failed, x.Worth, y.Worth)
 	}
 	return t.Flush()
@@ -128,7 +128,7 @@
 	if e == nil {
 		return "-"
 	}
-	return e.Took()
+	return e.FormatDuration()
 }
 
 func impact(e *incident.Episode) incident.Impact {
--- a/internal/observability/incident/stream.go
+++ b/internal/observability/incident/stream.go
@@ -18,19 +18,19 @@
 	ID   string
 	Boot record.Boot // the last copy that could be read
 
-	frames  []frame
-	damaged []hole // bytes that could not be read, by the frames around them
-	lost    []record.Lost
-	beats   []beat
-	notes   []note
-	stopped bool
-	nodes   map[string]*seen
-	groups  map[int64]map[group]*tally // by second
-	volumes map[string]map[int64]int   // requests by second of arrival
-	latency map[uint8]*sketch.Index    // of served requests, by class
-	events  int
-	first   int64 // the earliest and the latest event
-	last    int64
+	frames     []frame
+	damaged    []damage // bytes that could not be read, by the frames around them
+	lost       []record.Lost
+	heartbeats []heartbeat
+	notes      []note
+	stopped    bool
+	nodes      map[string]*nodeRecord
+	groups     map[int64]map[group]*groupCounts // by second
+	volumes    map[string]map[int64]int         // requests by second of arrival
+	latency    map[uint8]*sketch.Index          // of served requests, by class
+	events     int
+	first      int64 // the earliest and the latest event
+	last       int64
 }
 
 type frame struct {
@@ -38,12 +38,12 @@
 	now int64
 }
 
-type hole struct {
+type damage struct {
 	after uint64 // the last frame before it
 	bytes int
 }
 
-type beat struct{ at, wall, open int64 }
+type heartbeat struct{ at, wall, open int64 }
 
 type note struct {
 	at      int64
@@ -53,20 +53,20 @@
 	value   int64
 }
 
-// seen is what one boot saw of one node.
-type seen struct {
-	answers []int64 // when answers came
-	silent  []try   // attempts without an answer
-	refused []try   // and without a connection
-	latency map[int64]*sketch.Sketch
+// nodeRecord is what one boot saw of one node.
+type nodeRecord struct {
+	responses []int64   // when answers came
+	timedOut  []attempt // attempts without an answer
+	refused   []attempt // and without a connection
+	latency   map[int64]*sketch.Sketch
 }
 
-type try struct{ sent, done int64 }
+type attempt struct{ sent, done int64 }
 
 type group struct{ class, plan uint8 }
 
-// tally counts requests of one group in one second, by when they ended.
-type tally struct {
+// groupCounts counts requests of one group in one second, by when they ended.
+type groupCounts struct {
 	count [8]int64
 	late  int64
 	units float64
@@ -75,18 +75,20 @@
 
 // NewStream returns an empty one.
 func NewStream(name, id string) *Stream {
-	return &Stream{Name: name, ID: id, nodes: map[string]*seen{}, groups: map[int64]map[group]*tally{},
+	return &Stream{Name: name, ID: id, nodes: map[string]*nodeRecord{}, groups: map[int64]map[group]*groupCounts{},
 		volumes: map[string]map[int64]int{}, latency: map[uint8]*sketch.Index{}}
 }
 
-// Frame takes in that a frame is there.
-func (s *Stream) Frame(seq uint64, now int64) { s.frames = append(s.frames, frame{seq, now}) }
+// AddFrame takes in that a frame is there.
+func (s *Stream) AddFrame(seq uint64, now int64) { s.frames = append(s.frames, frame{seq, now}) }
 
-// Damage takes in that bytes behind frame after could not be read.
-func (s *Stream) Damage(after uint64, bytes int) { s.damaged = append(s.damaged, hole{after, bytes}) }
+// AddDamage takes in that bytes behind frame after could not be read.
+func (s *Stream) AddDamage(after uint64, bytes int) {
+	s.damaged = append(s.damaged, damage{after, bytes})
+}
 
-// Newest is the number of the last frame taken in; 0: none.
-func (s *Stream) Newest() uint64 {
+// LastFrame is the number of the last frame taken in; 0: none.
+func (s *Stream) LastFrame() uint64 {
 	if len(s.frames) == 0 {
 		return 0
 	}
@@ -96,23 +98,23 @@
 // second is the slot of a time.
 const second = int64(1_000_000)
 
-func slot(at int64) int64 { return at - at%second }
+func secondOf(at int64) int64 { return at - at%second }
 
-// Event takes in one event.
-func (s *Stream) Event(e *record.Event) {
+// AddEvent takes in one event.
+func (s *Stream) AddEvent(e *record.Event) {
 	s.events++
 	end := e.At
 	switch e.Kind {
 	case record.KindBoot:
 		s.Boot = *e.Boot
 	case record.KindBeat:
-		s.beats = append(s.beats, beat{e.At, e.Beat.Wall, e.Beat.Open})
+		s.heartbeats = append(s.heartbeats, heartbeat{e.At, e.Beat.Wall, e.Beat.Open})
 	case record.KindLost:
 		s.lost = append(s.lost, *e.Lost)
 	case record.KindSummary:
 	case record.KindRequest:
 		end += e.Request.Took
-		s.request(e.At, e.Request)
+		s.addRequest(e.At, e.Request)
 	default:
 		if e.Kind == record.KindStop {
 			s.stopped = true
@@ -125,22 +127,22 @@
 	s.last = max(s.last, end)
 }
 
-func (s *Stream) request(at int64, q *record.Request) {
+func (s *Stream) addRequest(at int64, q *record.Request) {
 	if v := s.volumes[q.Volume]; v != nil {
-		v[slot(at)]++
+		v[secondOf(at)]++
 	} else {
-		s.volumes[q.Volume] = map[int64]int{slot(at): 1}
+		s.volumes[q.Volume] = map[int64]int{secondOf(at): 1}
 	}
-	sec := slot(at + q.Took)
+	sec := secondOf(at + q.Took)
 	byGroup := s.groups[sec]
 	if byGroup == nil {
-		byGroup = map[group]*tally{}
+		byGroup = map[group]*groupCounts{}
 		s.groups[sec] = byGroup
 	}
 	g := group{q.Class, q.Plan}
 	t := byGroup[g]
 	if t == nil {
-		t = &tally{}
+		t = &groupCounts{}
 		byGroup[g] = t
 	}
 	t.count[q.Answer%8]++
@@ -171,26 +173,26 @@
 		y := &q.Tries[i]
 		n := s.nodes[y.Node]
 		if n == nil {
-			n = &seen{latency: map[int64]*sketch.Sketch{}}
+			n = &nodeRecord{latency: map[int64]*sketch.Sketch{}}
 			s.nodes[y.Node] = n
 		}
 		sent := at + y.Sent
 		done := sent + y.Took
 		switch decision.Outcome(y.Outcome) {
 		case decision.Served, decision.NodeError, decision.Rejected, decision.MalformedResponse: // it said something
-			n.answers = append(n.answers, done)
+			n.responses = append(n.responses, done)
 			if decision.Outcome(y.Outcome) == decision.Served {
-				k := n.latency[slot(done)]
+				k := n.latency[secondOf(done)]
 				if k == nil {
 					k = &sketch.Sketch{}
-					n.latency[slot(done)] = k
+					n.latency[secondOf(done)] = k
 				}
 				k.Add(y.Took)
 			}
 		case decision.TimedOut:
-			n.silent = append(n.silent, try{sent, done})
+			n.timedOut = append(n.timedOut, attempt{sent, done})
 		case decision.ConnectFailed, decision.ConnectionLost:
-			n.refused = append(n.refused, try{sent, done})
+			n.refused = append(n.refused, attempt{sent, done})
 		}
 	}
 }
@@ -230,7 +232,7 @@
 	}
 	frames := slices.Clone(s.frames)
 	sort.Slice(frames, func(a, b int) bool { return frames[a].seq < frames[b].seq })
-	period := s.period()
+	period := s.heartbeatInterval()
 	add := func(st State, from, to int64, events uint64, text string) {
 		if to > from || events > 0 {
 			out = append(out, Span{Broker: s.Name, Boot: s.ID, State: st, From: from, To: to, Events: events, Text: text})
@@ -265,9 +267,9 @@
 	return out
 }
 
-// period is how often a boot lets hear of itself. Where the segments with its particulars are gone, it is taken for a second,
+// heartbeatInterval is how often a boot lets hear of itself. Where the segments with its particulars are gone, it is taken for a second,
 // which is longer than any broker's that is set up as documented.
-func (s *Stream) period() int64 {
+func (s *Stream) heartbeatInterval() int64 {
 	if s.Boot.Beat > 0 {
 		return s.Boot.Beat
 	}
@@ -283,8 +285,8 @@
 	return last
 }
 
-// begin is its first.
-func (s *Stream) begin() int64 {
+// start is its first.
+func (s *Stream) start() int64 {
 	if s.Boot.Began > 0 {
 		return s.Boot.Began
 	}
--- a/internal/observability/incident/traffic.go
+++ b/internal/observability/incident/traffic_episodes.go
@@ -9,32 +9,34 @@
 	"poppyarch/internal/observability/sketch"
 )
 
-// brokers makes episodes of deaths.
-func (v *view) brokers() {
-	for _, s := range v.a.Knowledge {
+// findBrokerDeaths makes episodes of deaths.
+func (v *analyzer) findBrokerDeaths() {
+	for _, s := range v.analysis.Knowledge {
 		if s.State != Dead {
 			continue
 		}
 		e := Episode{Kind: BrokerDead, Subject: s.Broker, Begin: Bound{s.From, s.From + s.Slack}, End: Bound{s.To, s.To},
-			Evidence: []string{fmt.Sprintf("boot %s has its last word at %s and never said that it stopped", s.Boot, Clockface(s.From))}}
-		if s.To >= v.a.To {
+			Evidence: []string{fmt.Sprintf("boot %s has its last word at %s and never said that it stopped", s.Boot, FormatTime(s.From))}}
+		if s.To >= v.analysis.To {
 			e.Open = true
 		} else {
-			e.Evidence = append(e.Evidence, fmt.Sprintf("another boot begins at %s", Clockface(s.To)))
+			e.Evidence = append(e.Evidence, fmt.Sprintf("another boot begins at %s", FormatTime(s.To)))
 		}
-		v.add(e)
+		v.addEpisode(e)
 	}
 }
 
-// unanswered finds the times in which a node gave nobody an answer. What proves it are attempts that waited for much
+// findUnanswered finds the times in which a node gave nobody an answer. What proves it are attempts that waited for much
 // longer than its usual answers take while no answer came to anyone. Their begin lies after the last answer, and at the
 // latest when the first of them should have been answered; their end after the last of them was sent, and before the next answer.
-func (v *view) unanswered(name string, kind Kind, tries []try) {
+func (v *analyzer) findUnanswered(name string, kind Kind, tries []attempt) {
 	n := v.nodes[name]
-	usual := max(n.usual, 1000)
-	after := func(t int64) int { return sort.Search(len(n.answers), func(i int) bool { return n.answers[i] > t }) }
+	usual := max(n.usualLatency, 1000)
+	after := func(t int64) int {
+		return sort.Search(len(n.responses), func(i int) bool { return n.responses[i] > t })
+	}
 	type run struct {
-		first, last try // by their times of sending
+		first, last attempt // by their times of sending
 		sent        int64
 		n           int
 	}
@@ -44,13 +46,13 @@
 			if t.done-t.sent < 2*usual {
 				continue // it may just have been slow
 			}
-			if k := after(t.sent + usual); k < len(n.answers) && n.answers[k] < t.done {
+			if k := after(t.sent + usual); k < len(n.responses) && n.responses[k] < t.done {
 				continue // others were answered meanwhile: this one was lost on the way
 			}
 		}
 		if k := len(runs) - 1; k >= 0 {
 			r := &runs[k]
-			if i := after(r.sent); i == len(n.answers) || n.answers[i] > t.sent+usual {
+			if i := after(r.sent); i == len(n.responses) || n.responses[i] > t.sent+usual {
 				r.last, r.sent, r.n = t, max(r.sent, t.sent), r.n+1
 				continue
 			}
@@ -63,34 +65,34 @@
 			continue // one attempt proves little
 		}
 		e := Episode{Kind: kind, Subject: name, Evidence: []string{fmt.Sprintf("%d attempts %s, sent from %s to %s", r.n, word,
-			Clockface(r.first.sent), Clockface(r.sent))}}
+			FormatTime(r.first.sent), FormatTime(r.sent))}}
 		limit := r.first.sent + usual
 		if kind == NodeDown {
 			limit = r.first.done
 		}
-		e.Begin = Bound{v.a.From, limit}
+		e.Begin = Bound{v.analysis.From, limit}
 		if i := after(limit) - 1; i >= 0 {
-			e.Begin.Lo = n.answers[i]
-			e.Evidence = append(e.Evidence, "last answer before at "+Clockface(n.answers[i]))
+			e.Begin.Earliest = n.responses[i]
+			e.Evidence = append(e.Evidence, "last answer before at "+FormatTime(n.responses[i]))
 		}
-		e.End = Bound{r.sent, v.a.To}
-		if i := after(r.sent); i < len(n.answers) {
+		e.End = Bound{r.sent, v.analysis.To}
+		if i := after(r.sent); i < len(n.responses) {
 			// An answer that came shortly after may have been made before.
-			e.End.Hi = n.answers[i]
-			e.Evidence = append(e.Evidence, "next answer at "+Clockface(n.answers[i]))
+			e.End.Latest = n.responses[i]
+			e.Evidence = append(e.Evidence, "next answer at "+FormatTime(n.responses[i]))
 		} else {
 			e.Open = true
 		}
-		v.add(e)
+		v.addEpisode(e)
 	}
 }
 
 // runs joins slots that lie no more than gap apart.
-func runsOf(slots []int64, gap int64) (out []Bound) {
+func joinSeconds(slots []int64, gap int64) (out []Bound) {
 	slices.Sort(slots)
 	for _, s := range slots {
-		if k := len(out) - 1; k >= 0 && s-out[k].Hi <= gap {
-			out[k].Hi = s
+		if k := len(out) - 1; k >= 0 && s-out[k].Latest <= gap {
+			out[k].Latest = s
 		} else {
 			out = append(out, Bound{s, s})
 		}
@@ -99,12 +101,12 @@
 }
 
 // medians are a node's answers by seconds, over all brokers, and the middle of the seconds' medians; 0: too little is known.
-func (v *view) medians(name string) (bySec map[int64]*sketch.Sketch, usual int64) {
+func (v *analyzer) medians(name string) (bySec map[int64]*sketch.Sketch, usual int64) {
 	bySec = map[int64]*sketch.Sketch{}
-	for i, s := range v.s {
+	for i, s := range v.streams {
 		if n := s.nodes[name]; n != nil {
 			for sec, k := range n.latency {
-				at := slot(sec + v.clocks[i].Offset)
+				at := secondOf(sec + v.clocks[i].Offset)
 				if bySec[at] == nil {
 					bySec[at] = &sketch.Sketch{}
 				}
@@ -125,9 +127,9 @@
 	return bySec, max(medians[len(medians)/2], 500)
 }
 
-// slow finds seconds in which a node's median was far above its own usual one.
-func (v *view) slow() {
-	for _, name := range v.a.Nodes {
+// findSlowNodes finds seconds in which a node's median was far above its own usual one.
+func (v *analyzer) findSlowNodes() {
+	for _, name := range v.analysis.Nodes {
 		bySec, usual := v.medians(name)
 		if usual == 0 {
 			continue
@@ -135,25 +137,25 @@
 		var slots []int64
 		worst := int64(0)
 		for at, k := range bySec {
-			if k.Count() >= 5 && float64(k.Quantile(0.5)) > v.o.Slow*float64(usual) {
+			if k.Count() >= 5 && float64(k.Quantile(0.5)) > v.options.SlowFactor*float64(usual) {
 				slots = append(slots, at)
 				worst = max(worst, k.Quantile(0.5))
 			}
 		}
-		for _, r := range runsOf(slots, 2*second) {
-			if r.Hi-r.Lo < second { // a second alone may be a pause
+		for _, r := range joinSeconds(slots, 2*second) {
+			if r.Latest-r.Earliest < second { // a second alone may be a pause
 				continue
 			}
-			v.add(Episode{Kind: NodeSlow, Subject: name, Begin: Bound{r.Lo - second, r.Lo + second}, End: Bound{r.Hi, r.Hi + 2*second},
+			v.addEpisode(Episode{Kind: NodeSlow, Subject: name, Begin: Bound{r.Earliest - second, r.Earliest + second}, End: Bound{r.Latest, r.Latest + 2*second},
 				Evidence: []string{fmt.Sprintf("median answers of up to %d ms, usually %d ms", worst/1000, usual/1000)}})
 		}
 	}
 }
 
-// surges finds volumes that ask for far more than usual.
-func (v *view) surges() {
+// findSurges finds volumes that ask for far more than usual.
+func (v *analyzer) findSurges() {
 	volumes := map[string]map[int64]float64{}
-	for i, s := range v.s {
+	for i, s := range v.streams {
 		share := s.Boot.Sample
 		if share <= 0 {
 			share = 1
@@ -165,14 +167,14 @@
 				volumes[name] = m
 			}
 			for sec, n := range bySec {
-				m[slot(sec+v.clocks[i].Offset)] += float64(n) / share
+				m[secondOf(sec+v.clocks[i].Offset)] += float64(n) / share
 			}
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(volumes)) {
 		m := volumes[name]
 		var rates []float64
-		for sec := slot(v.a.From); sec <= v.a.To; sec += second {
+		for sec := secondOf(v.analysis.From); sec <= v.analysis.To; sec += second {
 			rates = append(rates, m[sec]) // seconds without a request count as well
 		}
 		if len(rates) < 10 {
@@ -183,16 +185,16 @@
 		var slots []int64
 		worst := 0.0
 		for sec, n := range m {
-			if n > v.o.Surge*usual && n >= usual+10 {
+			if n > v.options.SurgeFactor*usual && n >= usual+10 {
 				slots = append(slots, sec)
 				worst = max(worst, n)
 			}
 		}
-		for _, r := range runsOf(slots, 2*second) {
-			if r.Hi-r.Lo < second {
+		for _, r := range joinSeconds(slots, 2*second) {
+			if r.Latest-r.Earliest < second {
 				continue
 			}
-			v.add(Episode{Kind: VolumeSurge, Subject: name, Begin: Bound{r.Lo - second, r.Lo + second}, End: Bound{r.Hi, r.Hi + 2*second},
+			v.addEpisode(Episode{Kind: VolumeSurge, Subject: name, Begin: Bound{r.Earliest - second, r.Earliest + second}, End: Bound{r.Latest, r.Latest + 2*second},
 				Evidence: []string{fmt.Sprintf("up to %.0f requests a second, usually %.0f", worst, usual)}})
 		}
 	}
