--- a/policy/asfq_test.go
+++ b/policy/asfq_test.go
@@ -111,7 +111,7 @@
 	for i := 0; i < 5; i++ { // each lets its trial time out
 		r.scheduler.observeOutcome(n, r.scheduler.requests.open[1], &decision.Event{Kind: decision.AttemptEnded, Outcome: decision.TimedOut})
 	}
-	r.after(100*ms, decision.Event{Kind: decision.AttemptEnded, ID: 1, Node: "a", Outcome: decision.Rejected, Final: true})
+	r.after(100*ms, finalOutcome(1, "a", decision.Rejected))
 	n.latency, n.depth = 0.6, 0.02
 	want(t, "sent after trials failed", of(r.after(100*ms, r.arrive(2, 0, 0, "x", "", 1)), decision.Forward))
 	n.lastSendAt = r.now - 3*time.Second
--- a/policy/depth.go
+++ b/policy/depth.go
@@ -15,7 +15,7 @@
 	minDepth      = 0.02
 	maxDepth      = 16.0
 	minFleetDepth = 0.05
-	depthIncrease = 0.5  // growth over a depth's worth of answers, while requests are queued
+	depthIncrease = 0.5  // growth over as many answers as the depth is, while requests are queued
 	depthDecrease = 0.10 // part cut by one answer when the latency is too high
 )
 
--- a/policy/depth_test.go
+++ b/policy/depth_test.go
@@ -57,7 +57,7 @@
 		}
 	}
 	for _, d := range inFlight {
-		r.step(decision.Event{Kind: decision.AttemptEnded, ID: d.id, Node: d.node, Outcome: d.out, Final: true})
+		r.step(finalOutcome(d.id, d.node, d.out))
 	}
 	return sent[0] / all[0], sent[1] / all[1]
 }
--- a/policy/outcomes_test.go
+++ b/policy/outcomes_test.go
@@ -23,7 +23,7 @@
 		for range 10 {
 			r.after(100 * ms)
 		}
-		r.step(decision.Event{Kind: decision.AttemptEnded, ID: 1, Node: "a", Outcome: decision.TimedOut})
+		r.step(outcomeOf(1, "a", decision.TimedOut))
 		if !n.health.suspect || n.depth != 3 || n.latency != 0.05 {
 			t.Fatalf("suspect %v, depth %v, latency %v right after the time-out", n.health.suspect, n.depth, n.latency)
 		}
@@ -45,10 +45,10 @@
 	n := r.scheduler.nodes.byName["a"]
 	depth := n.depth
 	want(t, "sends", of(r.step(r.arrive(1, 0, 0, "v", "k", 2)), decision.Forward), 1)
-	want(t, "a safe one goes again", of(r.after(20*ms, decision.Event{Kind: decision.AttemptEnded, ID: 1, Node: "a", Outcome: decision.MalformedResponse}), decision.Forward), 1)
+	want(t, "a safe one goes again", of(r.after(20*ms, outcomeOf(1, "a", decision.MalformedResponse)), decision.Forward), 1)
 	r.after(20*ms, decision.Event{Kind: decision.AttemptEnded, ID: 1, Attempt: 1, Node: "a", Outcome: decision.Served, Final: true})
 	r.step(r.arrive(2, 1, 0, "v", "k", 2))
-	want(t, "an unsafe one fails", of(r.after(20*ms, decision.Event{Kind: decision.AttemptEnded, ID: 2, Node: "a", Outcome: decision.MalformedResponse}), decision.Fail), 2)
+	want(t, "an unsafe one fails", of(r.after(20*ms, outcomeOf(2, "a", decision.MalformedResponse)), decision.Fail), 2)
 	if _, warming := r.scheduler.slowStartSince(n); warming || n.health.suspect || n.pausedUntil > r.now || n.depth < depth {
 		t.Errorf("warming %v, suspect %v, depth %v, was %v", warming, n.health.suspect, n.depth, depth)
 	}
@@ -79,7 +79,7 @@
 			for range 4 {
 				r.after(compensationPeriod)
 			}
-			r.step(decision.Event{Kind: decision.AttemptEnded, ID: uint64(id + 1), Node: "a", Outcome: o, Final: true})
+			r.step(finalOutcome(uint64(id+1), "a", o))
 		}
 		if _, warming := r.scheduler.slowStartSince(n); warming != x.warming || (n.pausedUntil > r.now) != x.warming {
 			t.Errorf("%v: warming %v, nothing sent for %v", x.outcomes, warming, n.pausedUntil-r.now)
@@ -92,7 +92,7 @@
 	r := newRig(t, testConfig())
 	n := r.scheduler.nodes.byName["a"]
 	r.step(r.arrive(1, 0, 0, "v", "k", 2))
-	r.after(50*ms, decision.Event{Kind: decision.AttemptEnded, ID: 1, Node: "a", Outcome: decision.TimedOut, Final: true})
+	r.after(50*ms, finalOutcome(1, "a", decision.TimedOut))
 	if n.health.suspect {
 		t.Error("suspect after 50 ms of an objective of a second")
 	}
@@ -100,7 +100,7 @@
 	for range 4 {
 		r.after(compensationPeriod)
 	}
-	r.after(compensationPeriod, decision.Event{Kind: decision.AttemptEnded, ID: 2, Node: "a", Outcome: decision.TimedOut, Final: true})
+	r.after(compensationPeriod, finalOutcome(2, "a", decision.TimedOut))
 	if !n.health.suspect {
 		t.Error("not suspect after 500 ms of silence")
 	}
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -37,18 +37,18 @@
 	share := func(capacity float64) float64 {
 		cfg := testConfig()
 		r := newRig(t, cfg)
-		r.after(0, decision.Event{Kind: decision.EndpointsReplaced, Endpoints: []decision.Endpoint{{Node: "a", Shard: 0}}})
+		r.after(0, endpointsReplaced(decision.Endpoint{Node: "a", Shard: 0}))
 		for id := uint64(1); id < 40; id++ { // latencies of a usual node are known
 			for _, x := range r.after(50*ms, r.arrive(id, 0, 0, "v", "", 1)) {
 				if x.Kind == decision.Forward {
-					r.after(50*ms, decision.Event{Kind: decision.AttemptEnded, ID: x.ID, Node: x.Node, Final: true})
+					r.after(50*ms, finalOutcome(x.ID, x.Node, decision.Served))
 				}
 			}
 		}
-		r.after(0, decision.Event{Kind: decision.EndpointsReplaced, Endpoints: []decision.Endpoint{{Node: "b", Shard: 1, Capacity: capacity}, {Node: "c", Shard: 2, Capacity: 1}}})
+		r.after(0, endpointsReplaced(decision.Endpoint{Node: "b", Shard: 1, Capacity: capacity}, decision.Endpoint{Node: "c", Shard: 2, Capacity: 1}))
 		strong := 0
 		for range 200 {
-			if r.scheduler.pickNode(&request{class: &r.scheduler.cfg.Classes[0], arrival: decision.Arrival{Shard: -1, Units: 1}}).Node == "b" {
+			if r.pick(decision.AnyShard).Node == "b" {
 				strong++
 			}
 		}
@@ -69,17 +69,17 @@
 	cfg := testConfig()
 	cfg.LocalZone, cfg.RemoteZonePenalty = 2, 50*ms
 	r := newRig(t, cfg)
-	r.after(0, decision.Event{Kind: decision.EndpointsReplaced, Endpoints: []decision.Endpoint{{Node: "near", Shard: 0, Zone: 1}, {Node: "far", Shard: 1, Zone: 0}}})
+	r.after(0, endpointsReplaced(decision.Endpoint{Node: "near", Shard: 0, Zone: 1}, decision.Endpoint{Node: "far", Shard: 1, Zone: 0}))
 	for range 50 {
-		if n := r.scheduler.pickNode(&request{class: &r.scheduler.cfg.Classes[0], arrival: decision.Arrival{Shard: -1, Units: 1}}); n.Node != "near" {
+		if n := r.pick(decision.AnyShard); n.Node != "near" {
 			t.Fatalf("a new object goes to %s", n.Node)
 		}
 	}
-	if n := r.scheduler.pickNode(&request{class: &r.scheduler.cfg.Classes[0], arrival: decision.Arrival{Shard: 1, Units: 1}}); n.Node != "far" {
+	if n := r.pick(1); n.Node != "far" {
 		t.Errorf("an object on shard 1 is sought at %s", n.Node)
 	}
 	r.scheduler.nodes.byName["near"].latency = 0.2
-	if n := r.scheduler.pickNode(&request{class: &r.scheduler.cfg.Classes[0], arrival: decision.Arrival{Shard: -1, Units: 1}}); n.Node != "far" {
+	if n := r.pick(decision.AnyShard); n.Node != "far" {
 		t.Errorf("a new object waits at %s", n.Node)
 	}
 }
@@ -136,7 +136,7 @@
 		r := newRig(t, cfg, decision.Endpoint{Node: "slow"}, decision.Endpoint{Node: "quick", Shard: 1})
 		r.scheduler.nodes.byName["slow"].health.respondedAt, r.scheduler.nodes.byName["slow"].latency, r.scheduler.nodes.byName["quick"].latency = r.now, latency, 0.05
 		for range 50 {
-			if n := r.scheduler.pickNode(&request{class: &cfg.Classes[0], arrival: decision.Arrival{Shard: -1, Units: 1}}); n.Node != "quick" {
+			if n := r.pick(decision.AnyShard); n.Node != "quick" {
 				t.Fatalf("reuse window %v: a new object goes to %s", reuseWindow, n.Node)
 			}
 		}
@@ -165,7 +165,7 @@
 						out, wait = decision.NodeError, ms
 					}
 				}
-				r.after(wait, decision.Event{Kind: decision.AttemptEnded, ID: a.ID, Node: a.Node, Outcome: out, Final: true})
+				r.after(wait, finalOutcome(a.ID, a.Node, out))
 			}
 		}
 		return toBad
@@ -225,12 +225,12 @@
 	seen := map[string]bool{}
 	for round := range 2 {
 		for range 60 {
-			seen[r.scheduler.pickNode(&request{class: &r.scheduler.cfg.Classes[0], arrival: decision.Arrival{Shard: -1, Units: 1}}).Node] = true
+			seen[r.pick(decision.AnyShard).Node] = true
 		}
-		if want := 3 + round; len(seen) != want || r.scheduler.pickNode(&request{class: &r.scheduler.cfg.Classes[0], arrival: decision.Arrival{Shard: 7, Units: 1}}) == nil != (round == 0) {
+		if want := 3 + round; len(seen) != want || r.pick(7) == nil != (round == 0) {
 			t.Fatalf("round %d: new objects go to %v", round, seen)
 		}
-		r.after(compensationPeriod, decision.Event{Kind: decision.EndpointsChanged, Endpoints: []decision.Endpoint{{Node: "n7", Shard: 7}}})
+		r.after(compensationPeriod, endpointsChanged(decision.Endpoint{Node: "n7", Shard: 7}))
 	}
 }
 
--- a/policy/request.go
+++ b/policy/request.go
@@ -7,8 +7,8 @@
 	"poppyarch/internal/broker/decision"
 )
 
-// reservedDrawRange: requests inside their volume's reserve draw lots for a node in slow start below it,
-// and the others as much higher as is left to 1, so that the reserve goes first there too.
+// reservedDrawRange bounds the random slowStartDraw of requests inside their volume's reserve. That of
+// others is higher by what is left to 1, so that at a node in slow start the reserve is served first too.
 const reservedDrawRange = 0.8
 
 // request is one client request from its arrival until it is closed and all its attempts have outcomes.
--- a/policy/retention_test.go
+++ b/policy/retention_test.go
@@ -10,7 +10,7 @@
 func TestRemovedNodesAreForgottenWhenNothingCounts(t *testing.T) {
 	r := newRig(t, testConfig(), decision.Endpoint{Node: "a"}, decision.Endpoint{Node: "b", Shard: 1})
 	r.step(r.arrive(1, 0, 0, "v", "k", 2))
-	r.step(decision.Event{Kind: decision.EndpointsChanged, Endpoints: []decision.Endpoint{{Node: "a", State: decision.Removed}, {Node: "b", Shard: 1, State: decision.Removed}}})
+	r.step(endpointsChanged(decision.Endpoint{Node: "a", State: decision.Removed}, decision.Endpoint{Node: "b", Shard: 1, State: decision.Removed}))
 	for range 600 {
 		r.after(compensationPeriod)
 	}
@@ -23,7 +23,7 @@
 	if r.scheduler.nodes.byName["b"] != nil || r.scheduler.nodes.byName["a"] == nil || len(r.scheduler.nodes.list) != 1 {
 		t.Errorf("b known: %v; a, with an attempt in flight: %v", r.scheduler.nodes.byName["b"] != nil, r.scheduler.nodes.byName["a"] != nil)
 	}
-	r.after(compensationPeriod, decision.Event{Kind: decision.AttemptEnded, ID: 1, Node: "a", Outcome: decision.Served, Final: true})
+	r.after(compensationPeriod, finalOutcome(1, "a", decision.Served))
 	r.after(compensationPeriod)
 	if len(r.scheduler.nodes.byName)+len(r.scheduler.nodes.list) != 0 {
 		t.Error("a is still known")
--- a/policy/rig_test.go
+++ b/policy/rig_test.go
@@ -19,19 +19,31 @@
 
 // testConfig has a class of each idempotency and an ordered one, and plans with and without a rate limit.
 func testConfig() decision.Config {
+	class := func(name string, weight float64, idempotency decision.Idempotency) decision.Class {
+		return decision.Class{
+			Name: name, LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: weight, Idempotency: idempotency,
+		}
+	}
+	ordered := class("ordered", 2, decision.NotIdempotent)
+	ordered.Ordered = true
+	keyed := class("keyed", 2, decision.IdempotentByKey)
+	keyed.DedupScope = decision.DedupShard
+	keyed.DedupWindow = 800 * ms
 	return decision.Config{
 		Seed: 1, Brokers: 2, MaxAttempts: 3, SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
 		Classes: []decision.Class{
-			{Name: "read", LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 3, Idempotency: decision.Idempotent},
-			{Name: "write", LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 2, Idempotency: decision.NotIdempotent},
-			{Name: "ordered", LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 2, Idempotency: decision.NotIdempotent, Ordered: true},
-			{Name: "keyed", LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 2, Idempotency: decision.IdempotentByKey, DedupScope: decision.DedupShard,
-				DedupWindow: 800 * ms},
+			class("read", 3, decision.Idempotent),
+			class("write", 2, decision.NotIdempotent),
+			ordered,
+			keyed,
 		},
 		Plans: []decision.Plan{
 			{Name: "one", Weight: 1, PriceFactor: 1, UsualRate: 100, ReservedRate: 50},
 			{Name: "three", Weight: 3, PriceFactor: 1, UsualRate: 100, ReservedRate: 50},
-			{Name: "bound", Weight: 1, PriceFactor: 1, UsualRate: 10, ReservedRate: 5, RateLimit: 10, RateLimitBurst: 40, RateLimitTolerance: 4},
+			{
+				Name: "bound", Weight: 1, PriceFactor: 1, UsualRate: 10, ReservedRate: 5,
+				RateLimit: 10, RateLimitBurst: 40, RateLimitTolerance: 4,
+			},
 		},
 		OverloadWindow: time.Second, SlowStartDuration: 10 * time.Second, SlowStartFraction: 0.2, SlowStartCapacityUnits: 8,
 		OrderedKeyQuietPeriod: 200 * ms, MeanUnits: 2, MaxUnits: 8, MaxPollInterval: 10 * time.Second,
@@ -79,6 +91,34 @@
 	return decision.Event{Kind: decision.AttemptEnded, ID: id, Node: node, Outcome: o, Final: o == decision.Served}
 }
 
+// outcomeOf is the outcome of a request's first attempt, after which another may follow.
+func outcomeOf(id uint64, node string, o decision.Outcome) decision.Event {
+	return decision.Event{Kind: decision.AttemptEnded, ID: id, Node: node, Outcome: o}
+}
+
+// finalOutcome is the outcome of a request's first attempt, after which no other may follow.
+func finalOutcome(id uint64, node string, o decision.Outcome) decision.Event {
+	ev := outcomeOf(id, node, o)
+	ev.Final = true
+	return ev
+}
+
+func endpointsReplaced(endpoints ...decision.Endpoint) decision.Event {
+	return decision.Event{Kind: decision.EndpointsReplaced, Endpoints: endpoints}
+}
+
+func endpointsChanged(endpoints ...decision.Endpoint) decision.Event {
+	return decision.Event{Kind: decision.EndpointsChanged, Endpoints: endpoints}
+}
+
+// pick is the node for a small request of the first class.
+func (r *rig) pick(shard int) *node {
+	return r.scheduler.pickNode(&request{
+		class:   &r.scheduler.cfg.Classes[0],
+		arrival: decision.Arrival{Shard: shard, Units: 1},
+	})
+}
+
 // of lists the request ids of one kind of action, in order.
 func of(acts []decision.Action, k decision.ActionKind) (ids []uint64) {
 	for _, a := range acts {
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -29,7 +29,7 @@
 	maxLogLinesPerMinute = 60
 )
 
-// Waits that a rejected client is told of, before the broker's own limit on them.
+// Retry-After of rejections, before the limit of the settings on it.
 const (
 	shortRetryAfter  = 200 * time.Millisecond // the obstacle may be brief
 	longRetryAfter   = 2 * time.Second        // the node's queue is too long
--- a/policy/sendrules_test.go
+++ b/policy/sendrules_test.go
@@ -13,7 +13,7 @@
 	r.scheduler.nodes.byName["a"].depth = 1
 	r.step(r.arrive(1, 0, 0, "x", "", 1), r.arrive(2, 0, 0, "x", "", 1))
 	acts := r.after(5*ms, answered(1, "a", decision.Served),
-		decision.Event{Kind: decision.EndpointsChanged, Endpoints: []decision.Endpoint{{Node: "a", State: decision.Draining}}})
+		endpointsChanged(decision.Endpoint{Node: "a", State: decision.Draining}))
 	want(t, "sends to a draining node", of(acts, decision.Forward))
 	want(t, "rejected, as its shard has no node", of(acts, decision.Shed), 2)
 }
@@ -72,7 +72,7 @@
 	for i := 0; i < 9; i++ {
 		r.after(100 * ms)
 	}
-	acts = r.after(100*ms, decision.Event{Kind: decision.AttemptEnded, ID: 1, Node: "a", Outcome: decision.TimedOut})
+	acts = r.after(100*ms, outcomeOf(1, "a", decision.TimedOut))
 	want(t, "rejected after its time-out", of(acts, decision.Shed), 1)
 	want(t, "sent again", of(acts, decision.Forward))
 	if !n.health.suspect || n.latency < 1 {
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -7,7 +7,7 @@
 	"poppyarch/internal/timing/rate"
 )
 
-// slowStartShare is the part of a warming node's capacity that requests admitted by lot use in the mean.
+// slowStartShare is the part of a warming node's capacity that requests admitted at random use in the mean.
 const slowStartShare = 0.5
 
 // slowStartSince is the latest start that the list or a lost connection suggests; warming is false for a
@@ -32,18 +32,18 @@
 	used := s.recentUnits(n) + r.arrival.Units
 	part := capacity / float64(s.cfg.Brokers)
 	if part < s.cfg.MeanUnits || part < r.arrival.Units && used == r.arrival.Units {
-		return s.winsSlowStartDraw(r, n, capacity) && used <= max(s.cfg.MaxUnits, r.arrival.Units)
+		return s.admitsAtRandom(r, n, capacity) && used <= max(s.cfg.MaxUnits, r.arrival.Units)
 	}
 	return used <= part
 }
 
-// winsSlowStartDraw reports whether r wins a lot for a warming node. Lots are drawn where the broker's part
-// is less than a mean request, or than the only one in the window. Enough of the demand that all brokers
-// are likely to have for the node wins to use slowStartShare of its capacity in the mean. That demand is
-// judged by this broker's demand over all nodes, and by its demand for this shard times the volume's
-// brokers, as only those see a surge of the volume. Small requests win more often, since large ones make
-// bursts.
-func (s *Scheduler) winsSlowStartDraw(r *request, n *node, capacity float64) bool {
+// admitsAtRandom reports whether r is among the requests that are sent to a warming node at random. It
+// decides where the broker's part is less than a mean request, or than the only one in the window. So many
+// are admitted that all brokers together use slowStartShare of the capacity in the mean. Their demand is
+// estimated from this broker's demand over all nodes, and from its demand for this shard times the volume's
+// brokers, as only those see a surge of the volume. Small requests are admitted more often, since large
+// ones make bursts.
+func (s *Scheduler) admitsAtRandom(r *request, n *node, capacity float64) bool {
 	age := s.now - s.startedAt
 	// The part of a steady rate that a meter shows at this age of the broker.
 	measured := 1 - math.Exp(-age.Seconds()/rate.DecayTime.Seconds())
--- a/policy/surge_test.go
+++ b/policy/surge_test.go
@@ -138,7 +138,7 @@
 			f.sent = nil
 			started := f.brokers[0].now
 			for _, r := range f.brokers {
-				r.step(decision.Event{Kind: decision.EndpointsChanged, Endpoints: []decision.Endpoint{{Node: "n0", StartedAt: started}}})
+				r.step(endpointsChanged(decision.Endpoint{Node: "n0", StartedAt: started}))
 			}
 			for i := range f.volumes {
 				switch {
--- a/policy/warmingfleet_test.go
+++ b/policy/warmingfleet_test.go
@@ -179,7 +179,7 @@
 		cfg.Seed = seed + 1
 		r := newRig(t, cfg, decision.Endpoint{Node: "cold", Shard: 0})
 		restarted := decision.Endpoint{Node: "cold", Shard: 0, StartedAt: r.now + 2*time.Second}
-		r.step(decision.Event{Kind: decision.EndpointsReplaced, Endpoints: []decision.Endpoint{restarted}})
+		r.step(endpointsReplaced(restarted))
 		for id := uint64(1); id <= 400; id++ {
 			units := float64(1 + 3*(id%2))
 			for _, x := range r.after(20*ms, r.arrive(id, 0, 0, "v", "", units)) {
--- a/policy/watch_test.go
+++ b/policy/watch_test.go
@@ -94,7 +94,7 @@
 				if calls[i] = nil; !c.ok {
 					evs = append(evs, decision.Event{Kind: decision.EndpointWatchFailed})
 				} else if listedAt[i] = r.now - time.Hour; true {
-					evs = append(evs, decision.Event{Kind: decision.EndpointsChanged, Endpoints: []decision.Endpoint{{Node: "a"}}})
+					evs = append(evs, endpointsChanged(decision.Endpoint{Node: "a"}))
 				}
 			}
 			for _, a := range r.step(evs...) {
