--- a/internal/observability/record/decode.go
+++ b/internal/observability/record/decode.go
@@ -7,6 +7,7 @@
 	"math"
 
 	"poppyarch/internal/observability/sketch"
+	"poppyarch/internal/timing/clock"
 )
 
 // ErrMalformed says that the bytes of an event cannot be decoded.
@@ -31,7 +32,7 @@
 // Decoder decodes the events of frames. Equal strings are shared.
 type Decoder struct {
 	rest      []byte
-	base      int64
+	base      clock.Micros
 	malformed bool
 	shared    map[string]string
 }
@@ -40,7 +41,7 @@
 func NewDecoder() *Decoder { return &Decoder{shared: map[string]string{}} }
 
 // Reset makes the decoder read the events of a frame, whose times count from base.
-func (d *Decoder) Reset(events []byte, base int64) {
+func (d *Decoder) Reset(events []byte, base clock.Micros) {
 	d.rest = events
 	d.base = base
 	d.malformed = false
@@ -54,7 +55,7 @@
 	}
 	request := e.Request
 	*e = Event{Kind: Kind(d.byte())}
-	e.At = d.base + d.varint()
+	e.At = d.base + d.micros()
 	switch e.Kind {
 	case KindRequest:
 		if request == nil {
@@ -87,18 +88,18 @@
 	*r = Request{Class: d.byte(), Plan: d.byte(), Answer: Answer(d.byte()), Volume: d.string()}
 	r.Units = float64(d.uvarint()) / unitsScale
 	r.Shard = d.varint()
-	r.Took = int64(d.uvarint())
-	r.Hint = int64(d.uvarint())
+	r.Took = clock.Micros(d.uvarint())
+	r.Hint = clock.Micros(d.uvarint())
 	for range d.count(minAttemptBytes) {
-		attempts = append(attempts, Try{Node: d.string(), Sent: int64(d.uvarint()), Took: int64(d.uvarint()), Outcome: d.byte()})
+		attempts = append(attempts, Try{Node: d.string(), Sent: clock.Micros(d.uvarint()), Took: clock.Micros(d.uvarint()), Outcome: d.byte()})
 	}
 	r.Tries = attempts
 }
 
 func (d *Decoder) boot() *Boot {
-	boot := &Boot{Name: d.string(), ID: d.string(), Began: d.varint(), Wall: d.varint(), Beat: d.varint(), Sample: d.float()}
+	boot := &Boot{Name: d.string(), ID: d.string(), Began: d.micros(), Wall: d.micros(), Beat: d.micros(), Sample: d.float()}
 	for range d.count(minClassBytes) {
-		boot.Classes = append(boot.Classes, Class{Name: d.string(), Aim: d.varint(), Due: d.varint(), Worth: d.float()})
+		boot.Classes = append(boot.Classes, Class{Name: d.string(), Aim: d.micros(), Due: d.micros(), Worth: d.float()})
 	}
 	for range d.count(minPlanBytes) {
 		boot.Plans = append(boot.Plans, Plan{Name: d.string(), Price: d.float()})
@@ -108,7 +109,7 @@
 
 func (d *Decoder) heartbeat() *Beat {
 	return &Beat{
-		Wall:    d.varint(),
+		Wall:    d.micros(),
 		Open:    d.varint(),
 		Heap:    uint64(d.varint()),
 		Threads: d.varint(),
@@ -118,7 +119,7 @@
 }
 
 func (d *Decoder) summary() *Summary {
-	summary := &Summary{Span: d.varint()}
+	summary := &Summary{Span: d.micros()}
 	for range d.count(minGroupBytes) {
 		group := Group{Class: d.byte(), Plan: d.byte()}
 		for k := range group.Count {
@@ -150,9 +151,9 @@
 	return summary
 }
 
-func (d *Decoder) lost(at int64) *Lost {
-	from := d.varint()
-	to := d.varint()
+func (d *Decoder) lost(at clock.Micros) *Lost {
+	from := d.micros()
+	to := d.micros()
 	return &Lost{From: at + from, To: at + to, Events: d.uvarint(), Requests: d.uvarint(), Why: d.string()}
 }
 
@@ -182,6 +183,9 @@
 	return v
 }
 
+// micros decodes a time or a duration that may be negative.
+func (d *Decoder) micros() clock.Micros { return clock.Micros(d.varint()) }
+
 func (d *Decoder) byte() byte {
 	if len(d.rest) == 0 {
 		d.malformed = true
--- a/internal/observability/record/encode.go
+++ b/internal/observability/record/encode.go
@@ -3,15 +3,17 @@
 import (
 	"encoding/binary"
 	"math"
+
+	"poppyarch/internal/timing/clock"
 )
 
 // unitsScale is the fixed-point scale of a request's units.
 const unitsScale = 16
 
 // Append encodes an event, with its time as the difference from base, and appends it to b.
-func (e *Event) Append(b []byte, base int64) []byte {
+func (e *Event) Append(b []byte, base clock.Micros) []byte {
 	b = append(b, byte(e.Kind))
-	b = binary.AppendVarint(b, e.At-base)
+	b = binary.AppendVarint(b, int64(e.At-base))
 	switch e.Kind {
 	case KindRequest:
 		return e.Request.append(b)
@@ -32,14 +34,14 @@
 	b = appendString(b, r.Volume)
 	b = binary.AppendUvarint(b, uint64(math.Round(max(r.Units, 0)*unitsScale)))
 	b = binary.AppendVarint(b, r.Shard)
-	b = appendNonNegative(b, r.Took)
-	b = appendNonNegative(b, r.Hint)
+	b = appendMicros(b, r.Took)
+	b = appendMicros(b, r.Hint)
 	b = binary.AppendUvarint(b, uint64(len(r.Tries)))
 	for i := range r.Tries {
 		attempt := &r.Tries[i]
 		b = appendString(b, attempt.Node)
-		b = appendNonNegative(b, attempt.Sent)
-		b = appendNonNegative(b, attempt.Took)
+		b = appendMicros(b, attempt.Sent)
+		b = appendMicros(b, attempt.Took)
 		b = append(b, attempt.Outcome)
 	}
 	return b
@@ -48,15 +50,15 @@
 func (o *Boot) append(b []byte) []byte {
 	b = appendString(b, o.Name)
 	b = appendString(b, o.ID)
-	b = binary.AppendVarint(b, o.Began)
-	b = binary.AppendVarint(b, o.Wall)
-	b = binary.AppendVarint(b, o.Beat)
+	b = binary.AppendVarint(b, int64(o.Began))
+	b = binary.AppendVarint(b, int64(o.Wall))
+	b = binary.AppendVarint(b, int64(o.Beat))
 	b = appendFloat(b, o.Sample)
 	b = binary.AppendUvarint(b, uint64(len(o.Classes)))
 	for _, class := range o.Classes {
 		b = appendString(b, class.Name)
-		b = binary.AppendVarint(b, class.Aim)
-		b = binary.AppendVarint(b, class.Due)
+		b = binary.AppendVarint(b, int64(class.Aim))
+		b = binary.AppendVarint(b, int64(class.Due))
 		b = appendFloat(b, class.Worth)
 	}
 	b = binary.AppendUvarint(b, uint64(len(o.Plans)))
@@ -68,14 +70,14 @@
 }
 
 func (o *Beat) append(b []byte) []byte {
-	for _, level := range []int64{o.Wall, o.Open, int64(o.Heap), o.Threads, o.Nodes, o.List} {
+	for _, level := range []int64{int64(o.Wall), o.Open, int64(o.Heap), o.Threads, o.Nodes, o.List} {
 		b = binary.AppendVarint(b, level)
 	}
 	return b
 }
 
 func (o *Summary) append(b []byte) []byte {
-	b = binary.AppendVarint(b, o.Span)
+	b = binary.AppendVarint(b, int64(o.Span))
 	b = binary.AppendUvarint(b, uint64(len(o.Groups)))
 	for i := range o.Groups {
 		b = o.Groups[i].append(b)
@@ -122,9 +124,9 @@
 	return n.Latency.Append(b)
 }
 
-func (o *Lost) append(b []byte, at int64) []byte {
-	b = binary.AppendVarint(b, o.From-at)
-	b = binary.AppendVarint(b, o.To-at)
+func (o *Lost) append(b []byte, at clock.Micros) []byte {
+	b = binary.AppendVarint(b, int64(o.From-at))
+	b = binary.AppendVarint(b, int64(o.To-at))
 	b = binary.AppendUvarint(b, o.Events)
 	b = binary.AppendUvarint(b, o.Requests)
 	return appendString(b, o.Why)
@@ -140,7 +142,8 @@
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-func appendNonNegative(b []byte, v int64) []byte {
+// appendMicros encodes a duration that cannot be negative.
+func appendMicros(b []byte, v clock.Micros) []byte {
 	return binary.AppendUvarint(b, uint64(max(v, 0)))
 }
 
--- a/internal/observability/record/event.go
+++ b/internal/observability/record/event.go
@@ -4,7 +4,10 @@
 // Times are microseconds. Unless noted otherwise they are on the broker's monotonic clock, whose zero is that of Unix time.
 package record
 
-import "poppyarch/internal/observability/sketch"
+import (
+	"poppyarch/internal/observability/sketch"
+	"poppyarch/internal/timing/clock"
+)
 
 // Kind tells which field of an Event is set.
 type Kind uint8
@@ -27,7 +30,7 @@
 
 // Event is one entry.
 type Event struct {
-	At      int64
+	At      clock.Micros
 	Kind    Kind
 	Boot    *Boot
 	Beat    *Beat
@@ -39,22 +42,22 @@
 
 // Boot has the particulars of an incarnation. Later events refer to classes and plans by their positions.
 type Boot struct {
-	Name    string  `json:"name"` // of the broker
-	ID      string  `json:"id"`   // of the incarnation
-	Began   int64   `json:"began"`
-	Wall    int64   `json:"wall"` // the wall clock at Began
-	Beat    int64   `json:"beat"` // time between heartbeats
-	Sample  float64 `json:"sample"`
-	Classes []Class `json:"classes"`
-	Plans   []Plan  `json:"plans"`
+	Name    string       `json:"name"` // of the broker
+	ID      string       `json:"id"`   // of the incarnation
+	Began   clock.Micros `json:"began"`
+	Wall    clock.Micros `json:"wall"` // the wall clock at Began
+	Beat    clock.Micros `json:"beat"` // time between heartbeats
+	Sample  float64      `json:"sample"`
+	Classes []Class      `json:"classes"`
+	Plans   []Plan       `json:"plans"`
 }
 
 // Class is the part of a class that an analysis needs.
 type Class struct {
-	Name  string  `json:"name"`
-	Aim   int64   `json:"aim"`   // latency objective
-	Due   int64   `json:"due"`   // deadline
-	Worth float64 `json:"worth"` // priority weight
+	Name  string       `json:"name"`
+	Aim   clock.Micros `json:"aim"`   // latency objective
+	Due   clock.Micros `json:"due"`   // deadline
+	Worth float64      `json:"worth"` // priority weight
 }
 
 // Plan is the part of a service level that an analysis needs.
@@ -65,12 +68,12 @@
 
 // Beat is a heartbeat with levels.
 type Beat struct {
-	Wall    int64  `json:"wall"` // the wall clock
-	Open    int64  `json:"open"` // requests in flight
-	Heap    uint64 `json:"heap"` // bytes
-	Threads int64  `json:"goroutines"`
-	Nodes   int64  `json:"nodes"`
-	List    int64  `json:"list"` // revision of the endpoint list
+	Wall    clock.Micros `json:"wall"` // the wall clock
+	Open    int64        `json:"open"` // requests in flight
+	Heap    uint64       `json:"heap"` // bytes
+	Threads int64        `json:"goroutines"`
+	Nodes   int64        `json:"nodes"`
+	List    int64        `json:"list"` // revision of the endpoint list
 }
 
 // Answer tells how a request ended.
@@ -94,16 +97,16 @@
 	Volume string
 	Units  float64
 	Shard  int64
-	Took   int64 // until the response
-	Hint   int64 // Retry-After of a request that was shed
+	Took   clock.Micros // until the response
+	Hint   clock.Micros // Retry-After of a request that was shed
 	Tries  []Try
 }
 
 // Try is one attempt at a storage node.
 type Try struct {
 	Node    string
-	Sent    int64 // since the arrival of the request
-	Took    int64
+	Sent    clock.Micros // since the arrival of the request
+	Took    clock.Micros
 	Outcome uint8 // as the decision module numbers outcomes
 }
 
@@ -115,7 +118,7 @@
 
 // Summary counts all requests that ended in a span of time, sampled or not.
 type Summary struct {
-	Span    int64 // up to the event's time
+	Span    clock.Micros // up to the event's time
 	Groups  []Group
 	Nodes   []NodeCount
 	Volumes []VolumeCount // the most frequent ones
@@ -156,8 +159,8 @@
 
 // Lost counts events that were not kept.
 type Lost struct {
-	From     int64 // time of the first
-	To       int64 // time of the last
+	From     clock.Micros // time of the first
+	To       clock.Micros // time of the last
 	Events   uint64
 	Requests uint64
 	Why      string // "full" (no space in a buffer) or "disk" (the sink did not take them)
--- a/internal/observability/record/recorder.go
+++ b/internal/observability/record/recorder.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"poppyarch/internal/observability/sketch"
+	"poppyarch/internal/timing/clock"
 )
 
 // Options bounds a recorder. Zero values mean the defaults.
@@ -47,8 +48,8 @@
 type Recorder struct {
 	options Options
 	boot    Boot
-	now     func() int64 // the broker's clock, in microseconds
-	levels  func(*Beat)  // fills in the levels of a heartbeat
+	now     func() clock.Micros
+	levels  func(*Beat) // fills in the levels of a heartbeat
 	sink    Sink
 
 	// Requests whose hash is below this are recorded in full.
@@ -69,7 +70,7 @@
 }
 
 // New returns a recorder. now is the broker's clock in microseconds; levels fills in the levels of a heartbeat.
-func New(options Options, boot Boot, now func() int64, levels func(*Beat), sink Sink) *Recorder {
+func New(options Options, boot Boot, now func() clock.Micros, levels func(*Beat), sink Sink) *Recorder {
 	if options.Buffer == 0 {
 		options.Buffer = defaultBufferBytes
 	}
@@ -79,7 +80,7 @@
 	if options.Beat == 0 {
 		options.Beat = defaultHeartbeatInterval
 	}
-	boot.Beat = options.Beat.Microseconds()
+	boot.Beat = clock.FromDuration(options.Beat)
 	boot.Sample = options.Sample
 	r := &Recorder{
 		options:    options,
@@ -105,7 +106,7 @@
 
 // Request records a request that has ended. arrived is the time of its arrival. Neither the request nor its attempts are
 // kept.
-func (r *Recorder) Request(arrived int64, request *Request) {
+func (r *Recorder) Request(arrived clock.Micros, request *Request) {
 	b := r.lockBuffer()
 	if b == nil {
 		r.overflow.add(arrived+request.Took, true)
@@ -120,7 +121,7 @@
 }
 
 // isSampled decides by a hash of the request whether it is recorded in full.
-func (r *Recorder) isSampled(arrived int64, volume string) bool {
+func (r *Recorder) isSampled(arrived clock.Micros, volume string) bool {
 	switch r.sampleThreshold {
 	case 0:
 		return false
@@ -194,7 +195,7 @@
 type buffer struct {
 	mu     sync.Mutex
 	events []byte
-	base   int64 // the events' times count from it
+	base   clock.Micros // the events' times count from it
 	counts counts
 	_      [cacheLineBytes]byte
 }
@@ -209,11 +210,11 @@
 type overflow struct {
 	events   atomic.Uint64
 	requests atomic.Uint64
-	from     atomic.Int64 // time of the first; 0: none
-	to       atomic.Int64 // time of the last
+	from     clock.AtomicMicros // time of the first; 0: none
+	to       clock.AtomicMicros // time of the last
 }
 
-func (o *overflow) add(at int64, isRequest bool) {
+func (o *overflow) add(at clock.Micros, isRequest bool) {
 	o.events.Add(1)
 	if isRequest {
 		o.requests.Add(1)
@@ -277,7 +278,7 @@
 	case Failed, Overdue:
 		volume.Extra[volumeFailed]++
 	case Served:
-		group.Latency.Add(request.Took)
+		group.Latency.Add(int64(request.Took))
 		if int(request.Class) < len(boot.Classes) && request.Took > boot.Classes[request.Class].Aim {
 			group.Late++
 			volume.Extra[volumeLate]++
@@ -296,7 +297,7 @@
 	}
 	node.Outcomes[int(attempt.Outcome)%len(node.Outcomes)]++
 	if attempt.Outcome == outcomeServed {
-		node.Latency.Add(attempt.Took)
+		node.Latency.Add(int64(attempt.Took))
 	}
 }
 
--- a/internal/observability/record/segment.go
+++ b/internal/observability/record/segment.go
@@ -5,6 +5,8 @@
 	"encoding/binary"
 	"errors"
 	"hash/crc32"
+
+	"poppyarch/internal/timing/clock"
 )
 
 // A segment is a header and frames. Its header is the magic, the length of the body (2 bytes, little-endian), the body
@@ -35,10 +37,10 @@
 
 // Frame is a batch of events.
 type Frame struct {
-	Seq    uint64 // from 1, over all segments of an incarnation
-	At     int64  // the events' times count from here
-	Now    int64  // time of writing
-	Events []byte // encoded
+	Seq    uint64       // from 1, over all segments of an incarnation
+	At     clock.Micros // the events' times count from here
+	Now    clock.Micros // time of writing
+	Events []byte       // encoded
 }
 
 // Append encodes the frame and appends it to b.
@@ -70,8 +72,8 @@
 	}
 	frame = Frame{
 		Seq:    binary.LittleEndian.Uint64(b[frameSeqAt:]),
-		At:     int64(binary.LittleEndian.Uint64(b[frameTimeAt:])),
-		Now:    int64(binary.LittleEndian.Uint64(b[frameNowAt:])),
+		At:     clock.Micros(binary.LittleEndian.Uint64(b[frameTimeAt:])),
+		Now:    clock.Micros(binary.LittleEndian.Uint64(b[frameNowAt:])),
 		Events: b[frameHeaderSize:size],
 	}
 	return frame, size
--- a/internal/observability/record/writer.go
+++ b/internal/observability/record/writer.go
@@ -1,14 +1,18 @@
 package record
 
-import "time"
+import (
+	"time"
+
+	"poppyarch/internal/timing/clock"
+)
 
 const (
-	// bootInterval is how often the particulars of an incarnation are repeated, in microseconds: earlier segments may have
+	// bootInterval is how often the particulars of an incarnation are repeated: earlier segments may have
 	// been deleted when somebody reads.
-	bootInterval = 5_000_000
+	bootInterval clock.Micros = 5_000_000
 
-	// summaryInterval is the time between two summaries, in microseconds.
-	summaryInterval = 1_000_000
+	// summaryInterval is the time between two summaries.
+	summaryInterval clock.Micros = 1_000_000
 
 	// reportedVolumes is how many of the most frequent volumes a summary has.
 	reportedVolumes = 16
@@ -20,9 +24,9 @@
 	seq      uint64 // of the last frame
 	counts   counts // since the last summary
 
-	heartbeatAt int64
-	summaryAt   int64
-	bootAt      int64
+	heartbeatAt clock.Micros
+	summaryAt   clock.Micros
+	bootAt      clock.Micros
 
 	rejected *Lost // events of frames that the sink did not take, until it takes one again
 }
@@ -48,7 +52,7 @@
 func newWriter(r *Recorder) *writer {
 	began := r.now()
 	r.boot.Began = began
-	r.boot.Wall = time.Now().UnixMicro()
+	r.boot.Wall = clock.Micros(time.Now().UnixMicro())
 	w := &writer{recorder: r, heartbeatAt: began, summaryAt: began, bootAt: began}
 	w.counts.reset()
 	boot := Event{At: began, Kind: KindBoot, Boot: &r.boot}
@@ -57,11 +61,11 @@
 }
 
 // turn writes what has come since the last turn, and what is due; on the last one everything is due.
-func (w *writer) turn(now int64, last bool) {
+func (w *writer) turn(now clock.Micros, last bool) {
 	w.writeBuffers(now)
 	own := w.appendOverflow(nil, now)
 	w.writeRejected(now)
-	if now-w.heartbeatAt >= w.recorder.options.Beat.Microseconds() || last {
+	if now-w.heartbeatAt >= clock.FromDuration(w.recorder.options.Beat) || last {
 		own = w.appendHeartbeat(own, now)
 	}
 	if now-w.summaryAt >= summaryInterval || last {
@@ -73,7 +77,7 @@
 }
 
 // writeBuffers writes each buffer as a frame of its own, since a buffer's events count from its own base.
-func (w *writer) writeBuffers(now int64) {
+func (w *writer) writeBuffers(now clock.Micros) {
 	for i := range w.recorder.buffers {
 		b := &w.recorder.buffers[i]
 		b.mu.Lock()
@@ -87,7 +91,7 @@
 }
 
 // appendOverflow encodes how many events found no space.
-func (w *writer) appendOverflow(events []byte, now int64) []byte {
+func (w *writer) appendOverflow(events []byte, now clock.Micros) []byte {
 	lost := w.recorder.overflow.take()
 	if lost == nil {
 		return events
@@ -98,7 +102,7 @@
 }
 
 // writeRejected reports the events that the sink did not take, once it takes a frame again.
-func (w *writer) writeRejected(now int64) {
+func (w *writer) writeRejected(now clock.Micros) {
 	if w.rejected == nil {
 		return
 	}
@@ -108,9 +112,9 @@
 	}
 }
 
-func (w *writer) appendHeartbeat(events []byte, now int64) []byte {
+func (w *writer) appendHeartbeat(events []byte, now clock.Micros) []byte {
 	w.heartbeatAt = now
-	heartbeat := &Beat{Wall: time.Now().UnixMicro()}
+	heartbeat := &Beat{Wall: clock.Micros(time.Now().UnixMicro())}
 	w.recorder.levels(heartbeat)
 	event := Event{At: now, Kind: KindBeat, Beat: heartbeat}
 	events = event.Append(events, now)
@@ -122,7 +126,7 @@
 	return events
 }
 
-func (w *writer) appendSummary(events []byte, now int64) []byte {
+func (w *writer) appendSummary(events []byte, now clock.Micros) []byte {
 	summary := w.counts.summary(now - w.summaryAt)
 	w.summaryAt = now
 	w.counts.reset()
@@ -136,7 +140,7 @@
 	return event.Append(events, now)
 }
 
-func (c *counts) summary(span int64) *Summary {
+func (c *counts) summary(span clock.Micros) *Summary {
 	summary := &Summary{Span: span}
 	for _, group := range c.groups {
 		summary.Groups = append(summary.Groups, *group)
@@ -158,13 +162,13 @@
 }
 
 // write hands events to the sink as a frame. A frame that it does not take leaves a gap in the numbers.
-func (w *writer) write(events []byte, base int64) error {
+func (w *writer) write(events []byte, base clock.Micros) error {
 	w.seq++
 	return w.recorder.sink.Write(&Frame{Seq: w.seq, At: base, Now: w.recorder.now(), Events: events})
 }
 
 // writeOrRemember writes a frame. If the sink does not take it, its events are counted for a later report.
-func (w *writer) writeOrRemember(events []byte, base, now int64) {
+func (w *writer) writeOrRemember(events []byte, base, now clock.Micros) {
 	if w.write(events, base) == nil {
 		return
 	}
--- a/internal/timing/clock/clock.go
+++ b/internal/timing/clock/clock.go
@@ -7,16 +7,16 @@
 )
 
 // Micros is a point in time or a duration in microseconds. Points in time count from the Unix epoch.
-type Micros = int64
+type Micros int64
 
 // Duration converts microseconds to the standard library's type.
 func Duration(m Micros) time.Duration { return time.Duration(m) * time.Microsecond }
 
 // FromDuration converts a duration to whole microseconds, rounded towards zero.
-func FromDuration(d time.Duration) Micros { return d.Microseconds() }
+func FromDuration(d time.Duration) Micros { return Micros(d.Microseconds()) }
 
 // FromMillis converts milliseconds.
-func FromMillis(ms int64) Micros { return ms * 1000 }
+func FromMillis(ms int64) Micros { return Micros(ms) * 1000 }
 
 // AtomicMicros is a Micros that several goroutines may use at once. Its zero value is 0.
 type AtomicMicros struct {
@@ -24,13 +24,21 @@
 }
 
 // Load returns the value.
-func (a *AtomicMicros) Load() Micros { return a.v.Load() }
+func (a *AtomicMicros) Load() Micros { return Micros(a.v.Load()) }
 
 // Store sets the value.
-func (a *AtomicMicros) Store(m Micros) { a.v.Store(m) }
+func (a *AtomicMicros) Store(m Micros) { a.v.Store(int64(m)) }
+
+// Swap sets the value and returns the one before.
+func (a *AtomicMicros) Swap(m Micros) Micros { return Micros(a.v.Swap(int64(m))) }
+
+// CompareAndSwap sets the value if it is old, and reports whether it was.
+func (a *AtomicMicros) CompareAndSwap(old, new Micros) bool {
+	return a.v.CompareAndSwap(int64(old), int64(new))
+}
 
 // Add adds to the value and returns the new one.
-func (a *AtomicMicros) Add(delta Micros) Micros { return a.v.Add(delta) }
+func (a *AtomicMicros) Add(delta Micros) Micros { return Micros(a.v.Add(int64(delta))) }
 
 // Clock reads the time. It is set by the wall clock once, so that its times can be compared with those of other
 // machines, and then runs on the monotonic clock: later steps of the wall clock do not move it.
@@ -42,7 +50,7 @@
 // New returns a clock set by the wall clock.
 func New() *Clock {
 	now := time.Now()
-	return &Clock{start: now, epoch: now.UnixMicro()}
+	return &Clock{start: now, epoch: Micros(now.UnixMicro())}
 }
 
 // Now returns the present time.
