--- a/internal/lab/model/members.go
+++ b/internal/lab/model/members.go
@@ -5,6 +5,7 @@
 
 	"poppyarch/internal/broker/decision"
 	"poppyarch/internal/nodes/membership"
+	"poppyarch/internal/timing/clock"
 )
 
 // members is the module behind the broker's own membership, as where node lists or a control endpoint are set up: discovery's word is merged, and
@@ -13,7 +14,7 @@
 	inner   Design
 	set     *membership.Set
 	version int64
-	wakeAt  int64 // of the timer at hand; 0: none
+	wakeAt  clock.Micros // of the timer at hand; 0: none
 	events  []decision.Event
 }
 
@@ -23,14 +24,14 @@
 func newMembers(inner Design, now time.Duration, warm time.Duration) *members {
 	o := membership.DefaultOptions()
 	if warm > 0 {
-		o.SlowStart = warm.Microseconds()
+		o.SlowStart = clock.FromDuration(warm)
 	}
-	return &members{inner: inner, set: membership.New(o, now.Microseconds())}
+	return &members{inner: inner, set: membership.New(o, clock.FromDuration(now))}
 }
 
 // Step is Design: lists go through the membership, all else as it is.
 func (m *members) Step(now time.Duration, events []decision.Event, act []decision.Action) []decision.Action {
-	us := now.Microseconds()
+	us := clock.FromDuration(now)
 	m.events = m.events[:0]
 	for i := range events {
 		ev := events[i]
@@ -64,7 +65,7 @@
 	return act
 }
 
-func (m *members) tell(list []decision.Endpoint, full bool, us int64) []membership.Member {
+func (m *members) tell(list []decision.Endpoint, full bool, us clock.Micros) []membership.Member {
 	m.version++
 	var entries []membership.Entry
 	var gone []string
@@ -74,7 +75,7 @@
 			gone = append(gone, x.Node)
 			continue
 		}
-		e := membership.Entry{ID: x.Node, Addr: x.Node, Shard: x.Shard, Zone: x.Zone, StartedAt: x.StartedAt.Microseconds(), Capacity: x.Capacity}
+		e := membership.Entry{ID: x.Node, Addr: x.Node, Shard: x.Shard, Zone: x.Zone, StartedAt: clock.FromDuration(x.StartedAt), Capacity: x.Capacity}
 		if x.State == decision.Draining {
 			e.State = membership.Draining
 		}
--- a/internal/observability/incident/analysis.go
+++ b/internal/observability/incident/analysis.go
@@ -1,11 +1,13 @@
 package incident
 
+import "poppyarch/internal/timing/clock"
+
 // Options are an analysis's assumptions. Times are microseconds.
 type Options struct {
-	From, To         int64 // only what touches this span; 0: everything
-	Now              int64 // of the reference; a boot without a word for three heartbeats before it is dead; 0: the latest word
-	NotificationTime int64 // a list version is told to every broker within this
-	MaxClockSkew     int64 // wall clocks of machines differ by at most this
+	From, To         clock.Micros // only what touches this span; 0: everything
+	Now              clock.Micros // of the reference; a boot without a word for three heartbeats before it is dead; 0: the latest word
+	NotificationTime clock.Micros // a list version is told to every broker within this
+	MaxClockSkew     clock.Micros // wall clocks of machines differ by at most this
 	SlowFactor       float64
 	SurgeFactor      float64
 	RejectedShare    float64
@@ -36,8 +38,8 @@
 
 // Bound is a time that is known to lie between two.
 type Bound struct {
-	Earliest int64 `json:"lo"`
-	Latest   int64 `json:"hi"`
+	Earliest clock.Micros `json:"lo"`
+	Latest   clock.Micros `json:"hi"`
 }
 
 // Episode is something that went on for a while.
@@ -77,28 +79,28 @@
 
 // Second is what was answered in one second, over all brokers whose records are there.
 type Second struct {
-	At             int64 `json:"at"`
-	Served         int64 `json:"served"`
-	Late           int64 `json:"late"`
-	Refused        int64 `json:"refused"`
-	Failed         int64 `json:"failed"`
-	P50            int64 `json:"p50"`
-	P99            int64 `json:"p99"`
-	UnknownBrokers int   `json:"blind"` // brokers of which nothing is known in it
+	At             clock.Micros `json:"at"`
+	Served         int64        `json:"served"`
+	Late           int64        `json:"late"`
+	Refused        int64        `json:"refused"`
+	Failed         int64        `json:"failed"`
+	P50            clock.Micros `json:"p50"`
+	P99            clock.Micros `json:"p99"`
+	UnknownBrokers int          `json:"blind"` // brokers of which nothing is known in it
 }
 
 // Analysis is the outcome.
 type Analysis struct {
-	From      int64     `json:"from"`
-	To        int64     `json:"to"`
-	Brokers   []string  `json:"brokers"`
-	Nodes     []string  `json:"nodes"`
-	Clocks    []Clock   `json:"clocks"`
-	Knowledge []Span    `json:"knowledge"`
-	Episodes  []Episode `json:"episodes"`
-	Seconds   []Second  `json:"seconds"`
-	Events    int       `json:"events"`
-	Sampled   float64   `json:"sampled"` // the least share of requests that any boot recorded
+	From      clock.Micros `json:"from"`
+	To        clock.Micros `json:"to"`
+	Brokers   []string     `json:"brokers"`
+	Nodes     []string     `json:"nodes"`
+	Clocks    []Clock      `json:"clocks"`
+	Knowledge []Span       `json:"knowledge"`
+	Episodes  []Episode    `json:"episodes"`
+	Seconds   []Second     `json:"seconds"`
+	Events    int          `json:"events"`
+	Sampled   float64      `json:"sampled"` // the least share of requests that any boot recorded
 
-	groups map[int64]map[string]*GroupImpact
+	groups map[clock.Micros]map[string]*GroupImpact
 }
--- a/internal/observability/incident/analyzer.go
+++ b/internal/observability/incident/analyzer.go
@@ -11,6 +11,7 @@
 
 	"poppyarch/internal/observability/record"
 	"poppyarch/internal/observability/sketch"
+	"poppyarch/internal/timing/clock"
 )
 
 // analyzer is everything on the reference's clock.
@@ -24,10 +25,10 @@
 
 // nodeView is what all brokers saw of a node.
 type nodeView struct {
-	responses    []int64
+	responses    []clock.Micros
 	timedOut     []attempt
 	refused      []attempt
-	usualLatency int64 // slowest usual answer
+	usualLatency clock.Micros // slowest usual answer
 }
 
 // Analyse works everything out. Streams may come in any order.
@@ -36,7 +37,7 @@
 	sort.Slice(streams, func(a, b int) bool {
 		return cmp.Or(cmp.Compare(streams[a].Name, streams[b].Name), cmp.Compare(streams[a].start(), streams[b].start()), cmp.Compare(streams[a].ID, streams[b].ID)) < 0
 	})
-	v := &analyzer{options: o, streams: streams, analysis: &Analysis{Sampled: 1, groups: map[int64]map[string]*GroupImpact{}, Knowledge: []Span{}, Episodes: []Episode{}, Seconds: []Second{}},
+	v := &analyzer{options: o, streams: streams, analysis: &Analysis{Sampled: 1, groups: map[clock.Micros]map[string]*GroupImpact{}, Knowledge: []Span{}, Episodes: []Episode{}, Seconds: []Second{}},
 		nodes: map[string]*nodeView{}}
 	v.clocks = compareClocks(streams, o.NotificationTime, o.MaxClockSkew)
 	v.analysis.Clocks = v.clocks
@@ -165,8 +166,8 @@
 
 // mergeStreams combines what all brokers saw, on the reference's clock.
 func (v *analyzer) mergeStreams() {
-	v.analysis.groups = map[int64]map[string]*GroupImpact{}
-	latencies := map[int64]*sketch.Sketch{}
+	v.analysis.groups = map[clock.Micros]map[string]*GroupImpact{}
+	latencies := map[clock.Micros]*sketch.Sketch{}
 	for i, s := range v.streams {
 		offset := v.clocks[i].Offset
 		v.mergeNodes(s, offset)
@@ -196,7 +197,7 @@
 const usualQuantile = 0.995
 
 // mergeNodes adds what one incarnation saw of each node.
-func (v *analyzer) mergeNodes(s *Stream, offset int64) {
+func (v *analyzer) mergeNodes(s *Stream, offset clock.Micros) {
 	for name, from := range s.nodes {
 		to := v.node(name)
 		for _, at := range from.responses {
@@ -208,7 +209,7 @@
 		for _, bySecond := range from.latency {
 			latency.Merge(bySecond)
 		}
-		to.usualLatency = max(to.usualLatency, latency.Quantile(usualQuantile))
+		to.usualLatency = max(to.usualLatency, quantile(&latency, usualQuantile))
 	}
 	for _, n := range s.notes {
 		if (n.kind == record.KindNode || n.kind == record.KindList) && n.subject != "" {
@@ -217,7 +218,7 @@
 	}
 }
 
-func appendShifted(to, from []attempt, offset int64) []attempt {
+func appendShifted(to, from []attempt, offset clock.Micros) []attempt {
 	for _, t := range from {
 		to = append(to, attempt{sent: t.sent + offset, done: t.done + offset})
 	}
@@ -232,7 +233,7 @@
 }
 
 // mergeGroups adds one incarnation's requests, by second, class and plan.
-func (v *analyzer) mergeGroups(s *Stream, offset int64) {
+func (v *analyzer) mergeGroups(s *Stream, offset clock.Micros) {
 	for sec, byGroup := range s.groups {
 		at := secondOf(sec + offset)
 		impacts := v.analysis.groups[at]
@@ -273,11 +274,11 @@
 }
 
 // mergeLatencies adds one incarnation's latencies, by second.
-func mergeLatencies(latencies map[int64]*sketch.Sketch, s *Stream, offset int64) {
+func mergeLatencies(latencies map[clock.Micros]*sketch.Sketch, s *Stream, offset clock.Micros) {
 	for _, index := range s.latency {
 		index.Build()
 		for sec := secondOf(s.start()); sec <= s.end(); sec += second {
-			latency := index.Span(sec, sec+second)
+			latency := index.Span(int64(sec), int64(sec+second))
 			if latency.Count() == 0 {
 				continue
 			}
@@ -290,8 +291,11 @@
 	}
 }
 
+// quantile returns a quantile of latencies.
+func quantile(latency *sketch.Sketch, q float64) clock.Micros { return clock.Micros(latency.Quantile(q)) }
+
 // second sums one second over all brokers. latency is nil if nothing was served.
-func (v *analyzer) second(sec int64, latency *sketch.Sketch) Second {
+func (v *analyzer) second(sec clock.Micros, latency *sketch.Sketch) Second {
 	sum := Second{At: sec}
 	for _, g := range v.analysis.groups[sec] {
 		sum.Served += g.Served
@@ -300,8 +304,8 @@
 		sum.Failed += g.Failed
 	}
 	if latency != nil {
-		sum.P50 = latency.Quantile(0.5)
-		sum.P99 = latency.Quantile(0.99)
+		sum.P50 = quantile(latency, 0.5)
+		sum.P99 = quantile(latency, 0.99)
 	}
 	for _, name := range v.analysis.Brokers {
 		if !v.isKnown(name, sec, sec+second) {
@@ -312,7 +316,7 @@
 }
 
 // isKnown reports whether anything is known of a broker within a span.
-func (v *analyzer) isKnown(broker string, from, to int64) bool {
+func (v *analyzer) isKnown(broker string, from, to clock.Micros) bool {
 	for _, s := range v.analysis.Knowledge {
 		if s.Broker == broker && s.State == Known && s.From < to && s.To > from {
 			return true
@@ -322,7 +326,7 @@
 }
 
 // describeGaps words the gaps that a span of time touches, so that a bound in it can be doubted.
-func (v *analyzer) describeGaps(from, to int64) (out []string) {
+func (v *analyzer) describeGaps(from, to clock.Micros) (out []string) {
 	for _, s := range v.analysis.Knowledge {
 		if s.State != Known && s.State != NotRecorded && s.From < to && s.To > from {
 			out = append(out, fmt.Sprintf("%s: %s from %s to %s", s.Broker, s.State, FormatTime(s.From), FormatTime(s.To)))
--- a/internal/observability/incident/check/check.go
+++ b/internal/observability/incident/check/check.go
@@ -7,14 +7,15 @@
 	"slices"
 
 	"poppyarch/internal/observability/incident"
+	"poppyarch/internal/timing/clock"
 )
 
 // Truth is an episode as it really was. Times are microseconds on the reference's clock.
 type Truth struct {
 	Kind     incident.Kind
 	Subject  string
-	Begin    int64
-	End      int64
+	Begin    clock.Micros
+	End      clock.Micros
 	Optional bool // it need not be reported, for instance because nobody was there to see it
 }
 
@@ -22,14 +23,14 @@
 type Gap struct {
 	Broker string
 	State  incident.State
-	From   int64
-	To     int64
+	From   clock.Micros
+	To     clock.Micros
 }
 
 // Options are the tolerances, in microseconds.
 type Options struct {
-	Slack int64           // added to every bound, for what a clock cannot tell
-	Gap   int64           // how far a gap's ends may be off: what a broker had not written yet when it died
+	Slack clock.Micros    // added to every bound, for what a clock cannot tell
+	Gap   clock.Micros    // how far a gap's ends may be off: what a broker had not written yet when it died
 	Kinds []incident.Kind // only these are compared; nil: all
 }
 
@@ -146,4 +147,4 @@
 }
 
 // distance is how far two times lie apart.
-func distance(a, b int64) int64 { return max(a-b, b-a) }
+func distance(a, b clock.Micros) clock.Micros { return max(a-b, b-a) }
--- a/internal/observability/incident/clocks.go
+++ b/internal/observability/incident/clocks.go
@@ -6,23 +6,24 @@
 	"strings"
 
 	"poppyarch/internal/observability/record"
+	"poppyarch/internal/timing/clock"
 )
 
 // Clock is how a boot's clock stands to the reference's: at its time t the reference shows t+Offset, give or take
 // Error.
 type Clock struct {
-	Broker string `json:"broker"`
-	Boot   string `json:"boot"`
-	Offset int64  `json:"offset"`
-	Error  int64  `json:"error"`
-	Shared int    `json:"shared"` // list versions that both have seen
-	Text   string `json:"text,omitempty"`
+	Broker string       `json:"broker"`
+	Boot   string       `json:"boot"`
+	Offset clock.Micros `json:"offset"`
+	Error  clock.Micros `json:"error"`
+	Shared int          `json:"shared"` // list versions that both have seen
+	Text   string       `json:"text,omitempty"`
 }
 
 // listRevisions are when a boot saw each version of the list first. One that it heard after its watch had ended tells nothing of the
 // clocks: it was made while nobody told it. Taken for told at once it moved a boot's clock by 0.8 s, over the whole of a death.
-func (s *Stream) listRevisions() map[int64]int64 {
-	out, down := map[int64]int64{}, false
+func (s *Stream) listRevisions() map[int64]clock.Micros {
+	out, down := map[int64]clock.Micros{}, false
 	late := map[int64]bool{}
 	for _, n := range s.notes {
 		if n.kind == record.KindDiscovery {
@@ -55,10 +56,10 @@
 // broker within notice of its making, so the offset lies within notice of the difference of the times at which two boots
 // saw it; every shared version bounds it again. Boots that share none go by the wall clocks they were set by, which
 // may be off by wall.
-func compareClocks(streams []*Stream, notice, wall int64) []Clock {
+func compareClocks(streams []*Stream, notice, wall clock.Micros) []Clock {
 	out := make([]Clock, len(streams))
 	ref, most := 0, -1
-	seen := make([]map[int64]int64, len(streams))
+	seen := make([]map[int64]clock.Micros, len(streams))
 	for i, s := range streams {
 		seen[i] = s.listRevisions()
 		if len(seen[i]) > most {
@@ -72,8 +73,8 @@
 			out[i] = c
 			continue
 		}
-		lo, hi := int64(math.MinInt64), int64(math.MaxInt64)
-		var all []int64
+		lo, hi := clock.Micros(math.MinInt64), clock.Micros(math.MaxInt64)
+		var all []clock.Micros
 		for v, at := range seen[i] {
 			if r, ok := seen[ref][v]; ok {
 				d := r - at
--- a/internal/observability/incident/format.go
+++ b/internal/observability/incident/format.go
@@ -3,10 +3,12 @@
 import (
 	"fmt"
 	"time"
+
+	"poppyarch/internal/timing/clock"
 )
 
 // FormatTime words a time, to the millisecond, in UTC.
-func FormatTime(us int64) string { return time.UnixMicro(us).UTC().Format("15:04:05.000") }
+func FormatTime(us clock.Micros) string { return time.UnixMicro(int64(us)).UTC().Format("15:04:05.000") }
 
 // Format is an uncertain time: to the point where it is known well, else from and to.
 func (b Bound) Format() string {
@@ -19,7 +21,7 @@
 // FormatDuration words how long an episode lasted, between the least and the most.
 func (e *Episode) FormatDuration() string {
 	least, most := max(e.End.Earliest-e.Begin.Latest, 0), e.End.Latest-e.Begin.Earliest
-	f := func(v int64) string { return fmt.Sprintf("%.1f s", float64(v)/1e6) }
+	f := func(v clock.Micros) string { return fmt.Sprintf("%.1f s", float64(v)/1e6) }
 	switch {
 	case e.Open:
 		return "at least " + f(least)
--- a/internal/observability/incident/impact.go
+++ b/internal/observability/incident/impact.go
@@ -6,11 +6,13 @@
 	"maps"
 	"slices"
 	"sort"
+
+	"poppyarch/internal/timing/clock"
 )
 
 // findRejections finds seconds in which clients were turned away.
 func (v *analyzer) findRejections() {
-	var slots []int64
+	var slots []clock.Micros
 	worst := 0.0
 	for _, s := range v.analysis.Seconds {
 		all := s.Served + s.Refused + s.Failed
@@ -55,7 +57,7 @@
 }
 
 // impact sums the seconds that a span touches.
-func (a *Analysis) impact(from, to int64) (out Impact) {
+func (a *Analysis) impact(from, to clock.Micros) (out Impact) {
 	byGroup := map[string]*GroupImpact{}
 	for sec := secondOf(from); sec <= to; sec += second {
 		for k, g := range a.groups[sec] {
--- a/internal/observability/incident/incident_test.go
+++ b/internal/observability/incident/incident_test.go
@@ -14,27 +14,28 @@
 	"poppyarch/internal/observability/incident/check"
 	"poppyarch/internal/observability/incident/report"
 	"poppyarch/internal/observability/record"
+	"poppyarch/internal/timing/clock"
 )
 
 const (
-	ms  = int64(1000)
-	sec = int64(1_000_000)
+	ms  = clock.Micros(1000)
+	sec = clock.Micros(1_000_000)
 )
 
 // span is from one time to another, from the world's begin.
-type span struct{ from, to int64 }
+type span struct{ from, to clock.Micros }
 
-func (s span) has(t int64) bool { return t >= s.from && t < s.to }
+func (s span) has(t clock.Micros) bool { return t >= s.from && t < s.to }
 
 // world is an emulated fleet of which everything is known.
 type world struct {
 	r       *rand.Rand
-	zero    int64
-	length  int64
+	zero    clock.Micros
+	length  clock.Micros
 	brokers int
 	nodes   int
-	rate    float64 // requests a second at each broker
-	clocks  []int64 // how far each broker's clock is ahead
+	rate    float64        // requests a second at each broker
+	clocks  []clock.Micros // how far each broker's clock is ahead
 	silent  map[int][]span
 	slow    map[int][]span
 	cold    map[int]span // it has restarted, and its answers take 2.5 times as long
@@ -44,26 +45,26 @@
 	cut     map[int][]span // frames are removed
 	surge   map[string]span
 	discoff *span
-	back    int64 // how far a broker's wall clock has been set by its second boot
+	back    clock.Micros // how far a broker's wall clock has been set by its second boot
 }
 
 func newWorld(seed uint64) *world {
 	return &world{r: rand.New(rand.NewPCG(seed, 7)), zero: 1_800_000_000 * sec, length: 60 * sec, brokers: 3, nodes: 4, rate: 60,
-		clocks: make([]int64, 3), cold: map[int]span{}, silent: map[int][]span{}, slow: map[int][]span{}, drained: map[int]span{}, dead: map[int][]span{},
+		clocks: make([]clock.Micros, 3), cold: map[int]span{}, silent: map[int][]span{}, slow: map[int][]span{}, drained: map[int]span{}, dead: map[int][]span{},
 		dropped: map[int][]span{}, cut: map[int][]span{}, surge: map[string]span{}}
 }
 
-func in(list []span, t int64) bool {
+func in(list []span, t clock.Micros) bool {
 	return slices.ContainsFunc(list, func(s span) bool { return s.has(t) })
 }
 
 // ended is the first begin of a span after t, up to to.
-func cutsInto(list []span, t, to int64) bool {
+func cutsInto(list []span, t, to clock.Micros) bool {
 	return slices.ContainsFunc(list, func(s span) bool { return s.from > t && s.from <= to })
 }
 
 // serve is one request at t: its attempts go to nodes as the world has them.
-func (w *world) serve(t int64, volume string) (record.Event, int64) {
+func (w *world) serve(t clock.Micros, volume string) (record.Event, clock.Micros) {
 	q := &record.Request{Class: 0, Plan: 0, Volume: volume, Units: 1}
 	at := t
 	for n := 0; n < 3; n++ {
@@ -71,7 +72,7 @@
 		if d, ok := w.drained[node]; ok && d.has(at) {
 			node = (node + 1) % w.nodes
 		}
-		took := int64(w.r.ExpFloat64()*8*float64(ms)) + 12*ms
+		took := clock.Micros(w.r.ExpFloat64()*8*float64(ms)) + 12*ms
 		if in(w.slow[node], at) {
 			took *= 8
 		}
@@ -96,9 +97,9 @@
 // streams plays the world and returns what its brokers recorded.
 func (w *world) streams() (out []*incident.Stream) {
 	for b := range w.brokers {
-		up := int64(0)
+		up := clock.Micros(0)
 		for k := 0; ; k++ {
-			down, back := w.length, int64(-1)
+			down, back := w.length, clock.Micros(-1)
 			for _, d := range w.dead[b] {
 				if d.from > up && d.from < down {
 					down, back = d.from, d.to
@@ -117,18 +118,18 @@
 // bootEvents collects the events of one incarnation of a broker, each with the time at which it is recorded.
 type bootEvents struct {
 	world *world
-	up    int64
-	down  int64
+	up    clock.Micros
+	down  clock.Micros
 	items []bootEvent
 }
 
 type bootEvent struct {
-	end int64
+	end clock.Micros
 	e   record.Event
 }
 
 // note adds a note, if the broker was up.
-func (x *bootEvents) note(t int64, kind record.Kind, subject, text string, value int64) {
+func (x *bootEvents) note(t clock.Micros, kind record.Kind, subject, text string, value clock.Micros) {
 	if t >= x.up && t < x.down {
 		e := record.Event{At: t, Kind: kind, Note: &record.Note{Subject: subject, Text: text, Value: value}}
 		x.items = append(x.items, bootEvent{t, e})
@@ -136,8 +137,8 @@
 }
 
 // requests adds the requests that arrive between two times at a rate, and end while the broker is up.
-func (x *bootEvents) requests(from, to int64, rate float64, volume func() string) {
-	for t := max(from, x.up); t < min(to, x.down); t += int64(x.world.r.ExpFloat64() / rate * float64(sec)) {
+func (x *bootEvents) requests(from, to clock.Micros, rate float64, volume func() string) {
+	for t := max(from, x.up); t < min(to, x.down); t += clock.Micros(x.world.r.ExpFloat64() / rate * float64(sec)) {
 		if e, end := x.world.serve(t, volume()); end < x.down {
 			x.items = append(x.items, bootEvent{end, e})
 		}
@@ -149,13 +150,13 @@
 	w := x.world
 	for node, d := range w.drained {
 		delay := w.r.Int64N(200 * ms)
-		x.note(d.from+delay, record.KindList, fmt.Sprint("s-", node), "draining", 10+int64(node))
-		x.note(d.to+w.r.Int64N(200*ms), record.KindList, fmt.Sprint("s-", node), "up", 20+int64(node))
+		x.note(d.from+delay, record.KindList, fmt.Sprint("s-", node), "draining", 10+clock.Micros(node))
+		x.note(d.to+w.r.Int64N(200*ms), record.KindList, fmt.Sprint("s-", node), "up", 20+clock.Micros(node))
 	}
 	for node, c := range w.cold {
 		x.note(c.from+w.r.Int64N(300*ms), record.KindNode, fmt.Sprint("s-", node), "may have restarted: outcome 4", 0)
 	}
-	for v := int64(0); v < w.length/(5*sec); v++ { // the list changes now and then, so that clocks can be compared
+	for v := clock.Micros(0); v < w.length/(5*sec); v++ { // the list changes now and then, so that clocks can be compared
 		x.note(v*5*sec+2*sec+w.r.Int64N(150*ms), record.KindList, "s-x", fmt.Sprint("moved 10.0.0.", v), 100+v)
 	}
 	if d := w.discoff; d != nil {
@@ -164,7 +165,7 @@
 	}
 }
 
-func (w *world) boot(b, k int, up, down int64) *incident.Stream {
+func (w *world) boot(b, k int, up, down clock.Micros) *incident.Stream {
 	events := &bootEvents{world: w, up: up, down: down}
 	events.requests(up, down, w.rate, func() string { return fmt.Sprintf("v%d", w.r.IntN(6)) })
 	for volume, s := range w.surge {
@@ -217,7 +218,7 @@
 }
 
 // truths lists what was played, on the clock of broker ref.
-func (w *world) truths(ahead int64) (out []check.Truth, gaps []check.Gap) {
+func (w *world) truths(ahead clock.Micros) (out []check.Truth, gaps []check.Gap) {
 	z := w.zero + ahead
 	for n, list := range w.silent {
 		for _, s := range list {
@@ -270,7 +271,7 @@
 	t.Helper()
 	o := incident.DefaultOptions()
 	a := incident.Analyse(w.streams(), o)
-	ahead, most := int64(0), int64(0)
+	ahead, most := clock.Micros(0), clock.Micros(0)
 	for i, c := range a.Clocks {
 		if strings.Contains(c.Text, "reference") {
 			_, _ = fmt.Sscanf(a.Clocks[i].Broker, "n%d", &ahead)
@@ -305,7 +306,7 @@
 			"nobody saw the silence begin": func(w *world) {
 				w.silent[2] = []span{{21 * sec, 35 * sec}}
 				for b := range 3 {
-					w.dead[b] = []span{{20*sec + int64(b)*100*ms, 24*sec + int64(b)*300*ms}}
+					w.dead[b] = []span{{20*sec + clock.Micros(b)*100*ms, 24*sec + clock.Micros(b)*300*ms}}
 				}
 			},
 			"dies and returns within a heartbeat": func(w *world) { w.dead[1] = []span{{30 * sec, 30*sec + 300*ms}} },
@@ -329,7 +330,7 @@
 				w.dead[2] = []span{{25 * sec, 29 * sec}}
 			},
 			"clocks apart": func(w *world) {
-				w.clocks = []int64{0, 3 * sec, -2 * sec}
+				w.clocks = []clock.Micros{0, 3 * sec, -2 * sec}
 				w.silent[1] = []span{{20 * sec, 31 * sec}}
 			},
 			"everything at once": func(w *world) {
@@ -354,7 +355,7 @@
 func TestDrawnIncidents(t *testing.T) {
 	for seed := uint64(100); seed < 130; seed++ {
 		w := newWorld(seed)
-		at := func(from, to int64) int64 { return from + w.r.Int64N(to-from) }
+		at := func(from, to clock.Micros) clock.Micros { return from + w.r.Int64N(to-from) }
 		long := func() span { s := at(8*sec, 35*sec); return span{s, s + at(5*sec, 14*sec)} }
 		for _, b := range w.r.Perm(3)[:w.r.IntN(3)] {
 			w.dead[b] = []span{long()}
--- a/internal/observability/incident/noted_episodes.go
+++ b/internal/observability/incident/noted_episodes.go
@@ -8,13 +8,14 @@
 	"strings"
 
 	"poppyarch/internal/observability/record"
+	"poppyarch/internal/timing/clock"
 )
 
 // timedNote is a note on the reference's clock.
 type timedNote struct {
 	note
 	broker string
-	error  int64
+	error  clock.Micros
 }
 
 // findNotedEpisodes finds what brokers noted themselves: drains, discovery, restarts, rollouts.
@@ -47,7 +48,7 @@
 // that much before the first.
 func (v *analyzer) findNodeDrains(all []timedNote) {
 	type open struct {
-		first, last int64
+		first, last clock.Micros
 		who         []string
 	}
 	on := map[string]*open{}
@@ -85,7 +86,7 @@
 const maxHangingCall = 2_500_000
 
 func (v *analyzer) findDiscoveryOutages(all []timedNote) {
-	down := map[string]int64{} // brokers that found it down, since
+	down := map[string]clock.Micros{} // brokers that found it down, since
 	var from Bound
 	var who []string
 	end := func(b Bound, opened bool) {
@@ -121,7 +122,7 @@
 // findNodeRestarts joins signs that a node's process is another than before. It is cold until a second in which its median is no more
 // than half above its usual one.
 func (v *analyzer) findNodeRestarts(all []timedNote) {
-	last := map[string]int64{}
+	last := map[string]clock.Micros{}
 	for _, n := range all {
 		started := n.kind == record.KindList && strings.HasPrefix(n.text, "started ")
 		restarted := n.kind == record.KindNode && strings.HasPrefix(n.text, "may have restarted")
@@ -157,7 +158,7 @@
 
 func (v *analyzer) findRollouts(all []timedNote) {
 	type span struct {
-		from, to int64
+		from, to clock.Micros
 		who      []string
 	}
 	byRev := map[string]*span{}
--- a/internal/observability/incident/report/html.go
+++ b/internal/observability/incident/report/html.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"poppyarch/internal/observability/incident"
+	"poppyarch/internal/timing/clock"
 )
 
 // Sizes of the page's drawings, in pixels.
@@ -26,7 +27,7 @@
 )
 
 // secondMicros is a second in microseconds.
-const secondMicros = int64(1_000_000)
+const secondMicros = clock.Micros(1_000_000)
 
 // page is the data of the template, which refers to its fields by name.
 type page struct {
@@ -94,21 +95,21 @@
 }
 
 func describeSpan(a *incident.Analysis) string {
-	day := time.UnixMicro(a.From).UTC().Format("2006-01-02")
+	day := time.UnixMicro(int64(a.From)).UTC().Format("2006-01-02")
 	return day + ", " + incident.FormatTime(a.From) + " to " + incident.FormatTime(a.To) + " UTC"
 }
 
 // timeAxis maps times to positions on the page.
 type timeAxis struct {
-	from  int64 // microseconds
-	to    int64
+	from  clock.Micros // microseconds
+	to    clock.Micros
 	width int // pixels
 }
 
-func (x timeAxis) span() int64 { return max(x.to-x.from, 1) }
+func (x timeAxis) span() clock.Micros { return max(x.to-x.from, 1) }
 
 // position is a time's distance from the page's left edge.
-func (x timeAxis) position(at int64) float64 {
+func (x timeAxis) position(at clock.Micros) float64 {
 	at = min(max(at, x.from), x.to)
 	return labelWidth + float64(at-x.from)/float64(x.span())*float64(x.width)
 }
@@ -128,7 +129,7 @@
 	}
 	var ticks []tick
 	for at := (x.from/step + 1) * step; at < x.to; at += step {
-		ticks = append(ticks, tick{X: x.position(at), Text: time.UnixMicro(at).UTC().Format("15:04:05")})
+		ticks = append(ticks, tick{X: x.position(at), Text: time.UnixMicro(int64(at)).UTC().Format("15:04:05")})
 	}
 	return ticks
 }
@@ -221,7 +222,7 @@
 	"join":  func(l []string) string { return strings.Join(l, "\n") },
 	"plus":  func(a, b float64) float64 { return a + b },
 	"minus": func(a, b float64) float64 { return a - b },
-	"ms":    func(v int64) string { return fmt.Sprintf("%.1f", float64(v)/1000) },
+	"ms":    func(v clock.Micros) string { return fmt.Sprintf("%.1f", float64(v)/1000) },
 	"pair": func(p plot, w int) any {
 		return struct {
 			P plot
--- a/internal/observability/incident/report/report_test.go
+++ b/internal/observability/incident/report/report_test.go
@@ -8,14 +8,15 @@
 
 	"poppyarch/internal/observability/incident"
 	"poppyarch/internal/observability/record"
+	"poppyarch/internal/timing/clock"
 )
 
-const sec = int64(1_000_000)
+const sec = clock.Micros(1_000_000)
 
 // twoBoots is a broker that served, was dead from 10 to 16 s, and served again.
 func twoBoots() *incident.Analysis {
 	var list []*incident.Stream
-	for k, span := range [][2]int64{{1, 10}, {16, 25}} {
+	for k, span := range [][2]clock.Micros{{1, 10}, {16, 25}} {
 		s := incident.NewStream("n<1>", string(rune('a'+k)))
 		begin := span[0] * sec
 		s.AddEvent(&record.Event{At: begin, Kind: record.KindBoot, Boot: &record.Boot{Name: "n<1>", ID: s.ID, Began: begin, Beat: sec / 2, Sample: 1,
--- a/internal/observability/incident/report/text.go
+++ b/internal/observability/incident/report/text.go
@@ -9,6 +9,7 @@
 
 	"poppyarch/internal/observability/incident"
 	"poppyarch/internal/textoutput"
+	"poppyarch/internal/timing/clock"
 )
 
 // JSON writes the analysis for programs.
@@ -21,7 +22,7 @@
 // Text writes it for terminals.
 func Text(w io.Writer, a *incident.Analysis) error {
 	p := textoutput.NewPrinter(w)
-	day := time.UnixMicro(a.From).UTC().Format("2006-01-02")
+	day := time.UnixMicro(int64(a.From)).UTC().Format("2006-01-02")
 	p.Printf("%s, %s to %s UTC: %d brokers, %d nodes, %d events, %d episodes\n", day, incident.FormatTime(a.From),
 		incident.FormatTime(a.To), len(a.Brokers), len(a.Nodes), a.Events, len(a.Episodes))
 	if a.Sampled < 1 {
@@ -38,7 +39,7 @@
 	return p.Err()
 }
 
-func milliseconds(micros int64) float64 { return float64(micros) / 1000 }
+func milliseconds(micros clock.Micros) float64 { return float64(micros) / 1000 }
 
 func printEpisodes(w io.Writer, episodes []incident.Episode) error {
 	t := textoutput.NewTable(w, "\nNO", "EPISODE", "WHO", "BEGIN", "END", "LASTED", "LATE", "REFUSED", "FAILED", "WORTH", "WITH")
--- a/internal/observability/incident/stream.go
+++ b/internal/observability/incident/stream.go
@@ -9,6 +9,7 @@
 	"poppyarch/internal/broker/decision"
 	"poppyarch/internal/observability/record"
 	"poppyarch/internal/observability/sketch"
+	"poppyarch/internal/timing/clock"
 )
 
 // Stream takes in the records of one boot of one broker, in the order of their frames. Times are the broker's own
@@ -25,17 +26,17 @@
 	notes      []note
 	stopped    bool
 	nodes      map[string]*nodeRecord
-	groups     map[int64]map[group]*groupCounts // by second
-	volumes    map[string]map[int64]int         // requests by second of arrival
-	latency    map[uint8]*sketch.Index          // of served requests, by class
+	groups     map[clock.Micros]map[group]*groupCounts // by second
+	volumes    map[string]map[clock.Micros]int         // requests by second of arrival
+	latency    map[uint8]*sketch.Index                 // of served requests, by class
 	events     int
-	first      int64 // the earliest and the latest event
-	last       int64
+	first      clock.Micros // the earliest and the latest event
+	last       clock.Micros
 }
 
 type frame struct {
 	seq uint64
-	now int64
+	now clock.Micros
 }
 
 type damage struct {
@@ -43,10 +44,14 @@
 	bytes int
 }
 
-type heartbeat struct{ at, wall, open int64 }
+type heartbeat struct {
+	at   clock.Micros
+	wall clock.Micros
+	open int64 // requests in flight
+}
 
 type note struct {
-	at      int64
+	at      clock.Micros
 	kind    record.Kind
 	subject string
 	text    string
@@ -55,13 +60,13 @@
 
 // nodeRecord is what one boot saw of one node.
 type nodeRecord struct {
-	responses []int64   // when answers came
-	timedOut  []attempt // attempts without an answer
-	refused   []attempt // and without a connection
-	latency   map[int64]*sketch.Sketch
+	responses []clock.Micros // when answers came
+	timedOut  []attempt      // attempts without an answer
+	refused   []attempt      // and without a connection
+	latency   map[clock.Micros]*sketch.Sketch
 }
 
-type attempt struct{ sent, done int64 }
+type attempt struct{ sent, done clock.Micros }
 
 type group struct{ class, plan uint8 }
 
@@ -75,12 +80,12 @@
 
 // NewStream returns an empty one.
 func NewStream(name, id string) *Stream {
-	return &Stream{Name: name, ID: id, nodes: map[string]*nodeRecord{}, groups: map[int64]map[group]*groupCounts{},
-		volumes: map[string]map[int64]int{}, latency: map[uint8]*sketch.Index{}}
+	return &Stream{Name: name, ID: id, nodes: map[string]*nodeRecord{}, groups: map[clock.Micros]map[group]*groupCounts{},
+		volumes: map[string]map[clock.Micros]int{}, latency: map[uint8]*sketch.Index{}}
 }
 
 // AddFrame takes in that a frame is there.
-func (s *Stream) AddFrame(seq uint64, now int64) { s.frames = append(s.frames, frame{seq, now}) }
+func (s *Stream) AddFrame(seq uint64, now clock.Micros) { s.frames = append(s.frames, frame{seq, now}) }
 
 // AddDamage takes in that bytes behind frame after could not be read.
 func (s *Stream) AddDamage(after uint64, bytes int) {
@@ -96,9 +101,9 @@
 }
 
 // second is the slot of a time.
-const second = int64(1_000_000)
+const second = clock.Micros(1_000_000)
 
-func secondOf(at int64) int64 { return at - at%second }
+func secondOf(at clock.Micros) clock.Micros { return at - at%second }
 
 // AddEvent takes in one event.
 func (s *Stream) AddEvent(e *record.Event) {
@@ -127,11 +132,11 @@
 	s.last = max(s.last, end)
 }
 
-func (s *Stream) addRequest(at int64, q *record.Request) {
+func (s *Stream) addRequest(at clock.Micros, q *record.Request) {
 	if v := s.volumes[q.Volume]; v != nil {
 		v[secondOf(at)]++
 	} else {
-		s.volumes[q.Volume] = map[int64]int{secondOf(at): 1}
+		s.volumes[q.Volume] = map[clock.Micros]int{secondOf(at): 1}
 	}
 	sec := secondOf(at + q.Took)
 	byGroup := s.groups[sec]
@@ -162,10 +167,10 @@
 		}
 		x := s.latency[q.Class]
 		if x == nil {
-			x = sketch.NewIndex(second)
+			x = sketch.NewIndex(int64(second))
 			s.latency[q.Class] = x
 		}
-		x.Add(at+q.Took, q.Took)
+		x.Add(int64(at+q.Took), int64(q.Took))
 	case q.Answer != record.Left:
 		t.worth += worth * q.Units
 	}
@@ -173,7 +178,7 @@
 		y := &q.Tries[i]
 		n := s.nodes[y.Node]
 		if n == nil {
-			n = &nodeRecord{latency: map[int64]*sketch.Sketch{}}
+			n = &nodeRecord{latency: map[clock.Micros]*sketch.Sketch{}}
 			s.nodes[y.Node] = n
 		}
 		sent := at + y.Sent
@@ -187,7 +192,7 @@
 					k = &sketch.Sketch{}
 					n.latency[secondOf(done)] = k
 				}
-				k.Add(y.Took)
+				k.Add(int64(y.Took))
 			}
 		case decision.TimedOut:
 			n.timedOut = append(n.timedOut, attempt{sent, done})
@@ -215,14 +220,14 @@
 // Span is a broker's knowledge from one time to another. Slack is how far From may be off to the later side: a broker
 // that dies has its last word up to a heartbeat before.
 type Span struct {
-	Broker string `json:"broker"`
-	State  State  `json:"state"`
-	From   int64  `json:"from"`
-	To     int64  `json:"to"`
-	Slack  int64  `json:"slack,omitempty"`
-	Boot   string `json:"boot,omitempty"`
-	Events uint64 `json:"events,omitempty"` // lost, or bytes damaged
-	Text   string `json:"text,omitempty"`
+	Broker string       `json:"broker"`
+	State  State        `json:"state"`
+	From   clock.Micros `json:"from"`
+	To     clock.Micros `json:"to"`
+	Slack  clock.Micros `json:"slack,omitempty"`
+	Boot   string       `json:"boot,omitempty"`
+	Events uint64       `json:"events,omitempty"` // lost, or bytes damaged
+	Text   string       `json:"text,omitempty"`
 }
 
 // knowledge lists one boot's spans, by its own clock.
@@ -233,7 +238,7 @@
 	frames := slices.Clone(s.frames)
 	sort.Slice(frames, func(a, b int) bool { return frames[a].seq < frames[b].seq })
 	period := s.heartbeatInterval()
-	add := func(st State, from, to int64, events uint64, text string) {
+	add := func(st State, from, to clock.Micros, events uint64, text string) {
 		if to > from || events > 0 {
 			out = append(out, Span{Broker: s.Name, Boot: s.ID, State: st, From: from, To: to, Events: events, Text: text})
 		}
@@ -269,7 +274,7 @@
 
 // heartbeatInterval is how often a boot lets hear of itself. Where the segments with its particulars are gone, it is taken for a second,
 // which is longer than any broker's that is set up as documented.
-func (s *Stream) heartbeatInterval() int64 {
+func (s *Stream) heartbeatInterval() clock.Micros {
 	if s.Boot.Beat > 0 {
 		return s.Boot.Beat
 	}
@@ -277,7 +282,7 @@
 }
 
 // end is a boot's last word.
-func (s *Stream) end() int64 {
+func (s *Stream) end() clock.Micros {
 	last := s.last
 	for _, f := range s.frames {
 		last = max(last, f.now)
@@ -286,7 +291,7 @@
 }
 
 // start is its first.
-func (s *Stream) start() int64 {
+func (s *Stream) start() clock.Micros {
 	if s.Boot.Began > 0 {
 		return s.Boot.Began
 	}
--- a/internal/observability/incident/traffic_episodes.go
+++ b/internal/observability/incident/traffic_episodes.go
@@ -7,6 +7,7 @@
 	"sort"
 
 	"poppyarch/internal/observability/sketch"
+	"poppyarch/internal/timing/clock"
 )
 
 // findBrokerDeaths makes episodes of deaths.
@@ -32,12 +33,12 @@
 func (v *analyzer) findUnanswered(name string, kind Kind, tries []attempt) {
 	n := v.nodes[name]
 	usual := max(n.usualLatency, 1000)
-	after := func(t int64) int {
+	after := func(t clock.Micros) int {
 		return sort.Search(len(n.responses), func(i int) bool { return n.responses[i] > t })
 	}
 	type run struct {
 		first, last attempt // by their times of sending
-		sent        int64
+		sent        clock.Micros
 		n           int
 	}
 	var runs []run
@@ -88,7 +89,7 @@
 }
 
 // runs joins slots that lie no more than gap apart.
-func joinSeconds(slots []int64, gap int64) (out []Bound) {
+func joinSeconds(slots []clock.Micros, gap clock.Micros) (out []Bound) {
 	slices.Sort(slots)
 	for _, s := range slots {
 		if k := len(out) - 1; k >= 0 && s-out[k].Latest <= gap {
@@ -101,8 +102,8 @@
 }
 
 // medians are a node's answers by seconds, over all brokers, and the middle of the seconds' medians; 0: too little is known.
-func (v *analyzer) medians(name string) (bySec map[int64]*sketch.Sketch, usual int64) {
-	bySec = map[int64]*sketch.Sketch{}
+func (v *analyzer) medians(name string) (bySec map[clock.Micros]*sketch.Sketch, usual clock.Micros) {
+	bySec = map[clock.Micros]*sketch.Sketch{}
 	for i, s := range v.streams {
 		if n := s.nodes[name]; n != nil {
 			for sec, k := range n.latency {
@@ -114,10 +115,10 @@
 			}
 		}
 	}
-	var medians []int64
+	var medians []clock.Micros
 	for _, k := range bySec {
 		if k.Count() >= 5 {
-			medians = append(medians, k.Quantile(0.5))
+			medians = append(medians, quantile(k, 0.5))
 		}
 	}
 	if len(medians) < 10 {
@@ -134,12 +135,12 @@
 		if usual == 0 {
 			continue
 		}
-		var slots []int64
-		worst := int64(0)
+		var slots []clock.Micros
+		worst := clock.Micros(0)
 		for at, k := range bySec {
 			if k.Count() >= 5 && float64(k.Quantile(0.5)) > v.options.SlowFactor*float64(usual) {
 				slots = append(slots, at)
-				worst = max(worst, k.Quantile(0.5))
+				worst = max(worst, quantile(k, 0.5))
 			}
 		}
 		for _, r := range joinSeconds(slots, 2*second) {
@@ -154,7 +155,7 @@
 
 // findSurges finds volumes that ask for far more than usual.
 func (v *analyzer) findSurges() {
-	volumes := map[string]map[int64]float64{}
+	volumes := map[string]map[clock.Micros]float64{}
 	for i, s := range v.streams {
 		share := s.Boot.Sample
 		if share <= 0 {
@@ -163,7 +164,7 @@
 		for name, bySec := range s.volumes {
 			m := volumes[name]
 			if m == nil {
-				m = map[int64]float64{}
+				m = map[clock.Micros]float64{}
 				volumes[name] = m
 			}
 			for sec, n := range bySec {
@@ -182,7 +183,7 @@
 		}
 		slices.Sort(rates)
 		usual := rates[len(rates)/2]
-		var slots []int64
+		var slots []clock.Micros
 		worst := 0.0
 		for sec, n := range m {
 			if n > v.options.SurgeFactor*usual && n >= usual+10 {
