--- a/internal/nodes/discovery/discovery_test.go
+++ b/internal/nodes/discovery/client_test.go
@@ -23,8 +23,14 @@
 )
 
 func testLimits() *limits.Limits {
-	return &limits.Limits{WatchTimeout: 60_000_000, WatchGracePeriod: 30_000_000, MaxListBytes: 1 << 16, MaxListEndpoints: 100, NodeIdleTimeout: 60_000_000,
-		WatchMinInterval: 50_000}
+	return &limits.Limits{
+		WatchTimeout:     60_000_000,
+		WatchGracePeriod: 30_000_000,
+		MaxListBytes:     1 << 16,
+		MaxListEndpoints: 100,
+		NodeIdleTimeout:  60_000_000,
+		WatchMinInterval: 50_000,
+	}
 }
 
 // watch runs a client against a handler and returns the table that it keeps.
@@ -35,7 +41,7 @@
 }
 
 // client is watch for tests that need the client too.
-func client(t *testing.T, h http.Handler, lim *limits.Limits, tell ...func(error)) (*core.EndpointTable, *discovery.Client) {
+func client(t *testing.T, h http.Handler, lim *limits.Limits, onResult ...func(error)) (*core.EndpointTable, *discovery.Client) {
 	t.Helper()
 	srv := httptest.NewServer(h)
 	f, err := dispatcher.New(decision.Config{PollsEndpoints: true, MaxPollInterval: time.Second,
@@ -52,8 +58,8 @@
 		srv.Close()
 	})
 	c := discovery.New(strings.TrimPrefix(srv.URL, "http://"), discovery.NoRevision, []string{"room"}, table, f, lim,
-		slog.New(slog.NewTextHandler(io.Discard, nil)))
-	for _, f := range tell {
+		slog.New(slog.DiscardHandler))
+	for _, f := range onResult {
 		c.OnResult(f)
 	}
 	wait.Go(func() { core.RunDecisions(ctx, f, clock.New()) })
@@ -61,9 +67,9 @@
 	return table, c
 }
 
-// Moved in the middle of a watch that would wait a minute, the client reads the whole list at the new address at once,
-// whatever version the old one had, and what only the old one named is gone.
-func TestMovesAtOnce(t *testing.T) {
+// In the middle of a watch that would wait a minute, the client reads the full list at the new address at once, whatever
+// revision the old one had, and endpoints that only the old one named are removed.
+func TestAddressChangeEndsWatchAndReadsFullList(t *testing.T) {
 	old, other := fake.NewDiscovery(), fake.NewDiscovery()
 	old.Set(target("a", "up"), target("b", "up"))
 	old.Set(target("a", "up"))
@@ -75,7 +81,7 @@
 	other.Set(target("b", "draining"))
 	addr := strings.TrimPrefix(srv.URL, "http://")
 	c.SetAddress(addr)
-	c.SetAddress(addr) // no news
+	c.SetAddress(addr) // no change
 	eventually(t, "b drains", state(table, "b")(decision.Draining))
 	if !state(table, "a")(decision.Removed)() {
 		t.Error("a is not gone")
@@ -85,14 +91,14 @@
 	if n := len(old.Calls()); n != 2 {
 		t.Errorf("%d calls at the old address, want 2", n)
 	}
-	c.SetAddress("127.0.0.1:1") // nobody there: the list stays, and the way back is open
+	c.SetAddress("127.0.0.1:1") // nobody listens there: the list stays, and a further change works
 	c.SetAddress(addr)
 	other.Set(target("c", "draining"))
 	eventually(t, "c drains", state(table, "c")(decision.Draining))
 }
 
-// A fleet that is told to move asks the new address spread over a time. Until then the watch at the old one brings news.
-func TestMoveOfAFleetIsSpread(t *testing.T) {
+// The brokers of a fleet poll a new address spread over a time. Until then the watch at the old one goes on.
+func TestAddressChangeIsDelayedByJitter(t *testing.T) {
 	old, other := fake.NewDiscovery(), fake.NewDiscovery()
 	old.Set(target("a", "up"))
 	other.Set(target("b", "up"))
@@ -104,15 +110,15 @@
 	eventually(t, "a is up", state(table, "a")(decision.Ready))
 	c.SetAddress(strings.TrimPrefix(srv.URL, "http://"))
 	old.Set(target("a", "draining"))
-	eventually(t, "a drains, by word of the old address", state(table, "a")(decision.Draining))
+	eventually(t, "a drains, as the old address says", state(table, "a")(decision.Draining))
 	if n := len(other.Calls()); n > 0 {
 		t.Errorf("%d calls at the new address already", n)
 	}
 }
 
-// A list may name more zones than the settings. Taken for the first of these, they made work whose repeats one zone drops go
-// again in another.
-func TestZonesThatTheSettingsDoNotName(t *testing.T) {
+// A list may name more zones than the settings. Taken for one of the settings' zones, they would let a request that one zone
+// deduplicates be retried in another.
+func TestUnknownZonesGetDistinctNumbers(t *testing.T) {
 	list := discovery.List{Endpoints: []discovery.Endpoint{target("a", "up"), target("b", "up"), target("c", "up"), target("d", "up")}}
 	for i, az := range []string{"room", "hall", "yard", "hall"} {
 		list.Endpoints[i].Zone = az
@@ -126,20 +132,20 @@
 	}
 }
 
-// Where a discovery cannot give the whole list to a broker that has moved there, what is new is asked for instead, and the
-// whole list once it can be had.
-func TestMoveToACrowdedDiscovery(t *testing.T) {
+// Where a discovery cannot give the full list to a broker that has changed to it, changes are polled instead, and the full
+// list once it is available.
+func TestChangesAreReadWhileFullListIsRejected(t *testing.T) {
 	old, other := fake.NewDiscovery(), fake.NewDiscovery()
 	for _, d := range []*fake.Discovery{old, other} {
 		d.Set(target("a", "up"))
 		d.Set(target("b", "up"))
 	}
 	other.Set(target("b", "draining"))
-	var whole, crowded atomic.Int32
-	crowded.Store(1)
+	var fullListCalls, overloaded atomic.Int32
+	overloaded.Store(1)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.RawQuery == "" && crowded.Load() > 0 {
-			whole.Add(1)
+		if r.URL.RawQuery == "" && overloaded.Load() > 0 {
+			fullListCalls.Add(1)
 			http.Error(w, "busy", http.StatusServiceUnavailable)
 			return
 		}
@@ -148,28 +154,31 @@
 	t.Cleanup(srv.Close)
 	lim := testLimits()
 	lim.WatchTimeout, lim.WatchGracePeriod = 200_000, 300_000
-	var ended atomic.Int32 // watches: each costs a wait in which no news is heard
+	var failedWatches atomic.Int32 // each costs a backoff in which no change arrives
 	table, c := client(t, old, lim, func(err error) {
 		if err != nil {
-			ended.Add(1)
+			failedWatches.Add(1)
 		}
 	})
 	eventually(t, "b is up", state(table, "b")(decision.Ready))
 	c.SetAddress(strings.TrimPrefix(srv.URL, "http://"))
 	eventually(t, "b drains", state(table, "b")(decision.Draining))
-	if ended.Load() > 0 {
-		t.Error("the failed whole list has ended the watch")
+	if failedWatches.Load() > 0 {
+		t.Error("the failed full list has ended the watch")
 	}
-	if whole.Load() != 1 {
-		t.Errorf("the whole list was asked for %d times before the news", whole.Load())
+	if fullListCalls.Load() != 1 {
+		t.Errorf("the full list was polled %d times before the changes", fullListCalls.Load())
 	}
-	eventually(t, "the whole list is asked for again", func() bool { return whole.Load() > 1 })
-	crowded.Store(0)
+	eventually(t, "the full list is polled again", func() bool { return fullListCalls.Load() > 1 })
+	overloaded.Store(0)
 	other.Set(target("a", "removed"))
 	eventually(t, "a is gone", state(table, "a")(decision.Removed))
 }
 
-// eventually waits for what must come.
+// answer writes a body. A client that has gone away fails the test by what it does not get.
+func answer(w io.Writer, body string) { _, _ = io.WriteString(w, body) }
+
+// eventually waits until ok returns true.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !ok(); time.Sleep(time.Millisecond) {
@@ -208,8 +217,8 @@
 	eventually(t, "b is up", state(table, "b")(decision.Ready))
 }
 
-// A dead discovery leaves the list in force, is not hammered, and is taken up again.
-func TestOutlivesADeadDiscovery(t *testing.T) {
+// While discovery is down the list stays in force and polls back off; afterwards the watch goes on.
+func TestListStaysAndPollsBackOffWhileDiscoveryIsDown(t *testing.T) {
 	lim := testLimits()
 	lim.NotificationDeadline = lim.WatchGracePeriod + 60_000_000 // as in operation, it leaves room for the backoff
 	d := fake.NewDiscovery()
@@ -218,12 +227,12 @@
 	eventually(t, "a is up", state(table, "a")(decision.Ready))
 	d.SetDown(true)
 	n := len(d.Calls())
-	// One may have been on its way, and the first after a long watch goes out at once; from then on there are waits.
+	// One call may have been on its way, and the first after a long watch goes out at once; from then on there is a backoff.
 	eventually(t, "three more calls", func() bool { return len(d.Calls()) >= n+3 })
 	calls := d.Calls()
 	// The backoff's first pause is at least a third of 0.75 s, and no slow machine makes a pause shorter.
 	if gap := calls[len(calls)-1].Sub(calls[len(calls)-2]); gap < 250*time.Millisecond {
-		t.Errorf("asked again after %v", gap)
+		t.Errorf("polled again after %v", gap)
 	}
 	if !state(table, "a")(decision.Ready)() {
 		t.Error("the list went away with discovery")
@@ -233,27 +242,27 @@
 	eventually(t, "a drains", state(table, "a")(decision.Draining))
 }
 
-// The next call goes out when the answer is in, with no pause between: a watch ends after 200 ms.
-func TestWatchesAgainAtOnce(t *testing.T) {
-	rev := 1
+// The next call goes out when the answer has arrived, without a pause.
+func TestNextPollFollowsAnswerWithoutPause(t *testing.T) {
+	revision := 1
 	var times []time.Time
 	var mu sync.Mutex
 	watch(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
-		rev++
+		revision++
 		times = append(times, time.Now())
-		fmt.Fprintf(w, `{"rev":%d,"all":false,"targets":[]}`, rev)
+		answer(w, fmt.Sprintf(`{"rev":%d,"all":false,"targets":[]}`, revision))
 	}), testLimits())
 	eventually(t, "fifty calls", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return len(times) >= 50 // one for each failure's wait would take half a minute
+		return len(times) >= 50 // with a backoff before each this would take half a minute
 	})
 }
 
-// Version 0 is a version: the list is read once, and then only what is newer is asked for.
-func TestVersionZeroIsNotReadOverAndOver(t *testing.T) {
+// The list is read once, and then only changes since revision 0.
+func TestRevisionZeroIsAKnownRevision(t *testing.T) {
 	var mu sync.Mutex
 	var calls []string
 	d := fake.NewDiscovery()
@@ -277,15 +286,15 @@
 	}
 }
 
-// A discovery that answers at once though it has no news is asked again after a pause, not in a busy loop.
-func TestAnswersWithoutNewsAreNotAskedForInABusyLoop(t *testing.T) {
+// A discovery that answers at once though it has no changes is polled again after a pause.
+func TestAnswersWithoutChangesAreNotPolledInABusyLoop(t *testing.T) {
 	var mu sync.Mutex
 	var times []time.Time
 	watch(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		times = append(times, time.Now())
-		io.WriteString(w, `{"rev":7,"all":false,"targets":[]}`)
+		answer(w, `{"rev":7,"all":false,"targets":[]}`)
 	}), testLimits())
 	eventually(t, "five calls", func() bool {
 		mu.Lock()
@@ -299,8 +308,8 @@
 	}
 }
 
-// Answers that cannot be are failures, not lists: the old one stays.
-func TestFaultyAnswersAreFailures(t *testing.T) {
+// An answer that cannot be read or used is a failure, and the list in force stays.
+func TestInvalidAnswerKeepsList(t *testing.T) {
 	for _, body := range []string{`{`, `{"rev":5,"targets":[{"uid":"a","endpoint":"x","state":"new"}]}`,
 		`{"rev":5,"targets":[{"state":"up"}]}`, `{"rev":5,"targets":"` + strings.Repeat("x", 1<<17) + `"}`} {
 		var mu sync.Mutex
@@ -309,10 +318,10 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if n++; n == 1 {
-				io.WriteString(w, `{"rev":2,"all":true,"targets":[{"uid":"a","endpoint":"x","state":"up"}]}`)
+				answer(w, `{"rev":2,"all":true,"targets":[{"uid":"a","endpoint":"x","state":"up"}]}`)
 				return
 			}
-			io.WriteString(w, body)
+			answer(w, body)
 		}), testLimits())
 		eventually(t, "two calls after the first", func() bool {
 			mu.Lock()
