--- a/internal/nodes/discovery/address.go
+++ b/internal/nodes/discovery/address.go
@@ -36,7 +36,7 @@
 	}
 	a.desired = addr
 	if jitter > 0 {
-		time.AfterFunc(clock.Duration(rand.Int64N(jitter)), a.endOutdatedWatch)
+		time.AfterFunc(clock.Duration(rand.N(jitter)), a.endOutdatedWatch)
 	} else {
 		a.endOutdatedWatchLocked()
 	}
--- a/internal/nodes/discovery/grace_test.go
+++ b/internal/nodes/discovery/grace_test.go
@@ -14,6 +14,7 @@
 
 	"poppyarch/internal/broker/core"
 	"poppyarch/internal/broker/limits"
+	"poppyarch/internal/timing/clock"
 )
 
 // A call that hangs is cancelled soon; each next call gets more time, up to a bound.
@@ -24,7 +25,7 @@
 	defer srv.Close()
 	defer close(hung)
 	c := New("", 1, nil, core.NewEndpointTable(), nil, lim, slog.New(slog.DiscardHandler))
-	for want := int64(2000); want <= 16_000; want *= 2 {
+	for want := clock.Micros(2000); want <= 16_000; want *= 2 {
 		if err := c.watch(t.Context(), srv.URL); !errors.Is(err, context.DeadlineExceeded) {
 			t.Fatalf("a call that hangs ended with %v", err)
 		}
--- a/internal/nodes/discovery/poller.go
+++ b/internal/nodes/discovery/poller.go
@@ -95,7 +95,7 @@
 // drawWait is how long the next call waits for a change. Its jitter keeps brokers out of step that began together or were
 // notified of the same change.
 func (p *poller) drawWait() clock.Micros {
-	return p.limits.WatchTimeout - rand.Int64N(p.limits.WatchTimeout/4+1)
+	return p.limits.WatchTimeout - rand.N(p.limits.WatchTimeout/4+1)
 }
 
 // graceAfter is how much longer than its wait a call may take. The wait and the grace together leave time for another call
--- a/internal/nodes/discovery/progress.go
+++ b/internal/nodes/discovery/progress.go
@@ -75,7 +75,7 @@
 		p.fullList = fullListAfterChanges
 	case err == nil && p.fullList == fullListAfterChanges:
 		p.fullList = fullListScheduled
-		jitter := rand.Int64N(fullListSpread*p.limits.DiscoveryMoveJitter + 1)
+		jitter := rand.N(fullListSpread*p.limits.DiscoveryMoveJitter + 1)
 		p.fullListAt = time.Now().Add(clock.Duration(p.limits.WatchGracePeriod + jitter))
 	}
 }
--- a/internal/nodes/discovery/retry_test.go
+++ b/internal/nodes/discovery/retry_test.go
@@ -114,7 +114,7 @@
 // afterOutage returns how long after the end of an outage a broker has the change made then.
 func afterOutage(t *testing.T, o *outage, hosts int, seed uint64) time.Duration {
 	t.Helper()
-	lim := &limits.Limits{WatchTimeout: listWait(hosts).Microseconds(), WatchGracePeriod: 1_000_000, NotificationDeadline: 6_000_000, WatchMinInterval: 100_000, MaxListBytes: 1 << 16, MaxListEndpoints: 10, NodeIdleTimeout: 10_000_000}
+	lim := &limits.Limits{WatchTimeout: clock.FromDuration(listWait(hosts)), WatchGracePeriod: 1_000_000, NotificationDeadline: 6_000_000, WatchMinInterval: 100_000, MaxListBytes: 1 << 16, MaxListEndpoints: 10, NodeIdleTimeout: 10_000_000}
 	f, err := dispatcher.New(decision.Config{Seed: seed, Brokers: hosts, PollsEndpoints: true, MaxPollInterval: 10 * time.Second,
 		Classes: []decision.Class{{Name: "c", LatencyObjective: time.Second, Deadline: time.Second}}}, func(string) {})
 	if err != nil {
--- a/internal/nodes/membership/membership_test.go
+++ b/internal/nodes/membership/membership_test.go
@@ -355,7 +355,7 @@
 		for k, change := range []func(*Entry){func(e *Entry) { e.Addr = "10.9.9.9" }, func(e *Entry) { e.Addr, e.Shard = "10.9.9.9", 7 }} {
 			list := entriesInState(1, Up)
 			change(&list[0])
-			now := int64(k+1) * 100 * second
+			now := clock.Micros(k+1) * 100 * second
 			got := s.Replace(Files, int64(k+2), list, now)
 			switch {
 			case known && len(got) > 0:
--- a/internal/observability/incident/analyzer.go
+++ b/internal/observability/incident/analyzer.go
@@ -292,7 +292,9 @@
 }
 
 // quantile returns a quantile of latencies.
-func quantile(latency *sketch.Sketch, q float64) clock.Micros { return clock.Micros(latency.Quantile(q)) }
+func quantile(latency *sketch.Sketch, q float64) clock.Micros {
+	return clock.Micros(latency.Quantile(q))
+}
 
 // second sums one second over all brokers. latency is nil if nothing was served.
 func (v *analyzer) second(sec clock.Micros, latency *sketch.Sketch) Second {
--- a/internal/observability/incident/clocks_test.go
+++ b/internal/observability/incident/clocks_test.go
@@ -10,7 +10,7 @@
 // Two boots with the same clock: one was without a watch when version 9 was made, and heard it 1.3 s after the other. Only what
 // both were told at once says how their clocks stand to each other.
 func TestNewsHeardAfterAnOutageMoveNoClock(t *testing.T) {
-	list := func(at, rev clock.Micros) note {
+	list := func(at clock.Micros, rev int64) note {
 		return note{at: at, kind: record.KindList, subject: "s-1", text: "up", value: rev}
 	}
 	discovery := func(at clock.Micros, text string) note { return note{at: at, kind: record.KindDiscovery, text: text} }
--- a/internal/observability/incident/collect/collect_test.go
+++ b/internal/observability/incident/collect/collect_test.go
@@ -10,19 +10,20 @@
 
 	"poppyarch/internal/observability/incident"
 	"poppyarch/internal/observability/record"
+	"poppyarch/internal/timing/clock"
 )
 
-const sec = int64(1_000_000)
+const sec = clock.Micros(1_000_000)
 
 // write records one boot of a broker for so many seconds, ten frames a second of a request each, and returns its files.
-func write(t *testing.T, dir, name, boot string, begin, seconds int64, stop bool) []string {
+func write(t *testing.T, dir, name, boot string, begin, seconds clock.Micros, stop bool) []string {
 	t.Helper()
 	d, err := record.NewDir(dir, name, boot, 3000, 1<<30)
 	if err != nil {
 		t.Fatal(err)
 	}
 	seq := uint64(0)
-	put := func(at int64, events ...record.Event) {
+	put := func(at clock.Micros, events ...record.Event) {
 		t.Helper()
 		seq++
 		var b []byte
--- a/internal/observability/incident/format.go
+++ b/internal/observability/incident/format.go
@@ -8,7 +8,9 @@
 )
 
 // FormatTime words a time, to the millisecond, in UTC.
-func FormatTime(us clock.Micros) string { return time.UnixMicro(int64(us)).UTC().Format("15:04:05.000") }
+func FormatTime(us clock.Micros) string {
+	return time.UnixMicro(int64(us)).UTC().Format("15:04:05.000")
+}
 
 // Format is an uncertain time: to the point where it is known well, else from and to.
 func (b Bound) Format() string {
--- a/internal/observability/incident/incident_test.go
+++ b/internal/observability/incident/incident_test.go
@@ -48,6 +48,9 @@
 	back    clock.Micros // how far a broker's wall clock has been set by its second boot
 }
 
+// jitter draws a time from 0 to before max.
+func (w *world) jitter(max clock.Micros) clock.Micros { return clock.Micros(w.r.Int64N(int64(max))) }
+
 func newWorld(seed uint64) *world {
 	return &world{r: rand.New(rand.NewPCG(seed, 7)), zero: 1_800_000_000 * sec, length: 60 * sec, brokers: 3, nodes: 4, rate: 60,
 		clocks: make([]clock.Micros, 3), cold: map[int]span{}, silent: map[int][]span{}, slow: map[int][]span{}, drained: map[int]span{}, dead: map[int][]span{},
@@ -129,7 +132,7 @@
 }
 
 // note adds a note, if the broker was up.
-func (x *bootEvents) note(t clock.Micros, kind record.Kind, subject, text string, value clock.Micros) {
+func (x *bootEvents) note(t clock.Micros, kind record.Kind, subject, text string, value int64) {
 	if t >= x.up && t < x.down {
 		e := record.Event{At: t, Kind: kind, Note: &record.Note{Subject: subject, Text: text, Value: value}}
 		x.items = append(x.items, bootEvent{t, e})
@@ -149,19 +152,19 @@
 func (x *bootEvents) changes() {
 	w := x.world
 	for node, d := range w.drained {
-		delay := w.r.Int64N(200 * ms)
-		x.note(d.from+delay, record.KindList, fmt.Sprint("s-", node), "draining", 10+clock.Micros(node))
-		x.note(d.to+w.r.Int64N(200*ms), record.KindList, fmt.Sprint("s-", node), "up", 20+clock.Micros(node))
+		delay := w.jitter(200 * ms)
+		x.note(d.from+delay, record.KindList, fmt.Sprint("s-", node), "draining", 10+int64(node))
+		x.note(d.to+w.jitter(200*ms), record.KindList, fmt.Sprint("s-", node), "up", 20+int64(node))
 	}
 	for node, c := range w.cold {
-		x.note(c.from+w.r.Int64N(300*ms), record.KindNode, fmt.Sprint("s-", node), "may have restarted: outcome 4", 0)
+		x.note(c.from+w.jitter(300*ms), record.KindNode, fmt.Sprint("s-", node), "may have restarted: outcome 4", 0)
 	}
-	for v := clock.Micros(0); v < w.length/(5*sec); v++ { // the list changes now and then, so that clocks can be compared
-		x.note(v*5*sec+2*sec+w.r.Int64N(150*ms), record.KindList, "s-x", fmt.Sprint("moved 10.0.0.", v), 100+v)
+	for v := range int64(w.length / (5 * sec)) { // the list changes now and then, so that clocks can be compared
+		x.note(clock.Micros(v)*5*sec+2*sec+w.jitter(150*ms), record.KindList, "s-x", fmt.Sprint("moved 10.0.0.", v), 100+v)
 	}
 	if d := w.discoff; d != nil {
-		x.note(d.from+w.r.Int64N(2*sec), record.KindDiscovery, "", "down: status 503", 0)
-		x.note(d.to+w.r.Int64N(2*sec), record.KindDiscovery, "", "answers", 0)
+		x.note(d.from+w.jitter(2*sec), record.KindDiscovery, "", "down: status 503", 0)
+		x.note(d.to+w.jitter(2*sec), record.KindDiscovery, "", "answers", 0)
 	}
 }
 
@@ -355,7 +358,7 @@
 func TestDrawnIncidents(t *testing.T) {
 	for seed := uint64(100); seed < 130; seed++ {
 		w := newWorld(seed)
-		at := func(from, to clock.Micros) clock.Micros { return from + w.r.Int64N(to-from) }
+		at := func(from, to clock.Micros) clock.Micros { return from + w.jitter(to-from) }
 		long := func() span { s := at(8*sec, 35*sec); return span{s, s + at(5*sec, 14*sec)} }
 		for _, b := range w.r.Perm(3)[:w.r.IntN(3)] {
 			w.dead[b] = []span{long()}
--- a/internal/observability/record/record_test.go
+++ b/internal/observability/record/record_test.go
@@ -15,26 +15,32 @@
 	"pgregory.net/rapid"
 
 	"poppyarch/internal/testkit/fixedseed"
+	"poppyarch/internal/timing/clock"
 )
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
+func drawTime(t *rapid.T, label string) clock.Micros {
+	return clock.Micros(rapid.Int64Range(1, 1<<50).Draw(t, label))
+}
+
 func drawEvent(t *rapid.T) Event {
-	e := Event{At: rapid.Int64Range(1, 1<<50).Draw(t, "at"), Kind: Kind(rapid.IntRange(1, int(kinds)-1).Draw(t, "kind"))}
+	e := Event{At: drawTime(t, "at"), Kind: Kind(rapid.IntRange(1, int(kinds)-1).Draw(t, "kind"))}
 	name := rapid.SampledFrom([]string{"", "s-1", "s-22", "0123456789abcdef", "ü"})
 	n := rapid.Int64Range(0, 1<<40)
+	span := rapid.Map(n, func(v int64) clock.Micros { return clock.Micros(v) })
 	switch e.Kind {
 	case KindRequest:
 		e.Request = &Request{Class: 1, Plan: 2, Answer: Refused, Volume: name.Draw(t, "volume"), Units: float64(rapid.IntRange(0, 80).Draw(t, "units")) / 16,
-			Shard: rapid.Int64Range(-1, 9).Draw(t, "shard"), Took: n.Draw(t, "took"), Hint: n.Draw(t, "hint")}
+			Shard: rapid.Int64Range(-1, 9).Draw(t, "shard"), Took: span.Draw(t, "took"), Hint: span.Draw(t, "hint")}
 		for range rapid.IntRange(0, 3).Draw(t, "tries") {
-			e.Request.Tries = append(e.Request.Tries, Try{name.Draw(t, "node"), n.Draw(t, "sent"), n.Draw(t, "try"), 3})
+			e.Request.Tries = append(e.Request.Tries, Try{name.Draw(t, "node"), span.Draw(t, "sent"), span.Draw(t, "try"), 3})
 		}
 	case KindBoot:
-		e.Boot = &Boot{Name: "n1", ID: "b", Began: n.Draw(t, "began"), Wall: n.Draw(t, "wall"), Beat: 5, Sample: 0.25,
+		e.Boot = &Boot{Name: "n1", ID: "b", Began: span.Draw(t, "began"), Wall: span.Draw(t, "wall"), Beat: 5, Sample: 0.25,
 			Classes: []Class{{"c", 1, 2, 0.5}}, Plans: []Plan{{"p", 1.5}, {"q", 0}}}
 	case KindBeat:
-		e.Beat = &Beat{n.Draw(t, "wall"), 3, 1 << 30, 17, 4, -1}
+		e.Beat = &Beat{span.Draw(t, "wall"), 3, 1 << 30, 17, 4, -1}
 	case KindSummary:
 		g := Group{Class: 1, Plan: 1, Late: 3}
 		g.Count[Served] = uint64(n.Draw(t, "served"))
@@ -55,7 +61,7 @@
 	segment = SegmentHead("n1", "boot", 1)
 	frames = rapid.IntRange(1, 6).Draw(t, "frames")
 	for k := range frames {
-		base := rapid.Int64Range(1, 1<<50).Draw(t, "base")
+		base := drawTime(t, "base")
 		var encoded []byte
 		for range rapid.IntRange(1, 4).Draw(t, "events") {
 			e := drawEvent(t)
@@ -248,7 +254,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		k := &tank{hold: make(chan struct{})}
 		start := time.Now()
-		now := func() int64 { return 1 + time.Since(start).Microseconds() }
+		now := func() clock.Micros { return 1 + clock.FromDuration(time.Since(start)) }
 		r := New(Options{Sample: 1, Buffer: 4096}, Boot{Name: "n"}, now, func(*Beat) {}, k)
 		go r.Run()
 		var all sync.WaitGroup
@@ -256,7 +262,7 @@
 		for c := range callers {
 			all.Go(func() {
 				for i := range each {
-					r.Request(now(), &Request{Class: uint8(c % 2), Took: int64(i), Tries: []Try{{"s-1", 1, 2, 0}}})
+					r.Request(now(), &Request{Class: uint8(c % 2), Took: clock.Micros(i), Tries: []Try{{"s-1", 1, 2, 0}}})
 					if i%50 == 49 {
 						time.Sleep(10 * time.Millisecond)
 					}
@@ -293,7 +299,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		k := &tank{}
 		start := time.Now()
-		now := func() int64 { return 1 + time.Since(start).Microseconds() }
+		now := func() clock.Micros { return 1 + clock.FromDuration(time.Since(start)) }
 		r := New(Options{Sample: 0.25}, Boot{Name: "n"}, now, func(*Beat) {}, k)
 		go r.Run()
 		for range 4000 {
@@ -362,7 +368,7 @@
 		b.Run(x.name, func(b *testing.B) {
 			k := &counter{}
 			start := time.Now()
-			now := func() int64 { return time.Since(start).Microseconds() }
+			now := func() clock.Micros { return clock.FromDuration(time.Since(start)) }
 			r := New(Options{Sample: x.sample, Buffer: 64 << 20}, Boot{Name: "n"}, now, func(*Beat) {}, k)
 			go r.Run()
 			n := 0
--- a/internal/timing/clock/clock_test.go
+++ b/internal/timing/clock/clock_test.go
@@ -9,7 +9,7 @@
 func TestClockStartsAtUnixTimeAndAdvances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New()
-		start := time.Now().UnixMicro()
+		start := Micros(time.Now().UnixMicro())
 		if now := c.Now(); now != start {
 			t.Errorf("starts at %d, want %d", now, start)
 		}
--- a/internal/timing/timerwheel/timerwheel_test.go
+++ b/internal/timing/timerwheel/timerwheel_test.go
@@ -80,18 +80,18 @@
 
 func TestTimersFireOnceAtTheirDeadline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newWheelModel(rapid.Int64Range(0, 1<<40).Draw(t, "start"))
+		m := newWheelModel(clock.Micros(rapid.Int64Range(0, 1<<40).Draw(t, "start")))
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			timer := &m.timers[rapid.IntRange(0, len(m.timers)-1).Draw(t, "timer")]
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
-				in := rapid.SampledFrom([]int64{-5, 1, 10, 2555, 2560, 700000, 1 << 28, 1 << 38, 1 << 45}).Draw(t, "in")
-				m.set(timer, m.now+in+rapid.Int64Range(0, 3000).Draw(t, "and"))
+				in := rapid.SampledFrom([]clock.Micros{-5, 1, 10, 2555, 2560, 700000, 1 << 28, 1 << 38, 1 << 45}).Draw(t, "in")
+				m.set(timer, m.now+in+clock.Micros(rapid.Int64Range(0, 3000).Draw(t, "and")))
 			case 2:
 				m.stop(timer)
 			default:
 				m.checkNext(t)
-				m.advance(t, rapid.SampledFrom([]int64{1, 9, 10, 300, 2560, 655360, 5000000}).Draw(t, "step"))
+				m.advance(t, rapid.SampledFrom([]clock.Micros{1, 9, 10, 300, 2560, 655360, 5000000}).Draw(t, "step"))
 			}
 			if m.wheel.Len() != len(m.deadlines) {
 				t.Fatalf("%d timers, want %d", m.wheel.Len(), len(m.deadlines))
@@ -139,12 +139,12 @@
 		w := New(0, 1000)
 		ts := make([]Timer, n)
 		for i := range ts {
-			w.Set(&ts[i], 1000+r.Int64N(30_000_000))
+			w.Set(&ts[i], 1000+clock.Micros(r.Int64N(30_000_000)))
 		}
-		now := int64(0)
+		now := clock.Micros(0)
 		for b.Loop() {
 			now += 10
-			w.Set(&ts[r.IntN(n)], now+1000+r.Int64N(30_000_000))
+			w.Set(&ts[r.IntN(n)], now+1000+clock.Micros(r.Int64N(30_000_000)))
 			w.Advance(now, func(t *Timer) { w.Set(t, now+30_000_000) })
 		}
 	})
@@ -155,7 +155,7 @@
 			items[i].at = 1000 + r.Int64N(30_000_000)
 			heap.Push(h, &items[i])
 		}
-		now := int64(0)
+		now := clock.Micros(0)
 		for b.Loop() {
 			now += 10
 			it := &items[r.IntN(n)]
