--- a/internal/broker/config/config_test.go
+++ b/internal/broker/config/config_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-func none(string) string { return "" }
+func noEnv(string) string { return "" }
 
-const good = `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"rev":3,"all":true,"targets":[]},
  "settings":{"zones":["z"],"classes":[{"name":"r","aim_ns":1000000,"give_up_ns":9000000000,"repeat":"retryable"},
   {"name":"u","aim_ns":1000000,"give_up_ns":2000000,"repeat":"fragile"}],
@@ -19,7 +19,7 @@
  "object":{"listen":"127.0.0.1:3","read_class":"r","write_class":"r","complete_class":"u","default_plan":"p"}}`
 
 func TestDefaultsAndDerivedLimits(t *testing.T) {
-	c, err := Parse([]byte(good), none)
+	c, err := Parse([]byte(validConfig), noEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,10 +31,10 @@
 	}
 }
 
-// What discovery has to tell counts as told 2 s after the wait of a call that hangs, and after SIGHUP within 4 s: a hung
-// call must be noticed early enough for several further ones. With 10 s and 2 s it was noticed when it was too late.
-func TestHungWatchIsNoticedInTime(t *testing.T) {
-	c, err := Parse([]byte(good), none)
+// A change counts as known to the broker 2 s after the wait of a call that hangs, and 4 s after SIGHUP: a hung call must be
+// detected early enough for several retries.
+func TestHungWatchIsDetectedWithinTwoSeconds(t *testing.T) {
+	c, err := Parse([]byte(validConfig), noEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,28 +43,28 @@
 	}
 }
 
-// One discovery serves all brokers: 300 of them with a wait of 1 s made 300 calls a second, all it bears. The wait has to
-// grow with their number, yet stay within the time after which a broker that does not ask counts as told.
-func TestWatchesOfManyBrokersStayFew(t *testing.T) {
-	for hosts, most := range map[int]float64{4: 4.1, 300: 110, 1024: 210} {
-		text := strings.Replace(good, `"settings":{`, fmt.Sprintf(`"settings":{"balancers":%d,"contract":{"ask_within_ns":10000000000},`, hosts), 1)
-		c, err := Parse([]byte(text), none)
+// One discovery serves all brokers, so the wait of a call has to grow with their number, yet stay within the time after which
+// changes count as known to a broker that does not poll.
+func TestWatchTimeoutGrowsWithFleet(t *testing.T) {
+	for brokers, maxCalls := range map[int]float64{4: 4.1, 300: 110, 1024: 210} {
+		text := strings.Replace(validConfig, `"settings":{`, fmt.Sprintf(`"settings":{"balancers":%d,"contract":{"ask_within_ns":10000000000},`, brokers), 1)
+		c, err := Parse([]byte(text), noEnv)
 		if err != nil {
 			t.Fatal(err)
 		}
 		l := c.Limits
-		if calls := float64(hosts) * 1e6 / float64(l.WatchTimeout); calls > most || l.WatchTimeout > 5_000_000 {
-			t.Errorf("%d brokers make %.0f calls a second, each waits %d µs", hosts, calls, l.WatchTimeout)
+		if calls := float64(brokers) * 1e6 / float64(l.WatchTimeout); calls > maxCalls || l.WatchTimeout > 5_000_000 {
+			t.Errorf("%d brokers make %.0f calls a second, each waits %d µs", brokers, calls, l.WatchTimeout)
 		}
-		if l.DiscoveryMoveJitter > 1_500_000 || hosts >= 300 && l.DiscoveryMoveJitter < 1_000_000 {
-			t.Errorf("%d brokers that move ask within %d µs", hosts, l.DiscoveryMoveJitter)
+		if l.DiscoveryMoveJitter > 1_500_000 || brokers >= 300 && l.DiscoveryMoveJitter < 1_000_000 {
+			t.Errorf("%d brokers poll a new address within %d µs", brokers, l.DiscoveryMoveJitter)
 		}
 	}
 }
 
-func TestEnvironmentOverrides(t *testing.T) {
+func TestEnvironmentOverridesFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.json")
-	if err := os.WriteFile(path, []byte(good), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(validConfig), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	env := map[string]string{"LB_CONFIG": path, "LB_NAME": "x", "LB_LISTEN": "127.0.0.1:9", "LB_DISCOVERY": "127.0.0.1:8"}
@@ -72,19 +72,20 @@
 	if err != nil || c.Name != "x" || c.Listen != "127.0.0.1:9" || c.DiscoveryAddr != "127.0.0.1:8" {
 		t.Errorf("%+v, %v", c, err)
 	}
-	if _, err := Load(none); err == nil || !strings.HasPrefix(err.Error(), "LB_CONFIG") {
+	if _, err := Load(noEnv); err == nil || !strings.HasPrefix(err.Error(), "LB_CONFIG") {
 		t.Errorf("got %v", err)
 	}
 }
 
-// A reload takes up discovery and log, and names what waits for the next start. LB_DISCOVERY stands until the file
-// names another address than it did.
-func TestReload(t *testing.T) {
+// A reload also names the keys that wait for the next start. LB_DISCOVERY is in force until the file names another address
+// than it did.
+func TestReloadAppliesDiscoveryAndLogOnly(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.json")
 	env := map[string]string{"LB_CONFIG": path, "LB_DISCOVERY": "127.0.0.1:8"}
 	getenv := func(k string) string { return env[k] }
 	write := func(replace ...string) {
-		if err := os.WriteFile(path, []byte(strings.NewReplacer(replace...).Replace(good)), 0o600); err != nil {
+		t.Helper()
+		if err := os.WriteFile(path, []byte(strings.NewReplacer(replace...).Replace(validConfig)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -121,8 +122,7 @@
 	}
 }
 
-// Every error names the faulty key.
-func TestErrorsNameTheKey(t *testing.T) {
+func TestErrorsNameTheFaultyKey(t *testing.T) {
 	for _, x := range []struct{ old, new, want string }{
 		{`"listen":"127.0.0.1:1"`, `"listen":"127.0.0.1"`, "listen: "},
 		{`"listen":"127.0.0.1:1"`, `"listen":7`, "listen: "},
@@ -146,40 +146,39 @@
 		{`"object":`, `"tuning":{"client_conns":5000},"object":`, "tuning.client_conns: "},
 		{`"object":`, `"log":"loud","object":`, "log: "},
 	} {
-		text := strings.Replace(good, x.old, x.new, 1)
-		if text == good {
+		text := strings.Replace(validConfig, x.old, x.new, 1)
+		if text == validConfig {
 			t.Fatalf("%s is not there", x.old)
 		}
-		if _, err := Parse([]byte(text), none); err == nil || !strings.HasPrefix(err.Error(), x.want) {
+		if _, err := Parse([]byte(text), noEnv); err == nil || !strings.HasPrefix(err.Error(), x.want) {
 			t.Errorf("%s: got %v", x.new, err)
 		}
 	}
 }
 
-// The operator's and the example's files are sound.
-func TestShippedConfigurations(t *testing.T) {
+func TestShippedConfigurationsAreValid(t *testing.T) {
 	for _, path := range []string{"../../../examples/config.json", "../../../deploy/object.json"} {
 		text, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Parse(text, none); err != nil {
+		if _, err := Parse(text, noEnv); err != nil {
 			t.Errorf("%s: %v", path, err)
 		}
 	}
 }
 
-// What the module is told of connections comes from the pool's own figure and the settings' price, and list_told has to be a time.
-func TestConnectionsAndListsOfTheModule(t *testing.T) {
-	priced := strings.Replace(good, `"limits":{"keepalive_ns"`, `"deductions":{"handshake":0.08},"limits":{"keepalive_ns"`, 1)
-	c, err := Parse([]byte(priced), none)
+// The reuse window is that of the connection pool and the cost of a handshake that of the settings.
+func TestConnectionSettingsReachThePolicy(t *testing.T) {
+	priced := strings.Replace(validConfig, `"limits":{"keepalive_ns"`, `"deductions":{"handshake":0.08},"limits":{"keepalive_ns"`, 1)
+	c, err := Parse([]byte(priced), noEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c.Policy.HandshakeCost != 0.08 || c.Policy.ConnectionReuseWindow.Microseconds() != c.Limits.NodeReuseWindow || c.Policy.ConnectionReuseWindow <= 0 {
-		t.Errorf("price %v, kept %v, fresh for %d µs", c.Policy.HandshakeCost, c.Policy.ConnectionReuseWindow, c.Limits.NodeReuseWindow)
+		t.Errorf("handshake cost %v, reuse window %v, of the pool %d µs", c.Policy.HandshakeCost, c.Policy.ConnectionReuseWindow, c.Limits.NodeReuseWindow)
 	}
-	_, err = Parse([]byte(strings.Replace(good, `"settings":`, `"tuning":{"list_told":0},"settings":`, 1)), none)
+	_, err = Parse([]byte(strings.Replace(validConfig, `"settings":`, `"tuning":{"list_told":0},"settings":`, 1)), noEnv)
 	if err == nil || !strings.Contains(err.Error(), "list_told") {
 		t.Errorf("list_told 0: %v", err)
 	}
--- /dev/null
+++ b/internal/broker/config/control.go
@@ -0,0 +1,7 @@
+package config
+
+// Control configures the control endpoint.
+type Control struct {
+	Listen      string `json:"listen"`            // unix:PATH, or HOST:PORT on loopback
+	StartDigest string `json:"started,omitempty"` // of the start settings, for whoever starts the broker
+}
--- a/internal/broker/config/limits.go
+++ b/internal/broker/config/limits.go
@@ -9,17 +9,49 @@
 	"time"
 
 	"poppyarch/internal/broker/limits"
+	"poppyarch/internal/timing/clock"
 )
 
-// fillLimits derives the limits from what the machine and the settings allow; tuning overrides single figures.
-func (c *Config) fillLimits(in *file, ex *extra) error {
-	l, err := machineLimits(in)
+const (
+	millisecond = clock.Micros(1000)
+	second      = 1000 * millisecond
+
+	defaultCores    = 1
+	defaultMemoryMB = 192
+	defaultSockets  = 1024
+	minMemoryMB     = 32
+	minSockets      = 64
+	ownDescriptors  = 32 // of the runtime, standard streams, listeners and discovery
+)
+
+// The platform sends SIGKILL after a grace period that follows from the longest deadline.
+const (
+	maxKillDeadline = 3 * second        // longer deadlines count as this
+	killSlack       = 700 * millisecond // the grace period is longer than the deadline by this
+	killMargin      = 150 * millisecond // all requests are answered so long before
+	drainAnswerTime = 250 * millisecond // what the last request admitted has left
+)
+
+// Polls of discovery.
+const (
+	localAgentMaxBackoff  = 150 * millisecond // an agent that serves one broker bears frequent polls
+	maxPollsPerSecond     = 100               // that a whole fleet makes while nothing changes
+	moveJitterPerBroker   = 5 * millisecond
+	maxMoveJitter         = second + 500*millisecond // the old address serves this long after a change
+	nanosecondsPerMicro   = int64(time.Microsecond)
+	keepAliveSafetyFactor = 3 // idle connections are closed this much earlier than the node would
+)
+
+// setLimits derives the limits from the machine and the settings, and applies the tuning.
+func (c *Config) setLimits(in *file, settings *connectionSettings) error {
+	machine, err := in.Limits.withDefaults()
 	if err != nil {
 		return err
 	}
-	c.limitConnections(l, ex)
+	l := machine.limits()
+	c.limitConnections(l, settings)
 	c.limitDiscovery(l)
-	c.limitRequests(l, ex)
+	c.limitRequests(l, settings)
 	if err := tune(l, in.Tuning); err != nil {
 		return err
 	}
@@ -27,119 +59,181 @@
 	return nil
 }
 
-const (
-	ms     = int64(1000) // in microseconds, as second
-	second = 1000 * ms
-
-	ownDescriptors = 32         // the runtime's own, standard streams, listeners, discovery
-	longestKill    = 3 * second // the platform counts a longer deadline as this, when it kills
-	killSlack      = 700 * ms   // and kills no sooner than so long after that
-	killMargin     = 150 * ms   // all is answered so long ahead of it
-	answerTime     = 250 * ms   // what is taken last has so long
-	agentRetry     = 150 * ms   // an agent that serves one broker alone is asked again within this
-)
-
-// machineLimits are the defaults, and what follows from the machine alone.
-func machineLimits(in *file) (*limits.Limits, error) {
-	m := in.Limits
+// withDefaults checks the size and fills in defaults.
+func (m machineSize) withDefaults() (machineSize, error) {
 	if m.Cores < 0 || m.MemoryMB < 0 || m.Sockets < 0 {
-		return nil, errors.New("limits: cores, memory_mb and sockets cannot be negative")
+		return m, &KeyError{Key: "limits", Err: errors.New("cores, memory_mb and sockets cannot be negative")}
 	}
-	m.Cores = cmp.Or(m.Cores, 1)
-	m.MemoryMB = cmp.Or(m.MemoryMB, 192)
-	m.Sockets = cmp.Or(m.Sockets, 1024)
-	if m.MemoryMB < 32 {
-		return nil, fmt.Errorf("limits.memory_mb: %d is under 32", m.MemoryMB)
+	m.Cores = cmp.Or(m.Cores, defaultCores)
+	m.MemoryMB = cmp.Or(m.MemoryMB, defaultMemoryMB)
+	m.Sockets = cmp.Or(m.Sockets, defaultSockets)
+	if m.MemoryMB < minMemoryMB {
+		return m, keyErrorf("limits.memory_mb", "%d is under %d", m.MemoryMB, minMemoryMB)
 	}
-	if m.Sockets < 64 {
-		return nil, fmt.Errorf("limits.sockets: %d is under 64", m.Sockets)
+	if m.Sockets < minSockets {
+		return m, keyErrorf("limits.sockets", "%d is under %d", m.Sockets, minSockets)
 	}
-	memory := m.MemoryMB << 20
-	free := m.Sockets - ownDescriptors
+	return m, nil
+}
+
+// limits are the defaults, and what follows from the size of the machine.
+func (m machineSize) limits() *limits.Limits {
+	memoryBytes := m.MemoryMB << 20
+	freeDescriptors := m.Sockets - ownDescriptors
 	return &limits.Limits{
-		Procs: max(int(m.Cores), 1), MemoryBytes: memory * 6 / 10, Descriptors: m.Sockets,
-		ClientConns: free * 2 / 3, NodeConns: free / 3,
-		MaxInFlight: 4096, MaxBodyBytes: memory / 6, MaxPipeline: 128, MaxMessageBytes: 72 << 10, MaxArgs: 16, MaxValueBytes: 64 << 10,
-		MaxID: 64, MaxParams: 1024, ClientWriteTimeout: 5 * second, ClientFirstByteTimeout: 2*second + 500*ms, ClientStallTimeout: second + 500*ms,
+		Procs:       max(int(m.Cores), 1),
+		MemoryBytes: memoryBytes * 6 / 10,
+		Descriptors: m.Sockets,
+		ClientConns: freeDescriptors * 2 / 3,
+		NodeConns:   freeDescriptors / 3,
+
+		MaxInFlight:                    4096,
+		MaxBodyBytes:                   memoryBytes / 6,
+		MaxPipeline:                    128,
+		MaxMessageBytes:                72 << 10,
+		MaxArgs:                        16,
+		MaxValueBytes:                  64 << 10,
+		MaxID:                          64,
+		MaxParams:                      1024,
+		ClientWriteTimeout:             5 * second,
+		ClientFirstByteTimeout:         2*second + 500*millisecond,
+		ClientStallTimeout:             second + 500*millisecond,
 		ClientIdleConns:                m.Sockets/3 - m.Sockets/24, // clients may hold a third: idle ones must not use that up
-		ClientIdleTimeoutUnderPressure: 2 * second, ClientIdleTimeout: 10 * second, ClientLingerTimeout: 200 * ms, BusyRetryAfter: 200 * ms,
-		AnswerMargin: 5 * ms, DrainAcceptTime: 500 * ms, DrainTotalTime: 5*second + 500*ms,
-		ConnectTimeout: 250 * ms, NodeIdleTimeout: 10 * second, NodeReuseWindow: 5 * second, NodeReuseDelay: 20 * ms, ResponseCompletionTimeout: 150 * ms, MaxIdleConnsPerNode: 16,
-		WatchTimeout: second, WatchGracePeriod: second, NotificationDeadline: 6 * second, WatchMinInterval: 100 * ms, MaxListBytes: 4 << 20, MaxListEndpoints: 10000,
-		MaxObjectBytes: 16 << 20, MaxHeaderBytes: 16 << 10, ObjectBufferBytes: 64 << 10, MaxParts: 10000, ObjectIdleTimeout: 60 * second,
-		ObjectStallTimeout: 10 * second, MaxCompletionBytes: 1 << 20, ReadBackTime: second, ReadBackInterval: 100 * ms,
-	}, nil
+		ClientIdleTimeoutUnderPressure: 2 * second,
+		ClientIdleTimeout:              10 * second,
+		ClientLingerTimeout:            200 * millisecond,
+		BusyRetryAfter:                 200 * millisecond,
+		AnswerMargin:                   5 * millisecond,
+		DrainAcceptTime:                500 * millisecond,
+		DrainTotalTime:                 5*second + 500*millisecond,
+
+		ConnectTimeout:            250 * millisecond,
+		NodeIdleTimeout:           10 * second,
+		NodeReuseWindow:           5 * second,
+		NodeReuseDelay:            20 * millisecond,
+		ResponseCompletionTimeout: 150 * millisecond,
+		MaxIdleConnsPerNode:       16,
+
+		WatchTimeout:         second,
+		WatchGracePeriod:     second,
+		NotificationDeadline: 6 * second,
+		WatchMinInterval:     100 * millisecond,
+		MaxListBytes:         4 << 20,
+		MaxListEndpoints:     10000,
+
+		MaxObjectBytes:     16 << 20,
+		MaxHeaderBytes:     16 << 10,
+		ObjectBufferBytes:  64 << 10,
+		MaxParts:           10000,
+		ObjectIdleTimeout:  60 * second,
+		ObjectStallTimeout: 10 * second,
+		MaxCompletionBytes: 1 << 20,
+		ReadBackTime:       second,
+		ReadBackInterval:   100 * millisecond,
+	}
 }
 
-// limitConnections follows what the settings say of connections to storage nodes.
-func (c *Config) limitConnections(l *limits.Limits, ex *extra) {
-	if v := ex.Limits.Connect; v > 0 {
-		l.ConnectTimeout = v / 1000
+// limitConnections applies what the settings say of connections to storage nodes.
+func (c *Config) limitConnections(l *limits.Limits, settings *connectionSettings) {
+	if v := settings.Limits.ConnectTimeout; v > 0 {
+		l.ConnectTimeout = v / nanosecondsPerMicro
 	}
-	if v := ex.Limits.Keepalive; v > 0 { // well before the nodes close it
-		l.NodeIdleTimeout = min(l.NodeIdleTimeout, v/1000/3)
+	if v := settings.Limits.KeepAliveTimeout; v > 0 {
+		l.NodeIdleTimeout = min(l.NodeIdleTimeout, v/nanosecondsPerMicro/keepAliveSafetyFactor)
 		l.NodeReuseWindow = min(l.NodeReuseWindow, l.NodeIdleTimeout/2)
 	}
-	c.Policy.ConnectionReuseWindow = time.Duration(l.NodeReuseWindow) * time.Microsecond
+	c.Policy.ConnectionReuseWindow = clock.Duration(l.NodeReuseWindow)
 }
 
-// limitDiscovery follows the size of the fleet. One discovery serves all brokers and bears some hundreds of calls a second at
-// best. A list without news has no lines, a full one has a line for each node, so the move of a fleet is spread further than
-// its watches. A longer wait costs no safety: what a call should have told counts as told so long after its wait is over.
+// limitDiscovery scales the polls with the size of the fleet, since one discovery service serves all brokers. A change of
+// its address is spread further than the polls: each broker then reads the full list, while a poll without changes is
+// small. A longer wait is safe: changes only count as known to the broker some time after it.
 func (c *Config) limitDiscovery(l *limits.Limits) {
-	hosts := int64(c.Policy.Brokers)
-	l.WatchTimeout = max(l.WatchTimeout, hosts*second/100)
-	if v := c.Policy.MaxPollInterval.Microseconds(); v > 0 {
+	brokers := clock.Micros(c.Policy.Brokers)
+	l.WatchTimeout = max(l.WatchTimeout, brokers*second/maxPollsPerSecond)
+	if v := clock.FromDuration(c.Policy.MaxPollInterval); v > 0 {
 		l.WatchTimeout = min(l.WatchTimeout, max(second, v/2))
 	}
 	if c.Policy.LocalDiscoveryAgent {
-		l.DiscoveryMaxBackoff = agentRetry
+		l.DiscoveryMaxBackoff = localAgentMaxBackoff
 	}
-	l.DiscoveryMoveJitter = min(hosts*5*ms, second+500*ms) // the old address serves on for so long
+	l.DiscoveryMoveJitter = min(brokers*moveJitterPerBroker, maxMoveJitter)
 }
 
-// limitRequests follows the classes' deadlines and aims. The platform kills no sooner than the longest deadline, counted as
-// longestKill where it is longer, and killSlack after SIGTERM.
-func (c *Config) limitRequests(l *limits.Limits, ex *extra) {
-	if v := ex.Limits.MaxOpen; v > 0 {
+// limitRequests follows the classes' deadlines and latency objectives.
+func (c *Config) limitRequests(l *limits.Limits, settings *connectionSettings) {
+	if v := settings.Limits.MaxInFlight; v > 0 {
 		l.MaxInFlight = min(l.MaxInFlight, v)
 	}
-	longest := int64(0)
+	longest := clock.Micros(0)
 	for _, k := range c.Policy.Classes {
-		longest = max(longest, k.Deadline.Microseconds())
-		l.ResponseCompletionTimeout = min(l.ResponseCompletionTimeout, k.LatencyObjective.Microseconds()/3) // so that what may run twice can go again in time
+		longest = max(longest, clock.FromDuration(k.Deadline))
+		// An idempotent request whose response stalls can still be retried in time.
+		l.ResponseCompletionTimeout = min(l.ResponseCompletionTimeout, clock.FromDuration(k.LatencyObjective)/3)
 	}
 	l.ClientRequestTimeout = longest // by then its client has given up
-	l.DrainTotalTime = max(l.DrainTotalTime, longest+500*ms)
-	l.DrainAnswerTime = min(longest, longestKill) + killSlack - killMargin
-	l.DrainServeTime = max(l.DrainAnswerTime-answerTime, l.DrainAcceptTime)
+	l.DrainTotalTime = max(l.DrainTotalTime, longest+500*millisecond)
+	l.DrainAnswerTime = min(longest, maxKillDeadline) + killSlack - killMargin
+	l.DrainServeTime = max(l.DrainAnswerTime-drainAnswerTime, l.DrainAcceptTime)
 }
 
-// tune overrides single figures and checks the result.
+// descriptorReserve is how many descriptors connections must leave.
+const descriptorReserve = 16
+
+// tune overrides single limits and checks the result.
 func tune(l *limits.Limits, tuning json.RawMessage) error {
 	if len(tuning) > 0 {
 		d := json.NewDecoder(bytes.NewReader(tuning))
 		d.DisallowUnknownFields()
 		if err := d.Decode(l); err != nil {
-			return fmt.Errorf("tuning: %w", named(err))
+			return fmt.Errorf("tuning: %w", jsonError(err))
 		}
 	}
-	for key, v := range map[string]int64{
-		"procs": int64(l.Procs), "client_conns": int64(l.ClientConns), "node_conns": int64(l.NodeConns),
-		"max_open": int64(l.MaxInFlight), "max_message": int64(l.MaxMessageBytes), "max_pipeline": int64(l.MaxPipeline),
-		"max_id": int64(l.MaxID), "max_params": int64(l.MaxParams), "client_first": l.ClientFirstByteTimeout,
-		"client_stall": l.ClientStallTimeout, "client_send": l.ClientRequestTimeout, "client_lull": l.ClientIdleTimeoutUnderPressure, "client_idle": l.ClientIdleTimeout,
-		"max_args": int64(l.MaxArgs), "max_value": int64(l.MaxValueBytes), "connect": l.ConnectTimeout, "node_idle": l.NodeIdleTimeout, "answer_rest": l.ResponseCompletionTimeout,
-		"list_wait": l.WatchTimeout, "list_grace": l.WatchGracePeriod, "list_told": l.NotificationDeadline, "client_write": l.ClientWriteTimeout,
-		"max_object": l.MaxObjectBytes, "object_buffer": int64(l.ObjectBufferBytes), "object_stall": l.ObjectStallTimeout,
-	} {
-		if v <= 0 {
-			return fmt.Errorf("tuning.%s: %d is not above 0", key, v)
+	for _, limit := range positiveLimits(l) {
+		if limit.value <= 0 {
+			return keyErrorf("tuning."+limit.key, "%d is not above 0", limit.value)
 		}
 	}
-	if l.ClientConns+l.NodeConns+16 > l.Descriptors {
-		return fmt.Errorf("tuning.client_conns: %d with %d node_conns do not fit %d descriptors",
+	if l.ClientConns+l.NodeConns+descriptorReserve > l.Descriptors {
+		return keyErrorf("tuning.client_conns", "%d with %d node_conns do not fit %d descriptors",
 			l.ClientConns, l.NodeConns, l.Descriptors)
 	}
 	return nil
 }
+
+// namedLimit is a limit with its key in the configuration.
+type namedLimit struct {
+	key   string
+	value int64
+}
+
+// positiveLimits are the limits that must be above 0.
+func positiveLimits(l *limits.Limits) []namedLimit {
+	return []namedLimit{
+		{"procs", int64(l.Procs)},
+		{"client_conns", int64(l.ClientConns)},
+		{"node_conns", int64(l.NodeConns)},
+		{"max_open", int64(l.MaxInFlight)},
+		{"max_message", int64(l.MaxMessageBytes)},
+		{"max_pipeline", int64(l.MaxPipeline)},
+		{"max_id", int64(l.MaxID)},
+		{"max_params", int64(l.MaxParams)},
+		{"max_args", int64(l.MaxArgs)},
+		{"max_value", int64(l.MaxValueBytes)},
+		{"client_write", l.ClientWriteTimeout},
+		{"client_first", l.ClientFirstByteTimeout},
+		{"client_stall", l.ClientStallTimeout},
+		{"client_send", l.ClientRequestTimeout},
+		{"client_lull", l.ClientIdleTimeoutUnderPressure},
+		{"client_idle", l.ClientIdleTimeout},
+		{"connect", l.ConnectTimeout},
+		{"node_idle", l.NodeIdleTimeout},
+		{"answer_rest", l.ResponseCompletionTimeout},
+		{"list_wait", l.WatchTimeout},
+		{"list_grace", l.WatchGracePeriod},
+		{"list_told", l.NotificationDeadline},
+		{"max_object", l.MaxObjectBytes},
+		{"object_buffer", int64(l.ObjectBufferBytes)},
+		{"object_stall", l.ObjectStallTimeout},
+	}
+}
--- a/internal/broker/config/reload.go
+++ b/internal/broker/config/reload.go
@@ -2,45 +2,54 @@
 
 import (
 	"encoding/json"
+	"maps"
 	"slices"
 )
 
-// Reload reads the configuration again for a broker that runs with c. A running broker takes up discovery and log:
-// the result is c with these two. restart names the other keys that have changed and wait for the next start; seed
-// and known are for a start only and never named. A faulty file is an error, and c stays as it is.
+// Keys that Reload does not name as waiting for a restart.
+var (
+	reloadedKeys  = []string{"discovery", "log"}
+	startOnlyKeys = []string{"seed", "known"} // they describe a start and mean nothing later
+)
+
+// Reload reads the configuration again for a broker that runs with c. A running broker takes up discovery and log: next is c
+// with these two. needRestart names the other keys that have changed. An invalid file is an error, and c stays as it is.
 //
-// LB_DISCOVERY stands over the file at the start. A file that names another address than it did then, or at the last
-// reload, is news that the environment cannot know of, so it wins.
-func (c *Config) Reload(getenv func(string) string) (next *Config, restart []string, err error) {
-	file, err := Load(getenv)
+// At the start LB_DISCOVERY overrides the file. An address that has changed in the file since the start, or since the last
+// reload, is newer than the environment and so overrides it.
+func (c *Config) Reload(getenv func(string) string) (next *Config, needRestart []string, err error) {
+	loaded, err := Load(getenv)
 	if err != nil {
 		return nil, nil, err
 	}
-	for _, from := range []map[string]string{c.keys, file.keys} {
-		for key := range from {
-			switch key {
-			case "discovery", "log", "seed", "known":
-			default:
-				if c.keys[key] != file.keys[key] && !slices.Contains(restart, key) {
-					restart = append(restart, key)
-				}
+	reloaded := *c
+	reloaded.LogLevel = loaded.LogLevel
+	if addr := loaded.source.discoveryAddr; addr != "" && addr != c.source.discoveryAddr {
+		reloaded.DiscoveryAddr = addr
+		reloaded.source.discoveryAddr = addr
+	}
+	return &reloaded, c.needRestart(loaded), nil
+}
+
+// needRestart returns, sorted, the keys that differ in a newer configuration and only take effect at a start.
+func (c *Config) needRestart(newer *Config) []string {
+	keys := map[string]bool{}
+	for _, m := range []map[string]string{c.source.keys, newer.source.keys} {
+		for key := range m {
+			ignored := slices.Contains(reloadedKeys, key) || slices.Contains(startOnlyKeys, key)
+			if !ignored && c.source.keys[key] != newer.source.keys[key] {
+				keys[key] = true
 			}
 		}
 	}
-	slices.Sort(restart)
-	now := *c
-	now.LogLevel = file.LogLevel
-	if f := file.fileDiscovery; f != "" && f != c.fileDiscovery {
-		now.DiscoveryAddr, now.fileDiscovery = f, f
-	}
-	return &now, restart, nil
+	return slices.Sorted(maps.Keys(keys))
 }
 
-// keys is the text of each key of a JSON object, in one form whatever its spaces and the order of its members.
+// keys returns the text of each key of a JSON object, in a canonical form whatever its spaces and the order of members.
 func keys(text []byte) (map[string]string, error) {
 	var doc map[string]any
 	if err := json.Unmarshal(text, &doc); err != nil {
-		return nil, named(err)
+		return nil, jsonError(err)
 	}
 	out := map[string]string{}
 	for key, v := range doc {
