--- a/internal/broker/server/block_test.go
+++ b/internal/broker/server/block_test.go
@@ -6,6 +6,7 @@
 	"io"
 	"net"
 	"strings"
+	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -16,6 +17,42 @@
 	"poppyarch/internal/testkit/fake"
 )
 
+// A duplicate of a response may come some milliseconds after it, here as soon as the next request on the same connection.
+// It must not be taken for the response to that request.
+func TestLateDuplicateResponseIsNotUsedForTheNextRequest(t *testing.T) {
+	const late = 10 * time.Millisecond
+	var last struct {
+		sync.Mutex
+		conn redcon.Conn
+		id   string
+		at   time.Time
+	}
+	answer := func(rc redcon.Conn, id string) {
+		rc.WriteArray(3)
+		rc.WriteBulkString(id)
+		rc.WriteNull()
+		rc.WriteNull()
+	}
+	_, c, in, _ := blockRig(t, func(rc redcon.Conn, cmd redcon.Command) bool {
+		id := string(cmd.Args[2])
+		last.Lock()
+		defer last.Unlock()
+		if rc == last.conn && time.Since(last.at) < late {
+			answer(rc, last.id)
+		}
+		answer(rc, id)
+		last.conn, last.id, last.at = rc, id, time.Now() // requests come one after the other
+		return true
+	})
+	for i := range 40 {
+		id := fmt.Sprint("id", i)
+		if got, want := answerOf(t, c, in, command("BLK.READ", "object-read", id), 2), fmt.Sprintf("$%d\r\n%s\r\n", len(id), id); got != want {
+			t.Fatalf("request %s got %q", id, got)
+		}
+		time.Sleep(late / 2) // a slower machine tests less and fails no more
+	}
+}
+
 // blockRig starts one block node, which the endpoint list names, and a broker, and connects to the broker.
 func blockRig(t *testing.T, hook func(redcon.Conn, redcon.Command) bool) (*fake.Block, net.Conn, *bufio.Reader, func()) {
 	t.Helper()
--- a/internal/broker/server/reload_test.go
+++ b/internal/broker/server/reload_test.go
@@ -5,52 +5,44 @@
 	"net/http"
 	"os"
 	"path/filepath"
-	"regexp"
-	"strings"
-	"sync"
 	"syscall"
 	"testing"
-	"time"
 
 	"poppyarch/internal/testkit/fake"
 )
 
-// eventually waits until ok.
-func eventually(t *testing.T, what string, ok func() bool) {
-	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("never happened: " + what)
-		}
+// A reload that moves discovery is followed at once by a drain, with a request at a node: the request is answered.
+func TestDrainRightAfterReloadAnswersOpenRequests(t *testing.T) {
+	r := newRig(t)
+	base, p := r.process()
+	home := r.home(base, "/b/k", []byte("x"))
+	got, answer := make(chan struct{}), make(chan struct{})
+	r.stores[home].SetHook(func(_ http.ResponseWriter, _ *http.Request, next func()) {
+		close(got)
+		<-answer
+		next()
+	})
+	done := make(chan int, 1)
+	go func() { done <- r.do("GET", base+"/b/k", nil).status }()
+	<-got
+	moved := bytes.Replace(r.configText(""), []byte(r.discN.Addr()), []byte("127.0.0.1:1"), 1)
+	tmp := filepath.Join(filepath.Dir(p.config), "new")
+	if err := os.WriteFile(tmp, moved, 0o600); err != nil {
+		t.Fatal(err)
 	}
-}
-
-// logBuffer keeps what a process logs.
-type logBuffer struct {
-	mu   sync.Mutex
-	text bytes.Buffer
-}
-
-func (l *logBuffer) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.Write(p)
-}
-
-func (l *logBuffer) count(s string) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return strings.Count(l.text.String(), s)
-}
-
-// find is the first group of the first match.
-func (l *logBuffer) find(pattern string) string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if m := regexp.MustCompile(pattern).FindStringSubmatch(l.text.String()); m != nil {
-		return m[1]
+	if err := os.Rename(tmp, p.config); err != nil {
+		t.Fatal(err)
+	}
+	p.signal(t, syscall.SIGHUP)
+	p.signal(t, syscall.SIGTERM)
+	eventually(t, "a drain", func() bool { return p.log.count("draining") > 0 })
+	close(answer)
+	if status := <-done; status != http.StatusOK {
+		t.Errorf("the open request got %d", status)
+	}
+	if err := p.cmd.Wait(); err != nil {
+		t.Errorf("the process ended with %v", err)
 	}
-	return ""
 }
 
 // A SIGHUP moves the broker to the discovery service that the file now names, whatever LB_DISCOVERY said at the start.
--- a/internal/broker/server/rig_test.go
+++ b/internal/broker/server/rig_test.go
@@ -12,7 +12,11 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"regexp"
+	"strconv"
 	"strings"
+	"sync"
+	"syscall"
 	"testing"
 	"time"
 
@@ -21,6 +25,57 @@
 	"poppyarch/internal/testkit/fake"
 )
 
+// limitDescriptors holds a broker process to the descriptors that a test names.
+func limitDescriptors() error {
+	v := os.Getenv("POPPYARCH_TEST_DESCRIPTORS")
+	if v == "" {
+		return nil
+	}
+	n, err := strconv.ParseUint(v, 10, 32)
+	if err != nil {
+		return err
+	}
+	return syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n, Max: n})
+}
+
+// eventually waits until ok.
+func eventually(t *testing.T, what string, ok func() bool) {
+	t.Helper()
+	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("never happened: " + what)
+		}
+	}
+}
+
+// logBuffer keeps what a process logs.
+type logBuffer struct {
+	mu   sync.Mutex
+	text bytes.Buffer
+}
+
+func (l *logBuffer) Write(p []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.text.Write(p)
+}
+
+func (l *logBuffer) count(s string) int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return strings.Count(l.text.String(), s)
+}
+
+// find is the first group of the first match.
+func (l *logBuffer) find(pattern string) string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if m := regexp.MustCompile(pattern).FindStringSubmatch(l.text.String()); m != nil {
+		return m[1]
+	}
+	return ""
+}
+
 // patience bounds every wait for what must happen; a run that reaches it has failed.
 const patience = 30 * time.Second
 
