--- a/internal/broker/config/limits.go
+++ b/internal/broker/config/limits.go
@@ -38,8 +38,7 @@
 	maxPollsPerSecond     = 100               // that a whole fleet makes while nothing changes
 	moveJitterPerBroker   = 5 * millisecond
 	maxMoveJitter         = second + 500*millisecond // the old address serves this long after a change
-	nanosecondsPerMicro   = int64(time.Microsecond)
-	keepAliveSafetyFactor = 3 // idle connections are closed this much earlier than the node would
+	keepAliveSafetyFactor = 3                        // idle connections are closed this much earlier than the node would
 )
 
 // setLimits derives the limits from the machine and the settings, and applies the tuning.
@@ -136,10 +135,10 @@
 // limitConnections applies what the settings say of connections to storage nodes.
 func (c *Config) limitConnections(l *limits.Limits, settings *connectionSettings) {
 	if v := settings.Limits.ConnectTimeout; v > 0 {
-		l.ConnectTimeout = v / nanosecondsPerMicro
+		l.ConnectTimeout = clock.FromDuration(time.Duration(v))
 	}
 	if v := settings.Limits.KeepAliveTimeout; v > 0 {
-		l.NodeIdleTimeout = min(l.NodeIdleTimeout, v/nanosecondsPerMicro/keepAliveSafetyFactor)
+		l.NodeIdleTimeout = min(l.NodeIdleTimeout, clock.FromDuration(time.Duration(v))/keepAliveSafetyFactor)
 		l.NodeReuseWindow = min(l.NodeReuseWindow, l.NodeIdleTimeout/2)
 	}
 	c.Policy.ConnectionReuseWindow = clock.Duration(l.NodeReuseWindow)
@@ -220,20 +219,20 @@
 		{"max_params", int64(l.MaxParams)},
 		{"max_args", int64(l.MaxArgs)},
 		{"max_value", int64(l.MaxValueBytes)},
-		{"client_write", l.ClientWriteTimeout},
-		{"client_first", l.ClientFirstByteTimeout},
-		{"client_stall", l.ClientStallTimeout},
-		{"client_send", l.ClientRequestTimeout},
-		{"client_lull", l.ClientIdleTimeoutUnderPressure},
-		{"client_idle", l.ClientIdleTimeout},
-		{"connect", l.ConnectTimeout},
-		{"node_idle", l.NodeIdleTimeout},
-		{"answer_rest", l.ResponseCompletionTimeout},
-		{"list_wait", l.WatchTimeout},
-		{"list_grace", l.WatchGracePeriod},
-		{"list_told", l.NotificationDeadline},
+		{"client_write", int64(l.ClientWriteTimeout)},
+		{"client_first", int64(l.ClientFirstByteTimeout)},
+		{"client_stall", int64(l.ClientStallTimeout)},
+		{"client_send", int64(l.ClientRequestTimeout)},
+		{"client_lull", int64(l.ClientIdleTimeoutUnderPressure)},
+		{"client_idle", int64(l.ClientIdleTimeout)},
+		{"connect", int64(l.ConnectTimeout)},
+		{"node_idle", int64(l.NodeIdleTimeout)},
+		{"answer_rest", int64(l.ResponseCompletionTimeout)},
+		{"list_wait", int64(l.WatchTimeout)},
+		{"list_grace", int64(l.WatchGracePeriod)},
+		{"list_told", int64(l.NotificationDeadline)},
 		{"max_object", l.MaxObjectBytes},
 		{"object_buffer", int64(l.ObjectBufferBytes)},
-		{"object_stall", l.ObjectStallTimeout},
+		{"object_stall", int64(l.ObjectStallTimeout)},
 	}
 }
--- a/internal/broker/server/recording.go
+++ b/internal/broker/server/recording.go
@@ -77,8 +77,8 @@
 	for _, k := range r.cfg.Policy.Classes {
 		boot.Classes = append(boot.Classes, record.Class{
 			Name:  k.Name,
-			Aim:   k.LatencyObjective.Microseconds(),
-			Due:   k.Deadline.Microseconds(),
+			Aim:   clock.FromDuration(k.LatencyObjective),
+			Due:   clock.FromDuration(k.Deadline),
 			Worth: k.PriorityWeight,
 		})
 	}
@@ -165,7 +165,7 @@
 
 // nodeChange describes a change of one node in the records; empty: none.
 func nodeChange(old core.Node, known bool, n core.Node) string {
-	startedAt := strconv.FormatInt(n.StartedAt, 10)
+	startedAt := strconv.FormatInt(int64(n.StartedAt), 10)
 	switch {
 	case !known && n.State == decision.Removed:
 		return ""
--- a/internal/lab/fit/fit.go
+++ b/internal/lab/fit/fit.go
@@ -18,6 +18,7 @@
 	"poppyarch/internal/broker/decision"
 	"poppyarch/internal/lab/model"
 	"poppyarch/internal/observability/record"
+	"poppyarch/internal/timing/clock"
 )
 
 // Trace is the requests of one or several brokers, on the wall clock.
@@ -32,7 +33,7 @@
 
 // Request is one with its broker.
 type Request struct {
-	At     int64 // Unix microseconds
+	At     clock.Micros
 	Broker string
 	record.Request
 }
@@ -81,7 +82,7 @@
 		fault(err)
 		return
 	}
-	var wall, began int64
+	var wall, began clock.Micros
 	known := false // a boot's first words tell its clock, and come again in each segment
 	d := record.NewDecoder()
 	var held []Request
@@ -149,7 +150,7 @@
 
 // span is an attempt at a node.
 type span struct {
-	from, to int64
+	from, to clock.Micros
 	of       *Request
 	served   bool
 }
@@ -184,7 +185,7 @@
 		list := nodes[n]
 		slices.SortFunc(list, func(a, b span) int { return cmp.Or(cmp.Compare(a.from, b.from), cmp.Compare(a.to, b.to)) })
 		rate := float64(len(list)) / seconds // a microsecond
-		until := int64(math.MinInt64)        // the end of all that began before
+		until := clock.Micros(math.MinInt64) // the end of all that began before
 		for i, s := range list {
 			if s.served {
 				of++
--- a/internal/observability/record/quantiles.go
+++ b/internal/observability/record/quantiles.go
@@ -1,16 +1,24 @@
 package record
 
-import "poppyarch/internal/observability/sketch"
+import (
+	"poppyarch/internal/observability/sketch"
+	"poppyarch/internal/timing/clock"
+)
 
-// Quantiles summarises a latency, in microseconds.
+// Quantiles summarises a latency.
 type Quantiles struct {
 	Count uint64
-	P50   int64
-	P99   int64
-	Max   int64
+	P50   clock.Micros
+	P99   clock.Micros
+	Max   clock.Micros
 }
 
 // Of reads the quantiles of a sketch.
 func Of(s *sketch.Sketch) Quantiles {
-	return Quantiles{Count: s.Count(), P50: s.Quantile(0.5), P99: s.Quantile(0.99), Max: s.Max()}
+	return Quantiles{
+		Count: s.Count(),
+		P50:   clock.Micros(s.Quantile(0.5)),
+		P99:   clock.Micros(s.Quantile(0.99)),
+		Max:   clock.Micros(s.Max()),
+	}
 }
--- a/internal/timing/timerwheel/timerwheel_test.go
+++ b/internal/timing/timerwheel/timerwheel_test.go
@@ -152,14 +152,14 @@
 		h := &deadlineHeap{}
 		items := make([]deadline, n)
 		for i := range items {
-			items[i].at = 1000 + r.Int64N(30_000_000)
+			items[i].at = 1000 + clock.Micros(r.Int64N(30_000_000))
 			heap.Push(h, &items[i])
 		}
 		now := clock.Micros(0)
 		for b.Loop() {
 			now += 10
 			it := &items[r.IntN(n)]
-			it.at = now + 1000 + r.Int64N(30_000_000)
+			it.at = now + 1000 + clock.Micros(r.Int64N(30_000_000))
 			heap.Fix(h, it.index)
 			for h.items[0].at <= now {
 				h.items[0].at = now + 30_000_000
