--- a/internal/observability/console/console.go
+++ b/internal/observability/console/console.go
@@ -12,158 +12,171 @@
 	"poppyarch/internal/fleet/api"
 )
 
-// views by their keys, from 1.
+// views are selected by their positions, from 1.
 var views = []struct {
-	name string
-	make func(*api.Overview) table
+	name  string
+	table func(*api.Overview) table
 }{
-	{"instances", instances}, {"nodes", nodes}, {"volumes", volumes}, {"classes", classes}, {"rollouts", rollouts},
+	{"instances", instancesTable},
+	{"nodes", nodesTable},
+	{"volumes", volumesTable},
+	{"classes", classesTable},
+	{"rollouts", rolloutsTable},
 }
 
+// fetchTimeout bounds one call to the manager.
+const fetchTimeout = 3 * time.Second
+
 // Model is the console's state.
 type Model struct {
-	fetch func(context.Context) (api.Overview, error)
-	every time.Duration
-	color bool
+	fetch    func(context.Context) (api.Overview, error)
+	interval time.Duration // between two calls
+	color    bool
+
+	overview    api.Overview
+	hasOverview bool
+	fetchedAt   time.Time // of the overview
+	now         time.Time
+	err         error // of the last call
+	fetching    bool
 
-	o        api.Overview
-	have     bool
-	read     time.Time // when o came
-	now      time.Time
-	err      error
 	view     int
-	at       string // the selected row's name: rows come and go
-	row      int
-	top      int
-	detail   bool
-	width    int
-	height   int
-	fetching bool
+	selected string // name of the selected row: rows come and go
+	row      int    // its position
+	top      int    // position of the first row that is shown
+	detail   bool   // the selected row is shown in full
+
+	width  int // of the terminal, in columns
+	height int // in lines
 }
 
-// New returns a console that asks fetch again and again.
-func New(fetch func(context.Context) (api.Overview, error), every time.Duration, color bool) *Model {
-	return &Model{fetch: fetch, every: every, color: color, width: 80, height: 24}
+// New returns a console that calls fetch at an interval.
+func New(fetch func(context.Context) (api.Overview, error), interval time.Duration, color bool) *Model {
+	return &Model{fetch: fetch, interval: interval, color: color, width: 80, height: 24}
 }
 
-type answer struct {
-	o   api.Overview
-	err error
-	at  time.Time
+// fetched is the result of a call to the manager.
+type fetched struct {
+	overview api.Overview
+	err      error
+	at       time.Time
 }
 
+// tick is a message that the interval has passed.
 type tick time.Time
 
-func (m *Model) ask() tea.Cmd {
+// startFetch calls the manager, unless a call is under way.
+func (m *Model) startFetch() tea.Cmd {
 	if m.fetching {
 		return nil
 	}
 	m.fetching = true
 	return func() tea.Msg {
-		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
+		ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 		defer cancel()
 		o, err := m.fetch(ctx)
-		return answer{o, err, time.Now()}
+		return fetched{overview: o, err: err, at: time.Now()}
 	}
 }
 
 func (m *Model) tick() tea.Cmd {
-	return tea.Tick(m.every, func(t time.Time) tea.Msg { return tick(t) })
+	return tea.Tick(m.interval, func(t time.Time) tea.Msg { return tick(t) })
 }
 
-// Init asks for the first time.
-func (m *Model) Init() tea.Cmd { return tea.Batch(m.ask(), m.tick()) }
+// Init starts the first call.
+func (m *Model) Init() tea.Cmd { return tea.Batch(m.startFetch(), m.tick()) }
 
-// Update takes in a key, an answer or the time.
+// Update handles a key, the result of a call or a tick.
 func (m *Model) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
 	switch x := msg.(type) {
 	case tea.WindowSizeMsg:
 		m.width, m.height = x.Width, x.Height
 	case tick:
 		m.now = time.Time(x)
-		return m, tea.Batch(m.ask(), m.tick())
-	case answer:
+		return m, tea.Batch(m.startFetch(), m.tick())
+	case fetched:
 		m.fetching, m.now = false, x.at
 		if m.err = x.err; x.err == nil {
-			m.o, m.read, m.have = x.o, x.at, true
+			m.overview, m.fetchedAt, m.hasOverview = x.overview, x.at, true
 		}
 	case tea.KeyMsg:
 		return m, m.key(x.String())
 	}
-	m.settle()
+	m.followSelection()
 	return m, nil
 }
 
 func (m *Model) key(k string) tea.Cmd {
-	t := views[m.view].make(&m.o)
+	t := views[m.view].table(&m.overview)
 	move := func(d int) {
-		if len(t.names) > 0 {
-			m.row = min(max(m.row+d, 0), len(t.names)-1)
-			m.at = t.names[m.row]
+		if len(t.rows) > 0 {
+			m.row = min(max(m.row+d, 0), len(t.rows)-1)
+			m.selected = t.rows[m.row].name
 		}
 	}
 	switch k {
 	case "q", "ctrl+c":
 		return tea.Quit
 	case "tab", "right", "l":
-		m.turn((m.view + 1) % len(views))
+		m.showView((m.view + 1) % len(views))
 	case "shift+tab", "left", "h":
-		m.turn((m.view + len(views) - 1) % len(views))
+		m.showView((m.view + len(views) - 1) % len(views))
 	case "up", "k":
 		move(-1)
 	case "down", "j":
 		move(1)
 	case "pgup":
-		move(-m.page())
+		move(-m.pageSize())
 	case "pgdown":
-		move(m.page())
+		move(m.pageSize())
 	case "home", "g":
-		move(-len(t.names))
+		move(-len(t.rows))
 	case "end", "G":
-		move(len(t.names))
+		move(len(t.rows))
 	case "enter", " ":
-		m.detail = len(t.names) > 0
+		m.detail = len(t.rows) > 0
 	case "esc", "backspace":
 		m.detail = false
 	case "r":
-		return m.ask()
+		return m.startFetch()
 	default:
 		if len(k) == 1 && k[0] >= '1' && int(k[0]-'1') < len(views) {
-			m.turn(int(k[0] - '1'))
+			m.showView(int(k[0] - '1'))
 		}
 	}
-	m.settle()
+	m.followSelection()
 	return nil
 }
 
-func (m *Model) turn(to int) { m.view, m.at, m.row, m.top, m.detail = to, "", 0, 0, false }
+// showView switches to a view, with its first row selected.
+func (m *Model) showView(to int) { m.view, m.selected, m.row, m.top, m.detail = to, "", 0, 0, false }
 
-// page is how many rows fit.
-func (m *Model) page() int { return max(m.height-5, 1) }
+// pageSize is how many rows fit.
+func (m *Model) pageSize() int { return max(m.height-5, 1) }
 
-// settle keeps the selection on its row, wherever that has gone.
-func (m *Model) settle() {
-	t := views[m.view].make(&m.o)
-	if len(t.names) == 0 {
-		m.row, m.top, m.at, m.detail = 0, 0, "", false
+// followSelection keeps the selection on its row when rows have moved.
+func (m *Model) followSelection() {
+	t := views[m.view].table(&m.overview)
+	if len(t.rows) == 0 {
+		m.row, m.top, m.selected, m.detail = 0, 0, "", false
 		return
 	}
 	found := false
-	for i, name := range t.names {
-		if name == m.at {
+	for i := range t.rows {
+		if t.rows[i].name == m.selected {
 			m.row, found = i, true
 		}
 	}
 	if !found {
-		m.row = min(m.row, len(t.names)-1)
-		m.at = t.names[m.row]
+		m.row = min(m.row, len(t.rows)-1)
+		m.selected = t.rows[m.row].name
 		m.detail = false // what was looked at is gone
 	}
-	m.top = min(max(m.top, m.row-m.page()+1), m.row)
-	m.top = max(min(m.top, len(t.names)-m.page()), 0)
+	m.top = min(max(m.top, m.row-m.pageSize()+1), m.row)
+	m.top = max(min(m.top, len(t.rows)-m.pageSize()), 0)
 }
 
-// View draws.
+// View renders the screen.
 func (m *Model) View() string {
 	var b strings.Builder
 	put := func(s string) { b.WriteString(cut(s, m.width) + "\n") }
@@ -178,17 +191,17 @@
 		tabs = append(tabs, s)
 	}
 	put(strings.Join(tabs, ""))
-	t := views[m.view].make(&m.o)
+	t := views[m.view].table(&m.overview)
 	switch {
-	case !m.have && m.err == nil:
+	case !m.hasOverview && m.err == nil:
 		put("asking the manager ...")
-	case !m.have:
+	case !m.hasOverview:
 		put("nothing is known yet")
 	case len(t.rows) == 0:
 		put(t.empty)
 	case m.detail:
-		put(m.strong(t.names[m.row]))
-		for _, l := range t.detail[m.row] {
+		put(m.strong(t.rows[m.row].name))
+		for _, l := range t.rows[m.row].detail {
 			for _, part := range wrap(l, m.width) {
 				put(part)
 			}
@@ -218,10 +231,10 @@
 }
 
 func (m *Model) headline() string {
-	if !m.have {
+	if !m.hasOverview {
 		return "poppyarch fleet"
 	}
-	o := &m.o
+	o := &m.overview
 	s := fmt.Sprintf("poppyarch fleet  revision %d  %d of %d available", o.Revision, o.Enabled-o.Unavailable, o.Enabled)
 	if o.Settled {
 		return s + "  settled"
@@ -229,48 +242,50 @@
 	return s + fmt.Sprintf("  %d not as wanted", o.NotCurrent)
 }
 
-// health says what is wrong with what is shown.
+// health summarises problems with the fleet and with the figures.
 func (m *Model) health() string {
 	var parts []string
-	if m.have {
-		old := m.now.Sub(m.read)
-		if m.err != nil || old > 3*m.every+time.Second {
+	if m.hasOverview {
+		old := m.now.Sub(m.fetchedAt)
+		if m.err != nil || old > 3*m.interval+time.Second {
 			parts = append(parts, fmt.Sprintf("! as of %.0f s ago: the manager does not answer", max(old, 0).Seconds()))
 		}
 	} else if m.err != nil {
 		parts = append(parts, "! "+m.err.Error())
 	}
 	silent := 0
-	for _, a := range m.o.Agents {
+	for _, a := range m.overview.Agents {
 		if a.Silent {
 			silent++
 		}
 	}
 	if silent > 0 {
-		parts = append(parts, fmt.Sprintf("! %d of %d agents silent", silent, len(m.o.Agents)))
+		parts = append(parts, fmt.Sprintf("! %d of %d agents silent", silent, len(m.overview.Agents)))
 	}
-	if m.o.JournalFault != "" {
-		parts = append(parts, "! journal: "+m.o.JournalFault)
+	if m.overview.JournalFault != "" {
+		parts = append(parts, "! journal: "+m.overview.JournalFault)
 	}
-	for _, r := range m.o.Rollouts {
+	for _, r := range m.overview.Rollouts {
 		if r.Phase == "active" || r.Phase == "paused" {
 			parts = append(parts, fmt.Sprintf("rollout %d %s, wave %d of %d", r.Revision, r.Phase, min(r.Wave+1, r.Waves), r.Waves))
 		}
 	}
 	if len(parts) == 0 {
-		return "agents " + fmt.Sprint(len(m.o.Agents)) + ", all heard"
+		return "agents " + fmt.Sprint(len(m.overview.Agents)) + ", all heard"
 	}
 	return strings.Join(parts, "  ")
 }
 
-// draw lays the rows out. What does not fit is cut from the right; columns of numbers stay whole.
+// draw renders the rows. What does not fit is cut off on the right.
 func (m *Model) draw(t *table, put func(string)) {
-	wide := make([]int, len(t.head))
-	for i, h := range t.head {
-		wide[i] = len(h)
+	wide := make([]int, len(t.columns))
+	titles := make([]string, len(t.columns))
+	for i, c := range t.columns {
+		titles[i] = c.title
+		wide[i] = len(c.title)
 	}
 	for _, r := range t.rows {
-		for i, c := range r {
+		for i, c := range r.cells {
 			wide[i] = min(max(wide[i], utf8.RuneCountInString(c)), 40)
 		}
 	}
@@ -283,7 +298,7 @@
 			}
 			c = cut(c, wide[i])
 			pad := strings.Repeat(" ", wide[i]-utf8.RuneCountInString(c))
-			if t.right[i] {
+			if t.columns[i].number {
 				b.WriteString(pad + c)
 			} else {
 				b.WriteString(c + pad)
@@ -291,17 +306,17 @@
 		}
 		return strings.TrimRight(b.String(), " ")
 	}
-	put(line("  ", t.head))
-	for i := m.top; i < min(m.top+m.page(), len(t.rows)); i++ {
+	put(line("  ", titles))
+	for i := m.top; i < min(m.top+m.pageSize(), len(t.rows)); i++ {
 		if i == m.row {
-			s := cut(line("> ", t.rows[i]), m.width)
+			s := cut(line("> ", t.rows[i].cells), m.width)
 			if m.color {
 				s = "\x1b[7m" + s + "\x1b[0m"
 			}
 			put(s)
 			continue
 		}
-		put(line("  ", t.rows[i]))
+		put(line("  ", t.rows[i].cells))
 	}
 }
 
--- a/internal/observability/console/console_test.go
+++ b/internal/observability/console/console_test.go
@@ -55,7 +55,7 @@
 	m := New(nil, time.Second, false)
 	now := time.Unix(1000, 0)
 	m.Update(tea.WindowSizeMsg{Width: 80, Height: 24})
-	m.Update(answer{overview(60), nil, now})
+	m.Update(fetched{overview(60), nil, now})
 	for i, want := range []string{"n000", "s-5be2a07c", "00000003b4d60021", "artwork-read", "paused"} {
 		press(m, fmt.Sprint(i+1))
 		for _, open := range []bool{false, true} {
@@ -81,7 +81,7 @@
 	press(m, "1", "down", "down", "down")
 	o := overview(60)
 	o.Instances = o.Instances[2:]
-	m.Update(answer{o, nil, now})
+	m.Update(fetched{o, nil, now})
 	if !strings.Contains(m.View(), "> n003") {
 		t.Errorf("the selection has moved:\n%s", m.View())
 	}
@@ -90,7 +90,7 @@
 		t.Errorf("the end is out of sight:\n%s", m.View())
 	}
 	// The manager falls silent: what is shown stays, and says of when it is.
-	m.Update(answer{api.Overview{}, errors.New("no manager answers"), now.Add(7 * time.Second)})
+	m.Update(fetched{api.Overview{}, errors.New("no manager answers"), now.Add(7 * time.Second)})
 	if text := m.View(); !strings.Contains(text, "as of 7 s ago") || !strings.Contains(text, "n059") {
 		t.Errorf("%s", text)
 	}
@@ -101,12 +101,12 @@
 	if text := m.View(); !strings.Contains(text, "asking") {
 		t.Error(text)
 	}
-	m.Update(answer{api.Overview{}, errors.New("no manager answers at 127.0.0.1:7700"), time.Unix(5, 0)})
+	m.Update(fetched{api.Overview{}, errors.New("no manager answers at 127.0.0.1:7700"), time.Unix(5, 0)})
 	if text := m.View(); !strings.Contains(text, "no manager answers") {
 		t.Error(text)
 	}
 	press(m, "enter", "tab", "down", "enter") // nothing to open
-	m.Update(answer{api.Overview{}, nil, time.Unix(6, 0)})
+	m.Update(fetched{api.Overview{}, nil, time.Unix(6, 0)})
 	if text := m.View(); !strings.Contains(text, "no figures of nodes") {
 		t.Error(text)
 	}
