--- a/internal/fleet/state/assignment.go
+++ b/internal/fleet/state/assignment.go
@@ -1,67 +1,77 @@
 package state
 
 import (
-	"sort"
+	"slices"
+	"strings"
 
 	"poppyarch/internal/fleet/spec"
 )
 
-// Assignment is what an agent shall make of one instance.
+// Assignment is what an agent has to do with one instance.
 type Assignment struct {
 	Name          string         `json:"name"`
 	Desired       *spec.Instance `json:"want"`           // nil: end it
-	TargetEdition uint64         `json:"target"`         // edition that its broker shall hold
-	Revision      uint64         `json:"rev"`            // revision that it is of
-	Release       bool           `json:"drop,omitempty"` // it is another's: forget it once it has ended
-	Unreleased    bool           `json:"keep,omitempty"` // it will be this agent's, in its turn: leave it as it is
+	TargetEdition uint64         `json:"target"`         // that its broker should hold
+	Revision      uint64         `json:"rev"`            // that it was released with
+	Release       bool           `json:"drop,omitempty"` // it belongs to another agent or is not desired: end it and forget it
+	Unreleased    bool           `json:"keep,omitempty"` // it will belong to this agent once a rollout releases it: leave it as it is
 }
 
-// Assignments lists what has changed for an agent since the version that it holds, and the version that this brings it
-// to. With have 0 the list is all there is: what is not in it is the agent's no longer.
-func (s *State) Assignments(name string, have uint64) (out []Assignment, version uint64) {
-	a := s.agents[name]
+// Assignments lists the assignments that have changed for an agent since a version, by name, and returns the version that
+// they lead to. For version 0 the list is complete: the agent has to end every instance that is not in it.
+func (s *State) Assignments(agentName string, since uint64) ([]Assignment, uint64) {
+	a := s.agents.byName[agentName]
 	if a == nil {
 		return nil, 0
 	}
-	if have == 0 {
-		for _, i := range a.insts {
-			out = append(out, s.assignment(i))
+	var list []Assignment
+	if since == 0 {
+		list = s.allAssignments(a)
+	} else {
+		list = s.changedAssignments(a, since)
+	}
+	slices.SortFunc(list, func(x, y Assignment) int { return strings.Compare(x.Name, y.Name) })
+	return list, a.assignments.newest
+}
+
+func (s *State) allAssignments(a *agent) []Assignment {
+	var list []Assignment
+	for _, i := range a.instances {
+		list = append(list, s.assignment(i))
+	}
+	// An agent that comes from another fleet, or whose manager has lost history, may run instances that this fleet desires
+	// but has not released yet. It must not end those.
+	for name, i := range s.desired.instances {
+		if i.Agent == a.name && s.instances[name] == nil {
+			list = append(list, Assignment{Name: name, Unreleased: true})
 		}
-		// An agent that comes from another fleet, or whose manager has lost history, may run what this one wants but has not
-		// released yet. It is not to end that.
-		for n, i := range s.head {
-			if i.Agent == name && s.inst[n] == nil {
-				out = append(out, Assignment{Name: n, Unreleased: true})
-			}
+	}
+	return list
+}
+
+func (s *State) changedAssignments(a *agent, since uint64) []Assignment {
+	var list []Assignment
+	for name, changedIn := range a.assignments.unacknowledged {
+		if changedIn <= since {
+			continue
 		}
-	} else {
-		for n, v := range a.changed {
-			if v <= have {
-				continue
-			}
-			as := Assignment{Name: n, Release: true}
-			if i := a.insts[n]; i != nil {
-				as = s.assignment(i)
-			}
-			out = append(out, as)
+		if i := a.instances[name]; i != nil {
+			list = append(list, s.assignment(i))
+		} else {
+			list = append(list, Assignment{Name: name, Release: true})
 		}
 	}
-	sort.Slice(out, func(x, y int) bool { return out[x].Name < out[y].Name })
-	return out, a.version
+	return list
 }
 
 func (s *State) assignment(i *instance) Assignment {
-	if i.want == nil || i.want.Agent != i.agent.name {
+	if i.belongsElsewhere() {
 		return Assignment{Name: i.name, Release: true}
 	}
-	return Assignment{Name: i.name, Desired: i.want, TargetEdition: s.target(i), Revision: i.rev}
-}
-
-// NodeOverrides are the operators' changes to the node list, and the revision they are of.
-func (s *State) NodeOverrides() ([]spec.NodeOverride, uint64) { return s.nodes, s.nodesRev }
-
-// ConfigText returns a configuration text by its digest.
-func (s *State) ConfigText(digest string) (string, bool) {
-	t, ok := s.configs[digest]
-	return t, ok
+	return Assignment{
+		Name:          i.name,
+		Desired:       i.release.desired,
+		TargetEdition: s.targetEdition(i),
+		Revision:      i.release.revision,
+	}
 }
--- a/internal/fleet/state/availability.go
+++ b/internal/fleet/state/availability.go
@@ -1,151 +1,122 @@
 package state
 
-import (
-	"maps"
-	"slices"
-)
-
-// join gives an instance to an agent.
-func (s *State) join(i *instance, name string) {
-	a := s.agent(name)
-	i.agent, i.known, i.seen = a, false, Report{}
-	a.insts[i.name] = i
-	a.assign(i.name)
-}
-
-// leave takes it from its agent.
-func (s *State) leave(i *instance) {
-	a := i.agent
-	s.uncount(i)
-	delete(a.insts, i.name)
-	delete(a.differ, i.name)
-	delete(s.gone, i.name)
-	a.assign(i.name) // the next sync tells that it is no longer the agent's
-}
-
-// assign notes that the agent has to be told of an instance.
-func (a *agent) assign(name string) {
-	a.version++
-	a.changed[name] = a.version
+// availability is an instance's part in the bound on unavailable instances.
+type availability struct {
+	hasServed    bool // since it was enabled; from then on it counts
+	restarting   bool // released with a restart, and not seen to serve with its new settings since
+	counted      bool // it is in its agent's counters
+	unavailable  bool // counted, and not serving or about to stop
+	outOfService bool // counted, and known not to serve or to be about to stop
 }
 
-// target is the edition that an instance's broker should hold: that of the last record which changed what it should
-// be. A revision's number would not do: a rollout goes on after a node change with a higher number has gone to all, and
-// what it then releases must not look older than that.
-func (s *State) target(i *instance) uint64 { return max(i.ed, s.nodesEd) }
-
-// retarget follows a node change: it concerns every instance.
-func (s *State) retarget() {
-	for _, name := range slices.Sorted(maps.Keys(s.inst)) {
-		i := s.inst[name]
-		if i.want != nil {
-			i.agent.assign(name)
-		}
-		s.weigh(i)
-	}
+// availabilityCounters sums up the instances of an agent.
+type availabilityCounters struct {
+	counted     int
+	unavailable int // while the agent is not silent
 }
 
-// ---- the index
-
-func (s *State) uncount(i *instance) {
-	if i.counted {
-		i.agent.counted--
-		if i.exposed {
-			i.agent.exposed--
+// Unavailable returns the number of enabled instances that are not known to serve or are about to stop serving, and the
+// number of those that count: enabled ones that have served. It visits each agent once.
+func (s *State) Unavailable() (unavailable, total int) {
+	for _, a := range s.agents.byName {
+		total += a.counters.counted
+		if a.session.silent {
+			unavailable += a.counters.counted
+		} else {
+			unavailable += a.counters.unavailable
 		}
 	}
-	i.counted, i.exposed = false, false
+	return unavailable, total
 }
 
-// current reports whether an instance is known to be as it should be.
-func (s *State) current(i *instance) bool {
-	a := i.agent
-	if !i.known || a.silent || a.changed[i.name] > 0 {
-		return false
-	}
-	switch {
-	case i.want == nil:
-		return i.seen.Process == Absent
-	case i.want.Agent != a.name:
-		return false // still to be handed over
-	case !i.want.Enabled:
-		return i.seen.Process == Stopped
-	}
-	return i.seen.Process == Running && i.seen.Incarnation != "" && i.seen.AppliedEdition == s.target(i) && i.seen.StartDigest == i.digest
+// isUnavailable reports whether an instance is among the unavailable ones.
+func (i *instance) isUnavailable() bool {
+	return i.availability.counted && (i.availability.unavailable || i.agent.session.silent)
 }
 
-// available reports whether an instance is known to serve, as whatever revision.
-func (i *instance) available() bool {
-	return i.known && !i.agent.silent && i.seen.Process == Running && i.seen.Healthy
+// isOutOfService reports whether a restart would take nothing out of service. In contrast to isUnavailable it requires
+// knowledge: an instance of a silent agent may well be serving.
+func (i *instance) isOutOfService() bool {
+	return i.availability.outOfService && !i.agent.session.silent
 }
 
-// weigh brings the counters and sets that an instance takes part in up to date.
-func (s *State) weigh(i *instance) {
-	s.uncount(i)
-	cur, up := s.current(i), i.available()
-	if up {
-		i.joined = true
+// reindex brings the counters and sets that an instance is part of up to date. It has to be called after each change of
+// the instance's release, observation or agent.
+func (s *State) reindex(i *instance) {
+	i.removeFromCounters()
+	current := s.isCurrent(i)
+	available := i.isAvailable()
+	enabled := i.isEnabled()
+	i.conforming = current && (available || !enabled)
+	if i.conforming {
+		i.release.previous = nil
 	}
-	enabled := i.want != nil && i.want.Enabled
-	if !enabled && cur {
-		i.joined = false // wanted again, it has to come up first
+	if available {
+		i.availability.hasServed = true
 	}
-	i.ok = cur && (up || !enabled)
-	a := i.agent
-	pending := enabled && (i.want.Agent != a.name || i.seen.StartDigest != i.digest)
-	if i.ok || up && !pending && a.changed[i.name] == 0 {
-		i.disturbed = false
-	}
-	if i.ok {
-		i.prior = nil
-	}
-	i.free = false
-	if enabled && i.joined {
-		// A silent agent's are all exposed, which unavailable() adds up without visiting them; what is kept here
-		// holds for the time that it is heard.
-		i.counted = true
-		down := !(i.known && i.seen.Process == Running && i.seen.Healthy)
-		i.exposed = i.disturbed || down || pending
-		// What counts against the bound may be a guess, but what a further change may be told for free has to be
-		// known: an instance nobody hears of may well be serving.
-		i.free = i.known && !a.silent && (down || pending)
-		a.counted++
-		if i.exposed {
-			a.exposed++
-		}
+	if !enabled && current {
+		i.availability.hasServed = false // once it is enabled again, it has to come up first
 	}
-	if i.ok {
-		delete(a.differ, i.name)
-	} else {
-		a.differ[i.name] = i
+	restartPending := enabled && i.restartPending()
+	if i.conforming || available && !restartPending && i.agent.hasAcknowledged(i.name) {
+		i.availability.restarting = false
 	}
-	if i.known && !a.silent && a.changed[i.name] == 0 && i.seen.Process == Absent && (i.want == nil || i.want.Agent != a.name) {
-		s.gone[i.name] = i
-	} else {
-		delete(s.gone, i.name)
+	if enabled && i.availability.hasServed {
+		i.addToCounters(restartPending)
 	}
+	s.indexInstance(i)
 	if i.member != nil {
-		s.note(i.member, i.ok)
+		s.updateMember(i.member, i.conforming)
 	}
 }
 
-// Unavailable counts the enabled instances that are not known to serve or are about to stop serving, and all that count.
-func (s *State) Unavailable() (out, of int) {
-	for _, a := range s.agents {
-		of += a.counted
-		if a.silent {
-			out += a.counted
-		} else {
-			out += a.exposed
-		}
-	}
-	return out, of
+// restartPending reports whether an instance still has to move to another agent or to restart with other settings.
+func (i *instance) restartPending() bool {
+	return i.release.desired.Agent != i.agent.name || i.observed.report.StartDigest != i.release.startDigest
 }
 
-// isExposed reports whether an instance is among the unavailable.
-func (i *instance) isExposed() bool { return i.counted && (i.exposed || i.agent.silent) }
+// addToCounters counts an instance. The counters hold while its agent is not silent: Unavailable and isUnavailable take
+// all instances of a silent one as unavailable, without a visit to each.
+func (i *instance) addToCounters(restartPending bool) {
+	down := !i.observed.serving()
+	v := &i.availability
+	v.counted = true
+	v.unavailable = v.restarting || down || restartPending
+	v.outOfService = i.observed.known && !i.agent.session.silent && (down || restartPending)
+	i.agent.counters.counted++
+	if v.unavailable {
+		i.agent.counters.unavailable++
+	}
+}
 
-// isFree reports whether a restart takes nothing out of service that is in it.
-func (i *instance) isFree() bool { return i.free && !i.agent.silent }
+// removeFromCounters undoes addToCounters.
+func (i *instance) removeFromCounters() {
+	v := &i.availability
+	if v.counted {
+		i.agent.counters.counted--
+		if v.unavailable {
+			i.agent.counters.unavailable--
+		}
+	}
+	v.counted = false
+	v.unavailable = false
+	v.outOfService = false
+}
 
-// ---- what agents are told
+// indexInstance puts an instance into, or takes it out of, the sets of nonconforming and of departed instances.
+func (s *State) indexInstance(i *instance) {
+	if i.conforming {
+		delete(i.agent.nonconforming, i.name)
+	} else {
+		i.agent.nonconforming[i.name] = i
+	}
+	ended := i.observed.known &&
+		i.observed.report.Process == Absent &&
+		!i.agent.session.silent &&
+		i.agent.hasAcknowledged(i.name)
+	if ended && i.belongsElsewhere() {
+		s.departed[i.name] = i
+	} else {
+		delete(s.departed, i.name)
+	}
+}
--- a/internal/fleet/state/bench_test.go
+++ b/internal/fleet/state/bench_test.go
@@ -66,7 +66,7 @@
 				}
 				reports[a] = append(reports[a], Report{Name: x.Name, Process: Running, Incarnation: "b" + x.Name, AppliedEdition: x.TargetEdition, StartDigest: x.Desired.Start.Digest(), Healthy: true})
 			}
-			if err := s.Observe(&AgentSync{Agent: name, Token: s.agents[name].token, Sequence: seq, AssignmentVersion: version, Full: true, Reports: reports[a]}, now); err != nil {
+			if err := s.Observe(&AgentSync{Agent: name, Token: s.agents.byName[name].token, Sequence: seq, AssignmentVersion: version, Full: true, Reports: reports[a]}, now); err != nil {
 				tb.Fatal(err)
 			}
 		}
@@ -77,18 +77,18 @@
 
 // rescan is the plain way: everything is looked at again.
 func rescan(s *State) (out, of, differ int, gone []string) {
-	for name, i := range s.inst {
-		cur, up := s.current(i), i.available()
-		if i.want != nil && i.want.Enabled && i.joined {
+	for name, i := range s.instances {
+		cur, up := s.isCurrent(i), i.isAvailable()
+		if i.release.desired != nil && i.release.desired.Enabled && i.availability.hasServed {
 			of++
-			if !up || i.disturbed || i.seen.StartDigest != i.digest {
+			if !up || i.availability.restarting || i.observed.report.StartDigest != i.release.startDigest {
 				out++
 			}
 		}
 		if !cur {
 			differ++
 		}
-		if i.known && i.seen.Process == Absent && i.want == nil {
+		if i.observed.known && i.observed.report.Process == Absent && i.release.desired == nil {
 			gone = append(gone, name)
 		}
 	}
@@ -111,7 +111,7 @@
 				name = "rescan"
 			}
 			b.Run(fmt.Sprintf("%s/%d", name, n), func(b *testing.B) {
-				seq, now := s.agents["a0000"].seq, s.now
+				seq, now := s.agents.byName["a0000"].session.lastSequence, s.now
 				for k := 0; b.Loop(); k++ {
 					a := k % len(reports)
 					agent := fmt.Sprintf("a%04d", a)
@@ -123,7 +123,7 @@
 					}
 					seq++
 					now++
-					if err := s.Observe(&AgentSync{Agent: agent, Token: s.agents[agent].token, Sequence: seq, AssignmentVersion: s.agents[agent].version, Reports: changed}, now); err != nil {
+					if err := s.Observe(&AgentSync{Agent: agent, Token: s.agents.byName[agent].token, Sequence: seq, AssignmentVersion: s.agents.byName[agent].assignments.newest, Reports: changed}, now); err != nil {
 						b.Fatal(err)
 					}
 					if plain {
--- a/internal/fleet/state/property_test.go
+++ b/internal/fleet/state/property_test.go
@@ -82,8 +82,8 @@
 // those in among count, where it is given.
 func (w *world) exposed(among map[string]bool) (out, of int, all map[string]bool) {
 	all = map[string]bool{}
-	for name, i := range w.s.inst {
-		if i.want == nil || !i.want.Enabled || among != nil && !among[name] {
+	for name, i := range w.s.instances {
+		if i.release.desired == nil || !i.release.desired.Enabled || among != nil && !among[name] {
 			continue
 		}
 		all[name] = true
@@ -98,7 +98,7 @@
 			continue
 		}
 		of++
-		if b == nil || !b.told || b.started != i.want.Start.Digest() || i.want.Agent != i.agent.name {
+		if b == nil || !b.told || b.started != i.release.desired.Start.Digest() || i.release.desired.Agent != i.agent.name {
 			out++
 		}
 	}
@@ -118,8 +118,8 @@
 		for _, r := range list {
 			before, of, all := w.exposed(nil)
 			var most int
-			if w.s.active != nil {
-				most = max(w.s.active.strategy.MaxUnavailable.Of(of), 1)
+			if w.s.rollouts.active != nil {
+				most = max(w.s.rollouts.active.strategy.MaxUnavailable.Of(of), 1)
 			}
 			w.put(r)
 			if after, _, _ := w.exposed(all); r.Kind == RecordInstancesReleased && after > max(before, most) {
@@ -304,12 +304,12 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	for _, i := range s.inst {
-		i.joined, i.disturbed, i.prior = false, false, nil
+	for _, i := range s.instances {
+		i.availability.hasServed, i.availability.restarting, i.release.previous = false, false, nil
 	}
-	for _, r := range s.past {
+	for _, r := range s.rollouts.finished {
 		for _, m := range r.members {
-			m.ok = false
+			m.conforming = false
 		}
 	}
 	if b, err = s.Snapshot(); err != nil {
@@ -355,7 +355,7 @@
 				}
 			},
 			"rollback": func(t *rapid.T) {
-				r, _, err := w.s.Rollback(w.command(), uint64(rapid.IntRange(0, int(w.s.rev)).Draw(t, "to")), w.strategy(t), rapid.Bool().Draw(t, "nodes"), w.now)
+				r, _, err := w.s.Rollback(w.command(), uint64(rapid.IntRange(0, int(w.s.desired.revision)).Draw(t, "to")), w.strategy(t), rapid.Bool().Draw(t, "nodes"), w.now)
 				if err != nil && !errors.Is(err, ErrNotFound) {
 					t.Fatal(err)
 				}
@@ -409,7 +409,7 @@
 			},
 			"a machine burns, and its agent is retired": func(t *rapid.T) {
 				h := pick()
-				if h.alive || w.s.agents[h.name] == nil || !w.s.agents[h.name].silent {
+				if h.alive || w.s.agents.byName[h.name] == nil || !w.s.agents.byName[h.name].session.silent {
 					return
 				}
 				h.jobs, h.brokers = map[string]Assignment{}, map[string]*broker{} // nothing is left of it
@@ -446,15 +446,15 @@
 		want := w.draw(t, true)
 		st := w.strategy(t)
 		st.FailureBudget = CountOrPercent{Percent: 100}
-		if w.s.active != nil {
+		if w.s.rollouts.active != nil {
 			r, err := w.s.SetRolloutPhase(w.command(), 0, Aborted, w.now)
 			if err != nil {
 				t.Fatal(err)
 			}
 			w.put(r)
 		}
-		for len(w.s.queue) > 0 {
-			r, err := w.s.SetRolloutPhase(w.command(), w.s.queue[0].rev, Aborted, w.now)
+		for len(w.s.rollouts.queued) > 0 {
+			r, err := w.s.SetRolloutPhase(w.command(), w.s.rollouts.queued[0].revision, Aborted, w.now)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -482,7 +482,7 @@
 				}
 				continue
 			}
-			if b == nil || b.started != i.Start.Digest() || b.applied != w.s.target(w.s.inst[name]) {
+			if b == nil || b.started != i.Start.Digest() || b.applied != w.s.targetEdition(w.s.instances[name]) {
 				t.Fatalf("%s is reported current and is %+v", name, b)
 			}
 		}
--- a/internal/fleet/state/revision.go
+++ b/internal/fleet/state/revision.go
@@ -6,104 +6,172 @@
 	"slices"
 
 	"poppyarch/internal/fleet/spec"
+	"poppyarch/internal/timing/clock"
 )
 
-func (s *State) applyRevision(r *Record) error {
-	if r.Revision != s.rev+1 || r.Strategy == nil {
-		return fmt.Errorf("record revision: revision %d after %d", r.Revision, s.rev)
+// Revision is one version of the desired state.
+type Revision struct {
+	Number     uint64              `json:"rev"`
+	At         clock.Micros        `json:"at"` // Unix time
+	Author     string              `json:"by,omitempty"`
+	Note       string              `json:"note,omitempty"`
+	CommandID  string              `json:"command,omitempty"`
+	IsRollback bool                `json:"back,omitempty"`
+	RollbackTo uint64              `json:"from,omitempty"` // revision that a rollback returns to
+	Changes    []Step              `json:"changes,omitempty"`
+	Nodes      []spec.NodeOverride `json:"nodes,omitempty"` // all that are in force from this revision on
+}
+
+// Step is the part of a revision that concerns one instance.
+type Step struct {
+	Name string         `json:"name"`
+	Old  *spec.Instance `json:"old"` // nil: added
+	New  *spec.Instance `json:"new"` // nil: removed
+}
+
+// newRevision returns the revision that a record creates, without its changes.
+func newRevision(r *Record, nodes []spec.NodeOverride) *Revision {
+	return &Revision{
+		Number:     r.Revision,
+		At:         r.At,
+		Author:     r.Author,
+		Note:       r.Note,
+		CommandID:  r.CommandID,
+		IsRollback: r.IsRollback,
+		RollbackTo: r.RollbackTo,
+		Nodes:      nodes,
+	}
+}
+
+// checkNextRevision returns an error if a record's revision is not the one after the newest.
+func (s *State) checkNextRevision(r *Record) error {
+	if r.Revision != s.desired.revision+1 {
+		return recordErrorf(r, "revision %d after %d", r.Revision, s.desired.revision)
+	}
+	return nil
+}
+
+func (s *State) applyRevisionCreated(r *Record) error {
+	if err := s.checkNextRevision(r); err != nil {
+		return err
 	}
-	s.rev = r.Revision
-	for d, text := range r.Configs {
-		s.configs[d] = text
+	if r.Strategy == nil {
+		return recordErrorf(r, "revision %d has no strategy", r.Revision)
 	}
+	s.desired.revision = r.Revision
+	maps.Copy(s.desired.configs, r.Configs)
 	if r.WithNodes {
-		s.nodes, s.nodesRev, s.nodesEd = r.Nodes, r.Revision, s.edition
-		s.retarget()
+		s.setNodeOverrides(r)
 	}
-	v := &Revision{Number: r.Revision, At: r.At, Author: r.Author, Note: r.Note, CommandID: r.CommandID, IsRollback: r.IsRollback, RollbackTo: r.RollbackTo, Nodes: s.nodes}
+	revision := newRevision(r, s.desired.nodes.list)
 	for _, c := range r.Changes {
-		v.Changes = append(v.Changes, Step{Name: c.Name, Old: s.head[c.Name], New: c.Desired})
-		if c.Desired == nil {
-			delete(s.head, c.Name)
-		} else {
-			s.head[c.Name] = c.Desired
-		}
+		revision.Changes = append(revision.Changes, Step{Name: c.Name, Old: s.desired.instances[c.Name], New: c.Desired})
+		setOrDelete(s.desired.instances, c.Name, c.Desired)
 	}
-	s.remember(v)
-	if r.IsRollback { // a way back ends all that was on its way forward
-		reason := fmt.Sprintf("superseded by the rollback to revision %d", r.RollbackTo)
-		if s.active != nil {
-			s.end(Aborted, reason)
-		}
-		for _, q := range s.queue {
-			// Their changes are undone by this revision's own; so that they are weighed against what is released,
-			// they count as begun.
-			s.advance(q)
-			q.phase, q.reason = Aborted, reason
-			s.past = append(s.past, q)
-		}
-		s.queue = nil
+	s.addRevision(revision)
+	if r.IsRollback {
+		s.abortAllRollouts(fmt.Sprintf("superseded by the rollback to revision %d", r.RollbackTo))
 	}
-	s.queue = append(s.queue, &rollout{rev: r.Revision, strategy: *r.Strategy, steps: v.Changes, phase: Queued, at: r.At,
-		members: map[string]*member{}})
+	s.rollouts.queued = append(s.rollouts.queued, &rollout{
+		revision:  r.Revision,
+		strategy:  *r.Strategy,
+		changes:   revision.Changes,
+		phase:     Queued,
+		createdAt: r.At,
+		members:   map[string]*rolloutMember{},
+	})
 	return nil
 }
 
-// remember keeps a revision and forgets the oldest, with configuration texts that nothing names any more.
-func (s *State) remember(v *Revision) {
-	s.revisions = append(s.revisions, v)
-	if len(s.revisions) <= s.lim.MaxRevisions {
+// setOrDelete sets an instance in a map, or deletes it where it is nil.
+func setOrDelete(instances map[string]*spec.Instance, name string, i *spec.Instance) {
+	if i == nil {
+		delete(instances, name)
+	} else {
+		instances[name] = i
+	}
+}
+
+// addRevision keeps a revision. Beyond the limit the oldest is dropped, with the configuration texts that nothing refers
+// to any more.
+func (s *State) addRevision(v *Revision) {
+	s.desired.history = append(s.desired.history, v)
+	excess := len(s.desired.history) - s.limits.MaxRevisions
+	if excess <= 0 {
 		return
 	}
-	s.revisions = slices.Clone(s.revisions[len(s.revisions)-s.lim.MaxRevisions:])
+	s.desired.history = slices.Clone(s.desired.history[excess:])
+	used := s.usedConfigs()
+	maps.DeleteFunc(s.desired.configs, func(digest, _ string) bool { return !used[digest] })
+}
+
+// usedConfigs returns the digests of the configuration texts that are referred to.
+func (s *State) usedConfigs() map[string]bool {
 	used := map[string]bool{}
-	mark := func(i *spec.Instance) {
+	add := func(i *spec.Instance) {
 		if i != nil {
 			used[i.Start.Config] = true
 		}
 	}
-	for _, i := range s.head {
-		mark(i)
+	for _, i := range s.desired.instances {
+		add(i)
 	}
-	for _, i := range s.inst {
-		mark(i.want)
-		mark(i.prior)
+	for _, i := range s.instances {
+		add(i.release.desired)
+		add(i.release.previous)
 	}
-	for _, v := range s.revisions {
-		for _, c := range v.Changes {
-			mark(c.Old)
-			mark(c.New)
+	for _, revision := range s.desired.history {
+		for _, change := range revision.Changes {
+			add(change.Old)
+			add(change.New)
 		}
 	}
-	maps.DeleteFunc(s.configs, func(d, _ string) bool { return !used[d] })
+	return used
 }
 
-// FleetAt is the fleet as revision rev wanted it, with the operators' node changes of that time.
-func (s *State) FleetAt(rev uint64) (map[string]*spec.Instance, []spec.NodeOverride, error) {
-	first := s.rev + 1
-	if len(s.revisions) > 0 {
-		first = s.revisions[0].Number
-	}
-	if rev > s.rev || rev+1 < first {
-		return nil, nil, fmt.Errorf("revision %d: %w (%d to %d are kept)", rev, ErrNotFound, max(first, 1)-1, s.rev)
-	}
-	out := maps.Clone(s.head)
-	nodes := []spec.NodeOverride(nil)
-	for k := len(s.revisions) - 1; k >= 0; k-- {
-		v := s.revisions[k]
-		if v.Number <= rev {
-			nodes = v.Nodes
+// ConfigText returns a configuration text by its digest.
+func (s *State) ConfigText(digest string) (string, bool) {
+	text, found := s.desired.configs[digest]
+	return text, found
+}
+
+// NewestRevision returns the number of the newest revision, 0 if there is none.
+func (s *State) NewestRevision() uint64 { return s.desired.revision }
+
+// DesiredInstances returns the instances that the newest revision defines, by name.
+func (s *State) DesiredInstances() map[string]*spec.Instance { return maps.Clone(s.desired.instances) }
+
+// History lists the kept revisions, newest first, up to a limit.
+func (s *State) History(limit int) []Revision {
+	list := []Revision{}
+	for _, v := range slices.Backward(s.desired.history) {
+		if len(list) >= limit {
 			break
 		}
+		list = append(list, *v)
+	}
+	return list
+}
+
+// FleetAt returns the instances and the node overrides that a revision defined. The error is ErrNotFound for a revision
+// that does not exist or is not kept any more.
+func (s *State) FleetAt(revision uint64) (map[string]*spec.Instance, []spec.NodeOverride, error) {
+	newest := s.desired.revision
+	oldest := newest + 1
+	if len(s.desired.history) > 0 {
+		oldest = s.desired.history[0].Number
+	}
+	if revision > newest || revision+1 < oldest {
+		return nil, nil, fmt.Errorf("revision %d: %w (%d to %d are kept)", revision, ErrNotFound, max(oldest, 1)-1, newest)
+	}
+	instances := maps.Clone(s.desired.instances)
+	for _, v := range slices.Backward(s.desired.history) {
+		if v.Number <= revision {
+			return instances, v.Nodes, nil
+		}
 		for _, c := range v.Changes {
-			if c.Old == nil {
-				delete(out, c.Name)
-			} else {
-				out[c.Name] = c.Old
-			}
+			setOrDelete(instances, c.Name, c.Old)
 		}
 	}
-	return out, nodes, nil
+	return instances, nil, nil
 }
-
-// ---- agents
--- a/internal/fleet/state/rollout.go
+++ b/internal/fleet/state/rollout.go
@@ -2,529 +2,326 @@
 
 import (
 	"fmt"
-	"maps"
 	"slices"
-	"sort"
 
 	"poppyarch/internal/fleet/spec"
+	"poppyarch/internal/timing/clock"
 )
 
-// rollout carries one revision to the instances, wave by wave.
-type rollout struct {
-	rev      uint64
-	strategy Strategy
-	steps    []Step
-	phase    Phase
-	reason   string
-	at       int64
+// Phase is the phase of a rollout.
+type Phase string
 
-	waves    [][]string
-	wave     int // the one under way
-	members  map[string]*member
-	pending  []string        // of this wave, not yet released; what restarts nothing comes first
-	urgent   map[string]bool // of all waves, not yet released and already out of service: their change costs nothing
-	wanting  map[string]*member
-	suspect  map[string]string // released members that have failed, with the reason, not yet recorded
-	fine     int               // members of this wave that are as they should be
-	lost     int               // and that have failed
-	failures int               // over all waves
-	okSince  int64             // all of the wave has been well since then; -1: it is not
-	blocked  string            // why nothing is released at the moment
-}
+// The phases. Done and Aborted are final.
+const (
+	Queued  Phase = "queued"
+	Active  Phase = "active"
+	Paused  Phase = "paused"
+	Done    Phase = "done"
+	Aborted Phase = "aborted"
+)
+
+// final reports whether a rollout in this phase has ended.
+func (p Phase) final() bool { return p == Done || p == Aborted }
 
-// member is one instance in a rollout.
-type member struct {
-	r        *rollout
-	name     string
-	wave     int
-	released bool
-	failed   string // why
-	ok       bool
-	at       int64 // of its release, or when it was last lost; -1: before the manager's last start
+// rolloutList holds the rollouts. At most one is active; the others wait for it in the order of their revisions.
+type rolloutList struct {
+	active   *rollout // in phase Active or Paused; nil: none
+	queued   []*rollout
+	finished []*rollout // oldest first
 }
 
-// Waves cuts changes into waves: a canary, then batches. The canary is of the domain with the most changes, so that it
-// stands for as many as possible. With byDomain a wave stays in one failure domain. Within a wave, what takes nothing
-// out of service comes first.
-func Waves(changes []spec.Change, st *Strategy) (waves [][]string) {
-	if len(changes) == 0 {
-		return nil
+// unfinished lists the revisions of the active and the queued rollouts.
+func (l *rolloutList) unfinished() []uint64 {
+	var revisions []uint64
+	if l.active != nil {
+		revisions = append(revisions, l.active.revision)
 	}
-	all := slices.Clone(changes)
-	domain := func(c *spec.Change) string {
-		if c.New != nil {
-			return c.New.FailureDomain()
-		}
-		return c.Old.FailureDomain()
-	}
-	size := map[string]int{}
-	for k := range all {
-		size[domain(&all[k])]++
+	for _, q := range l.queued {
+		revisions = append(revisions, q.revision)
 	}
-	sort.Slice(all, func(x, y int) bool {
-		a, b := domain(&all[x]), domain(&all[y])
-		if a != b && size[a] != size[b] {
-			return size[a] > size[b]
-		}
-		if a != b {
-			return a < b
-		}
-		return all[x].Name < all[y].Name
-	})
-	if n := min(st.Canary, len(all)); n > 0 {
-		waves = append(waves, names(all[:n]))
-		all = all[n:]
-	}
-	batch := max(st.Batch.Of(len(changes)), 1)
-	for len(all) > 0 {
-		n := min(batch, len(all))
-		if st.OneDomainPerWave {
-			for k := 1; k < n; k++ {
-				if domain(&all[k]) != domain(&all[0]) {
-					n = k
-				}
-			}
-		}
-		waves = append(waves, names(all[:n]))
-		all = all[n:]
-	}
-	return waves
+	return revisions
 }
 
-func names(list []spec.Change) (out []string) {
-	list = slices.Clone(list)
-	sort.SliceStable(list, func(x, y int) bool { return !disruptive(&list[x]) && disruptive(&list[y]) })
-	for k := range list {
-		out = append(out, list[k].Name)
-	}
-	return out
+// rollout brings one revision to the instances, wave by wave.
+type rollout struct {
+	revision  uint64
+	strategy  Strategy
+	changes   []Step
+	createdAt clock.Micros // Unix time of the revision
+	phase     Phase
+	reason    string // of the phase
+
+	waves        [][]string // names of the members of each wave
+	wave         waveProgress
+	members      map[string]*rolloutMember
+	failures     int             // failed members of all waves, since the last resumption
+	outOfService map[string]bool // unreleased members of all waves whose change takes nothing out of service
+	blocked      string          // why nothing is released at the moment; empty: nothing blocks
 }
 
-// disruptive reports whether a change takes a serving process down.
-func disruptive(c *spec.Change) bool {
-	return c.Old != nil && c.Old.Enabled && c.New != nil && c.New.NeedsRestart(c.Old)
+// waveProgress is the progress of the wave under way.
+type waveProgress struct {
+	index         int
+	unreleased    []string                  // in the order of release
+	nonconforming map[string]*rolloutMember // released and not failed
+	suspects      map[string]string         // by member of this or an earlier wave: why it failed, not yet recorded
+	conforming    int                       // members that conform
+	failed        int
+	soak          timer // runs while all members that have not failed conform
 }
 
-// changesFor lists what a rollout has to do, seen from what is released now: its own steps, and what aborted ones
-// before it have left behind.
-func (s *State) changesFor(r *rollout) (out []spec.Change) {
-	to := map[string]*spec.Instance{}
-	for name := range s.behind {
-		to[name] = s.base[name]
-	}
-	for _, st := range r.steps {
-		to[st.Name] = st.New
-	}
-	for name, want := range to {
-		var now *spec.Instance
-		if i := s.inst[name]; i != nil {
-			now = i.want
-		}
-		if c := spec.Compare(now, want); c != nil {
-			out = append(out, *c)
-		}
-	}
-	sort.Slice(out, func(x, y int) bool { return out[x].Name < out[y].Name })
-	return out
+// rolloutMember is the part of one instance in a rollout.
+type rolloutMember struct {
+	rollout    *rollout
+	name       string
+	wave       int
+	failure    string // why it failed; empty: it has not
+	progress   timer  // since its release, or since it stopped conforming
+	released   bool
+	conforming bool
 }
 
-// advance makes a rollout's revision the one that what is released is compared with.
-func (s *State) advance(r *rollout) {
-	for _, st := range r.steps {
-		if st.New == nil {
-			delete(s.base, st.Name)
-		} else {
-			s.base[st.Name] = st.New
-		}
-		s.behind[st.Name] = true
-	}
-	for name := range s.behind {
-		var now *spec.Instance
-		if i := s.inst[name]; i != nil {
-			now = i.want
-		}
-		if now.Equal(s.base[name]) {
-			delete(s.behind, name)
-		}
-	}
+// timer measures a time in which something holds.
+type timer struct {
+	since   clock.Micros
+	running bool
 }
 
-// applyRollout takes in the records of the active rollout.
-func (s *State) applyRollout(r *Record) error {
-	if r.Kind == RecordRolloutStarted {
-		if s.active != nil || len(s.queue) == 0 || s.queue[0].rev != r.Revision {
-			return fmt.Errorf("record begin: rollout %d is not next", r.Revision)
-		}
-		a := s.queue[0]
-		s.queue, s.active = s.queue[1:], a
-		s.advance(a)
-		a.phase, a.waves = Active, r.Waves
-		for w, list := range a.waves {
-			for _, name := range list {
-				m := &member{r: a, name: name, wave: w, at: -1}
-				a.members[name] = m
-				if i := s.inst[name]; i != nil {
-					i.member = m
-				}
-			}
+// startedAt returns a timer that runs since a time.
+func startedAt(since clock.Micros) timer { return timer{since: since, running: true} }
+
+// SetRolloutPhase returns the record that pauses, resumes or aborts a rollout; revision 0 means the active one. A queued
+// rollout can be aborted only. The error is ErrInvalidState for a rollout that is not under way, or not in a phase that
+// can change to the requested one.
+func (s *State) SetRolloutPhase(c *Command, revision uint64, to Phase, at clock.Micros) (*Record, error) {
+	active := s.rollouts.active
+	if revision == 0 {
+		if active == nil {
+			return nil, fmt.Errorf("%w: no rollout is under way", ErrInvalidState)
 		}
-		s.findUrgent()
-		s.startWave(0)
-		return nil
+		revision = active.revision
 	}
-	a := s.active
-	if a == nil || a.rev != r.Revision {
-		// A queued one may be aborted before its turn.
-		for k, q := range s.queue {
-			if r.Kind == RecordPhaseChanged && r.Phase == Aborted && q.rev == r.Revision {
-				s.queue = slices.Delete(s.queue, k, k+1)
-				q.phase, q.reason = Aborted, r.Reason
-				s.advance(q) // its content is in the newest revision, so the next rollout brings it
-				s.past = append(s.past, q)
-				return nil
-			}
+	r := c.attribute(&Record{Kind: RecordPhaseChanged, Revision: revision, Phase: to, Reason: c.Note}, at)
+	if active == nil || active.revision != revision {
+		if to == Aborted && s.rollouts.queuedIndex(revision) >= 0 {
+			return r, nil
 		}
-		return fmt.Errorf("record %s: rollout %d is not the active one", r.Kind, r.Revision)
+		return nil, fmt.Errorf("%w: rollout %d is not under way", ErrInvalidState, revision)
 	}
-	switch r.Kind {
-	case RecordInstancesReleased:
-		for _, name := range r.Instances {
-			m := a.members[name]
-			if m == nil || m.released {
-				return fmt.Errorf("record release: %s cannot be released", name)
-			}
-			s.release(m)
-		}
-		a.pending = slices.DeleteFunc(a.pending, func(n string) bool { return a.members[n].released })
-	case RecordInstanceFailed:
-		for _, name := range r.Instances {
-			m := a.members[name]
-			if m == nil || m.failed != "" {
-				continue
-			}
-			m.failed = r.Reason
-			a.failures++
-			delete(a.suspect, name)
-			delete(a.wanting, name)
-			if m.wave == a.wave {
-				if m.ok {
-					a.fine--
-				}
-				a.lost++
-			}
-		}
-	case RecordWaveFinished:
-		s.startWave(a.wave + 1)
-	case RecordPhaseChanged:
-		switch r.Phase {
-		case Paused, Active:
-			a.phase, a.reason = r.Phase, r.Reason
-			if r.Phase == Active { // what has failed gets another chance
-				for _, m := range a.members {
-					if m.failed != "" {
-						m.failed, m.ok, m.at = "", false, s.now
-						if m.wave == a.wave {
-							a.lost--
-							a.wanting[m.name] = m
-						}
-						if i := s.inst[m.name]; i != nil {
-							s.weigh(i)
-						}
-					}
-				}
-				a.failures, a.okSince = 0, -1
-			}
-		case Done, Aborted:
-			s.end(r.Phase, r.Reason)
-		}
-	default:
-		return fmt.Errorf("record %q: unknown kind", r.Kind)
+	if to == Paused && active.phase != Active || to == Active && active.phase != Paused {
+		return nil, fmt.Errorf("%w: rollout %d is %s", ErrInvalidState, revision, active.phase)
 	}
-	return nil
+	return r, nil
 }
 
-// end closes the active rollout.
-func (s *State) end(p Phase, reason string) {
-	a := s.active
-	a.phase, a.reason, a.blocked = p, reason, ""
-	for name, m := range a.members {
-		if i := s.inst[name]; i != nil && i.member == m {
-			i.member = nil
-			i.joined = i.joined || p == Done
-		}
-	}
-	s.active = nil
-	if s.past = append(s.past, a); len(s.past) > s.lim.MaxRevisions {
-		s.past = s.past[1:]
-	}
+// queuedIndex returns the index of a queued rollout, -1 if there is none of that revision.
+func (l *rolloutList) queuedIndex(revision uint64) int {
+	return slices.IndexFunc(l.queued, func(q *rollout) bool { return q.revision == revision })
 }
 
-// startWave turns to a wave. Some of it may have been released ahead of it, as repairs.
-func (s *State) startWave(w int) {
-	a := s.active
-	a.wave, a.fine, a.lost, a.okSince = w, 0, 0, -1
-	a.pending, a.wanting, a.suspect = nil, map[string]*member{}, map[string]string{}
-	if w >= len(a.waves) {
-		return
+// changesFor lists the changes that a rollout has to make to what is released: its own, and those that aborted rollouts
+// before it have not made. superseded are rollouts that it ends.
+func (s *State) changesFor(r *rollout, superseded []*rollout) []spec.Change {
+	desired := map[string]*spec.Instance{}
+	for name := range s.target.unreleased {
+		desired[name] = s.target.instances[name]
 	}
-	for _, name := range a.waves[w] {
-		switch m := a.members[name]; {
-		case !m.released:
-			a.pending = append(a.pending, name)
-		case m.failed != "":
-			a.lost++
-		case m.ok:
-			a.fine++
-		default:
-			m.at = s.now
-			a.wanting[name] = m
-			if i := s.inst[name]; i != nil {
-				s.note(m, false)
-			}
+	for _, o := range superseded {
+		for _, step := range o.changes {
+			desired[step.Name] = s.target.instances[step.Name]
 		}
 	}
-}
-
-// findUrgent fills the set of members that are out of service anyway.
-func (s *State) findUrgent() {
-	a := s.active
-	a.urgent = map[string]bool{}
-	for name, m := range a.members {
-		if i := s.inst[name]; i != nil && !m.released && i.isFree() {
-			a.urgent[name] = true
+	for _, step := range r.changes {
+		desired[step.Name] = step.New
+	}
+	var changes []spec.Change
+	for name, to := range desired {
+		if c := spec.Compare(s.releasedState(name), to); c != nil {
+			changes = append(changes, *c)
 		}
 	}
+	spec.SortChanges(changes)
+	return changes
 }
 
-// release has a member change.
-func (s *State) release(m *member) {
-	to := s.base[m.name]
-	i := s.inst[m.name]
-	delete(s.behind, m.name)
-	delete(m.r.urgent, m.name)
-	m.released, m.at = true, s.now
-	if m.at == 0 {
-		m.at = -1
+// releasedState returns the state that an instance was last let change to, nil for none.
+func (s *State) releasedState(name string) *spec.Instance {
+	if i := s.instances[name]; i != nil {
+		return i.release.desired
 	}
-	if m.wave == m.r.wave {
-		m.r.wanting[m.name] = m
+	return nil
+}
+
+// retarget makes a rollout's revision the target that the released state is compared with.
+func (s *State) retarget(r *rollout) {
+	for _, step := range r.changes {
+		setOrDelete(s.target.instances, step.Name, step.New)
+		s.target.unreleased[step.Name] = true
 	}
-	if i == nil {
-		if to == nil { // it has gone meanwhile
-			s.note(m, true)
-			return
+	for name := range s.target.unreleased {
+		if s.releasedState(name).Equal(s.target.instances[name]) {
+			delete(s.target.unreleased, name)
 		}
-		i = &instance{name: m.name}
-		s.inst[m.name] = i
-		s.join(i, to.Agent)
 	}
-	s.uncount(i)
-	i.member, i.prior = m, i.want
-	// One that was told to end and is wanted again may already be on its way out: it goes the whole way round.
-	i.disturbed = i.disturbed || to != nil && to.NeedsRestart(i.want) && i.joined
-	i.want, i.rev, i.ed = to, m.r.rev, s.edition
-	i.digest = ""
-	if to != nil {
-		i.digest = to.Start.Digest()
+}
+
+// activeRollout returns the active rollout, which must be that of the record's revision.
+func (s *State) activeRollout(r *Record) (*rollout, error) {
+	active := s.rollouts.active
+	if active == nil || active.revision != r.Revision {
+		return nil, recordErrorf(r, "rollout %d is not the active one", r.Revision)
 	}
-	i.agent.assign(i.name)
-	s.weigh(i)
+	return active, nil
 }
 
-// note takes in that a member is, or is not, as it should be.
-func (s *State) note(m *member, ok bool) {
-	r := m.r
-	if !m.released {
-		if i := s.inst[m.name]; i != nil {
-			if i.isFree() {
-				r.urgent[m.name] = true
-			} else {
-				delete(r.urgent, m.name)
+func (s *State) applyRolloutStarted(r *Record) error {
+	queued := s.rollouts.queued
+	if s.rollouts.active != nil || len(queued) == 0 || queued[0].revision != r.Revision {
+		return recordErrorf(r, "rollout %d is not next", r.Revision)
+	}
+	active := queued[0]
+	s.rollouts.queued = queued[1:]
+	s.rollouts.active = active
+	s.retarget(active)
+	active.phase = Active
+	active.waves = r.Waves
+	for wave, names := range active.waves {
+		for _, name := range names {
+			m := &rolloutMember{rollout: active, name: name, wave: wave}
+			active.members[name] = m
+			if i := s.instances[name]; i != nil {
+				i.member = m
 			}
 		}
-		return
 	}
-	if m.failed != "" || m.wave > r.wave {
-		m.ok = ok
-		return
-	}
-	if i := s.inst[m.name]; i != nil && !ok && i.known && i.agent.changed[i.name] == 0 { // it speaks of this change
-		switch {
-		case i.want != nil && i.seen.RejectedEdition != 0 && i.seen.RejectedEdition == s.target(i):
-			r.suspect[m.name] = "turned down by the broker: " + i.seen.Error
-		case i.seen.Flapping:
-			r.suspect[m.name] = fmt.Sprintf("crashed %d times: %s", i.seen.Crashes, i.seen.Error)
-		}
+	s.indexOutOfService(active)
+	s.startWave(active, 0)
+	return nil
+}
+
+func (s *State) applyWaveFinished(r *Record) error {
+	active, err := s.activeRollout(r)
+	if err != nil {
+		return err
 	}
-	if ok == m.ok {
+	s.startWave(active, active.wave.index+1)
+	return nil
+}
+
+// startWave begins a wave. Some of its members may have been released ahead of it, because they were out of service.
+func (s *State) startWave(r *rollout, index int) {
+	r.wave = waveProgress{
+		index:         index,
+		nonconforming: map[string]*rolloutMember{},
+		suspects:      map[string]string{},
+	}
+	if index >= len(r.waves) {
 		return
 	}
-	m.ok = ok
-	if m.wave < r.wave { // its wave is over; that it fails later counts all the same, see above
-		if ok {
-			delete(r.suspect, m.name)
+	for _, name := range r.waves[index] {
+		switch m := r.members[name]; {
+		case !m.released:
+			r.wave.unreleased = append(r.wave.unreleased, name)
+		case m.failure != "":
+			r.wave.failed++
+		case m.conforming:
+			r.wave.conforming++
+		default:
+			m.progress = startedAt(s.now)
+			r.wave.nonconforming[name] = m
+			s.suspectFailure(m)
 		}
-		return
-	}
-	if ok {
-		r.fine++
-		delete(r.wanting, m.name)
-		delete(r.suspect, m.name)
-		return
 	}
-	r.fine--
-	r.okSince = -1
-	m.at = s.now
-	r.wanting[m.name] = m
 }
 
-// Step says what has become due by now, as records. The caller writes and applies them, in order, and asks again until
-// there are none. Where one cannot be written, nothing has happened and the next Step says so again.
-func (s *State) Step(now int64) []*Record {
-	s.now = max(s.now, now)
-	s.hush()
-	if out := s.ended(); len(out) > 0 {
-		return out
-	}
-	a := s.active
-	if a == nil {
-		if len(s.queue) == 0 {
+func (s *State) applyPhaseChanged(r *Record) error {
+	active := s.rollouts.active
+	if active == nil || active.revision != r.Revision {
+		if queued := s.rollouts.queuedIndex(r.Revision); queued >= 0 && r.Phase == Aborted {
+			s.abortQueued(queued, r.Reason)
 			return nil
 		}
-		q := s.queue[0]
-		return []*Record{{Kind: RecordRolloutStarted, Revision: q.rev, Waves: Waves(s.changesFor(q), &q.strategy)}}
-	}
-	if a.phase != Active {
-		return nil
-	}
-	if out := s.failures(); len(out) > 0 {
-		return out
-	}
-	if budget := a.strategy.FailureBudget.Of(len(a.members)); a.failures > budget {
-		reason := fmt.Sprintf("%d of %d instances failed, more than %d", a.failures, len(a.members), budget)
-		if a.strategy.OnFailure == "rollback" {
-			if r, err := s.rollback(a.rev-1, a.strategy, false); err == nil && r != nil {
-				r.Note, r.Author = reason, "rollout"
-				return []*Record{r}
-			}
-		}
-		return []*Record{{Kind: RecordPhaseChanged, Revision: a.rev, Phase: Paused, Reason: reason}}
 	}
-	if a.wave >= len(a.waves) {
-		return []*Record{{Kind: RecordPhaseChanged, Revision: a.rev, Phase: Done}}
-	}
-	if r := s.releases(); r != nil {
-		return []*Record{r}
-	}
-	if len(a.pending) == 0 && a.fine+a.lost >= len(a.waves[a.wave]) {
-		if a.okSince < 0 {
-			a.okSince = s.now
-		}
-		if s.now-a.okSince >= a.strategy.SoakTime {
-			return []*Record{{Kind: RecordWaveFinished, Revision: a.rev}}
-		}
+	active, err := s.activeRollout(r)
+	if err != nil {
+		return err
+	}
+	switch r.Phase {
+	case Paused:
+		active.phase = Paused
+		active.reason = r.Reason
+	case Active:
+		active.phase = Active
+		active.reason = r.Reason
+		s.retryFailed(active)
+	case Done, Aborted:
+		s.finishActive(r.Phase, r.Reason)
 	}
 	return nil
 }
 
-// ended finds instances that their agents have let go.
-func (s *State) ended() (out []*Record) {
-	for _, name := range slices.Sorted(maps.Keys(s.gone)) {
-		i := s.gone[name]
-		kind := RecordInstanceHandedOver
-		if i.want == nil {
-			kind = RecordInstanceRemoved
+// retryFailed gives the failed members of a resumed rollout another chance.
+func (s *State) retryFailed(r *rollout) {
+	for _, m := range r.members {
+		if m.failure == "" {
+			continue
 		}
-		out = append(out, &Record{Kind: kind, Instances: []string{name}})
-	}
-	return out
-}
-
-// failures finds members of the wave that have failed.
-func (s *State) failures() (out []*Record) {
-	a := s.active
-	for _, name := range slices.Sorted(maps.Keys(a.suspect)) {
-		out = append(out, &Record{Kind: RecordInstanceFailed, Revision: a.rev, Instances: []string{name}, Reason: a.suspect[name]})
-	}
-	if len(out) > 0 {
-		return out
-	}
-	var late []string
-	for name, m := range a.wanting {
-		if m.at < 0 {
-			m.at = s.now // the manager has just come back: its time starts anew
+		m.failure = ""
+		m.conforming = false
+		m.progress = startedAt(s.now)
+		if m.wave == r.wave.index {
+			r.wave.failed--
+			r.wave.nonconforming[m.name] = m
 		}
-		if s.now-m.at >= a.strategy.ProgressDeadline {
-			late = append(late, name)
+		if i := s.instances[m.name]; i != nil {
+			s.reindex(i)
 		}
 	}
-	slices.Sort(late)
-	for _, name := range late {
-		out = append(out, &Record{Kind: RecordInstanceFailed, Revision: a.rev, Instances: []string{name}, Reason: "not current in time: " + s.why(s.inst[name])})
-	}
-	return out
+	r.failures = 0
+	r.wave.soak = timer{}
 }
 
-// releases picks what of the wave may change now: what takes nothing out of service, what is out of service
-// anyway, and beyond that as many as the bound leaves. Where the bound leaves none, what is out of service in
-// later waves is let through ahead of them: its change may well be what mends it, and without it nothing would move.
-func (s *State) releases() *Record {
-	a := s.active
-	a.blocked = ""
-	out, of := s.Unavailable()
-	most := max(a.strategy.MaxUnavailable.Of(of), 1)
-	var list, later []string
-	for _, name := range slices.Sorted(maps.Keys(a.urgent)) {
-		if a.members[name].wave != a.wave {
-			later = append(later, name)
-		} else if len(list) < s.lim.MaxReleases {
-			list = append(list, name)
-		}
-	}
-	for _, name := range a.pending {
-		if len(list) >= s.lim.MaxReleases {
-			break
-		}
-		if a.urgent[name] {
+// finishActive ends the active rollout.
+func (s *State) finishActive(phase Phase, reason string) {
+	active := s.rollouts.active
+	active.phase = phase
+	active.reason = reason
+	active.blocked = ""
+	for name, m := range active.members {
+		i := s.instances[name]
+		if i == nil || i.member != m {
 			continue
 		}
-		i, to := s.inst[name], s.base[name]
-		if i != nil && i.counted && to != nil && to.NeedsRestart(i.want) {
-			if !i.isExposed() {
-				out++
-			}
-			if out > most {
-				a.blocked = fmt.Sprintf("%d of %d instances are unavailable or would be, at most %d may", out, of, most)
-				break
-			}
+		i.member = nil
+		if phase == Done {
+			i.availability.hasServed = true
 		}
-		list = append(list, name)
-	}
-	if len(list) == 0 && a.blocked != "" && len(a.wanting) == 0 && len(later) > 0 {
-		list = later[:min(len(later), s.lim.MaxReleases)]
 	}
-	if len(list) == 0 {
-		return nil
+	s.rollouts.active = nil
+	s.rollouts.finished = append(s.rollouts.finished, active)
+	if len(s.rollouts.finished) > s.limits.MaxRevisions {
+		s.rollouts.finished = s.rollouts.finished[1:]
 	}
-	return &Record{Kind: RecordInstancesReleased, Revision: a.rev, Instances: list}
 }
 
-// rollback is the record that brings the fleet back to an earlier revision, or nil where nothing would change.
-func (s *State) rollback(to uint64, st Strategy, withNodes bool) (*Record, error) {
-	old, nodes, err := s.FleetAt(to)
-	if err != nil {
-		return nil, err
-	}
-	st.OnFailure = "pause" // a way back that fails must not lead forward again by itself
-	r := &Record{Kind: RecordRevisionCreated, Revision: s.rev + 1, Strategy: &st, IsRollback: true, RollbackTo: to}
-	for _, c := range spec.Diff(s.head, old) {
-		r.Changes = append(r.Changes, InstanceChange{c.Name, c.New})
-	}
-	if withNodes && !slices.Equal(nodes, s.nodes) {
-		r.Nodes, r.WithNodes = nodes, true
+// abortQueued aborts a queued rollout. Its revision stays part of the newest one, so that the next rollout makes its
+// changes.
+func (s *State) abortQueued(index int, reason string) {
+	q := s.rollouts.queued[index]
+	s.rollouts.queued = slices.Delete(s.rollouts.queued, index, index+1)
+	q.phase = Aborted
+	q.reason = reason
+	s.retarget(q)
+	s.rollouts.finished = append(s.rollouts.finished, q)
+}
+
+// abortAllRollouts ends the active and the queued rollouts. The changes of the queued ones become part of the target, so
+// that those of a rollback are compared with what is released.
+func (s *State) abortAllRollouts(reason string) {
+	if s.rollouts.active != nil {
+		s.finishActive(Aborted, reason)
 	}
-	if len(r.Changes) == 0 && !r.WithNodes && s.active == nil && len(s.queue) == 0 && len(s.behind) == 0 {
-		return nil, nil
+	for len(s.rollouts.queued) > 0 {
+		s.abortQueued(0, reason)
 	}
-	return r, nil
 }
--- a/internal/fleet/state/rollout_test.go
+++ b/internal/fleet/state/rollout_test.go
@@ -62,8 +62,8 @@
 		}
 		_, version := p.s.Assignments("a", 0)
 		var reports []Report
-		for name, i := range p.s.agents["a"].insts {
-			r := Report{Name: name, Process: Running, Incarnation: "b-" + name + i.digest, AppliedEdition: p.s.target(i), StartDigest: i.digest, Healthy: true}
+		for name, i := range p.s.agents.byName["a"].instances {
+			r := Report{Name: name, Process: Running, Incarnation: "b-" + name + i.release.startDigest, AppliedEdition: p.s.targetEdition(i), StartDigest: i.release.startDigest, Healthy: true}
 			if why, ok := p.sick[name]; ok {
 				r = Report{Name: name, Process: Backoff, Error: "killed", Flapping: why == "flaps", Crashes: 3}
 			}
@@ -90,7 +90,7 @@
 		}
 		st.FailureBudget = CountOrPercent{Count: budget}
 		p.apply(8, 96, st)
-		wave := Waves(p.s.changesFor(p.s.queue[0]), &st)[0]
+		wave := Waves(p.s.changesFor(p.s.rollouts.queued[0], nil), &st)[0]
 		p.sick[wave[1]], p.sick[wave[2]] = "", ""
 		p.run(60_000_000)
 		r := p.s.Rollouts(1)[0]
@@ -111,8 +111,8 @@
 	p.apply(4, 64, st)
 	p.run(30_000_000)
 	p.apply(4, 96, st)
-	first := Waves(p.s.changesFor(p.s.queue[0]), &st)[0][0]
-	for p.s.active == nil || p.s.active.wave < 1 {
+	first := Waves(p.s.changesFor(p.s.rollouts.queued[0], nil), &st)[0][0]
+	for p.s.rollouts.active == nil || p.s.rollouts.active.wave.index < 1 {
 		p.run(100_000)
 	}
 	p.sick[first] = "flaps"
@@ -132,30 +132,30 @@
 	if !p.s.Settled() {
 		t.Fatal("never settled")
 	}
-	i := p.s.inst["n0"]
-	good := i.seen
+	i := p.s.instances["n0"]
+	good := i.observed.report
 	old := good
 	old.Incarnation, old.AppliedEdition, old.Healthy = "b-old", 1, false
-	if err := p.s.Observe(&AgentSync{Agent: "a", Token: p.tok, Sequence: p.seq - 1, AssignmentVersion: p.s.agents["a"].version, Full: true, Reports: []Report{old}}, p.now); err != nil {
+	if err := p.s.Observe(&AgentSync{Agent: "a", Token: p.tok, Sequence: p.seq - 1, AssignmentVersion: p.s.agents.byName["a"].assignments.newest, Full: true, Reports: []Report{old}}, p.now); err != nil {
 		t.Fatal(err)
 	}
-	if i.seen != good || !p.s.current(i) {
-		t.Fatalf("an old call was believed: %+v", i.seen)
+	if i.observed.report != good || !p.s.isCurrent(i) {
+		t.Fatalf("an old call was believed: %+v", i.observed.report)
 	}
 	// It is told to stop, to run and to stop again before it has heard of any of it. It is stopped by chance when it calls, and may just be
 	// starting: only once it says that it works by the last word does being stopped mean that it is as wanted.
-	a := p.s.agents["a"]
-	have := a.version
+	a := p.s.agents.byName["a"]
+	have := a.assignments.newest
 	for _, on := range []bool{false, true, false} {
-		want := *i.want
+		want := *i.release.desired
 		want.Enabled = on
-		r, _, err := p.s.Propose(&Command{ID: fmt.Sprint("x", p.s.rev)}, &spec.Spec{Instances: map[string]*spec.Instance{"n0": &want}}, st, p.now)
+		r, _, err := p.s.Propose(&Command{ID: fmt.Sprint("x", p.s.desired.revision)}, &spec.Spec{Instances: map[string]*spec.Instance{"n0": &want}}, st, p.now)
 		if err != nil {
 			t.Fatal(err)
 		}
 		p.put(r)
-		if p.s.active != nil {
-			r, err := p.s.SetRolloutPhase(&Command{ID: fmt.Sprint("y", p.s.rev)}, 0, Aborted, p.now)
+		if p.s.rollouts.active != nil {
+			r, err := p.s.SetRolloutPhase(&Command{ID: fmt.Sprint("y", p.s.desired.revision)}, 0, Aborted, p.now)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -172,14 +172,14 @@
 	if err := p.s.Observe(&AgentSync{Agent: "a", Token: p.tok, Sequence: p.seq, AssignmentVersion: have, Full: true, Reports: []Report{stopped}}, p.now); err != nil {
 		t.Fatal(err)
 	}
-	if p.s.current(i) || p.s.Settled() {
+	if p.s.isCurrent(i) || p.s.Settled() {
 		t.Error("stopped before it was told counts as stopped")
 	}
 	p.seq++
-	if err := p.s.Observe(&AgentSync{Agent: "a", Token: p.tok, Sequence: p.seq, AssignmentVersion: a.version, Full: true, Reports: []Report{stopped}}, p.now); err != nil {
+	if err := p.s.Observe(&AgentSync{Agent: "a", Token: p.tok, Sequence: p.seq, AssignmentVersion: a.assignments.newest, Full: true, Reports: []Report{stopped}}, p.now); err != nil {
 		t.Fatal(err)
 	}
-	if !p.s.current(i) {
-		t.Errorf("stopped as told is not current: %s", p.s.why(i))
+	if !p.s.isCurrent(i) {
+		t.Errorf("stopped as told is not current: %s", p.s.whyNotCurrent(i))
 	}
 }
--- a/internal/fleet/state/state.go
+++ b/internal/fleet/state/state.go
@@ -1,145 +1,157 @@
+// Package state is the state machine of a fleet's manager. It holds the desired state in numbered revisions, the
+// observed state that agents report, and the rollouts that bring one to the other, and decides what is due next.
+//
+// The package does no I/O, starts no goroutine and reads no clock. Its inputs are commands (Propose, Rollback, SetNodes
+// and others), agents' calls (Observe) and the time (Step); the time is Unix time in microseconds and never goes back.
+// Its outputs are Records, assignments and statuses. A Record takes effect only when the caller has stored it and calls
+// Apply; where storing fails nothing has happened, and Step returns the same record again. What agents report is not
+// stored: they report it again after a restart of the manager.
 package state
 
 import (
 	"container/list"
-	"fmt"
 
 	"poppyarch/internal/fleet/spec"
+	"poppyarch/internal/timing/clock"
 )
 
-// State is the whole of it. Not safe for use by several goroutines.
-type State struct {
-	lim Limits
-	now int64 // the last time that came in
+// Limits bounds the state.
+type Limits struct {
+	MaxRevisions int          // kept for rollback
+	MaxCommands  int          // whose results are kept, to recognize repeated ones
+	AgentTimeout clock.Micros // an agent without a call for so long is silent: the state of its instances is unknown
+	MaxReleases  int          // instances in one record
+}
 
-	// What is wanted.
-	fleet     string
-	edition   uint64                    // records applied so far
-	rev       uint64                    // newest revision
-	head      map[string]*spec.Instance // as the newest revision wants it
-	base      map[string]*spec.Instance // as the rollout begun last wants it
-	behind    map[string]bool           // where what is released differs from base
-	configs   map[string]string
-	revisions []*Revision
-	nodes     []spec.NodeOverride // operators' changes, by id
-	nodesRev  uint64
-	nodesEd   uint64 // edition of the last node change
+// DefaultLimits returns limits that suit agents which call at least once a second.
+func DefaultLimits() Limits {
+	return Limits{
+		MaxRevisions: 500,
+		MaxCommands:  4096,
+		AgentTimeout: 5_000_000,
+		MaxReleases:  256,
+	}
+}
 
-	// Who carries it out.
-	token  uint64
-	agents map[string]*agent
-	heard  *list.List // of *agent, the longest silent first
-	inst   map[string]*instance
-	gone   map[string]*instance // that their agents have let go, and that are not theirs any more
+// State is the state of one fleet. It is not safe for concurrent use.
+type State struct {
+	limits   Limits
+	now      clock.Micros // the latest time that was passed in
+	fleetID  string
+	edition  uint64 // records applied so far
+	desired  desiredState
+	target   rolloutTarget
+	agents   agentRegistry
+	rollouts rolloutList
+	commands commandResults
 
-	// How it gets there.
-	active *rollout
-	queue  []*rollout
-	past   []*rollout
+	instances map[string]*instance // released, by name
+	departed  map[string]*instance // of these, ended at an agent that they do not belong to any more
+}
 
-	commands map[string]Result
-	order    []string // of commands, oldest first
+// desiredState is the fleet as the newest revision defines it, and how it came about.
+type desiredState struct {
+	revision  uint64 // the newest
+	instances map[string]*spec.Instance
+	configs   map[string]string // configuration texts by digest
+	history   []*Revision       // the kept revisions, oldest first
+	nodes     nodeOverrides
 }
 
-// Revision is one step of what is wanted.
-type Revision struct {
-	Number     uint64              `json:"rev"`
-	At         int64               `json:"at"`
-	Author     string              `json:"by,omitempty"`
-	Note       string              `json:"note,omitempty"`
-	CommandID  string              `json:"command,omitempty"`
-	IsRollback bool                `json:"back,omitempty"` // a rollback to revision From
-	RollbackTo uint64              `json:"from,omitempty"`
-	Changes    []Step              `json:"changes,omitempty"`
-	Nodes      []spec.NodeOverride `json:"nodes,omitempty"` // as they are from this revision on
+// nodeOverrides are the operators' overrides of storage nodes, sorted by ID.
+type nodeOverrides struct {
+	list     []spec.NodeOverride
+	revision uint64 // that set them
+	edition  uint64 // of the record that set them
 }
 
-// Step is one instance's part in a revision.
-type Step struct {
-	Name string         `json:"name"`
-	Old  *spec.Instance `json:"old"`
-	New  *spec.Instance `json:"new"`
+// rolloutTarget is the fleet as the rollout that was started last defines it.
+type rolloutTarget struct {
+	instances  map[string]*spec.Instance
+	unreleased map[string]bool // names of instances whose released state differs from the target
 }
 
-// New returns an empty fleet.
-func New(lim Limits) *State {
-	return &State{lim: lim, head: map[string]*spec.Instance{}, base: map[string]*spec.Instance{}, behind: map[string]bool{},
-		configs: map[string]string{}, agents: map[string]*agent{}, heard: list.New(), inst: map[string]*instance{}, gone: map[string]*instance{},
-		commands: map[string]Result{}}
+// New returns the state of an empty fleet.
+func New(limits Limits) *State {
+	return &State{
+		limits: limits,
+		desired: desiredState{
+			instances: map[string]*spec.Instance{},
+			configs:   map[string]string{},
+		},
+		target: rolloutTarget{
+			instances:  map[string]*spec.Instance{},
+			unreleased: map[string]bool{},
+		},
+		agents: agentRegistry{
+			byName:     map[string]*agent{},
+			byLastCall: list.New(),
+		},
+		commands: commandResults{
+			byID: map[string]Result{},
+		},
+		instances: map[string]*instance{},
+		departed:  map[string]*instance{},
+	}
 }
 
-// Apply takes in a record that is on disk. Records of one journal come in their order; one that does not fit is an
-// error, and then the state is not to be used further.
+// FleetID identifies the history that this state is of. It is empty before the first record.
+func (s *State) FleetID() string { return s.fleetID }
+
+// Edition counts the records applied so far. It only rises as long as no history is lost.
+func (s *State) Edition() uint64 { return s.edition }
+
+// Apply applies a stored record. The records of a journal are applied in their order. After an error, which is a
+// *RecordError, the state must not be used any more.
 func (s *State) Apply(r *Record) error {
 	s.edition++
-	switch r.Kind {
-	case RecordFleetCreated:
-		s.fleet = r.FleetID
-	case RecordAgentRegistered:
-		s.applyAgent(r)
-	case RecordRevisionCreated:
-		if err := s.applyRevision(r); err != nil {
-			return err
-		}
-	case RecordNodeOverridesSet:
-		if r.Revision != s.rev+1 {
-			return fmt.Errorf("record nodes: revision %d after %d", r.Revision, s.rev)
-		}
-		s.rev, s.nodes, s.nodesRev, s.nodesEd = r.Revision, r.Nodes, r.Revision, s.edition
-		s.remember(&Revision{Number: r.Revision, At: r.At, Author: r.Author, Note: r.Note, CommandID: r.CommandID, Nodes: r.Nodes})
-		s.retarget()
-	case RecordAgentRetired:
-		if err := s.applyRetire(r); err != nil {
-			return err
-		}
-	case RecordInstanceHandedOver, RecordInstanceRemoved:
-		if len(r.Instances) != 1 || s.inst[r.Instances[0]] == nil {
-			return fmt.Errorf("record %s: no such instance %q", r.Kind, r.Instances)
-		}
-		i := s.inst[r.Instances[0]]
-		s.leave(i)
-		if r.Kind == RecordInstanceRemoved {
-			if m := i.member; m != nil {
-				s.note(m, true)
-			}
-			delete(s.inst, i.name)
-		} else {
-			s.join(i, i.want.Agent)
-			s.weigh(i)
-		}
-	default:
-		if err := s.applyRollout(r); err != nil {
-			return err
-		}
+	if err := s.apply(r); err != nil {
+		return err
 	}
 	if r.CommandID != "" {
-		s.recall(r.CommandID, Result{Revision: r.Revision, Rollout: s.rolloutOf(r)})
+		s.commands.add(r.CommandID, resultOf(r), s.limits.MaxCommands)
 	}
 	return nil
 }
 
-func (s *State) rolloutOf(r *Record) uint64 {
-	if r.Kind == RecordNodeOverridesSet {
-		return 0
+func (s *State) apply(r *Record) error {
+	switch r.Kind {
+	case RecordFleetCreated:
+		s.fleetID = r.FleetID
+		return nil
+	case RecordAgentRegistered:
+		s.applyAgentRegistered(r)
+		return nil
+	case RecordAgentRetired:
+		return s.applyAgentRetired(r)
+	case RecordRevisionCreated:
+		return s.applyRevisionCreated(r)
+	case RecordNodeOverridesSet:
+		return s.applyNodeOverridesSet(r)
+	case RecordInstanceHandedOver:
+		return s.applyInstanceHandedOver(r)
+	case RecordInstanceRemoved:
+		return s.applyInstanceRemoved(r)
+	case RecordRolloutStarted:
+		return s.applyRolloutStarted(r)
+	case RecordInstancesReleased:
+		return s.applyInstancesReleased(r)
+	case RecordInstanceFailed:
+		return s.applyInstanceFailed(r)
+	case RecordWaveFinished:
+		return s.applyWaveFinished(r)
+	case RecordPhaseChanged:
+		return s.applyPhaseChanged(r)
 	}
-	return r.Revision
+	return recordErrorf(r, "unknown kind")
 }
 
-// recall remembers a command's result.
-func (s *State) recall(id string, res Result) {
-	if _, ok := s.commands[id]; ok {
-		return
+// FinishReplay ends the replay of a journal. No agent has reported yet, so every instance counts as one that has served
+// and is out of service until its agent says otherwise: an instance that served before the manager's restart must not be
+// taken for a new one, even where it has been told to end since.
+func (s *State) FinishReplay() {
+	for _, i := range s.instances {
+		i.availability.hasServed = true
+		s.reindex(i)
 	}
-	s.commands[id] = res
-	if s.order = append(s.order, id); len(s.order) > s.lim.MaxCommands {
-		delete(s.commands, s.order[0])
-		s.order = s.order[1:]
-	}
-}
-
-// CommandResult returns the result of a command that has been carried out.
-func (s *State) CommandResult(command string) (Result, bool) {
-	r, ok := s.commands[command]
-	r.Repeated = ok
-	return r, ok && command != ""
 }
