--- a/internal/broker/settings/settings_test.go
+++ b/internal/broker/settings/settings_test.go
@@ -7,11 +7,11 @@
 	"poppyarch/internal/broker/decision"
 )
 
-const good = `{"balancers":3,"discovery":"push","classes":[{"name":"a","aim_ns":1000,"give_up_ns":2000,"importance":1,"repeat":"dedup",
+const validSettings = `{"balancers":3,"discovery":"push","classes":[{"name":"a","aim_ns":1000,"give_up_ns":2000,"importance":1,"repeat":"dedup",
  "group":"cell","dedup_window_ns":900}],"contract":{"cold_from":0.2},"policies":[{"name":"p","shares":2,"never_over":0}],"specifics":{"cold_bears":13}}`
 
-func TestParse(t *testing.T) {
-	c, err := Parse(good, 7)
+func TestParseMapsPlatformNames(t *testing.T) {
+	c, err := Parse(validSettings, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -21,8 +21,7 @@
 	}
 }
 
-// What cannot be is an error that names the setting as the platform writes it.
-func TestFaultySettingsAreNamed(t *testing.T) {
+func TestInvalidSettingIsNamedByItsPath(t *testing.T) {
 	for _, x := range []struct{ from, to, err string }{
 		{`"push"`, `"pull"`, `settings.discovery: "pull" is neither ask nor push`},
 		{`"dedup"`, `"often"`, `settings.classes[0].repeat: unknown kind "often"`},
@@ -33,8 +32,8 @@
 		{`"balancers":3`, `"balancers":-3`, "settings.balancers: -3 is negative"},
 		{`"balancers":3`, `"balancers":"x"`, "balancers"},
 	} {
-		text := strings.Replace(good, x.from, x.to, 1)
-		if _, err := Parse(text, 7); text == good || err == nil || !strings.Contains(err.Error(), x.err) {
+		text := strings.Replace(validSettings, x.from, x.to, 1)
+		if _, err := Parse(text, 7); text == validSettings || err == nil || !strings.Contains(err.Error(), x.err) {
 			t.Errorf("%s: %v", x.to, err)
 		}
 	}
