--- a/cmd/poppyarch/fleet_output.go
+++ b/cmd/poppyarch/fleet_output.go
@@ -161,7 +161,7 @@
 	for _, revision := range history.Revisions {
 		when := "-"
 		if revision.At > 0 {
-			when = time.UnixMicro(revision.At).UTC().Format(time.RFC3339)
+			when = time.UnixMicro(int64(revision.At)).UTC().Format(time.RFC3339)
 		}
 		t.Printf("%d\t%s\t%s\t%s\t%s\n", revision.Number, when, dash(revision.Author), describeRevision(&revision), revision.Note)
 	}
--- a/cmd/poppyarch/incident.go
+++ b/cmd/poppyarch/incident.go
@@ -17,6 +17,7 @@
 	"poppyarch/internal/observability/incident/collect"
 	"poppyarch/internal/observability/incident/report"
 	"poppyarch/internal/textoutput"
+	"poppyarch/internal/timing/clock"
 )
 
 // incidentFlags are the flags that all incident commands share.
@@ -231,10 +232,10 @@
 	options := incident.DefaultOptions()
 	options.SlowFactor = f.slow
 	options.SurgeFactor = f.surge
-	options.NotificationTime = f.notice.Microseconds()
-	options.MaxClockSkew = f.clocks.Microseconds()
+	options.NotificationTime = clock.FromDuration(f.notice)
+	options.MaxClockSkew = clock.FromDuration(f.clocks)
 	if !f.ended {
-		options.Now = time.Now().UnixMicro()
+		options.Now = clock.Micros(time.Now().UnixMicro())
 	}
 	return options
 }
@@ -260,22 +261,21 @@
 	return collect.Bytes(segment)
 }
 
-// parseMoment returns Unix time in microseconds. The text is RFC 3339, a time of the day on which dayMicros lies, or
-// empty, which means the default.
-func parseMoment(text string, dayMicros, defaultMicros int64) (int64, error) {
+// parseMoment returns a time. The text is RFC 3339, a time of the day on which onDay lies, or empty, which means the default.
+func parseMoment(text string, onDay, byDefault clock.Micros) (clock.Micros, error) {
 	if text == "" {
-		return defaultMicros, nil
+		return byDefault, nil
 	}
 	if t, err := time.Parse(time.RFC3339Nano, text); err == nil {
-		return t.UnixMicro(), nil
+		return clock.Micros(t.UnixMicro()), nil
 	}
 	t, err := time.Parse("15:04:05.999999", text)
 	if err != nil {
 		return 0, fmt.Errorf("%q is neither RFC 3339 nor HH:MM:SS", text)
 	}
-	day := time.UnixMicro(dayMicros).UTC()
+	day := time.UnixMicro(int64(onDay)).UTC()
 	moment := time.Date(day.Year(), day.Month(), day.Day(), t.Hour(), t.Minute(), t.Second(), t.Nanosecond(), time.UTC)
-	return moment.UnixMicro(), nil
+	return clock.Micros(moment.UnixMicro()), nil
 }
 
 // copySegments copies all segments under the folders. Files of one name from different folders get numbers before it.
--- a/cmd/poppyarch/output.go
+++ b/cmd/poppyarch/output.go
@@ -4,6 +4,8 @@
 	"encoding/json"
 	"io"
 	"time"
+
+	"poppyarch/internal/timing/clock"
 )
 
 // printJSON writes a value for scripts.
@@ -22,9 +24,9 @@
 }
 
 // formatAge returns the age of a figure; a negative one means that there is no figure yet.
-func formatAge(micros int64) string {
-	if micros < 0 {
+func formatAge(age clock.Micros) string {
+	if age < 0 {
 		return "never"
 	}
-	return (time.Duration(micros) * time.Microsecond).Round(100 * time.Millisecond).String()
+	return clock.Duration(age).Round(100 * time.Millisecond).String()
 }
--- a/internal/broker/config/config_test.go
+++ b/internal/broker/config/config_test.go
@@ -6,6 +6,8 @@
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"poppyarch/internal/timing/clock"
 )
 
 func noEnv(string) string { return "" }
@@ -175,7 +177,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Policy.HandshakeCost != 0.08 || c.Policy.ConnectionReuseWindow.Microseconds() != c.Limits.NodeReuseWindow || c.Policy.ConnectionReuseWindow <= 0 {
+	if c.Policy.HandshakeCost != 0.08 || clock.FromDuration(c.Policy.ConnectionReuseWindow) != c.Limits.NodeReuseWindow || c.Policy.ConnectionReuseWindow <= 0 {
 		t.Errorf("handshake cost %v, reuse window %v, of the pool %d µs", c.Policy.HandshakeCost, c.Policy.ConnectionReuseWindow, c.Limits.NodeReuseWindow)
 	}
 	_, err = Parse([]byte(strings.Replace(validConfig, `"settings":`, `"tuning":{"list_told":0},"settings":`, 1)), noEnv)
--- a/internal/fleet/settings/settings.go
+++ b/internal/fleet/settings/settings.go
@@ -15,6 +15,7 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"poppyarch/internal/fleet/state"
+	"poppyarch/internal/timing/clock"
 	"poppyarch/internal/tomlerror"
 )
 
@@ -35,7 +36,7 @@
 }
 
 // Micros is the duration in microseconds.
-func (d Duration) Micros() int64 { return time.Duration(d).Microseconds() }
+func (d Duration) Micros() clock.Micros { return clock.FromDuration(time.Duration(d)) }
 
 // File is the whole of it. All parts have defaults; each command uses its own.
 type File struct {
@@ -95,7 +96,7 @@
 func Default(dir string) File {
 	d := state.DefaultStrategy()
 	listen := "127.0.0.1:7700"
-	us := func(v int64) Duration { return Duration(time.Duration(v) * time.Microsecond) }
+	us := func(v clock.Micros) Duration { return Duration(clock.Duration(v)) }
 	return File{
 		Manager: Manager{Listen: listen, JournalDir: filepath.Join(dir, "manager"), AgentTimeout: us(state.DefaultLimits().AgentTimeout),
 			MaxRevisions: state.DefaultLimits().MaxRevisions},
--- a/internal/fleet/settings/settings_test.go
+++ b/internal/fleet/settings/settings_test.go
@@ -6,6 +6,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"poppyarch/internal/timing/clock"
 )
 
 func TestLoad(t *testing.T) {
@@ -26,7 +28,7 @@
 		}
 		f, err := Load(path, "/base")
 		if x.want == "" {
-			if err != nil || f.Strategy.RolloutStrategy().SoakTime != (2*time.Second).Microseconds() || f.Strategy.Batch.Of(50) != 5 ||
+			if err != nil || f.Strategy.RolloutStrategy().SoakTime != clock.FromDuration(2*time.Second) || f.Strategy.Batch.Of(50) != 5 ||
 				f.Agent.RunDir != filepath.Join(dir, "run") || f.Manager.JournalDir != "/base/manager" {
 				t.Errorf("%v %+v", err, f)
 			}
--- a/internal/fleet/state/bench_test.go
+++ b/internal/fleet/state/bench_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"poppyarch/internal/fleet/spec"
+	"poppyarch/internal/timing/clock"
 )
 
 // emulate is a settled fleet of n instances, fifty to an agent, with a report of each.
@@ -33,7 +34,7 @@
 		tb.Fatal(err)
 	}
 	put(r)
-	now := int64(1)
+	now := clock.Micros(1)
 	drain := func() {
 		for {
 			list := s.Step(now)
--- a/internal/fleet/state/property_test.go
+++ b/internal/fleet/state/property_test.go
@@ -11,6 +11,7 @@
 	"pgregory.net/rapid"
 
 	"poppyarch/internal/fleet/spec"
+	"poppyarch/internal/timing/clock"
 )
 
 // broker is one process as it really is, whatever the manager believes.
@@ -45,7 +46,7 @@
 	log     []*Record // the journal
 	snap    []byte
 	since   int // records that the snapshot contains
-	now     int64
+	now     clock.Micros
 	hands   map[string]*hand
 	boots   int
 	cmds    int
--- a/internal/fleet/state/rollout_test.go
+++ b/internal/fleet/state/rollout_test.go
@@ -6,6 +6,7 @@
 
 	"poppyarch/internal/fleet/spec"
 	"poppyarch/internal/testkit/fixedseed"
+	"poppyarch/internal/timing/clock"
 )
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
@@ -14,7 +15,7 @@
 type play struct {
 	t    *testing.T
 	s    *State
-	now  int64
+	now  clock.Micros
 	seq  uint64
 	tok  uint64
 	sick map[string]string // brokers that do not come up, and why; "" only that they do not
@@ -52,7 +53,7 @@
 }
 
 // run goes on for so long: whatever is told is done at once, but by the sick.
-func (p *play) run(us int64) {
+func (p *play) run(us clock.Micros) {
 	p.t.Helper()
 	for end := p.now + us; p.now < end; p.now += 100_000 {
 		for list := p.s.Step(p.now); len(list) > 0; list = p.s.Step(p.now) {
--- a/internal/lab/fit/fit_test.go
+++ b/internal/lab/fit/fit_test.go
@@ -14,6 +14,7 @@
 
 	"poppyarch/internal/lab/model"
 	"poppyarch/internal/observability/record"
+	"poppyarch/internal/timing/clock"
 )
 
 // recorded writes what two brokers with clocks of their own would have recorded of n requests, two classes, one node in use by one at a time
@@ -24,23 +25,23 @@
 	lots := rand.New(rand.NewPCG(1, 1))
 	const wall = 1_790_000_000_000_000
 	buf := map[string][]byte{}
-	clocks := map[string]int64{"b1": 5_000_000, "b2": 900_000_000}
+	clocks := map[string]clock.Micros{"b1": 5_000_000, "b2": 900_000_000}
 	for name, began := range clocks {
 		e := record.Event{At: began, Kind: record.KindBoot, Boot: &record.Boot{Name: name, ID: "x", Began: began, Wall: wall, Sample: 1,
 			Classes: []record.Class{{Name: "read", Aim: 400_000, Due: 2_500_000, Worth: 2}, {Name: "new", Aim: 600_000, Due: 5_000_000, Worth: 2}},
 			Plans:   []record.Plan{{Name: "basis", Price: 0.8}, {Name: "unused", Price: 1}, {Name: "express", Price: 1.5}}}}
 		buf[name] = e.Append(nil, began)
 	}
-	at := int64(0)
+	at := clock.Micros(0)
 	for i := range n {
-		at += int64(lots.ExpFloat64() * 100_000)
+		at += clock.Micros(lots.ExpFloat64() * 100_000)
 		name := fmt.Sprint("b", 1+i%2)
 		class, volume, plan := i%4/3, i%6, uint8(0)
 		if volume >= 4 {
 			plan = 2
 		}
 		q := record.Request{Class: uint8(class), Plan: plan, Volume: fmt.Sprint("v", volume), Units: 2, Shard: int64(lots.IntN(3))}
-		took := int64(draw(class))
+		took := clock.Micros(draw(class))
 		q.Tries = []record.Try{{Node: fmt.Sprint("n", q.Shard), Sent: 100, Took: took}}
 		if class == 1 {
 			q.Shard = -1
--- a/internal/observability/console/console_test.go
+++ b/internal/observability/console/console_test.go
@@ -14,6 +14,7 @@
 	"poppyarch/internal/broker/control"
 	"poppyarch/internal/fleet/api"
 	"poppyarch/internal/fleet/state"
+	"poppyarch/internal/timing/clock"
 )
 
 func overview(n int) api.Overview {
@@ -22,7 +23,7 @@
 			Reason: "1 of 9 instances failed, more than 0"}}}
 	for k := range n {
 		name := fmt.Sprintf("n%03d", k)
-		o.Instances = append(o.Instances, state.InstanceStatus{Name: name, Agent: "m1", Enabled: true, Current: k != 1, Available: k != 1, Age: int64(k) * 3_000_000,
+		o.Instances = append(o.Instances, state.InstanceStatus{Name: name, Agent: "m1", Enabled: true, Current: k != 1, Available: k != 1, Age: clock.Micros(k) * 3_000_000,
 			Reason: strings.Repeat("because ", k%20), Report: state.Report{Process: state.Running, Incarnation: "b"}})
 		o.Stats = append(o.Stats, api.BrokerStats{Name: name, Age: 400_000, InFlight: 3, Stats: &control.Stats{Span: 1_000_000,
 			Requests: []control.RequestStats{{Class: "artwork-read", Plan: "express", Served: 100, Late: 2, Rejected: 3, P50: 12_000, P99: 90_000}},
--- a/internal/testkit/cluster/incident_script.go
+++ b/internal/testkit/cluster/incident_script.go
@@ -15,6 +15,7 @@
 	"poppyarch/internal/observability/incident"
 	"poppyarch/internal/observability/incident/check"
 	"poppyarch/internal/testkit/fake"
+	"poppyarch/internal/timing/clock"
 )
 
 // Hang makes a node take requests and answer none, until the returned function is called. Requests that came meanwhile
@@ -75,8 +76,8 @@
 	return script.truths, script.gaps, ctx.Err()
 }
 
-// now is the time in microseconds, as the truths have it.
-func now() int64 { return time.Now().UnixMicro() }
+// now is the wall clock.
+func now() clock.Micros { return clock.Micros(time.Now().UnixMicro()) }
 
 // pause waits for a number of units.
 func (x *incidentScript) pause(units float64) {
@@ -89,7 +90,7 @@
 }
 
 // happened records an episode that ends now.
-func (x *incidentScript) happened(kind incident.Kind, subject string, begin int64) {
+func (x *incidentScript) happened(kind incident.Kind, subject string, begin clock.Micros) {
 	x.truths = append(x.truths, check.Truth{Kind: kind, Subject: subject, Begin: begin, End: now()})
 }
 
@@ -123,7 +124,7 @@
 type killedBroker struct {
 	name    string
 	process process.Identity
-	at      int64 // of the kill
+	at      clock.Micros // of the kill
 }
 
 func (x *incidentScript) kill(name string) (*killedBroker, error) {
--- a/internal/timing/timerwheel/timerwheel_test.go
+++ b/internal/timing/timerwheel/timerwheel_test.go
@@ -102,7 +102,7 @@
 
 // deadline is an entry of a deadlineHeap.
 type deadline struct {
-	at    int64
+	at    clock.Micros
 	index int // in the heap
 }
 
--- a/tools/measure/record.go
+++ b/tools/measure/record.go
@@ -20,6 +20,7 @@
 	"poppyarch/internal/observability/record"
 	"poppyarch/internal/testkit/cluster"
 	"poppyarch/internal/testkit/fake"
+	"poppyarch/internal/timing/clock"
 )
 
 // recordCommand measures what records cost: a broker's CPU for a request without, with sampled and with full recording, and
@@ -160,7 +161,7 @@
 func write(dir string, n int) (size int64, err error) {
 	r := rand.New(rand.NewPCG(1, 2))
 	const brokers = 4
-	start := int64(1_800_000_000_000_000)
+	start := clock.Micros(1_800_000_000_000_000)
 	for b := range brokers {
 		name := fmt.Sprint("n", b)
 		sink, err := record.NewDir(dir, name, fmt.Sprintf("%016x", b+1), 8<<20, 1<<40)
@@ -182,7 +183,7 @@
 		var tries [1]record.Try
 		for k := range n / brokers {
 			at += 2000
-			took := int64(r.ExpFloat64()*20_000) + 10_000
+			took := clock.Micros(r.ExpFloat64()*20_000) + 10_000
 			tries[0] = record.Try{Node: fmt.Sprintf("s-5be2a07%x", r.IntN(14)), Sent: 40, Took: took - 50, Outcome: 0}
 			e := record.Event{At: at, Kind: record.KindRequest, Request: &record.Request{Volume: fmt.Sprintf("%016x", r.IntN(80)), Units: 2, Shard: 3, Took: took, Tries: tries[:]}}
 			buf = e.Append(buf, start)
