--- a/internal/broker/core/trace.go
+++ b/internal/broker/core/trace.go
@@ -26,12 +26,12 @@
 	t.clock = c
 	t.startedAt = c.Now()
 	t.request = record.Request{
-		Class:  uint8(r.Class),
-		Plan:   uint8(r.Plan),
-		Volume: r.Volume,
-		Units:  r.Units,
-		Shard:  int64(r.Shard),
-		Tries:  t.request.Tries[:0],
+		Class:    uint8(r.Class),
+		Plan:     uint8(r.Plan),
+		Volume:   r.Volume,
+		Units:    r.Units,
+		Shard:    int64(r.Shard),
+		Attempts: t.request.Attempts[:0],
 	}
 	return t
 }
@@ -49,34 +49,34 @@
 	if t == nil {
 		return
 	}
-	t.request.Tries = append(t.request.Tries, record.Try{
-		Node:    node,
-		Sent:    startedAt - t.startedAt,
-		Took:    t.clock.Now() - startedAt,
-		Outcome: uint8(outcome),
+	t.request.Attempts = append(t.request.Attempts, record.Attempt{
+		Node:      node,
+		SentAfter: startedAt - t.startedAt,
+		Duration:  t.clock.Now() - startedAt,
+		Outcome:   uint8(outcome),
 	})
 }
 
 // finish records the request. The trace must not be used afterwards.
-func (t *trace) finish(r *record.Recorder, answer record.Answer, retryAfter clock.Micros) {
-	t.request.Answer = answer
-	t.request.Took = t.clock.Now() - t.startedAt
-	t.request.Hint = retryAfter
+func (t *trace) finish(r *record.Recorder, answer record.Result, retryAfter clock.Micros) {
+	t.request.Result = answer
+	t.request.Duration = t.clock.Now() - t.startedAt
+	t.request.RetryAfter = retryAfter
 	r.Request(t.startedAt, &t.request)
 	traces.Put(t)
 }
 
 // traceAnswer is how a response is recorded. ctx is the client's.
-func traceAnswer(ctx context.Context, status Status, deadlineExceeded bool) record.Answer {
+func traceAnswer(ctx context.Context, status Status, deadlineExceeded bool) record.Result {
 	switch {
 	case status == Success:
 		return record.Served
 	case errors.Is(context.Cause(ctx), ErrClientDisconnected):
-		return record.Left
+		return record.ClientDisconnected
 	case status == Rejection:
-		return record.Refused
+		return record.Rejected
 	case deadlineExceeded:
-		return record.Overdue
+		return record.DeadlineExceeded
 	}
 	return record.Failed
 }
--- a/internal/broker/core/trace_test.go
+++ b/internal/broker/core/trace_test.go
@@ -16,15 +16,15 @@
 		ctx              context.Context
 		status           Status
 		deadlineExceeded bool
-		want             record.Answer
+		want             record.Result
 	}{
 		{"success", connected, Success, false, record.Served},
 		{"success for a client that has disconnected", disconnected, Success, false, record.Served},
-		{"failure for a client that has disconnected", disconnected, Failure, true, record.Left},
-		{"rejection", connected, Rejection, false, record.Refused},
-		{"rejection at the deadline", connected, Rejection, true, record.Refused},
+		{"failure for a client that has disconnected", disconnected, Failure, true, record.ClientDisconnected},
+		{"rejection", connected, Rejection, false, record.Rejected},
+		{"rejection at the deadline", connected, Rejection, true, record.Rejected},
 		{"failure", connected, Failure, false, record.Failed},
-		{"failure at the deadline", connected, Failure, true, record.Overdue},
+		{"failure at the deadline", connected, Failure, true, record.DeadlineExceeded},
 	} {
 		if got := traceAnswer(x.ctx, x.status, x.deadlineExceeded); got != x.want {
 			t.Errorf("%s: recorded as %d, want %d", x.name, got, x.want)
--- a/internal/broker/server/recording.go
+++ b/internal/broker/server/recording.go
@@ -47,9 +47,9 @@
 	}
 	o := cfg.Record
 	options := record.Options{
-		Sample: o.SampleFraction,
-		Flush:  time.Duration(o.FlushIntervalMS) * time.Millisecond,
-		Beat:   time.Duration(o.HeartbeatMS) * time.Millisecond,
+		SampleFraction:    o.SampleFraction,
+		FlushInterval:     time.Duration(o.FlushIntervalMS) * time.Millisecond,
+		HeartbeatInterval: time.Duration(o.HeartbeatMS) * time.Millisecond,
 	}
 	r.recorder = record.New(options, r.boot(), c.Now, r.levels(limiter, endpoints), sink)
 	go r.recorder.Run() // close waits for it
@@ -64,7 +64,7 @@
 		r.ring = record.NewRing(r.cfg.Name, r.bootID, int(o.TotalBytes))
 		return r.ring, nil
 	}
-	dir, err := record.NewDir(o.Dir, r.cfg.Name, r.bootID, o.SegmentBytes, o.TotalBytes)
+	dir, err := record.NewDirectory(o.Dir, r.cfg.Name, r.bootID, o.SegmentBytes, o.TotalBytes)
 	if err != nil {
 		return nil, fmt.Errorf("record.dir: %w", err)
 	}
@@ -72,33 +72,33 @@
 }
 
 // boot describes the broker's incarnation in the records.
-func (r *recording) boot() record.Boot {
-	boot := record.Boot{Name: r.cfg.Name, ID: r.bootID}
+func (r *recording) boot() record.Incarnation {
+	boot := record.Incarnation{Name: r.cfg.Name, ID: r.bootID}
 	for _, k := range r.cfg.Policy.Classes {
 		boot.Classes = append(boot.Classes, record.Class{
-			Name:  k.Name,
-			Aim:   clock.FromDuration(k.LatencyObjective),
-			Due:   clock.FromDuration(k.Deadline),
-			Worth: k.PriorityWeight,
+			Name:             k.Name,
+			LatencyObjective: clock.FromDuration(k.LatencyObjective),
+			Deadline:         clock.FromDuration(k.Deadline),
+			PriorityWeight:   k.PriorityWeight,
 		})
 	}
 	for _, p := range r.cfg.Policy.Plans {
-		boot.Plans = append(boot.Plans, record.Plan{Name: p.Name, Price: p.PriceFactor})
+		boot.Plans = append(boot.Plans, record.Plan{Name: p.Name, PriceFactor: p.PriceFactor})
 	}
 	return boot
 }
 
 // levels returns the function that fills in a heartbeat. The recorder's goroutine alone calls it.
-func (r *recording) levels(limiter *core.ConcurrencyLimiter, endpoints *core.EndpointTable) func(*record.Beat) {
+func (r *recording) levels(limiter *core.ConcurrencyLimiter, endpoints *core.EndpointTable) func(*record.Heartbeat) {
 	heap := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
-	return func(b *record.Beat) {
+	return func(b *record.Heartbeat) {
 		metrics.Read(heap)
-		b.Open = limiter.InFlight()
-		b.Heap = heap[0].Value.Uint64()
-		b.Threads = int64(runtime.NumGoroutine())
-		b.Nodes = int64(endpoints.Len())
+		b.InFlight = limiter.InFlight()
+		b.HeapBytes = heap[0].Value.Uint64()
+		b.Goroutines = int64(runtime.NumGoroutine())
+		b.NodeCount = int64(endpoints.Len())
 		if d := r.discovery.Load(); d != nil {
-			b.List = d.Revision()
+			b.ListRevision = d.Revision()
 		}
 	}
 }
--- a/internal/broker/server/stats.go
+++ b/internal/broker/server/stats.go
@@ -30,8 +30,8 @@
 		out.Volumes = append(out.Volumes, control.VolumeStats{
 			Volume:     v.Volume,
 			Count:      v.Count,
-			CountError: v.Error,
-			Rejected:   v.Refused,
+			CountError: v.CountError,
+			Rejected:   v.Rejected,
 			Failed:     v.Failed,
 			Late:       v.Late,
 		})
@@ -48,21 +48,21 @@
 	if int(g.Class) >= len(classes) || int(g.Plan) >= len(plans) {
 		return control.RequestStats{}, false
 	}
-	q := record.Of(&g.Latency)
+	q := record.QuantilesOf(&g.Latency)
 	return control.RequestStats{
 		Class:    classes[g.Class].Name,
 		Plan:     plans[g.Plan].Name,
-		Served:   g.Count[record.Served],
+		Served:   g.Results[record.Served],
 		Late:     g.Late,
-		Rejected: g.Count[record.Refused],
-		Failed:   g.Count[record.Failed] + g.Count[record.Overdue],
+		Rejected: g.Results[record.Rejected],
+		Failed:   g.Results[record.Failed] + g.Results[record.DeadlineExceeded],
 		P50:      q.P50,
 		P99:      q.P99,
 	}, true
 }
 
 func nodeStats(n *record.NodeCount) control.NodeStats {
-	q := record.Of(&n.Latency)
+	q := record.QuantilesOf(&n.Latency)
 	stats := control.NodeStats{
 		Node:     n.Node,
 		Served:   n.Outcomes[core.Served],
--- a/internal/lab/fit/fit.go
+++ b/internal/lab/fit/fit.go
@@ -77,7 +77,7 @@
 		return
 	}
 	fault := func(err error) { t.Faults = append(t.Faults, fmt.Sprintf("%s: %v", path, err)) }
-	name, boot, err := record.Segment(b, func(record.Part) {})
+	name, boot, err := record.DecodeSegment(b, func(record.Part) {})
 	if err != nil {
 		fault(err)
 		return
@@ -86,7 +86,7 @@
 	known := false // a boot's first words tell its clock, and come again in each segment
 	d := record.NewDecoder()
 	var held []Request
-	_, _, _ = record.Segment(b, func(p record.Part) {
+	_, _, _ = record.DecodeSegment(b, func(p record.Part) {
 		if p.Damaged > 0 {
 			fault(fmt.Errorf("%d bytes cannot be read", p.Damaged))
 		}
@@ -98,7 +98,7 @@
 			return
 		}
 		seen[frame] = true
-		d.Reset(p.Frame.Events, p.Frame.At)
+		d.Reset(p.Frame.Events, p.Frame.BaseTime)
 		for {
 			var e record.Event
 			ok, err := d.Next(&e)
@@ -110,17 +110,17 @@
 				return
 			}
 			switch {
-			case e.Boot != nil:
-				wall, began, known = e.Boot.Wall, e.Boot.Began, true
+			case e.Incarnation != nil:
+				wall, began, known = e.Incarnation.WallClock, e.Incarnation.StartedAt, true
 				if t.Classes == nil {
-					t.Classes, t.Plans = e.Boot.Classes, e.Boot.Plans
-				} else if !slices.Equal(t.Classes, e.Boot.Classes) || !slices.Equal(t.Plans, e.Boot.Plans) {
+					t.Classes, t.Plans = e.Incarnation.Classes, e.Incarnation.Plans
+				} else if !slices.Equal(t.Classes, e.Incarnation.Classes) || !slices.Equal(t.Plans, e.Incarnation.Plans) {
 					fault(errors.New("classes or plans other than those read before; its requests count by their numbers"))
 				}
-				t.Sampled = min(t.Sampled, e.Boot.Sample)
+				t.Sampled = min(t.Sampled, e.Incarnation.SampleFraction)
 			case e.Request != nil:
 				q := *e.Request
-				q.Tries = slices.Clone(q.Tries)
+				q.Attempts = slices.Clone(q.Attempts)
 				held = append(held, Request{At: e.At, Broker: name, Request: q})
 			}
 		}
@@ -171,9 +171,9 @@
 	nodes := map[string][]span{}
 	for i := range t.Asked {
 		q := &t.Asked[i]
-		for _, try := range q.Tries {
-			at := q.At + try.Sent
-			nodes[try.Node] = append(nodes[try.Node], span{at, at + try.Took, q, decision.Outcome(try.Outcome) == decision.Served})
+		for _, try := range q.Attempts {
+			at := q.At + try.SentAfter
+			nodes[try.Node] = append(nodes[try.Node], span{at, at + try.Duration, q, decision.Outcome(try.Outcome) == decision.Served})
 		}
 	}
 	names := make([]string, 0, len(nodes))
@@ -318,7 +318,7 @@
 func (t *Trace) nodes() map[string]bool {
 	out := map[string]bool{}
 	for i := range t.Asked {
-		for _, try := range t.Asked[i].Tries {
+		for _, try := range t.Asked[i].Attempts {
 			out[try.Node] = true
 		}
 	}
@@ -340,8 +340,8 @@
 		if count[k] == 0 {
 			continue
 		}
-		x := model.Class{Name: c.Name, Share: round(float64(count[k]) / float64(len(t.Asked))), Work: round(means[k] / all), Aim: model.Span(time.Duration(c.Aim) * time.Microsecond),
-			Patience: model.Span(time.Duration(max(c.Due, c.Aim)) * time.Microsecond), Worth: c.Worth, Late: 0.15, Repeat: "always"}
+		x := model.Class{Name: c.Name, Share: round(float64(count[k]) / float64(len(t.Asked))), Work: round(means[k] / all), Aim: model.Span(time.Duration(c.LatencyObjective) * time.Microsecond),
+			Patience: model.Span(time.Duration(max(c.Deadline, c.LatencyObjective)) * time.Microsecond), Worth: c.PriorityWeight, Late: 0.15, Repeat: "always"}
 		if 2*fresh[k] > count[k] {
 			x.Writes, x.Repeat = true, "never"
 		}
@@ -374,7 +374,7 @@
 	smallest := math.Inf(1)
 	var sizes []float64
 	for k, p := range t.Plans {
-		x := model.Plan{Name: p.Name, Reserve: 1, Weight: 1, Price: p.Price, Hosts: [2]int{math.MaxInt, 1}, Nodes: [2]int{math.MaxInt, 1}}
+		x := model.Plan{Name: p.Name, Reserve: 1, Weight: 1, Price: p.PriceFactor, Hosts: [2]int{math.MaxInt, 1}, Nodes: [2]int{math.MaxInt, 1}}
 		total := 0
 		for _, v := range volumes {
 			if int(v.plan) != k {
--- a/internal/lab/fit/fit_test.go
+++ b/internal/lab/fit/fit_test.go
@@ -27,9 +27,9 @@
 	buf := map[string][]byte{}
 	clocks := map[string]clock.Micros{"b1": 5_000_000, "b2": 900_000_000}
 	for name, began := range clocks {
-		e := record.Event{At: began, Kind: record.KindBoot, Boot: &record.Boot{Name: name, ID: "x", Began: began, Wall: wall, Sample: 1,
-			Classes: []record.Class{{Name: "read", Aim: 400_000, Due: 2_500_000, Worth: 2}, {Name: "new", Aim: 600_000, Due: 5_000_000, Worth: 2}},
-			Plans:   []record.Plan{{Name: "basis", Price: 0.8}, {Name: "unused", Price: 1}, {Name: "express", Price: 1.5}}}}
+		e := record.Event{At: began, Kind: record.KindIncarnation, Incarnation: &record.Incarnation{Name: name, ID: "x", StartedAt: began, WallClock: wall, SampleFraction: 1,
+			Classes: []record.Class{{Name: "read", LatencyObjective: 400_000, Deadline: 2_500_000, PriorityWeight: 2}, {Name: "new", LatencyObjective: 600_000, Deadline: 5_000_000, PriorityWeight: 2}},
+			Plans:   []record.Plan{{Name: "basis", PriceFactor: 0.8}, {Name: "unused", PriceFactor: 1}, {Name: "express", PriceFactor: 1.5}}}}
 		buf[name] = e.Append(nil, began)
 	}
 	at := clock.Micros(0)
@@ -42,20 +42,20 @@
 		}
 		q := record.Request{Class: uint8(class), Plan: plan, Volume: fmt.Sprint("v", volume), Units: 2, Shard: int64(lots.IntN(3))}
 		took := clock.Micros(draw(class))
-		q.Tries = []record.Try{{Node: fmt.Sprint("n", q.Shard), Sent: 100, Took: took}}
+		q.Attempts = []record.Attempt{{Node: fmt.Sprint("n", q.Shard), SentAfter: 100, Duration: took}}
 		if class == 1 {
 			q.Shard = -1
 		}
 		if crowd { // another stands in the same queue all the time
-			q.Tries = append(q.Tries, record.Try{Node: q.Tries[0].Node, Sent: 50, Took: took + 100})
+			q.Attempts = append(q.Attempts, record.Attempt{Node: q.Attempts[0].Node, SentAfter: 50, Duration: took + 100})
 		}
-		q.Took = took + 200
+		q.Duration = took + 200
 		e := record.Event{At: clocks[name] + at, Kind: record.KindRequest, Request: &q}
 		buf[name] = e.Append(buf[name], clocks[name])
 	}
 	for name, b := range buf {
-		f := record.Frame{Seq: 1, At: clocks[name], Now: clocks[name] + at, Events: b}
-		text := f.Append(record.SegmentHead(name, "x", 1))
+		f := record.Frame{Seq: 1, BaseTime: clocks[name], WrittenAt: clocks[name] + at, Events: b}
+		text := f.Append(record.SegmentHeader(name, "x", 1))
 		for _, copied := range []string{"", "-copy"} { // a copy counts once
 			if err := os.WriteFile(filepath.Join(dir, name+copied+".seg"), text, 0o600); err != nil {
 				t.Fatal(err)
--- a/internal/observability/incident/analyzer.go
+++ b/internal/observability/incident/analyzer.go
@@ -43,8 +43,8 @@
 	v.analysis.Clocks = v.clocks
 	for i, s := range streams {
 		v.analysis.Events += s.events
-		if s.Boot.Sample > 0 {
-			v.analysis.Sampled = min(v.analysis.Sampled, s.Boot.Sample)
+		if s.Boot.SampleFraction > 0 {
+			v.analysis.Sampled = min(v.analysis.Sampled, s.Boot.SampleFraction)
 		}
 		off := v.clocks[i].Offset
 		if b := s.start() + off; v.analysis.From == 0 || b < v.analysis.From {
@@ -268,8 +268,8 @@
 func (g *GroupImpact) add(t *groupCounts) {
 	g.Served += t.count[record.Served]
 	g.Late += t.late
-	g.Refused += t.count[record.Refused]
-	g.Failed += t.count[record.Failed] + t.count[record.Overdue]
+	g.Refused += t.count[record.Rejected]
+	g.Failed += t.count[record.Failed] + t.count[record.DeadlineExceeded]
 	g.Worth += t.worth
 }
 
--- a/internal/observability/incident/collect/collect.go
+++ b/internal/observability/incident/collect/collect.go
@@ -62,7 +62,7 @@
 			continue
 		}
 		s := segment{path: path}
-		s.name, s.boot, err = record.Segment(b, func(p record.Part) {
+		s.name, s.boot, err = record.DecodeSegment(b, func(p record.Part) {
 			if !p.Last && s.first == 0 {
 				s.first = p.Frame.Seq
 			}
@@ -94,7 +94,7 @@
 func Bytes(b []byte) (*incident.Stream, error) {
 	found := &Found{}
 	var s *incident.Stream
-	name, boot, err := record.Segment(b, func(record.Part) {})
+	name, boot, err := record.DecodeSegment(b, func(record.Part) {})
 	if err != nil {
 		return nil, err
 	}
@@ -127,7 +127,7 @@
 	d := record.NewDecoder()
 	var e record.Event
 	last := uint64(0)
-	_, _, _ = record.Segment(b, func(p record.Part) {
+	_, _, _ = record.DecodeSegment(b, func(p record.Part) {
 		if p.Damaged > 0 {
 			bad += p.Damaged
 			if last == 0 {
@@ -144,7 +144,7 @@
 			return
 		}
 		seen[last] = true
-		d.Reset(p.Frame.Events, p.Frame.At)
+		d.Reset(p.Frame.Events, p.Frame.BaseTime)
 		for {
 			ok, err := d.Next(&e)
 			if err != nil { // whole, and yet not to be read: of another version
@@ -154,7 +154,7 @@
 			}
 			if !ok {
 				found.Frames++
-				s.AddFrame(last, p.Frame.Now)
+				s.AddFrame(last, p.Frame.WrittenAt)
 				return
 			}
 			s.AddEvent(&e)
--- a/internal/observability/incident/collect/collect_test.go
+++ b/internal/observability/incident/collect/collect_test.go
@@ -18,7 +18,7 @@
 // write records one boot of a broker for so many seconds, ten frames a second of a request each, and returns its files.
 func write(t *testing.T, dir, name, boot string, begin, seconds clock.Micros, stop bool) []string {
 	t.Helper()
-	d, err := record.NewDir(dir, name, boot, 3000, 1<<30)
+	d, err := record.NewDirectory(dir, name, boot, 3000, 1<<30)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,15 +30,15 @@
 		for i := range events {
 			b = events[i].Append(b, at)
 		}
-		if err := d.Write(&record.Frame{Seq: seq, At: at, Now: at, Events: b}); err != nil {
+		if err := d.Write(&record.Frame{Seq: seq, BaseTime: at, WrittenAt: at, Events: b}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	put(begin, record.Event{At: begin, Kind: record.KindBoot, Boot: &record.Boot{Name: name, ID: boot, Began: begin, Beat: sec / 2, Sample: 1,
-		Classes: []record.Class{{Name: "c", Aim: sec, Due: 2 * sec, Worth: 1}}, Plans: []record.Plan{{Name: "p", Price: 1}}}})
+	put(begin, record.Event{At: begin, Kind: record.KindIncarnation, Incarnation: &record.Incarnation{Name: name, ID: boot, StartedAt: begin, HeartbeatInterval: sec / 2, SampleFraction: 1,
+		Classes: []record.Class{{Name: "c", LatencyObjective: sec, Deadline: 2 * sec, PriorityWeight: 1}}, Plans: []record.Plan{{Name: "p", PriceFactor: 1}}}})
 	for at := begin + sec/10; at < begin+seconds*sec; at += sec / 10 {
-		put(at, record.Event{At: at, Kind: record.KindRequest, Request: &record.Request{Volume: "v", Units: 1, Took: 1000,
-			Tries: []record.Try{{Node: "s-1", Sent: 10, Took: 900}}}})
+		put(at, record.Event{At: at, Kind: record.KindRequest, Request: &record.Request{Volume: "v", Units: 1, Duration: 1000,
+			Attempts: []record.Attempt{{Node: "s-1", SentAfter: 10, Duration: 900}}}})
 	}
 	if stop {
 		at := begin + seconds*sec
@@ -237,17 +237,17 @@
 	if torn {
 		edit(t, files[len(files)-1], func(b []byte) []byte { return b[:len(b)-25] })
 	}
-	d, err := record.NewDir(dir, "n1", "00aa", 1<<20, 1<<30)
+	d, err := record.NewDirectory(dir, "n1", "00aa", 1<<20, 1<<30)
 	if err != nil {
 		t.Fatal(err)
 	}
 	// As the recorder numbers on, and tells what it could not keep.
 	at := zero + 14*sec
-	e := record.Event{At: at, Kind: record.KindLost, Lost: &record.Lost{From: zero + 99*sec/10, To: at, Events: 41, Requests: 40, Why: "disk"}}
+	e := record.Event{At: at, Kind: record.KindLost, Lost: &record.Lost{From: zero + 99*sec/10, To: at, Events: 41, Requests: 40, Reason: "disk"}}
 	if err := os.Rename(files[0], filepath.Join(dir, "renamed.seg")); err != nil { // names do not matter: heads do
 		t.Fatal(err)
 	}
-	if err := d.Write(&record.Frame{Seq: 140, At: at, Now: at, Events: e.Append(nil, at)}); err != nil {
+	if err := d.Write(&record.Frame{Seq: 140, BaseTime: at, WrittenAt: at, Events: e.Append(nil, at)}); err != nil {
 		t.Fatal(err)
 	}
 	if err := d.Close(); err != nil {
--- a/internal/observability/incident/incident_test.go
+++ b/internal/observability/incident/incident_test.go
@@ -83,17 +83,17 @@
 			took = took * 5 / 2
 		}
 		if in(w.silent[node], at) || cutsInto(w.silent[node], at, at+took) {
-			q.Tries = append(q.Tries, record.Try{Node: fmt.Sprint("s-", node), Sent: at - t, Took: 600 * ms, Outcome: uint8(decision.TimedOut)})
+			q.Attempts = append(q.Attempts, record.Attempt{Node: fmt.Sprint("s-", node), SentAfter: at - t, Duration: 600 * ms, Outcome: uint8(decision.TimedOut)})
 			at += 600 * ms
-			q.Answer = record.Overdue
+			q.Result = record.DeadlineExceeded
 			continue
 		}
-		q.Tries = append(q.Tries, record.Try{Node: fmt.Sprint("s-", node), Sent: at - t, Took: took, Outcome: uint8(decision.Served)})
+		q.Attempts = append(q.Attempts, record.Attempt{Node: fmt.Sprint("s-", node), SentAfter: at - t, Duration: took, Outcome: uint8(decision.Served)})
 		at += took
-		q.Answer = record.Served
+		q.Result = record.Served
 		break
 	}
-	q.Took = at - t
+	q.Duration = at - t
 	return record.Event{At: t, Kind: record.KindRequest, Request: q}, at
 }
 
@@ -176,7 +176,7 @@
 	}
 	events.changes()
 	for t := up; t < down; t += 500 * ms {
-		events.items = append(events.items, bootEvent{t, record.Event{At: t, Kind: record.KindBeat, Beat: &record.Beat{Wall: t}}})
+		events.items = append(events.items, bootEvent{t, record.Event{At: t, Kind: record.KindHeartbeat, Heartbeat: &record.Heartbeat{WallClock: t}}})
 	}
 	items := events.items
 	sort.SliceStable(items, func(x, y int) bool { return items[x].end < items[y].end })
@@ -185,8 +185,8 @@
 		ahead += w.back
 	}
 	s := incident.NewStream(fmt.Sprintf("n%d", b), fmt.Sprintf("boot%d-%d", b, k))
-	s.AddEvent(&record.Event{At: up + ahead, Kind: record.KindBoot, Boot: &record.Boot{Name: s.Name, ID: s.ID, Began: up + ahead, Beat: 500 * ms, Sample: 1,
-		Classes: []record.Class{{Name: "artwork-read", Aim: 400 * ms, Due: 2500 * ms, Worth: 2}}, Plans: []record.Plan{{Name: "basis", Price: 0.8}}}})
+	s.AddEvent(&record.Event{At: up + ahead, Kind: record.KindIncarnation, Incarnation: &record.Incarnation{Name: s.Name, ID: s.ID, StartedAt: up + ahead, HeartbeatInterval: 500 * ms, SampleFraction: 1,
+		Classes: []record.Class{{Name: "artwork-read", LatencyObjective: 400 * ms, Deadline: 2500 * ms, PriorityWeight: 2}}, Plans: []record.Plan{{Name: "basis", PriceFactor: 0.8}}}})
 	s.AddFrame(1, up+ahead)
 	seq := uint64(1)
 	next := 0
@@ -207,7 +207,7 @@
 				if lost.Events == 0 {
 					lost.From = x.end + ahead
 				}
-				lost.Events, lost.Requests, lost.To, lost.Why = lost.Events+1, lost.Requests+1, x.end+ahead, "full"
+				lost.Events, lost.Requests, lost.To, lost.Reason = lost.Events+1, lost.Requests+1, x.end+ahead, "full"
 				continue
 			}
 			x.e.At += ahead
--- a/internal/observability/incident/noted_episodes.go
+++ b/internal/observability/incident/noted_episodes.go
@@ -95,7 +95,7 @@
 		clear(down)
 	}
 	for _, n := range all {
-		if n.kind == record.KindBoot {
+		if n.kind == record.KindIncarnation {
 			delete(down, n.broker)
 		}
 		if n.kind != record.KindDiscovery {
--- a/internal/observability/incident/report/report_test.go
+++ b/internal/observability/incident/report/report_test.go
@@ -19,13 +19,13 @@
 	for k, span := range [][2]clock.Micros{{1, 10}, {16, 25}} {
 		s := incident.NewStream("n<1>", string(rune('a'+k)))
 		begin := span[0] * sec
-		s.AddEvent(&record.Event{At: begin, Kind: record.KindBoot, Boot: &record.Boot{Name: "n<1>", ID: s.ID, Began: begin, Beat: sec / 2, Sample: 1,
-			Classes: []record.Class{{Name: "read", Aim: sec, Worth: 1}}, Plans: []record.Plan{{Name: "p", Price: 1}}}})
+		s.AddEvent(&record.Event{At: begin, Kind: record.KindIncarnation, Incarnation: &record.Incarnation{Name: "n<1>", ID: s.ID, StartedAt: begin, HeartbeatInterval: sec / 2, SampleFraction: 1,
+			Classes: []record.Class{{Name: "read", LatencyObjective: sec, PriorityWeight: 1}}, Plans: []record.Plan{{Name: "p", PriceFactor: 1}}}})
 		seq := uint64(0)
 		for at := begin; at < span[1]*sec; at += sec / 5 {
 			seq++
 			s.AddFrame(seq, at)
-			s.AddEvent(&record.Event{At: at, Kind: record.KindRequest, Request: &record.Request{Volume: "v", Units: 1, Took: 20_000, Tries: []record.Try{{Node: "s-1", Took: 19_000}}}})
+			s.AddEvent(&record.Event{At: at, Kind: record.KindRequest, Request: &record.Request{Volume: "v", Units: 1, Duration: 20_000, Attempts: []record.Attempt{{Node: "s-1", Duration: 19_000}}}})
 		}
 		list = append(list, s)
 	}
--- a/internal/observability/incident/stream.go
+++ b/internal/observability/incident/stream.go
@@ -17,7 +17,7 @@
 type Stream struct {
 	Name string
 	ID   string
-	Boot record.Boot // the last copy that could be read
+	Boot record.Incarnation // the last copy that could be read
 
 	frames     []frame
 	damaged    []damage // bytes that could not be read, by the frames around them
@@ -110,15 +110,15 @@
 	s.events++
 	end := e.At
 	switch e.Kind {
-	case record.KindBoot:
-		s.Boot = *e.Boot
-	case record.KindBeat:
-		s.heartbeats = append(s.heartbeats, heartbeat{e.At, e.Beat.Wall, e.Beat.Open})
+	case record.KindIncarnation:
+		s.Boot = *e.Incarnation
+	case record.KindHeartbeat:
+		s.heartbeats = append(s.heartbeats, heartbeat{e.At, e.Heartbeat.WallClock, e.Heartbeat.InFlight})
 	case record.KindLost:
 		s.lost = append(s.lost, *e.Lost)
 	case record.KindSummary:
 	case record.KindRequest:
-		end += e.Request.Took
+		end += e.Request.Duration
 		s.addRequest(e.At, e.Request)
 	default:
 		if e.Kind == record.KindStop {
@@ -138,7 +138,7 @@
 	} else {
 		s.volumes[q.Volume] = map[clock.Micros]int{secondOf(at): 1}
 	}
-	sec := secondOf(at + q.Took)
+	sec := secondOf(at + q.Duration)
 	byGroup := s.groups[sec]
 	if byGroup == nil {
 		byGroup = map[group]*groupCounts{}
@@ -150,18 +150,18 @@
 		t = &groupCounts{}
 		byGroup[g] = t
 	}
-	t.count[q.Answer%8]++
+	t.count[q.Result%8]++
 	t.units += q.Units
 	worth := 1.0
 	if int(q.Class) < len(s.Boot.Classes) {
-		worth *= s.Boot.Classes[q.Class].Worth
+		worth *= s.Boot.Classes[q.Class].PriorityWeight
 	}
 	if int(q.Plan) < len(s.Boot.Plans) {
-		worth *= s.Boot.Plans[q.Plan].Price
+		worth *= s.Boot.Plans[q.Plan].PriceFactor
 	}
 	switch {
-	case q.Answer == record.Served:
-		if int(q.Class) < len(s.Boot.Classes) && q.Took > s.Boot.Classes[q.Class].Aim {
+	case q.Result == record.Served:
+		if int(q.Class) < len(s.Boot.Classes) && q.Duration > s.Boot.Classes[q.Class].LatencyObjective {
 			t.late++
 			t.worth += worth * q.Units
 		}
@@ -170,19 +170,19 @@
 			x = sketch.NewIndex(int64(second))
 			s.latency[q.Class] = x
 		}
-		x.Add(int64(at+q.Took), int64(q.Took))
-	case q.Answer != record.Left:
+		x.Add(int64(at+q.Duration), int64(q.Duration))
+	case q.Result != record.ClientDisconnected:
 		t.worth += worth * q.Units
 	}
-	for i := range q.Tries {
-		y := &q.Tries[i]
+	for i := range q.Attempts {
+		y := &q.Attempts[i]
 		n := s.nodes[y.Node]
 		if n == nil {
 			n = &nodeRecord{latency: map[clock.Micros]*sketch.Sketch{}}
 			s.nodes[y.Node] = n
 		}
-		sent := at + y.Sent
-		done := sent + y.Took
+		sent := at + y.SentAfter
+		done := sent + y.Duration
 		switch decision.Outcome(y.Outcome) {
 		case decision.Served, decision.NodeError, decision.Rejected, decision.MalformedResponse: // it said something
 			n.responses = append(n.responses, done)
@@ -192,7 +192,7 @@
 					k = &sketch.Sketch{}
 					n.latency[secondOf(done)] = k
 				}
-				k.Add(int64(y.Took))
+				k.Add(int64(y.Duration))
 			}
 		case decision.TimedOut:
 			n.timedOut = append(n.timedOut, attempt{sent, done})
@@ -243,8 +243,8 @@
 			out = append(out, Span{Broker: s.Name, Boot: s.ID, State: st, From: from, To: to, Events: events, Text: text})
 		}
 	}
-	if f := frames[0]; f.seq > 1 && s.Boot.Began > 0 {
-		add(Missing, s.Boot.Began, s.first, 0, "the boot's first records have been removed or are nowhere")
+	if f := frames[0]; f.seq > 1 && s.Boot.StartedAt > 0 {
+		add(Missing, s.Boot.StartedAt, s.first, 0, "the boot's first records have been removed or are nowhere")
 	}
 	for i := 1; i < len(frames); i++ {
 		a, b := frames[i-1], frames[i]
@@ -258,7 +258,7 @@
 					st, text, n = Damaged, "bytes cannot be read", n+uint64(h.bytes)
 				}
 			}
-			if slices.ContainsFunc(s.lost, func(l record.Lost) bool { return l.Why == "disk" && l.From <= b.now && l.To >= a.now-period }) && st == Missing {
+			if slices.ContainsFunc(s.lost, func(l record.Lost) bool { return l.Reason == "disk" && l.From <= b.now && l.To >= a.now-period }) && st == Missing {
 				continue // the lost record says it better
 			}
 			add(st, a.now, b.now, n, text)
@@ -267,7 +267,7 @@
 		}
 	}
 	for _, l := range s.lost {
-		add(Lost, l.From, max(l.To, l.From+1), l.Events, "no room in the "+map[string]string{"disk": "folder", "full": "buffers"}[l.Why])
+		add(Lost, l.From, max(l.To, l.From+1), l.Events, "no room in the "+map[string]string{"disk": "folder", "full": "buffers"}[l.Reason])
 	}
 	return out
 }
@@ -275,8 +275,8 @@
 // heartbeatInterval is how often a boot lets hear of itself. Where the segments with its particulars are gone, it is taken for a second,
 // which is longer than any broker's that is set up as documented.
 func (s *Stream) heartbeatInterval() clock.Micros {
-	if s.Boot.Beat > 0 {
-		return s.Boot.Beat
+	if s.Boot.HeartbeatInterval > 0 {
+		return s.Boot.HeartbeatInterval
 	}
 	return second
 }
@@ -292,8 +292,8 @@
 
 // start is its first.
 func (s *Stream) start() clock.Micros {
-	if s.Boot.Began > 0 {
-		return s.Boot.Began
+	if s.Boot.StartedAt > 0 {
+		return s.Boot.StartedAt
 	}
 	return s.first
 }
--- a/internal/observability/incident/traffic_episodes.go
+++ b/internal/observability/incident/traffic_episodes.go
@@ -157,7 +157,7 @@
 func (v *analyzer) findSurges() {
 	volumes := map[string]map[clock.Micros]float64{}
 	for i, s := range v.streams {
-		share := s.Boot.Sample
+		share := s.Boot.SampleFraction
 		if share <= 0 {
 			share = 1
 		}
--- a/internal/observability/record/decode.go
+++ b/internal/observability/record/decode.go
@@ -63,10 +63,10 @@
 		}
 		d.request(request)
 		e.Request = request
-	case KindBoot:
-		e.Boot = d.boot()
-	case KindBeat:
-		e.Beat = d.heartbeat()
+	case KindIncarnation:
+		e.Incarnation = d.boot()
+	case KindHeartbeat:
+		e.Heartbeat = d.heartbeat()
 	case KindSummary:
 		e.Summary = d.summary()
 	case KindLost:
@@ -84,37 +84,37 @@
 
 // request overwrites r and reuses its attempts.
 func (d *Decoder) request(r *Request) {
-	attempts := r.Tries[:0]
-	*r = Request{Class: d.byte(), Plan: d.byte(), Answer: Answer(d.byte()), Volume: d.string()}
+	attempts := r.Attempts[:0]
+	*r = Request{Class: d.byte(), Plan: d.byte(), Result: Result(d.byte()), Volume: d.string()}
 	r.Units = float64(d.uvarint()) / unitsScale
 	r.Shard = d.varint()
-	r.Took = clock.Micros(d.uvarint())
-	r.Hint = clock.Micros(d.uvarint())
+	r.Duration = clock.Micros(d.uvarint())
+	r.RetryAfter = clock.Micros(d.uvarint())
 	for range d.count(minAttemptBytes) {
-		attempts = append(attempts, Try{Node: d.string(), Sent: clock.Micros(d.uvarint()), Took: clock.Micros(d.uvarint()), Outcome: d.byte()})
+		attempts = append(attempts, Attempt{Node: d.string(), SentAfter: clock.Micros(d.uvarint()), Duration: clock.Micros(d.uvarint()), Outcome: d.byte()})
 	}
-	r.Tries = attempts
+	r.Attempts = attempts
 }
 
-func (d *Decoder) boot() *Boot {
-	boot := &Boot{Name: d.string(), ID: d.string(), Began: d.micros(), Wall: d.micros(), Beat: d.micros(), Sample: d.float()}
+func (d *Decoder) boot() *Incarnation {
+	boot := &Incarnation{Name: d.string(), ID: d.string(), StartedAt: d.micros(), WallClock: d.micros(), HeartbeatInterval: d.micros(), SampleFraction: d.float()}
 	for range d.count(minClassBytes) {
-		boot.Classes = append(boot.Classes, Class{Name: d.string(), Aim: d.micros(), Due: d.micros(), Worth: d.float()})
+		boot.Classes = append(boot.Classes, Class{Name: d.string(), LatencyObjective: d.micros(), Deadline: d.micros(), PriorityWeight: d.float()})
 	}
 	for range d.count(minPlanBytes) {
-		boot.Plans = append(boot.Plans, Plan{Name: d.string(), Price: d.float()})
+		boot.Plans = append(boot.Plans, Plan{Name: d.string(), PriceFactor: d.float()})
 	}
 	return boot
 }
 
-func (d *Decoder) heartbeat() *Beat {
-	return &Beat{
-		Wall:    d.micros(),
-		Open:    d.varint(),
-		Heap:    uint64(d.varint()),
-		Threads: d.varint(),
-		Nodes:   d.varint(),
-		List:    d.varint(),
+func (d *Decoder) heartbeat() *Heartbeat {
+	return &Heartbeat{
+		WallClock:    d.micros(),
+		InFlight:     d.varint(),
+		HeapBytes:    uint64(d.varint()),
+		Goroutines:   d.varint(),
+		NodeCount:    d.varint(),
+		ListRevision: d.varint(),
 	}
 }
 
@@ -122,8 +122,8 @@
 	summary := &Summary{Span: d.micros()}
 	for range d.count(minGroupBytes) {
 		group := Group{Class: d.byte(), Plan: d.byte()}
-		for k := range group.Count {
-			group.Count[k] = d.uvarint()
+		for k := range group.Results {
+			group.Results[k] = d.uvarint()
 		}
 		group.Late = d.uvarint()
 		d.sketch(&group.Latency)
@@ -140,12 +140,12 @@
 	}
 	for range d.count(minVolumeBytes) {
 		summary.Volumes = append(summary.Volumes, VolumeCount{
-			Volume:  d.string(),
-			Count:   d.uvarint(),
-			Error:   d.uvarint(),
-			Refused: d.uvarint(),
-			Failed:  d.uvarint(),
-			Late:    d.uvarint(),
+			Volume:     d.string(),
+			Count:      d.uvarint(),
+			CountError: d.uvarint(),
+			Rejected:   d.uvarint(),
+			Failed:     d.uvarint(),
+			Late:       d.uvarint(),
 		})
 	}
 	return summary
@@ -154,7 +154,7 @@
 func (d *Decoder) lost(at clock.Micros) *Lost {
 	from := d.micros()
 	to := d.micros()
-	return &Lost{From: at + from, To: at + to, Events: d.uvarint(), Requests: d.uvarint(), Why: d.string()}
+	return &Lost{From: at + from, To: at + to, Events: d.uvarint(), Requests: d.uvarint(), Reason: d.string()}
 }
 
 // fail marks the input as malformed and drops what is left of it.
--- a/internal/observability/record/directory.go
+++ b/internal/observability/record/directory.go
@@ -12,9 +12,9 @@
 
 const segmentExtension = ".seg"
 
-// Dir is a sink of segment files whose total size is bounded. The oldest files of the folder are deleted first, those of
+// Directory is a sink of segment files whose total size is bounded. The oldest files of the folder are deleted first, those of
 // earlier incarnations included.
-type Dir struct {
+type Directory struct {
 	path            string
 	name            string // of the broker
 	boot            string // of the incarnation
@@ -28,16 +28,16 @@
 	encoded []byte   // reused
 }
 
-// NewDir returns a sink in a folder, which it creates. Sizes are bytes of one segment and of all.
-func NewDir(path, name, boot string, maxSegmentBytes, maxTotalBytes int64) (*Dir, error) {
+// NewDirectory returns a sink in a folder, which it creates. Sizes are bytes of one segment and of all.
+func NewDirectory(path, name, boot string, maxSegmentBytes, maxTotalBytes int64) (*Directory, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
 	}
-	return &Dir{path: path, name: name, boot: boot, maxSegmentBytes: maxSegmentBytes, maxTotalBytes: maxTotalBytes}, nil
+	return &Directory{path: path, name: name, boot: boot, maxSegmentBytes: maxSegmentBytes, maxTotalBytes: maxTotalBytes}, nil
 }
 
 // Write appends a frame.
-func (d *Dir) Write(f *Frame) error {
+func (d *Directory) Write(f *Frame) error {
 	if d.file == nil || d.failed || d.size >= d.maxSegmentBytes {
 		if err := d.startSegment(f.Seq); err != nil {
 			return err
@@ -55,7 +55,7 @@
 }
 
 // Close ends the segment.
-func (d *Dir) Close() error {
+func (d *Directory) Close() error {
 	if d.file == nil {
 		return nil
 	}
@@ -63,14 +63,14 @@
 }
 
 // startSegment begins a new segment and deletes old ones if there is no space for it.
-func (d *Dir) startSegment(firstFrame uint64) error {
+func (d *Directory) startSegment(firstFrame uint64) error {
 	if d.file != nil {
 		_ = d.file.Close() // frames that are lost with it show as a gap in the numbers
 		d.file = nil
 	}
 	d.deleteOldSegments()
 	d.number++
-	head := SegmentHead(d.name, d.boot, firstFrame)
+	head := SegmentHeader(d.name, d.boot, firstFrame)
 	path := filepath.Join(d.path, fmt.Sprintf("%s-%s-%06d%s", d.name, d.boot, d.number, segmentExtension))
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
@@ -96,7 +96,7 @@
 }
 
 // deleteOldSegments deletes this broker's oldest segments until another one fits.
-func (d *Dir) deleteOldSegments() {
+func (d *Directory) deleteOldSegments() {
 	segments := d.listSegments()
 	total := int64(0)
 	for _, s := range segments {
@@ -113,7 +113,7 @@
 }
 
 // listSegments returns this broker's segments, oldest first. Files that cannot be looked at are left out.
-func (d *Dir) listSegments() []segmentFile {
+func (d *Directory) listSegments() []segmentFile {
 	paths, err := filepath.Glob(filepath.Join(d.path, d.name+"-*"+segmentExtension))
 	if err != nil {
 		return nil // the name has no wildcards, so the pattern is valid
--- a/internal/observability/record/encode.go
+++ b/internal/observability/record/encode.go
@@ -17,10 +17,10 @@
 	switch e.Kind {
 	case KindRequest:
 		return e.Request.append(b)
-	case KindBoot:
-		return e.Boot.append(b)
-	case KindBeat:
-		return e.Beat.append(b)
+	case KindIncarnation:
+		return e.Incarnation.append(b)
+	case KindHeartbeat:
+		return e.Heartbeat.append(b)
 	case KindSummary:
 		return e.Summary.append(b)
 	case KindLost:
@@ -30,47 +30,47 @@
 }
 
 func (r *Request) append(b []byte) []byte {
-	b = append(b, r.Class, r.Plan, byte(r.Answer))
+	b = append(b, r.Class, r.Plan, byte(r.Result))
 	b = appendString(b, r.Volume)
 	b = binary.AppendUvarint(b, uint64(math.Round(max(r.Units, 0)*unitsScale)))
 	b = binary.AppendVarint(b, r.Shard)
-	b = appendMicros(b, r.Took)
-	b = appendMicros(b, r.Hint)
-	b = binary.AppendUvarint(b, uint64(len(r.Tries)))
-	for i := range r.Tries {
-		attempt := &r.Tries[i]
+	b = appendMicros(b, r.Duration)
+	b = appendMicros(b, r.RetryAfter)
+	b = binary.AppendUvarint(b, uint64(len(r.Attempts)))
+	for i := range r.Attempts {
+		attempt := &r.Attempts[i]
 		b = appendString(b, attempt.Node)
-		b = appendMicros(b, attempt.Sent)
-		b = appendMicros(b, attempt.Took)
+		b = appendMicros(b, attempt.SentAfter)
+		b = appendMicros(b, attempt.Duration)
 		b = append(b, attempt.Outcome)
 	}
 	return b
 }
 
-func (o *Boot) append(b []byte) []byte {
+func (o *Incarnation) append(b []byte) []byte {
 	b = appendString(b, o.Name)
 	b = appendString(b, o.ID)
-	b = binary.AppendVarint(b, int64(o.Began))
-	b = binary.AppendVarint(b, int64(o.Wall))
-	b = binary.AppendVarint(b, int64(o.Beat))
-	b = appendFloat(b, o.Sample)
+	b = binary.AppendVarint(b, int64(o.StartedAt))
+	b = binary.AppendVarint(b, int64(o.WallClock))
+	b = binary.AppendVarint(b, int64(o.HeartbeatInterval))
+	b = appendFloat(b, o.SampleFraction)
 	b = binary.AppendUvarint(b, uint64(len(o.Classes)))
 	for _, class := range o.Classes {
 		b = appendString(b, class.Name)
-		b = binary.AppendVarint(b, int64(class.Aim))
-		b = binary.AppendVarint(b, int64(class.Due))
-		b = appendFloat(b, class.Worth)
+		b = binary.AppendVarint(b, int64(class.LatencyObjective))
+		b = binary.AppendVarint(b, int64(class.Deadline))
+		b = appendFloat(b, class.PriorityWeight)
 	}
 	b = binary.AppendUvarint(b, uint64(len(o.Plans)))
 	for _, plan := range o.Plans {
 		b = appendString(b, plan.Name)
-		b = appendFloat(b, plan.Price)
+		b = appendFloat(b, plan.PriceFactor)
 	}
 	return b
 }
 
-func (o *Beat) append(b []byte) []byte {
-	for _, level := range []int64{int64(o.Wall), o.Open, int64(o.Heap), o.Threads, o.Nodes, o.List} {
+func (o *Heartbeat) append(b []byte) []byte {
+	for _, level := range []int64{int64(o.WallClock), o.InFlight, int64(o.HeapBytes), o.Goroutines, o.NodeCount, o.ListRevision} {
 		b = binary.AppendVarint(b, level)
 	}
 	return b
@@ -89,7 +89,7 @@
 	b = binary.AppendUvarint(b, uint64(len(o.Volumes)))
 	for _, volume := range o.Volumes {
 		b = appendString(b, volume.Volume)
-		for _, count := range []uint64{volume.Count, volume.Error, volume.Refused, volume.Failed, volume.Late} {
+		for _, count := range []uint64{volume.Count, volume.CountError, volume.Rejected, volume.Failed, volume.Late} {
 			b = binary.AppendUvarint(b, count)
 		}
 	}
@@ -98,7 +98,7 @@
 
 func (g *Group) append(b []byte) []byte {
 	b = append(b, g.Class, g.Plan)
-	for _, count := range g.Count {
+	for _, count := range g.Results {
 		b = binary.AppendUvarint(b, count)
 	}
 	b = binary.AppendUvarint(b, g.Late)
@@ -129,7 +129,7 @@
 	b = binary.AppendVarint(b, int64(o.To-at))
 	b = binary.AppendUvarint(b, o.Events)
 	b = binary.AppendUvarint(b, o.Requests)
-	return appendString(b, o.Why)
+	return appendString(b, o.Reason)
 }
 
 func (o *Note) append(b []byte) []byte {
--- a/internal/observability/record/event.go
+++ b/internal/observability/record/event.go
@@ -14,100 +14,100 @@
 
 // The kinds of events. Their numbers are stored.
 const (
-	KindBoot      Kind = iota + 1 // Boot: the particulars of the incarnation
-	KindBeat                      // Beat: a heartbeat
-	KindRequest                   // Request
-	KindSummary                   // Summary
-	KindNode                      // Note: the decision module's view of a storage node has changed
-	KindList                      // Note: an entry of the endpoint list has changed; Value is the list's revision
-	KindDiscovery                 // Note: a call to discovery failed, or calls succeed again
-	KindControl                   // Note: a change from the control endpoint was applied or rejected; Value is the edition
-	KindDrain                     // Note: the broker drains
-	KindStop                      // Note: the broker has answered everything and ends
-	KindLost                      // Lost
-	kinds
+	KindIncarnation Kind = iota + 1 // Incarnation: its particulars of the incarnation
+	KindHeartbeat                   // Heartbeat
+	KindRequest                     // Request
+	KindSummary                     // Summary
+	KindNode                        // Note: the decision module's view of a storage node has changed
+	KindList                        // Note: an entry of the endpoint list has changed; Value is the list's revision
+	KindDiscovery                   // Note: a call to discovery failed, or calls succeed again
+	KindControl                     // Note: a change from the control endpoint was applied or rejected; Value is the edition
+	KindDrain                       // Note: the broker drains
+	KindStop                        // Note: the broker has answered everything and ends
+	KindLost                        // Lost
+	kindCount
 )
 
 // Event is one entry.
 type Event struct {
-	At      clock.Micros
-	Kind    Kind
-	Boot    *Boot
-	Beat    *Beat
-	Request *Request
-	Summary *Summary
-	Note    *Note
-	Lost    *Lost
+	At          clock.Micros
+	Kind        Kind
+	Incarnation *Incarnation
+	Heartbeat   *Heartbeat
+	Request     *Request
+	Summary     *Summary
+	Note        *Note
+	Lost        *Lost
 }
 
-// Boot has the particulars of an incarnation. Later events refer to classes and plans by their positions.
-type Boot struct {
-	Name    string       `json:"name"` // of the broker
-	ID      string       `json:"id"`   // of the incarnation
-	Began   clock.Micros `json:"began"`
-	Wall    clock.Micros `json:"wall"` // the wall clock at Began
-	Beat    clock.Micros `json:"beat"` // time between heartbeats
-	Sample  float64      `json:"sample"`
-	Classes []Class      `json:"classes"`
-	Plans   []Plan       `json:"plans"`
+// Incarnation has the particulars of an incarnation. Later events refer to classes and plans by their positions.
+type Incarnation struct {
+	Name              string       `json:"name"` // of the broker
+	ID                string       `json:"id"`   // of the incarnation
+	StartedAt         clock.Micros `json:"began"`
+	WallClock         clock.Micros `json:"wall"` // the wall clock at Began
+	HeartbeatInterval clock.Micros `json:"beat"` // time between heartbeats
+	SampleFraction    float64      `json:"sample"`
+	Classes           []Class      `json:"classes"`
+	Plans             []Plan       `json:"plans"`
 }
 
 // Class is the part of a class that an analysis needs.
 type Class struct {
-	Name  string       `json:"name"`
-	Aim   clock.Micros `json:"aim"`   // latency objective
-	Due   clock.Micros `json:"due"`   // deadline
-	Worth float64      `json:"worth"` // priority weight
+	Name             string       `json:"name"`
+	LatencyObjective clock.Micros `json:"aim"`   // latency objective
+	Deadline         clock.Micros `json:"due"`   // deadline
+	PriorityWeight   float64      `json:"worth"` // priority weight
 }
 
 // Plan is the part of a service level that an analysis needs.
 type Plan struct {
-	Name  string  `json:"name"`
-	Price float64 `json:"price"` // factor on the priority weight
+	Name        string  `json:"name"`
+	PriceFactor float64 `json:"price"` // factor on the priority weight
 }
 
-// Beat is a heartbeat with levels.
-type Beat struct {
-	Wall    clock.Micros `json:"wall"` // the wall clock
-	Open    int64        `json:"open"` // requests in flight
-	Heap    uint64       `json:"heap"` // bytes
-	Threads int64        `json:"goroutines"`
-	Nodes   int64        `json:"nodes"`
-	List    int64        `json:"list"` // revision of the endpoint list
+// Heartbeat is a heartbeat with levels.
+type Heartbeat struct {
+	WallClock    clock.Micros `json:"wall"` // the wall clock
+	InFlight     int64        `json:"open"` // requests in flight
+	HeapBytes    uint64       `json:"heap"` // bytes
+	Goroutines   int64        `json:"goroutines"`
+	NodeCount    int64        `json:"nodes"`
+	ListRevision int64        `json:"list"` // revision of the endpoint list
 }
 
-// Answer tells how a request ended.
-type Answer uint8
+// Result tells how a request ended.
+type Result uint8
 
 // The answers. Their numbers are stored.
 const (
-	Served  Answer = iota
-	Refused        // shed
+	Served   Result = iota
+	Rejected        // shed
 	Failed
-	Overdue // failed because the deadline had passed
-	Left    // the client disconnected
-	answers
+	DeadlineExceeded   // failed because the deadline had passed
+	ClientDisconnected // the client disconnected
+	resultCount
 )
 
 // Request is a request with its attempts. Times within it count from its arrival, which is the event's time.
 type Request struct {
-	Class  uint8 // position in Boot.Classes
-	Plan   uint8 // position in Boot.Plans
-	Answer Answer
-	Volume string
-	Units  float64
-	Shard  int64
-	Took   clock.Micros // until the response
-	Hint   clock.Micros // Retry-After of a request that was shed
-	Tries  []Try
+	Class      uint8 // position in Incarnation.Classes
+	Plan       uint8 // position in Incarnation.Plans
+	Result     Result
+	Volume     string
+	Units      float64
+	Shard      int64
+	Duration   clock.Micros // until the response
+	RetryAfter clock.Micros // Retry-After of a request that was shed
+	Attempts   []Attempt
 }
 
-// Try is one attempt at a storage node.
-type Try struct {
-	Node    string
-	Sent    clock.Micros // since the arrival of the request
-	Took    clock.Micros
-	Outcome uint8 // as the decision module numbers outcomes
+// Attempt is one attempt at a storage node.
+type Attempt struct {
+	Node      string
+	SentAfter clock.Micros // since the arrival of the request
+	Duration  clock.Micros
+	Outcome   uint8 // as the decision module numbers outcomes
 }
 
 // outcomeServed is the decision module's number of a successful attempt.
@@ -126,19 +126,19 @@
 
 // VolumeCount counts the requests of a volume. Count is never too low and too high by at most Error.
 type VolumeCount struct {
-	Volume  string
-	Count   uint64
-	Error   uint64
-	Refused uint64
-	Failed  uint64
-	Late    uint64 // served after the latency objective
+	Volume     string
+	Count      uint64
+	CountError uint64
+	Rejected   uint64
+	Failed     uint64
+	Late       uint64 // served after the latency objective
 }
 
 // Group counts the requests of one class and plan.
 type Group struct {
 	Class   uint8
 	Plan    uint8
-	Count   [answers]uint64
+	Results [resultCount]uint64
 	Late    uint64        // served after the latency objective
 	Latency sketch.Sketch // of the served ones
 }
@@ -163,5 +163,5 @@
 	To       clock.Micros // time of the last
 	Events   uint64
 	Requests uint64
-	Why      string // "full" (no space in a buffer) or "disk" (the sink did not take them)
+	Reason   string // "full" (no space in a buffer) or "disk" (the sink did not take them)
 }
--- a/internal/observability/record/quantiles.go
+++ b/internal/observability/record/quantiles.go
@@ -13,8 +13,8 @@
 	Max   clock.Micros
 }
 
-// Of reads the quantiles of a sketch.
-func Of(s *sketch.Sketch) Quantiles {
+// QuantilesOf reads the quantiles of a sketch.
+func QuantilesOf(s *sketch.Sketch) Quantiles {
 	return Quantiles{
 		Count: s.Count(),
 		P50:   clock.Micros(s.Quantile(0.5)),
--- a/internal/observability/record/record_test.go
+++ b/internal/observability/record/record_test.go
@@ -25,31 +25,31 @@
 }
 
 func drawEvent(t *rapid.T) Event {
-	e := Event{At: drawTime(t, "at"), Kind: Kind(rapid.IntRange(1, int(kinds)-1).Draw(t, "kind"))}
+	e := Event{At: drawTime(t, "at"), Kind: Kind(rapid.IntRange(1, int(kindCount)-1).Draw(t, "kind"))}
 	name := rapid.SampledFrom([]string{"", "s-1", "s-22", "0123456789abcdef", "ü"})
 	n := rapid.Int64Range(0, 1<<40)
 	span := rapid.Map(n, func(v int64) clock.Micros { return clock.Micros(v) })
 	switch e.Kind {
 	case KindRequest:
-		e.Request = &Request{Class: 1, Plan: 2, Answer: Refused, Volume: name.Draw(t, "volume"), Units: float64(rapid.IntRange(0, 80).Draw(t, "units")) / 16,
-			Shard: rapid.Int64Range(-1, 9).Draw(t, "shard"), Took: span.Draw(t, "took"), Hint: span.Draw(t, "hint")}
+		e.Request = &Request{Class: 1, Plan: 2, Result: Rejected, Volume: name.Draw(t, "volume"), Units: float64(rapid.IntRange(0, 80).Draw(t, "units")) / 16,
+			Shard: rapid.Int64Range(-1, 9).Draw(t, "shard"), Duration: span.Draw(t, "took"), RetryAfter: span.Draw(t, "hint")}
 		for range rapid.IntRange(0, 3).Draw(t, "tries") {
-			e.Request.Tries = append(e.Request.Tries, Try{name.Draw(t, "node"), span.Draw(t, "sent"), span.Draw(t, "try"), 3})
+			e.Request.Attempts = append(e.Request.Attempts, Attempt{name.Draw(t, "node"), span.Draw(t, "sent"), span.Draw(t, "try"), 3})
 		}
-	case KindBoot:
-		e.Boot = &Boot{Name: "n1", ID: "b", Began: span.Draw(t, "began"), Wall: span.Draw(t, "wall"), Beat: 5, Sample: 0.25,
+	case KindIncarnation:
+		e.Incarnation = &Incarnation{Name: "n1", ID: "b", StartedAt: span.Draw(t, "began"), WallClock: span.Draw(t, "wall"), HeartbeatInterval: 5, SampleFraction: 0.25,
 			Classes: []Class{{"c", 1, 2, 0.5}}, Plans: []Plan{{"p", 1.5}, {"q", 0}}}
-	case KindBeat:
-		e.Beat = &Beat{span.Draw(t, "wall"), 3, 1 << 30, 17, 4, -1}
+	case KindHeartbeat:
+		e.Heartbeat = &Heartbeat{span.Draw(t, "wall"), 3, 1 << 30, 17, 4, -1}
 	case KindSummary:
 		g := Group{Class: 1, Plan: 1, Late: 3}
-		g.Count[Served] = uint64(n.Draw(t, "served"))
+		g.Results[Served] = uint64(n.Draw(t, "served"))
 		g.Latency.AddN(n.Draw(t, "latency"), 3)
 		k := NodeCount{Node: "s-1"}
 		k.Outcomes[3], k.Outcomes[9] = 4, 5
 		e.Summary = &Summary{Span: 1000000, Groups: []Group{g}, Nodes: []NodeCount{k}, Volumes: []VolumeCount{{"v", 5, 1, 2, 3, 4}}}
 	case KindLost:
-		e.Lost = &Lost{From: e.At - 500, To: e.At - 20, Events: 7, Requests: 6, Why: "full"}
+		e.Lost = &Lost{From: e.At - 500, To: e.At - 20, Events: 7, Requests: 6, Reason: "full"}
 	default:
 		e.Note = &Note{name.Draw(t, "subject"), "some text", n.Draw(t, "value") - 1<<20}
 	}
@@ -58,7 +58,7 @@
 
 // drawSegment returns a segment, its events, and its number of frames.
 func drawSegment(t *rapid.T) (segment []byte, events []Event, frames int) {
-	segment = SegmentHead("n1", "boot", 1)
+	segment = SegmentHeader("n1", "boot", 1)
 	frames = rapid.IntRange(1, 6).Draw(t, "frames")
 	for k := range frames {
 		base := drawTime(t, "base")
@@ -68,7 +68,7 @@
 			encoded = e.Append(encoded, base)
 			events = append(events, e)
 		}
-		f := Frame{Seq: uint64(k + 1), At: base, Now: 5, Events: encoded}
+		f := Frame{Seq: uint64(k + 1), BaseTime: base, WrittenAt: 5, Events: encoded}
 		segment = f.Append(segment)
 	}
 	return segment, events, frames
@@ -84,7 +84,7 @@
 func decodeSegment(t *rapid.T, segment []byte) decoded {
 	t.Helper()
 	var got decoded
-	_, _, err := Segment(segment, func(p Part) {
+	_, _, err := DecodeSegment(segment, func(p Part) {
 		got.damaged += p.Damaged
 		if !p.Last {
 			got.seqs = append(got.seqs, p.Frame.Seq)
@@ -100,7 +100,7 @@
 func decodeFrameEvents(t *rapid.T, f Frame) (events []Event) {
 	t.Helper()
 	d := NewDecoder()
-	d.Reset(f.Events, f.At)
+	d.Reset(f.Events, f.BaseTime)
 	for {
 		var e Event
 		more, err := d.Next(&e)
@@ -121,9 +121,9 @@
 			x.Summary.Nodes[0].Outcomes == y.Summary.Nodes[0].Outcomes &&
 			x.Summary.Volumes[0] == y.Summary.Volumes[0]
 	}
-	if x.Kind == KindRequest && len(x.Request.Tries) == 0 {
-		x.Request.Tries = nil
-		y.Request.Tries = nil
+	if x.Kind == KindRequest && len(x.Request.Attempts) == 0 {
+		x.Request.Attempts = nil
+		y.Request.Attempts = nil
 	}
 	return reflect.DeepEqual(x, y)
 }
@@ -145,7 +145,7 @@
 
 // TestDamagedSegmentsReportUnreadableBytes changes a bit behind the header, or cuts the segment off there.
 func TestDamagedSegmentsReportUnreadableBytes(t *testing.T) {
-	headerSize := len(SegmentHead("n1", "boot", 1))
+	headerSize := len(SegmentHeader("n1", "boot", 1))
 	rapid.Check(t, func(t *rapid.T) {
 		segment, _, frames := drawSegment(t)
 		at := rapid.IntRange(headerSize, len(segment)-1).Draw(t, "damage")
@@ -173,13 +173,13 @@
 
 func FuzzSegment(f *testing.F) {
 	e := Event{At: 7, Kind: KindNode, Note: &Note{Subject: "s", Text: "silent"}}
-	fr := Frame{Seq: 1, At: 5, Events: e.Append(nil, 5)}
-	f.Add(fr.Append(SegmentHead("n", "b", 1)))
+	fr := Frame{Seq: 1, BaseTime: 5, Events: e.Append(nil, 5)}
+	f.Add(fr.Append(SegmentHeader("n", "b", 1)))
 	f.Add([]byte(segmentMagic))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		_, _, _ = Segment(b, func(p Part) {
+		_, _, _ = DecodeSegment(b, func(p Part) {
 			d := NewDecoder()
-			d.Reset(p.Frame.Events, p.Frame.At)
+			d.Reset(p.Frame.Events, p.Frame.BaseTime)
 			var e Event
 			for {
 				if ok, err := d.Next(&e); !ok || err != nil {
@@ -220,7 +220,7 @@
 	whys = map[string]bool{}
 	for _, f := range k.frames {
 		d := NewDecoder()
-		d.Reset(f.Events, f.At)
+		d.Reset(f.Events, f.BaseTime)
 		var e Event
 		for {
 			ok, err := d.Next(&e)
@@ -235,10 +235,10 @@
 				requests++
 			case KindLost:
 				lost += e.Lost.Requests
-				whys[e.Lost.Why] = true
+				whys[e.Lost.Reason] = true
 			case KindSummary:
 				for _, g := range e.Summary.Groups {
-					for _, n := range g.Count {
+					for _, n := range g.Results {
 						counted += n
 					}
 				}
@@ -255,14 +255,14 @@
 		k := &tank{hold: make(chan struct{})}
 		start := time.Now()
 		now := func() clock.Micros { return 1 + clock.FromDuration(time.Since(start)) }
-		r := New(Options{Sample: 1, Buffer: 4096}, Boot{Name: "n"}, now, func(*Beat) {}, k)
+		r := New(Options{SampleFraction: 1, BufferBytes: 4096}, Incarnation{Name: "n"}, now, func(*Heartbeat) {}, k)
 		go r.Run()
 		var all sync.WaitGroup
 		const callers, each = 8, 500
 		for c := range callers {
 			all.Go(func() {
 				for i := range each {
-					r.Request(now(), &Request{Class: uint8(c % 2), Took: clock.Micros(i), Tries: []Try{{"s-1", 1, 2, 0}}})
+					r.Request(now(), &Request{Class: uint8(c % 2), Duration: clock.Micros(i), Attempts: []Attempt{{"s-1", 1, 2, 0}}})
 					if i%50 == 49 {
 						time.Sleep(10 * time.Millisecond)
 					}
@@ -300,11 +300,11 @@
 		k := &tank{}
 		start := time.Now()
 		now := func() clock.Micros { return 1 + clock.FromDuration(time.Since(start)) }
-		r := New(Options{Sample: 0.25}, Boot{Name: "n"}, now, func(*Beat) {}, k)
+		r := New(Options{SampleFraction: 0.25}, Incarnation{Name: "n"}, now, func(*Heartbeat) {}, k)
 		go r.Run()
 		for range 4000 {
 			time.Sleep(100 * time.Microsecond)
-			r.Request(now(), &Request{Volume: "v", Tries: []Try{{"s-1", 1, 2, 0}}})
+			r.Request(now(), &Request{Volume: "v", Attempts: []Attempt{{"s-1", 1, 2, 0}}})
 		}
 		r.Close(context.Background())
 		requests, lost, counted, _ := k.sum(t)
@@ -323,7 +323,7 @@
 	}
 	seq := uint64(0)
 	for _, boot := range []string{"00aa", "00bb"} {
-		d, err := NewDir(dir, "n1", boot, 1000, 5000)
+		d, err := NewDirectory(dir, "n1", boot, 1000, 5000)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -360,7 +360,7 @@
 
 // What a request costs: recorded one by one, only counted, or without a recorder.
 func BenchmarkRequest(b *testing.B) {
-	q := &Request{Class: 1, Plan: 1, Volume: "00000003b4d60021", Units: 2, Shard: 3, Took: 41000, Tries: []Try{{"s-5be2a07c", 40, 40900, 0}}}
+	q := &Request{Class: 1, Plan: 1, Volume: "00000003b4d60021", Units: 2, Shard: 3, Duration: 41000, Attempts: []Attempt{{"s-5be2a07c", 40, 40900, 0}}}
 	for _, x := range []struct {
 		name   string
 		sample float64
@@ -369,7 +369,7 @@
 			k := &counter{}
 			start := time.Now()
 			now := func() clock.Micros { return clock.FromDuration(time.Since(start)) }
-			r := New(Options{Sample: x.sample, Buffer: 64 << 20}, Boot{Name: "n"}, now, func(*Beat) {}, k)
+			r := New(Options{SampleFraction: x.sample, BufferBytes: 64 << 20}, Incarnation{Name: "n"}, now, func(*Heartbeat) {}, k)
 			go r.Run()
 			n := 0
 			for b.Loop() {
--- a/internal/observability/record/recorder.go
+++ b/internal/observability/record/recorder.go
@@ -15,10 +15,10 @@
 
 // Options bounds a recorder. Zero values mean the defaults.
 type Options struct {
-	Sample float64       // share of requests that are recorded in full; all are counted
-	Buffer int           // bytes that wait to be written, together
-	Flush  time.Duration // between two frames
-	Beat   time.Duration // between two heartbeats
+	SampleFraction    float64       // share of requests that are recorded in full; all are counted
+	BufferBytes       int           // bytes that wait to be written, together
+	FlushInterval     time.Duration // between two frames
+	HeartbeatInterval time.Duration // between two heartbeats
 }
 
 // Defaults of Options.
@@ -47,9 +47,9 @@
 // find no space are counted and reported as lost. One goroutine calls Run, which owns the sink.
 type Recorder struct {
 	options Options
-	boot    Boot
+	boot    Incarnation
 	now     func() clock.Micros
-	levels  func(*Beat) // fills in the levels of a heartbeat
+	levels  func(*Heartbeat) // fills in the levels of a heartbeat
 	sink    Sink
 
 	// Requests whose hash is below this are recorded in full.
@@ -70,18 +70,18 @@
 }
 
 // New returns a recorder. now is the broker's clock in microseconds; levels fills in the levels of a heartbeat.
-func New(options Options, boot Boot, now func() clock.Micros, levels func(*Beat), sink Sink) *Recorder {
-	if options.Buffer == 0 {
-		options.Buffer = defaultBufferBytes
+func New(options Options, boot Incarnation, now func() clock.Micros, levels func(*Heartbeat), sink Sink) *Recorder {
+	if options.BufferBytes == 0 {
+		options.BufferBytes = defaultBufferBytes
 	}
-	if options.Flush == 0 {
-		options.Flush = defaultFlushInterval
+	if options.FlushInterval == 0 {
+		options.FlushInterval = defaultFlushInterval
 	}
-	if options.Beat == 0 {
-		options.Beat = defaultHeartbeatInterval
+	if options.HeartbeatInterval == 0 {
+		options.HeartbeatInterval = defaultHeartbeatInterval
 	}
-	boot.Beat = clock.FromDuration(options.Beat)
-	boot.Sample = options.Sample
+	boot.HeartbeatInterval = clock.FromDuration(options.HeartbeatInterval)
+	boot.SampleFraction = options.SampleFraction
 	r := &Recorder{
 		options:    options,
 		boot:       boot,
@@ -93,10 +93,10 @@
 		done:       make(chan struct{}),
 	}
 	switch {
-	case options.Sample >= 1:
+	case options.SampleFraction >= 1:
 		r.sampleThreshold = math.MaxUint64
-	case options.Sample > 0:
-		r.sampleThreshold = uint64(options.Sample * math.MaxUint64)
+	case options.SampleFraction > 0:
+		r.sampleThreshold = uint64(options.SampleFraction * math.MaxUint64)
 	}
 	for i := range r.buffers {
 		r.buffers[i].counts.reset()
@@ -109,7 +109,7 @@
 func (r *Recorder) Request(arrived clock.Micros, request *Request) {
 	b := r.lockBuffer()
 	if b == nil {
-		r.overflow.add(arrived+request.Took, true)
+		r.overflow.add(arrived+request.Duration, true)
 		return
 	}
 	defer b.mu.Unlock()
@@ -151,7 +151,7 @@
 
 // append encodes an event into a locked buffer, if there is space.
 func (r *Recorder) append(b *buffer, event *Event) {
-	if len(b.events) >= r.options.Buffer/bufferCount {
+	if len(b.events) >= r.options.BufferBytes/bufferCount {
 		r.overflow.add(event.At, event.Kind == KindRequest)
 		return
 	}
@@ -234,7 +234,7 @@
 	if events == 0 {
 		return nil
 	}
-	return &Lost{From: o.from.Swap(0), To: o.to.Swap(0), Events: events, Requests: o.requests.Swap(0), Why: "full"}
+	return &Lost{From: o.from.Swap(0), To: o.to.Swap(0), Events: events, Requests: o.requests.Swap(0), Reason: "full"}
 }
 
 // groupKey is a class and a plan, by their numbers.
@@ -263,33 +263,33 @@
 	c.volumes.Reset()
 }
 
-func (c *counts) addRequest(request *Request, boot *Boot) {
+func (c *counts) addRequest(request *Request, boot *Incarnation) {
 	key := groupKey{request.Class, request.Plan}
 	group := c.groups[key]
 	if group == nil {
 		group = &Group{Class: request.Class, Plan: request.Plan}
 		c.groups[key] = group
 	}
-	group.Count[request.Answer]++
+	group.Results[request.Result]++
 	volume := c.volumes.Add(request.Volume, 1)
-	switch request.Answer {
-	case Refused:
+	switch request.Result {
+	case Rejected:
 		volume.Extra[volumeRefused]++
-	case Failed, Overdue:
+	case Failed, DeadlineExceeded:
 		volume.Extra[volumeFailed]++
 	case Served:
-		group.Latency.Add(int64(request.Took))
-		if int(request.Class) < len(boot.Classes) && request.Took > boot.Classes[request.Class].Aim {
+		group.Latency.Add(int64(request.Duration))
+		if int(request.Class) < len(boot.Classes) && request.Duration > boot.Classes[request.Class].LatencyObjective {
 			group.Late++
 			volume.Extra[volumeLate]++
 		}
 	}
-	for i := range request.Tries {
-		c.addAttempt(&request.Tries[i])
+	for i := range request.Attempts {
+		c.addAttempt(&request.Attempts[i])
 	}
 }
 
-func (c *counts) addAttempt(attempt *Try) {
+func (c *counts) addAttempt(attempt *Attempt) {
 	node := c.nodes[attempt.Node]
 	if node == nil {
 		node = &NodeCount{Node: attempt.Node}
@@ -297,7 +297,7 @@
 	}
 	node.Outcomes[int(attempt.Outcome)%len(node.Outcomes)]++
 	if attempt.Outcome == outcomeServed {
-		node.Latency.Add(int64(attempt.Took))
+		node.Latency.Add(int64(attempt.Duration))
 	}
 }
 
@@ -309,8 +309,8 @@
 			c.groups[key] = from
 			continue
 		}
-		for answer, n := range from.Count {
-			to.Count[answer] += n
+		for answer, n := range from.Results {
+			to.Results[answer] += n
 		}
 		to.Late += from.Late
 		to.Latency.Merge(&from.Latency)
--- a/internal/observability/record/ring.go
+++ b/internal/observability/record/ring.go
@@ -14,7 +14,7 @@
 
 // NewRing returns an empty ring of at most maxBytes.
 func NewRing(name, boot string, maxBytes int) *Ring {
-	return &Ring{maxBytes: maxBytes, head: SegmentHead(name, boot, 1)}
+	return &Ring{maxBytes: maxBytes, head: SegmentHeader(name, boot, 1)}
 }
 
 // Write keeps a frame and drops the oldest ones if there is no space.
--- a/internal/observability/record/segment.go
+++ b/internal/observability/record/segment.go
@@ -37,10 +37,10 @@
 
 // Frame is a batch of events.
 type Frame struct {
-	Seq    uint64       // from 1, over all segments of an incarnation
-	At     clock.Micros // the events' times count from here
-	Now    clock.Micros // time of writing
-	Events []byte       // encoded
+	Seq       uint64       // from 1, over all segments of an incarnation
+	BaseTime  clock.Micros // the events' times count from here
+	WrittenAt clock.Micros // time of writing
+	Events    []byte       // encoded
 }
 
 // Append encodes the frame and appends it to b.
@@ -50,8 +50,8 @@
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(f.Events)))
 	b = append(b, 0, 0, 0, 0) // the checksum
 	b = binary.LittleEndian.AppendUint64(b, f.Seq)
-	b = binary.LittleEndian.AppendUint64(b, uint64(f.At))
-	b = binary.LittleEndian.AppendUint64(b, uint64(f.Now))
+	b = binary.LittleEndian.AppendUint64(b, uint64(f.BaseTime))
+	b = binary.LittleEndian.AppendUint64(b, uint64(f.WrittenAt))
 	b = append(b, f.Events...)
 	binary.LittleEndian.PutUint32(b[start+frameChecksumAt:], crc32.Checksum(b[start+frameSeqAt:], castagnoli))
 	return b
@@ -71,10 +71,10 @@
 		return Frame{}, 0
 	}
 	frame = Frame{
-		Seq:    binary.LittleEndian.Uint64(b[frameSeqAt:]),
-		At:     clock.Micros(binary.LittleEndian.Uint64(b[frameTimeAt:])),
-		Now:    clock.Micros(binary.LittleEndian.Uint64(b[frameNowAt:])),
-		Events: b[frameHeaderSize:size],
+		Seq:       binary.LittleEndian.Uint64(b[frameSeqAt:]),
+		BaseTime:  clock.Micros(binary.LittleEndian.Uint64(b[frameTimeAt:])),
+		WrittenAt: clock.Micros(binary.LittleEndian.Uint64(b[frameNowAt:])),
+		Events:    b[frameHeaderSize:size],
 	}
 	return frame, size
 }
@@ -85,8 +85,8 @@
 	headerChecksumSize = 4
 )
 
-// SegmentHead returns the header of a segment file.
-func SegmentHead(name, boot string, first uint64) []byte {
+// SegmentHeader returns the header of a segment file.
+func SegmentHeader(name, boot string, first uint64) []byte {
 	var body []byte
 	body = appendString(body, name)
 	body = appendString(body, boot)
@@ -123,9 +123,9 @@
 	Last    bool // there is no Frame
 }
 
-// Segment decodes a segment and calls visit for each part of it, in order. It returns the broker and the incarnation. The
+// DecodeSegment decodes a segment and calls visit for each part of it, in order. It returns the broker and the incarnation. The
 // error is ErrNotSegment or ErrDamagedHeader; the frames of such a file belong to nobody.
-func Segment(b []byte, visit func(Part)) (name, boot string, err error) {
+func DecodeSegment(b []byte, visit func(Part)) (name, boot string, err error) {
 	name, boot, rest, err := decodeHeader(b)
 	if err != nil {
 		return "", "", err
--- a/internal/observability/record/writer.go
+++ b/internal/observability/record/writer.go
@@ -35,7 +35,7 @@
 func (r *Recorder) Run() {
 	defer close(r.done)
 	defer func() { _ = r.sink.Close() }() // frames that are lost with it show as a gap in the numbers
-	ticker := time.NewTicker(r.options.Flush)
+	ticker := time.NewTicker(r.options.FlushInterval)
 	defer ticker.Stop()
 	w := newWriter(r)
 	for stopping := false; !stopping; {
@@ -51,11 +51,11 @@
 // newWriter writes the first frame, which has the particulars of the incarnation.
 func newWriter(r *Recorder) *writer {
 	began := r.now()
-	r.boot.Began = began
-	r.boot.Wall = clock.Micros(time.Now().UnixMicro())
+	r.boot.StartedAt = began
+	r.boot.WallClock = clock.Micros(time.Now().UnixMicro())
 	w := &writer{recorder: r, heartbeatAt: began, summaryAt: began, bootAt: began}
 	w.counts.reset()
-	boot := Event{At: began, Kind: KindBoot, Boot: &r.boot}
+	boot := Event{At: began, Kind: KindIncarnation, Incarnation: &r.boot}
 	w.writeOrRemember(boot.Append(nil, began), began, began)
 	return w
 }
@@ -65,7 +65,7 @@
 	w.writeBuffers(now)
 	own := w.appendOverflow(nil, now)
 	w.writeRejected(now)
-	if now-w.heartbeatAt >= clock.FromDuration(w.recorder.options.Beat) || last {
+	if now-w.heartbeatAt >= clock.FromDuration(w.recorder.options.HeartbeatInterval) || last {
 		own = w.appendHeartbeat(own, now)
 	}
 	if now-w.summaryAt >= summaryInterval || last {
@@ -114,13 +114,13 @@
 
 func (w *writer) appendHeartbeat(events []byte, now clock.Micros) []byte {
 	w.heartbeatAt = now
-	heartbeat := &Beat{Wall: clock.Micros(time.Now().UnixMicro())}
+	heartbeat := &Heartbeat{WallClock: clock.Micros(time.Now().UnixMicro())}
 	w.recorder.levels(heartbeat)
-	event := Event{At: now, Kind: KindBeat, Beat: heartbeat}
+	event := Event{At: now, Kind: KindHeartbeat, Heartbeat: heartbeat}
 	events = event.Append(events, now)
 	if now-w.bootAt >= bootInterval {
 		w.bootAt = now
-		boot := Event{At: now, Kind: KindBoot, Boot: &w.recorder.boot}
+		boot := Event{At: now, Kind: KindIncarnation, Incarnation: &w.recorder.boot}
 		events = boot.Append(events, now)
 	}
 	return events
@@ -150,12 +150,12 @@
 	}
 	for _, volume := range c.volumes.List(reportedVolumes) {
 		summary.Volumes = append(summary.Volumes, VolumeCount{
-			Volume:  volume.Key,
-			Count:   volume.Count,
-			Error:   volume.Error,
-			Refused: volume.Extra[volumeRefused],
-			Failed:  volume.Extra[volumeFailed],
-			Late:    volume.Extra[volumeLate],
+			Volume:     volume.Key,
+			Count:      volume.Count,
+			CountError: volume.Error,
+			Rejected:   volume.Extra[volumeRefused],
+			Failed:     volume.Extra[volumeFailed],
+			Late:       volume.Extra[volumeLate],
 		})
 	}
 	return summary
@@ -164,7 +164,7 @@
 // write hands events to the sink as a frame. A frame that it does not take leaves a gap in the numbers.
 func (w *writer) write(events []byte, base clock.Micros) error {
 	w.seq++
-	return w.recorder.sink.Write(&Frame{Seq: w.seq, At: base, Now: w.recorder.now(), Events: events})
+	return w.recorder.sink.Write(&Frame{Seq: w.seq, BaseTime: base, WrittenAt: w.recorder.now(), Events: events})
 }
 
 // writeOrRemember writes a frame. If the sink does not take it, its events are counted for a later report.
@@ -173,7 +173,7 @@
 		return
 	}
 	if w.rejected == nil {
-		w.rejected = &Lost{From: base, To: now, Why: "disk"}
+		w.rejected = &Lost{From: base, To: now, Reason: "disk"}
 	}
 	decoder := NewDecoder()
 	decoder.Reset(events, base)
--- a/internal/testkit/compat/stored_test.go
+++ b/internal/testkit/compat/stored_test.go
@@ -201,15 +201,15 @@
 	for _, micros := range []int64{900, 1200, 80_000} {
 		latency.Add(micros)
 	}
-	boot := filled(&record.Boot{}).(*record.Boot)
-	beat := filled(&record.Beat{}).(*record.Beat)
+	boot := filled(&record.Incarnation{}).(*record.Incarnation)
+	beat := filled(&record.Heartbeat{}).(*record.Heartbeat)
 	request := filled(&record.Request{}).(*record.Request)
-	request.Answer, request.Units, request.Shard = record.Overdue, 2.5, -1
+	request.Result, request.Units, request.Shard = record.DeadlineExceeded, 2.5, -1
 	summary := filled(&record.Summary{}).(*record.Summary)
 	summary.Groups[0].Latency, summary.Nodes[0].Latency = latency, latency
 	events := []record.Event{
-		{At: 1000, Kind: record.KindBoot, Boot: boot},
-		{At: 2000, Kind: record.KindBeat, Beat: beat},
+		{At: 1000, Kind: record.KindIncarnation, Incarnation: boot},
+		{At: 2000, Kind: record.KindHeartbeat, Heartbeat: beat},
 		{At: 1500, Kind: record.KindRequest, Request: request},
 		{At: 3000, Kind: record.KindSummary, Summary: summary},
 		{At: 3500, Kind: record.KindLost, Lost: filled(&record.Lost{}).(*record.Lost)},
@@ -223,11 +223,11 @@
 
 // encodeSegment returns a segment file of one frame.
 func encodeSegment(events []record.Event) []byte {
-	frame := record.Frame{Seq: 1, At: 1000, Now: 5000}
+	frame := record.Frame{Seq: 1, BaseTime: 1000, WrittenAt: 5000}
 	for i := range events {
-		frame.Events = events[i].Append(frame.Events, frame.At)
+		frame.Events = events[i].Append(frame.Events, frame.BaseTime)
 	}
-	return frame.Append(record.SegmentHead("b1", "0123456789abcdef", 1))
+	return frame.Append(record.SegmentHeader("b1", "0123456789abcdef", 1))
 }
 
 func TestRecordSegmentsAreWrittenAlike(t *testing.T) {
@@ -237,13 +237,13 @@
 // decodeSegment returns a segment's events and how many bytes of it cannot be read.
 func decodeSegment(t *testing.T, segment []byte) (events []record.Event, damaged int) {
 	t.Helper()
-	name, boot, err := record.Segment(segment, func(part record.Part) {
+	name, boot, err := record.DecodeSegment(segment, func(part record.Part) {
 		damaged += part.Damaged
 		if part.Last {
 			return
 		}
 		decoder := record.NewDecoder()
-		decoder.Reset(part.Frame.Events, part.Frame.At)
+		decoder.Reset(part.Frame.Events, part.Frame.BaseTime)
 		for {
 			var event record.Event
 			more, err := decoder.Next(&event)
--- a/tools/measure/record.go
+++ b/tools/measure/record.go
@@ -164,28 +164,28 @@
 	start := clock.Micros(1_800_000_000_000_000)
 	for b := range brokers {
 		name := fmt.Sprint("n", b)
-		sink, err := record.NewDir(dir, name, fmt.Sprintf("%016x", b+1), 8<<20, 1<<40)
+		sink, err := record.NewDirectory(dir, name, fmt.Sprintf("%016x", b+1), 8<<20, 1<<40)
 		if err != nil {
 			return 0, err
 		}
-		boot := record.Event{At: start, Kind: record.KindBoot, Boot: &record.Boot{Name: name, ID: fmt.Sprintf("%016x", b+1), Began: start, Beat: 500_000, Sample: 1,
-			Classes: []record.Class{{Name: "artwork-read", Aim: 400_000, Due: 2_500_000, Worth: 2}}, Plans: []record.Plan{{Name: "basis", Price: 0.8}}}}
+		boot := record.Event{At: start, Kind: record.KindIncarnation, Incarnation: &record.Incarnation{Name: name, ID: fmt.Sprintf("%016x", b+1), StartedAt: start, HeartbeatInterval: 500_000, SampleFraction: 1,
+			Classes: []record.Class{{Name: "artwork-read", LatencyObjective: 400_000, Deadline: 2_500_000, PriorityWeight: 2}}, Plans: []record.Plan{{Name: "basis", PriceFactor: 0.8}}}}
 		buf := boot.Append(nil, start)
 		seq, at := uint64(0), start
 		flush := func() error {
 			seq++
-			f := record.Frame{Seq: seq, At: start, Now: at, Events: buf}
+			f := record.Frame{Seq: seq, BaseTime: start, WrittenAt: at, Events: buf}
 			size += int64(len(buf)) + 36
 			err := sink.Write(&f)
 			buf = buf[:0]
 			return err
 		}
-		var tries [1]record.Try
+		var tries [1]record.Attempt
 		for k := range n / brokers {
 			at += 2000
 			took := clock.Micros(r.ExpFloat64()*20_000) + 10_000
-			tries[0] = record.Try{Node: fmt.Sprintf("s-5be2a07%x", r.IntN(14)), Sent: 40, Took: took - 50, Outcome: 0}
-			e := record.Event{At: at, Kind: record.KindRequest, Request: &record.Request{Volume: fmt.Sprintf("%016x", r.IntN(80)), Units: 2, Shard: 3, Took: took, Tries: tries[:]}}
+			tries[0] = record.Attempt{Node: fmt.Sprintf("s-5be2a07%x", r.IntN(14)), SentAfter: 40, Duration: took - 50, Outcome: 0}
+			e := record.Event{At: at, Kind: record.KindRequest, Request: &record.Request{Volume: fmt.Sprintf("%016x", r.IntN(80)), Units: 2, Shard: 3, Duration: took, Attempts: tries[:]}}
 			buf = e.Append(buf, start)
 			if k%25 == 24 {
 				if err := flush(); err != nil {
