--- a/internal/fleet/journal/dir.go
+++ b/internal/fleet/journal/dir.go
@@ -7,36 +7,38 @@
 	"syscall"
 )
 
-var errNoSpace = syscall.ENOSPC
+// lockName is the file whose lock marks the folder as used.
+const lockName = "lock"
 
-// Dir is a folder on disk, locked for one process.
+// Dir is a folder on disk that is locked for one process. It implements FS.
 type Dir struct {
 	path string
 	lock *os.File
 }
 
-// OpenDir makes and locks a folder. The lock ends with the process, however it ends.
+// OpenDir creates a folder where there is none, and locks it. The lock ends with the process at the latest. The error
+// matches ErrLocked where another process holds the lock.
 func OpenDir(path string) (*Dir, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
 	}
-	f, err := os.OpenFile(filepath.Join(path, "lock"), os.O_CREATE|os.O_RDWR, 0o600)
+	f, err := os.OpenFile(filepath.Join(path, lockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		f.Close()
+		_ = f.Close() // the error before it counts
 		return nil, fmt.Errorf("%w: %s", ErrLocked, path)
 	}
 	return &Dir{path: path, lock: f}, nil
 }
 
-// Close gives the lock back.
+// Close releases the lock.
 func (d *Dir) Close() error { return d.lock.Close() }
 
 func (d *Dir) at(name string) string { return filepath.Join(d.path, name) }
 
-// Create makes an empty file.
+// Create creates an empty file, in place of any of that name.
 func (d *Dir) Create(name string) (File, error) {
 	return os.OpenFile(d.at(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, 0o600)
 }
@@ -46,30 +48,31 @@
 	return os.OpenFile(d.at(name), os.O_WRONLY|os.O_APPEND, 0o600)
 }
 
-// ReadFile reads a file whole.
+// ReadFile returns the content of a file.
 func (d *Dir) ReadFile(name string) ([]byte, error) { return os.ReadFile(d.at(name)) }
 
-// Rename puts a file in another's place.
+// Rename renames a file, in place of any that has the new name.
 func (d *Dir) Rename(from, to string) error { return os.Rename(d.at(from), d.at(to)) }
 
 // Remove deletes a file.
 func (d *Dir) Remove(name string) error { return os.Remove(d.at(name)) }
 
-// List names the files.
-func (d *Dir) List() (out []string, err error) {
+// List returns the names of the files.
+func (d *Dir) List() ([]string, error) {
 	entries, err := os.ReadDir(d.path)
+	var names []string
 	for _, e := range entries {
-		out = append(out, e.Name())
+		names = append(names, e.Name())
 	}
-	return out, err
+	return names, err
 }
 
-// SyncDir has names and renames on disk.
+// SyncDir stores created names and renames on disk.
 func (d *Dir) SyncDir() error {
 	f, err := os.Open(d.path)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // opened for reading
 	return f.Sync()
 }
--- a/internal/fleet/journal/journal_test.go
+++ b/internal/fleet/journal/journal_test.go
@@ -11,18 +11,23 @@
 	"poppyarch/internal/testkit/faultfs"
 )
 
-// play appends numbered records and compacts now and then, until the folder fails. It returns the last one that counts.
-func play(fs journal.FS, from int) (acked int, err error) {
-	j, o, err := journal.Open(fs, journal.Options{})
+// appendAndCompact appends numbered records and compacts now and then, until the folder fails. It returns the number of
+// records that are stored.
+func appendAndCompact(t *testing.T, fs journal.FS) (stored int, err error) {
+	t.Helper()
+	j, contents, err := journal.Open(fs, journal.Options{})
 	if err != nil {
-		return from, err
+		return 0, err
 	}
-	all := content(o)
-	acked = len(all)
-	for n := acked; n < acked+40; n++ {
+	all := recordsOf(t, contents)
+	first := len(all)
+	for n := first; n < first+40; n++ {
 		if n%7 == 6 {
-			b, _ := json.Marshal(all)
-			if err := j.Compact(b); err != nil && !errors.Is(err, journal.ErrBroken) {
+			snapshot, err := json.Marshal(all)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if err := j.Compact(snapshot); err != nil && !errors.Is(err, journal.ErrBroken) {
 				return len(all), err
 			}
 		}
@@ -40,59 +45,62 @@
 	return len(all), nil
 }
 
-// content is all that a journal holds.
-func content(o *journal.Contents) (all []string) {
-	if o.Snapshot != nil {
-		json.Unmarshal(o.Snapshot, &all)
+// recordsOf returns the records in a journal's snapshot and log.
+func recordsOf(t *testing.T, contents *journal.Contents) []string {
+	t.Helper()
+	var all []string
+	if contents.Snapshot != nil {
+		if err := json.Unmarshal(contents.Snapshot, &all); err != nil {
+			t.Fatalf("snapshot %q: %v", contents.Snapshot, err)
+		}
 	}
-	for _, r := range o.Records {
+	for _, r := range contents.Records {
 		all = append(all, string(r))
 	}
 	return all
 }
 
-// The machine goes down in every single call, in two ways, and again in every call of the recovery: what counted is
-// there, in order and once; what did not count is there as a prefix of its batch or not at all.
-func TestEveryCrashKeepsWhatCounts(t *testing.T) {
-	whole := faultfs.New()
-	if _, err := play(whole, 0); err != nil {
+// The machine fails in every single call, in two ways, and again in the first calls of the recovery. Stored records are
+// kept, in order and once; of a batch that was not stored, a prefix or nothing is kept.
+func TestStoredRecordsSurviveCrashInEveryCall(t *testing.T) {
+	intact := faultfs.New()
+	if _, err := appendAndCompact(t, intact); err != nil {
 		t.Fatal(err)
 	}
-	_, o, err := journal.Open(whole, journal.Options{})
+	_, o, err := journal.Open(intact, journal.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := content(o)
-	for at := 1; at <= whole.Calls(); at++ {
+	want := recordsOf(t, o)
+	for at := 1; at <= intact.Calls(); at++ {
 		for _, half := range []bool{false, true} {
 			for again := range 4 {
 				fs := faultfs.New()
 				fs.CrashAt(at, half)
-				acked, err := play(fs, 0)
+				stored, err := appendAndCompact(t, fs)
 				if err == nil {
 					continue
 				}
 				fs.Reboot()
 				if again > 0 { // and once more while it is being opened
 					fs.CrashAt(again, half)
-					journal.Open(fs, journal.Options{})
+					_, _, _ = journal.Open(fs, journal.Options{}) // fails or not, depending on the call
 					fs.Reboot()
 				}
 				_, o, err := journal.Open(fs, journal.Options{})
 				if err != nil {
 					t.Fatalf("down at call %d (%v, %d): %v", at, half, again, err)
 				}
-				got := content(o)
-				if len(got) < acked || len(got) > acked+3 || !slices.Equal(got, want[:len(got)]) {
-					t.Fatalf("down at call %d (%v, %d): %d records of %d that count: %q", at, half, again, len(got), acked, got)
+				got := recordsOf(t, o)
+				if len(got) < stored || len(got) > stored+3 || !slices.Equal(got, want[:len(got)]) {
+					t.Fatalf("down at call %d (%v, %d): %d records, %d stored: %q", at, half, again, len(got), stored, got)
 				}
 			}
 		}
 	}
 }
 
-// A full disk refuses, loses nothing, leaves no half record, and is over when there is room again.
-func TestFullDisk(t *testing.T) {
+func TestAppendToFullDiskStoresNothingAndSucceedsOnceThereIsSpace(t *testing.T) {
 	for room := range 60 {
 		fs := faultfs.New()
 		j, _, err := journal.Open(fs, journal.Options{})
@@ -118,14 +126,13 @@
 			t.Fatal(err)
 		}
 		_, o, err := journal.Open(fs, journal.Options{})
-		if got := content(o); err != nil || !slices.Equal(got, want) {
+		if got := recordsOf(t, o); err != nil || !slices.Equal(got, want) {
 			t.Fatalf("room for %d: %v %q", room, err, got)
 		}
 	}
 }
 
-// After a failed sync nobody knows what is on disk: nothing more is taken.
-func TestFailedSync(t *testing.T) {
+func TestNothingIsAppendedAfterFailedSync(t *testing.T) {
 	fs := faultfs.New()
 	j, _, err := journal.Open(fs, journal.Options{})
 	if err != nil {
@@ -141,9 +148,9 @@
 	}
 }
 
-// A flipped byte anywhere: damage before the end is found, named and not passed over; at the end it looks like a
-// torn record. Nothing behind a gap is ever joined on to what comes before it.
-func TestFlippedBytes(t *testing.T) {
+// A byte is changed at every place. Before the last record it is reported as damage; in the last record it is the same as
+// an incomplete write. Records after damage are never joined to those before it.
+func TestChangedByteIsReportedAsDamageOrTornRecord(t *testing.T) {
 	fs := faultfs.New()
 	j, _, err := journal.Open(fs, journal.Options{})
 	if err != nil {
@@ -161,10 +168,12 @@
 	for at := range text {
 		fs := faultfs.New()
 		f, _ := fs.Create("log-0")
-		f.Write(text)
+		if _, err := f.Write(text); err != nil {
+			t.Fatal(err)
+		}
 		fs.Edit("log-0", func(b []byte) []byte { b[at] ^= 0x10; return b })
 		_, o, err := journal.Open(fs, journal.Options{})
-		got := content(o)
+		got := recordsOf(t, o)
 		if len(got) == len(want) || !slices.Equal(got, want[:len(got)]) {
 			t.Fatalf("byte %d: %q", at, got)
 		}
@@ -175,7 +184,10 @@
 		if last {
 			continue
 		}
-		// Opened all the same, it goes on in files of its own, and the damaged ones are kept.
+		if damage := new(journal.DamageError); !errors.Is(err, journal.ErrDamaged) || !errors.As(err, &damage) || damage.Damaged[0].File != "log-0" {
+			t.Fatalf("byte %d: error %v names no damage of log-0", at, err)
+		}
+		// With the damage accepted it continues in new files, and the damaged ones are kept.
 		j, o, err := journal.Open(fs, journal.Options{AcceptDamage: true})
 		if err != nil || o.Report.Damaged[0].KeptAs == "" {
 			t.Fatalf("byte %d: %v %+v", at, err, o.Report)
@@ -184,23 +196,22 @@
 			t.Fatal(err)
 		}
 		_, o, err = journal.Open(fs, journal.Options{})
-		if now := content(o); err != nil || !slices.Equal(now, append(slices.Clone(got), "more")) {
+		if now := recordsOf(t, o); err != nil || !slices.Equal(now, append(slices.Clone(got), "more")) {
 			t.Fatalf("byte %d: %v %q", at, err, now)
 		}
 	}
 }
 
-// A snapshot that cannot be read is done without: the generation before it and both logs give the same.
-func TestDamagedSnapshot(t *testing.T) {
+func TestDamagedSnapshotIsReplacedByTheGenerationBefore(t *testing.T) {
 	fs := faultfs.New()
-	if _, err := play(fs, 0); err != nil {
+	if _, err := appendAndCompact(t, fs); err != nil {
 		t.Fatal(err)
 	}
 	_, o, err := journal.Open(fs, journal.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := content(o)
+	want := recordsOf(t, o)
 	names, _ := fs.List()
 	newest := ""
 	for _, n := range names {
@@ -210,19 +221,18 @@
 	}
 	fs.Edit(newest, func(b []byte) []byte { b[len(b)/2] ^= 1; return b })
 	j, o, err := journal.Open(fs, journal.Options{})
-	if err != nil || len(o.Report.Damaged) != 1 || !slices.Equal(content(o), want) {
+	if err != nil || len(o.Report.Damaged) != 1 || !slices.Equal(recordsOf(t, o), want) {
 		t.Fatalf("%v %+v", err, o.Report)
 	}
 	if err := j.Append([]byte("more")); err != nil {
 		t.Fatal(err)
 	}
-	if _, o, err = journal.Open(fs, journal.Options{}); err != nil || !slices.Equal(content(o), append(want, "more")) {
-		t.Fatalf("%v %q", err, content(o))
+	if _, o, err = journal.Open(fs, journal.Options{}); err != nil || !slices.Equal(recordsOf(t, o), append(want, "more")) {
+		t.Fatalf("%v %q", err, recordsOf(t, o))
 	}
 }
 
-// Two processes do not share a folder.
-func TestLock(t *testing.T) {
+func TestFolderIsLockedForOneProcess(t *testing.T) {
 	path := t.TempDir()
 	d, err := journal.OpenDir(path)
 	if err != nil {
@@ -231,16 +241,22 @@
 	if _, err := journal.OpenDir(path); !errors.Is(err, journal.ErrLocked) {
 		t.Fatalf("got %v", err)
 	}
-	if _, err := play(d, 0); err != nil {
+	if _, err := appendAndCompact(t, d); err != nil {
+		t.Fatal(err)
+	}
+	if err := d.Close(); err != nil {
 		t.Fatal(err)
 	}
-	d.Close()
 	d, err = journal.OpenDir(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.Close()
-	if _, o, err := journal.Open(d, journal.Options{}); err != nil || len(content(o)) != 79 {
-		t.Fatalf("%v %d", err, len(content(o)))
+	defer func() {
+		if err := d.Close(); err != nil {
+			t.Error(err)
+		}
+	}()
+	if _, o, err := journal.Open(d, journal.Options{}); err != nil || len(recordsOf(t, o)) != 79 {
+		t.Fatalf("%v %d", err, len(recordsOf(t, o)))
 	}
 }
