--- a/internal/fleet/state/bench_test.go
+++ b/internal/fleet/state/bench_test.go
@@ -6,76 +6,118 @@
 	"testing"
 
 	"poppyarch/internal/fleet/spec"
+	"poppyarch/internal/timing/clock"
 )
 
-// emulate is a settled fleet of n instances, fifty to an agent, with a report of each.
-func emulate(tb testing.TB, n int) (*State, [][]Report) {
-	s := New(DefaultLimits())
-	put := func(r *Record) {
-		if err := s.Apply(r); err != nil {
-			tb.Fatal(err)
-		}
-	}
-	want := &spec.Spec{Instances: map[string]*spec.Instance{}, Configs: map[string]string{}}
-	text := "{}"
-	d := spec.ConfigDigest([]byte(text))
-	want.Configs[d] = text
-	agents := max(n/50, 1)
-	for k := range n {
-		name := fmt.Sprintf("n%06d", k)
-		want.Instances[name] = &spec.Instance{Name: name, Agent: fmt.Sprintf("a%04d", k%agents), Enabled: true,
-			Start: spec.StartSettings{Config: d, Listen: fmt.Sprintf("127.0.%d.1:%d", k/50000, 1024+k%50000), MemoryMB: 96}}
+// benchmarkFleet is a fleet whose agents carry out their assignments at once.
+type benchmarkFleet struct {
+	tb       testing.TB
+	s        *State
+	agents   []string
+	versions []uint64   // of the assignments that each agent has
+	reports  [][]Report // by agent
+}
+
+// newBenchmarkFleet returns a settled fleet of n instances, fifty to an agent.
+func newBenchmarkFleet(tb testing.TB, n int) *benchmarkFleet {
+	tb.Helper()
+	const now = 1
+	f := &benchmarkFleet{tb: tb, s: New(DefaultLimits())}
+	for k := range max(n/50, 1) {
+		f.agents = append(f.agents, fmt.Sprintf("a%04d", k))
 	}
-	st := DefaultStrategy()
-	st.SoakTime, st.Batch, st.OneDomainPerWave = 0, CountOrPercent{Percent: 100}, false
-	r, _, err := s.Propose(&Command{ID: "c"}, want, st, 1)
+	f.versions = make([]uint64, len(f.agents))
+	f.reports = make([][]Report, len(f.agents))
+	strategy := DefaultStrategy()
+	strategy.SoakTime = 0
+	strategy.Batch = CountOrPercent{Percent: 100}
+	strategy.OneDomainPerWave = false
+	r, _, err := f.s.Propose(&Command{ID: "c"}, f.spec(n), strategy, now)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	put(r)
-	now := int64(1)
-	drain := func() {
-		for {
-			list := s.Step(now)
-			if len(list) == 0 {
-				return
-			}
+	f.apply(r)
+	for _, name := range f.agents {
+		f.apply(f.s.Register(name, 0, now))
+	}
+	const maxRounds = 7
+	for round := uint64(1); round == 1 || !f.s.Settled(); round++ {
+		if round > maxRounds {
+			tb.Fatalf("not settled: %+v", f.s.Rollouts(1))
+		}
+		for a := range f.agents {
+			f.sync(a, round, now)
+		}
+		for list := f.s.Step(now); len(list) > 0; list = f.s.Step(now) {
 			for _, r := range list {
-				put(r)
+				f.apply(r)
 			}
 		}
 	}
-	reports := make([][]Report, agents)
-	have := make([]uint64, agents)
-	seq := uint64(0)
-	for round := 0; !s.Settled() || round == 0; round++ {
-		if round > 6 {
-			tb.Fatalf("not settled: %+v", s.Rollouts(1))
+	return f
+}
+
+func (f *benchmarkFleet) apply(r *Record) {
+	f.tb.Helper()
+	if err := f.s.Apply(r); err != nil {
+		f.tb.Fatal(err)
+	}
+}
+
+// spec returns a desired state of n instances.
+func (f *benchmarkFleet) spec(n int) *spec.Spec {
+	const text = "{}"
+	digest := spec.ConfigDigest([]byte(text))
+	instances := map[string]*spec.Instance{}
+	for k := range n {
+		name := fmt.Sprintf("n%06d", k)
+		instances[name] = &spec.Instance{
+			Name:    name,
+			Agent:   f.agents[k%len(f.agents)],
+			Enabled: true,
+			Start: spec.StartSettings{
+				Config:   digest,
+				Listen:   fmt.Sprintf("127.0.%d.1:%d", k/50000, 1024+k%50000),
+				MemoryMB: 96,
+			},
 		}
-		seq++
-		for a := range agents {
-			name := fmt.Sprintf("a%04d", a)
-			if round == 0 {
-				put(s.Register(name, 0, 1))
-			}
-			list, version := s.Assignments(name, have[a])
-			have[a] = version
-			for _, x := range list {
-				if x.Unreleased { // not released yet: the agent leaves it as it is
-					continue
-				}
-				reports[a] = append(reports[a], Report{Name: x.Name, Process: Running, Incarnation: "b" + x.Name, AppliedEdition: x.TargetEdition, StartDigest: x.Desired.Start.Digest(), Healthy: true})
-			}
-			if err := s.Observe(&AgentSync{Agent: name, Token: s.agents.byName[name].token, Sequence: seq, AssignmentVersion: version, Full: true, Reports: reports[a]}, now); err != nil {
-				tb.Fatal(err)
-			}
+	}
+	return &spec.Spec{Instances: instances, Configs: map[string]string{digest: text}}
+}
+
+// sync lets an agent fetch its assignments, carry them out and report.
+func (f *benchmarkFleet) sync(a int, sequence uint64, now clock.Micros) {
+	f.tb.Helper()
+	name := f.agents[a]
+	list, version := f.s.Assignments(name, f.versions[a])
+	f.versions[a] = version
+	for _, assignment := range list {
+		if assignment.Unreleased {
+			continue
 		}
-		drain()
+		f.reports[a] = append(f.reports[a], Report{
+			Name:           assignment.Name,
+			Process:        Running,
+			Incarnation:    "b" + assignment.Name,
+			AppliedEdition: assignment.TargetEdition,
+			StartDigest:    assignment.Desired.Start.Digest(),
+			Healthy:        true,
+		})
+	}
+	call := &AgentSync{
+		Agent:             name,
+		Token:             f.s.agents.byName[name].token,
+		Sequence:          sequence,
+		AssignmentVersion: version,
+		Full:              true,
+		Reports:           f.reports[a],
+	}
+	if err := f.s.Observe(call, now); err != nil {
+		f.tb.Fatal(err)
 	}
-	return s, reports
 }
 
-// rescan is the plain way: everything is looked at again.
+// rescan computes without the index what the state keeps in its counters and sets.
 func rescan(s *State) (out, of, differ int, gone []string) {
 	for name, i := range s.instances {
 		cur, up := s.isCurrent(i), i.isAvailable()
@@ -95,13 +137,14 @@
 	return out, of, differ, gone
 }
 
-// BenchmarkStep has ten instances change in a fleet, and finds out what to do: with the index, and by looking at all.
+// BenchmarkStep reports changes of ten instances and determines what is due: with the index, and by visiting all instances.
 func BenchmarkStep(b *testing.B) {
 	for _, n := range benchmarkSizes() {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		s, reports := emulate(b, n)
+		f := newBenchmarkFleet(b, n)
+		s, reports := f.s, f.reports
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		bytes := float64(after.HeapAlloc-before.HeapAlloc) / float64(n)
--- a/internal/fleet/state/property_test.go
+++ b/internal/fleet/state/property_test.go
@@ -11,22 +11,23 @@
 	"pgregory.net/rapid"
 
 	"poppyarch/internal/fleet/spec"
+	"poppyarch/internal/timing/clock"
 )
 
 // broker is one process as it really is, whatever the manager believes.
 type broker struct {
-	started string // digest of what it was started with
-	config  string
-	boot    string
-	applied uint64
-	healthy bool
-	up      bool // has been reported healthy once since it was wanted
-	crashes int
-	told    bool // healthy, at its agent's last call: nobody can know more
-}
-
-// hand is one agent as it really is.
-type hand struct {
+	started  string // digest of what it was started with
+	config   string
+	boot     string
+	applied  uint64
+	healthy  bool
+	up       bool // has been reported healthy once since it was wanted
+	crashes  int
+	reported bool // healthy at its agent's last call
+}
+
+// simulatedAgent is one agent as it really is.
+type simulatedAgent struct {
 	name     string
 	token    uint64
 	seq      uint64
@@ -38,22 +39,22 @@
 	lastSent []Report // the call that may arrive again, late
 }
 
-// world is a fleet in which everything that can fail does, at the test's word.
+// world is a fleet whose parts fail when the test says so, and its manager's state.
 type world struct {
-	t       *rapid.T
-	s       *State
-	log     []*Record // the journal
-	snap    []byte
-	since   int // records that the snapshot contains
-	now     int64
-	hands   map[string]*hand
-	boots   int
-	cmds    int
-	agents  []string
-	domains int
-}
-
-// trace has a failing run print every record and call.
+	t          *rapid.T
+	s          *State
+	log        []*Record // the journal
+	snap       []byte
+	since      int // records that the snapshot contains
+	now        clock.Micros
+	agents     map[string]*simulatedAgent
+	boots      int
+	cmds       int
+	agentNames []string
+	domains    int
+}
+
+// trace makes a run print every record and call.
 const trace = false
 
 var testLimits = Limits{MaxRevisions: 50, MaxCommands: 50, AgentTimeout: 3_000_000, MaxReleases: 4}
@@ -89,7 +90,7 @@
 		all[name] = true
 		var b *broker
 		up := false
-		for _, h := range w.hands {
+		for _, h := range w.agents {
 			if x := h.brokers[name]; x != nil {
 				b, up = x, up || x.up
 			}
@@ -98,14 +99,14 @@
 			continue
 		}
 		of++
-		if b == nil || !b.told || b.started != i.release.desired.Start.Digest() || i.release.desired.Agent != i.agent.name {
+		if b == nil || !b.reported || b.started != i.release.desired.Start.Digest() || i.release.desired.Agent != i.agent.name {
 			out++
 		}
 	}
 	return out, of, all
 }
 
-// step carries out what the manager finds due, and holds every release against the bound.
+// step applies the records that are due, and checks every release against the bound on unavailable instances.
 func (w *world) step() {
 	for n := 0; ; n++ {
 		if n > 10000 {
@@ -130,7 +131,7 @@
 }
 
 // sync has an agent call the manager.
-func (w *world) sync(h *hand) {
+func (w *world) sync(h *simulatedAgent) {
 	if !h.alive {
 		return
 	}
@@ -153,8 +154,8 @@
 		return
 	}
 	for _, b := range h.brokers {
-		b.told = b.healthy && b.crashes <= 2
-		b.up = b.up || b.told
+		b.reported = b.healthy && b.crashes <= 2
+		b.up = b.up || b.reported
 	}
 	list, version := w.s.Assignments(h.name, h.have)
 	if trace {
@@ -171,7 +172,7 @@
 	h.have = version
 }
 
-func (w *world) report(h *hand, name string) Report {
+func (w *world) report(h *simulatedAgent, name string) Report {
 	b := h.brokers[name]
 	a := h.jobs[name]
 	r := Report{Name: name, Process: Stopped}
@@ -187,7 +188,7 @@
 }
 
 // work has an agent do one thing for each of its instances.
-func (w *world) work(h *hand) {
+func (w *world) work(h *simulatedAgent) {
 	if !h.alive {
 		return
 	}
@@ -197,7 +198,7 @@
 		case a.Release || a.Desired == nil || !a.Desired.Enabled:
 			delete(h.brokers, name)
 		case b == nil || b.started != a.Desired.Start.Digest():
-			for _, o := range w.hands {
+			for _, o := range w.agents {
 				if o != h && o.brokers[name] != nil {
 					w.t.Fatalf("%s is started at %s and still runs at %s", name, h.name, o.name)
 				}
@@ -226,14 +227,14 @@
 var goodText, badText = "good", "bad"
 var badConfig = spec.ConfigDigest([]byte(badText))
 
-// draw makes up a fleet.
-func (w *world) draw(t *rapid.T, good bool) *spec.Spec {
+// drawSpec draws a desired state; a good one has no configuration that crashes.
+func (w *world) drawSpec(t *rapid.T, good bool) *spec.Spec {
 	sp := &spec.Spec{Instances: map[string]*spec.Instance{}, Configs: map[string]string{
 		spec.ConfigDigest([]byte(goodText)): goodText, badConfig: badText}}
 	n := rapid.IntRange(1, 9).Draw(t, "instances")
 	for k := range n {
 		name := fmt.Sprint("n", k)
-		i := &spec.Instance{Name: name, Agent: rapid.SampledFrom(w.agents).Draw(t, "agent"), Enabled: rapid.IntRange(0, 9).Draw(t, "on") > 0,
+		i := &spec.Instance{Name: name, Agent: rapid.SampledFrom(w.agentNames).Draw(t, "agent"), Enabled: rapid.IntRange(0, 9).Draw(t, "on") > 0,
 			Domain: fmt.Sprint("d", k%w.domains),
 			Start: spec.StartSettings{Config: spec.ConfigDigest([]byte(goodText)), Listen: fmt.Sprint("127.0.0.1:", 7000+k),
 				MemoryMB: rapid.IntRange(1, 3).Draw(t, "memory")},
@@ -251,7 +252,7 @@
 	return &Command{ID: fmt.Sprint("c", w.cmds), Author: "test"}
 }
 
-func (w *world) strategy(t *rapid.T) Strategy {
+func (w *world) drawStrategy(t *rapid.T) Strategy {
 	st := DefaultStrategy()
 	st.Canary = rapid.IntRange(0, 2).Draw(t, "canary")
 	st.Batch = CountOrPercent{Count: rapid.IntRange(1, 5).Draw(t, "batch")}
@@ -289,7 +290,7 @@
 	}
 	whole.FinishReplay()
 	w.s = whole
-	for _, h := range w.hands {
+	for _, h := range w.agents {
 		h.have = 0 // another life of the manager: all assignments are asked for anew
 		h.seq = 0
 	}
@@ -318,180 +319,239 @@
 	return b
 }
 
-// Whatever fails in whatever order: no release takes more out of service than allowed, no instance runs twice, no
-// broker goes back, a replay gives the same state as a snapshot; and once faults stop everything becomes as wanted,
-// and is reported so exactly when it is so.
-func TestFleetHoldsItsRulesAndConverges(t *testing.T) {
+// No sequence of failures and commands lets a release take more out of service than allowed, an instance run twice, a
+// broker return to an older edition, or a snapshot differ from a replay. Once the failures stop the fleet becomes as
+// desired, and is reported as settled exactly then.
+func TestFleetConvergesAfterAnyFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, s: New(testLimits), hands: map[string]*hand{}, agents: []string{"a1", "a2", "a3"}, domains: 2, now: 1}
-		for _, name := range w.agents {
-			w.hands[name] = &hand{name: name, alive: true, jobs: map[string]Assignment{}, brokers: map[string]*broker{}}
-		}
-		pick := func() *hand { return w.hands[rapid.SampledFrom(w.agents).Draw(t, "hand")] }
-		tick := func() {
-			w.now += 300_000
-			for _, name := range w.agents {
-				w.work(w.hands[name])
-				w.sync(w.hands[name])
-			}
-			w.step()
-		}
+		w := newWorld(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"tick": func(t *rapid.T) { tick() },
-			"ticks": func(t *rapid.T) {
-				for range rapid.IntRange(2, 30).Draw(t, "n") {
-					tick()
-				}
-			},
-			"apply": func(t *rapid.T) {
-				c := w.command()
-				r, _, err := w.s.Propose(c, w.draw(t, false), w.strategy(t), w.now)
-				if err != nil {
-					t.Fatal(err)
-				}
-				w.put(r)
-				if _, seen := w.s.CommandResult(c.ID); r != nil && !seen {
-					t.Fatal("a command is not remembered")
-				}
-			},
-			"rollback": func(t *rapid.T) {
-				r, _, err := w.s.Rollback(w.command(), uint64(rapid.IntRange(0, int(w.s.desired.revision)).Draw(t, "to")), w.strategy(t), rapid.Bool().Draw(t, "nodes"), w.now)
-				if err != nil && !errors.Is(err, ErrNotFound) {
-					t.Fatal(err)
-				}
-				w.put(r)
-			},
-			"nodes": func(t *rapid.T) {
-				ch := NodeChange{ID: "s-1", Override: &spec.NodeOverride{ID: "s-1", State: rapid.SampledFrom([]spec.NodeOverrideState{spec.NodeDraining, spec.NodeRemoved}).Draw(t, "state")}}
-				if rapid.Bool().Draw(t, "back") {
-					ch.Override = nil
-				}
-				r, err := w.s.SetNodes(w.command(), []NodeChange{ch}, w.now)
-				if err != nil && !errors.Is(err, ErrNotFound) {
-					t.Fatal(err)
-				}
-				w.put(r)
-			},
-			"steer": func(t *rapid.T) {
-				r, err := w.s.SetRolloutPhase(w.command(), 0, rapid.SampledFrom([]Phase{Paused, Active, Aborted}).Draw(t, "phase"), w.now)
-				if err == nil {
-					w.put(r)
-				}
-			},
-			"agent dies": func(t *rapid.T) { pick().alive = false },
-			"agent comes back": func(t *rapid.T) {
-				if h := pick(); !h.alive {
-					h.alive, h.token = true, 0
-				}
-			},
-			"an older agent calls": func(t *rapid.T) {
-				h := pick()
-				if h.token > 1 && w.s.CheckToken(h.name, h.token) == nil {
-					if err := w.s.Observe(&AgentSync{Agent: h.name, Token: h.token - 1, Sequence: 1 << 40, Full: true}, w.now); !errors.Is(err, ErrFenced) {
-						t.Fatalf("an older token: %v", err)
-					}
-				}
-			},
-			"a call arrives again, late": func(t *rapid.T) {
-				h := pick()
-				if h.alive && h.seq > 0 && h.lastSent != nil {
-					w.s.Observe(&AgentSync{Agent: h.name, Token: h.token, Sequence: h.seq, AssignmentVersion: h.have, Full: true}, w.now)
-				}
-			},
-			"broker crashes": func(t *rapid.T) {
-				h := pick()
-				for _, name := range []string{"n0", "n1", "n2", "n3", "n4"} {
-					if b := h.brokers[name]; b != nil && rapid.Bool().Draw(t, "this") {
-						b.healthy = false
-						break
-					}
-				}
-			},
-			"a machine burns, and its agent is retired": func(t *rapid.T) {
-				h := pick()
-				if h.alive || w.s.agents.byName[h.name] == nil || !w.s.agents.byName[h.name].session.silent {
-					return
-				}
-				h.jobs, h.brokers = map[string]Assignment{}, map[string]*broker{} // nothing is left of it
-				r, err := w.s.Retire(w.command(), h.name, w.now)
-				if err != nil {
-					t.Fatal(err)
-				}
-				w.put(r)
-			},
-			"the clock jumps": func(t *rapid.T) {
-				if rapid.Bool().Draw(t, "forward") {
-					w.now += 3600_000_000
-				} else if w.now > 1_000_000 { // a step that is told an earlier time than before
-					if list := w.s.Step(w.now - 1_000_000); len(list) > 0 {
-						w.put(list[0])
-					}
-				}
-			},
-			"manager restarts": func(t *rapid.T) { w.restart() },
-			"snapshot": func(t *rapid.T) {
-				b, err := w.s.Snapshot()
-				if err != nil {
-					t.Fatal(err)
-				}
-				w.snap, w.since = b, len(w.log)
-			},
+			"tick":               func(*rapid.T) { w.tick() },
+			"ticks":              w.someTicks,
+			"apply":              w.applySpec,
+			"rollback":           w.rollBack,
+			"nodes":              w.changeNodeOverride,
+			"phase":              w.changePhase,
+			"agent fails":        func(t *rapid.T) { w.pickAgent(t).alive = false },
+			"agent returns":      w.agentReturns,
+			"fenced agent calls": w.fencedAgentCalls,
+			"call arrives again": w.callArrivesAgain,
+			"broker crashes":     w.brokerCrashes,
+			"machine is lost":    w.machineIsLost,
+			"clock jumps":        w.clockJumps,
+			"manager restarts":   func(*rapid.T) { w.restart() },
+			"snapshot":           w.takeSnapshot,
 		})
-		// Faults stop, and a sound fleet is asked for.
-		for _, h := range w.hands {
-			if !h.alive {
-				h.alive, h.token = true, 0
-			}
+		w.endFailures()
+		want := w.drawSpec(t, true)
+		w.releaseAndSettle(want)
+		w.checkConverged(want)
+	})
+}
+
+func newWorld(t *rapid.T) *world {
+	w := &world{
+		t:          t,
+		s:          New(testLimits),
+		agents:     map[string]*simulatedAgent{},
+		agentNames: []string{"a1", "a2", "a3"},
+		domains:    2,
+		now:        1,
+	}
+	for _, name := range w.agentNames {
+		w.agents[name] = &simulatedAgent{name: name, alive: true, jobs: map[string]Assignment{}, brokers: map[string]*broker{}}
+	}
+	return w
+}
+
+func (w *world) pickAgent(t *rapid.T) *simulatedAgent {
+	return w.agents[rapid.SampledFrom(w.agentNames).Draw(t, "agent")]
+}
+
+// tick lets some time pass in which every agent works and calls and the manager acts.
+func (w *world) tick() {
+	w.now += 300_000
+	for _, name := range w.agentNames {
+		w.work(w.agents[name])
+		w.sync(w.agents[name])
+	}
+	w.step()
+}
+
+func (w *world) someTicks(t *rapid.T) {
+	for range rapid.IntRange(2, 30).Draw(t, "n") {
+		w.tick()
+	}
+}
+
+func (w *world) applySpec(t *rapid.T) {
+	c := w.command()
+	r, _, err := w.s.Propose(c, w.drawSpec(t, false), w.drawStrategy(t), w.now)
+	if err != nil {
+		t.Fatal(err)
+	}
+	w.put(r)
+	if _, seen := w.s.CommandResult(c.ID); r != nil && !seen {
+		t.Fatal("the command's result is not kept")
+	}
+}
+
+func (w *world) rollBack(t *rapid.T) {
+	to := uint64(rapid.IntRange(0, int(w.s.desired.revision)).Draw(t, "to"))
+	r, _, err := w.s.Rollback(w.command(), to, w.drawStrategy(t), rapid.Bool().Draw(t, "nodes"), w.now)
+	if err != nil && !errors.Is(err, ErrNotFound) {
+		t.Fatal(err)
+	}
+	w.put(r)
+}
+
+func (w *world) changeNodeOverride(t *rapid.T) {
+	states := []spec.NodeOverrideState{spec.NodeDraining, spec.NodeRemoved}
+	change := NodeChange{ID: "s-1", Override: &spec.NodeOverride{ID: "s-1", State: rapid.SampledFrom(states).Draw(t, "state")}}
+	if rapid.Bool().Draw(t, "withdraw") {
+		change.Override = nil
+	}
+	r, err := w.s.SetNodes(w.command(), []NodeChange{change}, w.now)
+	if err != nil && !errors.Is(err, ErrNotFound) {
+		t.Fatal(err)
+	}
+	w.put(r)
+}
+
+func (w *world) changePhase(t *rapid.T) {
+	phase := rapid.SampledFrom([]Phase{Paused, Active, Aborted}).Draw(t, "phase")
+	if r, err := w.s.SetRolloutPhase(w.command(), 0, phase, w.now); err == nil {
+		w.put(r)
+	}
+}
+
+func (w *world) agentReturns(t *rapid.T) {
+	if h := w.pickAgent(t); !h.alive {
+		h.alive, h.token = true, 0
+	}
+}
+
+func (w *world) fencedAgentCalls(t *rapid.T) {
+	h := w.pickAgent(t)
+	if h.token <= 1 || w.s.CheckToken(h.name, h.token) != nil {
+		return
+	}
+	if err := w.s.Observe(&AgentSync{Agent: h.name, Token: h.token - 1, Sequence: 1 << 40, Full: true}, w.now); !errors.Is(err, ErrFenced) {
+		t.Fatalf("an older token: %v", err)
+	}
+}
+
+func (w *world) callArrivesAgain(t *rapid.T) {
+	h := w.pickAgent(t)
+	if !h.alive || h.seq == 0 || h.lastSent == nil {
+		return
+	}
+	err := w.s.Observe(&AgentSync{Agent: h.name, Token: h.token, Sequence: h.seq, AssignmentVersion: h.have, Full: true}, w.now)
+	if err != nil && !errors.Is(err, ErrFenced) { // fenced: a newer agent has registered since
+		t.Fatal(err)
+	}
+}
+
+func (w *world) brokerCrashes(t *rapid.T) {
+	h := w.pickAgent(t)
+	for _, name := range []string{"n0", "n1", "n2", "n3", "n4"} {
+		if b := h.brokers[name]; b != nil && rapid.Bool().Draw(t, "this") {
+			b.healthy = false
+			break
 		}
-		want := w.draw(t, true)
-		st := w.strategy(t)
-		st.FailureBudget = CountOrPercent{Percent: 100}
-		if w.s.rollouts.active != nil {
-			r, err := w.s.SetRolloutPhase(w.command(), 0, Aborted, w.now)
-			if err != nil {
-				t.Fatal(err)
-			}
-			w.put(r)
+	}
+}
+
+// machineIsLost removes all that runs on a silent agent's machine, and retires the agent.
+func (w *world) machineIsLost(t *rapid.T) {
+	h := w.pickAgent(t)
+	if h.alive || w.s.agents.byName[h.name] == nil || !w.s.agents.byName[h.name].session.silent {
+		return
+	}
+	h.jobs, h.brokers = map[string]Assignment{}, map[string]*broker{}
+	r, err := w.s.Retire(w.command(), h.name, w.now)
+	if err != nil {
+		t.Fatal(err)
+	}
+	w.put(r)
+}
+
+// clockJumps lets an hour pass, or gives a step an earlier time than the one before.
+func (w *world) clockJumps(t *rapid.T) {
+	if rapid.Bool().Draw(t, "forward") {
+		w.now += 3600_000_000
+		return
+	}
+	if w.now > 1_000_000 {
+		if list := w.s.Step(w.now - 1_000_000); len(list) > 0 {
+			w.put(list[0])
 		}
-		for len(w.s.rollouts.queued) > 0 {
-			r, err := w.s.SetRolloutPhase(w.command(), w.s.rollouts.queued[0].revision, Aborted, w.now)
-			if err != nil {
-				t.Fatal(err)
-			}
-			w.put(r)
+	}
+}
+
+func (w *world) takeSnapshot(t *rapid.T) {
+	b, err := w.s.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	w.snap, w.since = b, len(w.log)
+}
+
+// endFailures lets all agents run again and ends all rollouts.
+func (w *world) endFailures() {
+	for _, h := range w.agents {
+		if !h.alive {
+			h.alive, h.token = true, 0
 		}
-		r, _, err := w.s.Propose(w.command(), want, st, w.now)
+	}
+	for _, revision := range w.s.rollouts.unfinished() {
+		r, err := w.s.SetRolloutPhase(w.command(), revision, Aborted, w.now)
 		if err != nil {
-			t.Fatal(err)
+			w.t.Fatal(err)
 		}
 		w.put(r)
-		for n := 0; !w.s.Settled(); n++ {
-			if n == 2000 {
-				for _, x := range w.s.Instances(spec.Selector{}) {
-					t.Logf("%+v", x)
-				}
-				t.Fatalf("never settled: %+v", w.s.Rollouts(1))
+	}
+}
+
+// releaseAndSettle proposes a desired state and waits until the fleet is settled.
+func (w *world) releaseAndSettle(want *spec.Spec) {
+	strategy := w.drawStrategy(w.t)
+	strategy.FailureBudget = CountOrPercent{Percent: 100}
+	r, _, err := w.s.Propose(w.command(), want, strategy, w.now)
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	w.put(r)
+	for n := 0; !w.s.Settled(); n++ {
+		if n == 2000 {
+			for _, x := range w.s.Instances(spec.Selector{}) {
+				w.t.Logf("%+v", x)
 			}
-			tick()
+			w.t.Fatalf("never settled: %+v", w.s.Rollouts(1))
 		}
-		for name, i := range want.Instances {
-			b := w.hands[i.Agent].brokers[name]
-			if !i.Enabled {
-				if b != nil {
-					t.Fatalf("%s runs and should not", name)
-				}
-				continue
-			}
-			if b == nil || b.started != i.Start.Digest() || b.applied != w.s.targetEdition(w.s.instances[name]) {
-				t.Fatalf("%s is reported current and is %+v", name, b)
+		w.tick()
+	}
+}
+
+// checkConverged checks that exactly the desired instances run, each as desired.
+func (w *world) checkConverged(want *spec.Spec) {
+	for name, i := range want.Instances {
+		b := w.agents[i.Agent].brokers[name]
+		if !i.Enabled {
+			if b != nil {
+				w.t.Fatalf("%s runs and should not", name)
 			}
+			continue
 		}
-		for _, h := range w.hands {
-			for name := range h.brokers {
-				if i := want.Instances[name]; i == nil || i.Agent != h.name {
-					t.Fatalf("%s still runs at %s", name, h.name)
-				}
+		if b == nil || b.started != i.Start.Digest() || b.applied != w.s.targetEdition(w.s.instances[name]) {
+			w.t.Fatalf("%s is reported current and is %+v", name, b)
+		}
+	}
+	for _, h := range w.agents {
+		for name := range h.brokers {
+			if i := want.Instances[name]; i == nil || i.Agent != h.name {
+				w.t.Fatalf("%s still runs at %s", name, h.name)
 			}
 		}
-	})
+	}
 }
--- a/internal/fleet/state/rollout_test.go
+++ b/internal/fleet/state/rollout_test.go
@@ -6,36 +6,46 @@
 
 	"poppyarch/internal/fleet/spec"
 	"poppyarch/internal/testkit/fixedseed"
+	"poppyarch/internal/timing/clock"
 )
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
-// play has a fleet of n brokers at one agent, as tests of single rules want it.
-type play struct {
-	t    *testing.T
-	s    *State
-	now  int64
-	seq  uint64
-	tok  uint64
-	sick map[string]string // brokers that do not come up, and why; "" only that they do not
+// oneAgentFleet is a fleet whose only agent carries out its assignments at once.
+type oneAgentFleet struct {
+	t        *testing.T
+	s        *State
+	now      clock.Micros
+	sequence uint64
+	token    uint64
+	down     map[string]bool // brokers that do not come up
+	flapping map[string]bool // of these, brokers that are reported as flapping
 }
 
-func newPlay(t *testing.T) *play {
-	p := &play{t: t, s: New(testLimits), now: 1, sick: map[string]string{}}
+func newOneAgentFleet(t *testing.T) *oneAgentFleet {
+	t.Helper()
+	p := &oneAgentFleet{
+		t:        t,
+		s:        New(testLimits),
+		now:      1,
+		down:     map[string]bool{},
+		flapping: map[string]bool{},
+	}
 	r := p.s.Register("a", 0, 1)
-	p.tok = r.Token
+	p.token = r.Token
 	p.put(r)
 	return p
 }
 
-func (p *play) put(r *Record) {
+func (p *oneAgentFleet) put(r *Record) {
 	p.t.Helper()
 	if err := p.s.Apply(r); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-func (p *play) apply(n, memory int, st Strategy) {
+// apply proposes a fleet of n brokers that differ from others in their memory.
+func (p *oneAgentFleet) apply(n, memory int, st Strategy) {
 	p.t.Helper()
 	text := "{}"
 	d := spec.ConfigDigest([]byte(text))
@@ -51,10 +61,10 @@
 	p.put(r)
 }
 
-// run goes on for so long: whatever is told is done at once, but by the sick.
-func (p *play) run(us int64) {
+// run lets time pass.
+func (p *oneAgentFleet) run(duration clock.Micros) {
 	p.t.Helper()
-	for end := p.now + us; p.now < end; p.now += 100_000 {
+	for end := p.now + duration; p.now < end; p.now += 100_000 {
 		for list := p.s.Step(p.now); len(list) > 0; list = p.s.Step(p.now) {
 			for _, r := range list {
 				p.put(r)
@@ -64,23 +74,23 @@
 		var reports []Report
 		for name, i := range p.s.agents.byName["a"].instances {
 			r := Report{Name: name, Process: Running, Incarnation: "b-" + name + i.release.startDigest, AppliedEdition: p.s.targetEdition(i), StartDigest: i.release.startDigest, Healthy: true}
-			if why, ok := p.sick[name]; ok {
-				r = Report{Name: name, Process: Backoff, Error: "killed", Flapping: why == "flaps", Crashes: 3}
+			if p.down[name] {
+				r = Report{Name: name, Process: Backoff, Error: "killed", Flapping: p.flapping[name], Crashes: 3}
 			}
 			reports = append(reports, r)
 		}
-		p.seq++
-		if err := p.s.Observe(&AgentSync{Agent: "a", Token: p.tok, Sequence: p.seq, AssignmentVersion: version, Full: true, Reports: reports}, p.now); err != nil {
+		p.sequence++
+		if err := p.s.Observe(&AgentSync{Agent: "a", Token: p.token, Sequence: p.sequence, AssignmentVersion: version, Full: true, Reports: reports}, p.now); err != nil {
 			p.t.Fatal(err)
 		}
 	}
 }
 
-// Half of a wave dies for good. Beyond the budget the rollout stops before the next wave and says which; within it, it goes on and
-// ends; and what was not released is left alone in the first case.
-func TestHalfOfAWaveDead(t *testing.T) {
+// Half of a wave fails for good. Beyond the budget the rollout pauses before the next wave, names the failed ones and leaves
+// the unreleased ones alone; within the budget it is carried out to its end.
+func TestRolloutPausesOnceFailureBudgetIsExceeded(t *testing.T) {
 	for _, budget := range []int{1, 2} {
-		p := newPlay(t)
+		p := newOneAgentFleet(t)
 		st := DefaultStrategy()
 		st.Canary, st.Batch, st.MaxUnavailable, st.SoakTime, st.ProgressDeadline = 0, CountOrPercent{Count: 4}, CountOrPercent{Count: 4}, 1_000_000, 10_000_000
 		p.apply(8, 64, st)
@@ -91,7 +101,8 @@
 		st.FailureBudget = CountOrPercent{Count: budget}
 		p.apply(8, 96, st)
 		wave := Waves(p.s.changesFor(p.s.rollouts.queued[0], nil), &st)[0]
-		p.sick[wave[1]], p.sick[wave[2]] = "", ""
+		p.down[wave[1]] = true
+		p.down[wave[2]] = true
 		p.run(60_000_000)
 		r := p.s.Rollouts(1)[0]
 		if len(r.Failed) != 2 || r.Failed[wave[1]] == "" || r.Failed[wave[2]] == "" {
@@ -103,9 +114,8 @@
 	}
 }
 
-// An instance of a wave that is over begins to flap while the next one goes: it counts against the budget as well.
-func TestLateFailureCounts(t *testing.T) {
-	p := newPlay(t)
+func TestFailureInFinishedWaveCountsAgainstBudget(t *testing.T) {
+	p := newOneAgentFleet(t)
 	st := DefaultStrategy()
 	st.Canary, st.Batch, st.MaxUnavailable, st.SoakTime, st.ProgressDeadline = 0, CountOrPercent{Count: 1}, CountOrPercent{Count: 4}, 2_000_000, 60_000_000
 	p.apply(4, 64, st)
@@ -115,16 +125,17 @@
 	for p.s.rollouts.active == nil || p.s.rollouts.active.wave.index < 1 {
 		p.run(100_000)
 	}
-	p.sick[first] = "flaps"
+	p.down[first] = true
+	p.flapping[first] = true
 	p.run(30_000_000)
 	if r := p.s.Rollouts(1)[0]; r.Phase != Paused || r.Failed[first] == "" || r.Released == 4 {
 		t.Errorf("%+v", r)
 	}
 }
 
-// A call that comes late, behind a newer one, changes nothing; and what was seen before an agent was told is no word on it.
-func TestLateAndEarlyReports(t *testing.T) {
-	p := newPlay(t)
+// A call that arrives after a newer one changes nothing, and reports made before the agent knew of a change do not confirm it.
+func TestOutdatedReportsAreNotBelieved(t *testing.T) {
+	p := newOneAgentFleet(t)
 	st := DefaultStrategy()
 	st.SoakTime = 0
 	p.apply(1, 64, st)
@@ -136,14 +147,14 @@
 	good := i.observed.report
 	old := good
 	old.Incarnation, old.AppliedEdition, old.Healthy = "b-old", 1, false
-	if err := p.s.Observe(&AgentSync{Agent: "a", Token: p.tok, Sequence: p.seq - 1, AssignmentVersion: p.s.agents.byName["a"].assignments.newest, Full: true, Reports: []Report{old}}, p.now); err != nil {
+	if err := p.s.Observe(&AgentSync{Agent: "a", Token: p.token, Sequence: p.sequence - 1, AssignmentVersion: p.s.agents.byName["a"].assignments.newest, Full: true, Reports: []Report{old}}, p.now); err != nil {
 		t.Fatal(err)
 	}
 	if i.observed.report != good || !p.s.isCurrent(i) {
-		t.Fatalf("an old call was believed: %+v", i.observed.report)
+		t.Fatalf("a late call was applied: %+v", i.observed.report)
 	}
-	// It is told to stop, to run and to stop again before it has heard of any of it. It is stopped by chance when it calls, and may just be
-	// starting: only once it says that it works by the last word does being stopped mean that it is as wanted.
+	// The agent is to stop the instance, to start it and to stop it again before it learns of any of it. The instance happens to
+	// be stopped when the agent calls, and may be about to start: it conforms only once the agent knows of the last change.
 	a := p.s.agents.byName["a"]
 	have := a.assignments.newest
 	for _, on := range []bool{false, true, false} {
@@ -168,18 +179,18 @@
 		}
 	}
 	stopped := Report{Name: "n0", Process: Stopped}
-	p.seq++
-	if err := p.s.Observe(&AgentSync{Agent: "a", Token: p.tok, Sequence: p.seq, AssignmentVersion: have, Full: true, Reports: []Report{stopped}}, p.now); err != nil {
+	p.sequence++
+	if err := p.s.Observe(&AgentSync{Agent: "a", Token: p.token, Sequence: p.sequence, AssignmentVersion: have, Full: true, Reports: []Report{stopped}}, p.now); err != nil {
 		t.Fatal(err)
 	}
 	if p.s.isCurrent(i) || p.s.Settled() {
-		t.Error("stopped before it was told counts as stopped")
+		t.Error("stopped before the agent knew of it counts as current")
 	}
-	p.seq++
-	if err := p.s.Observe(&AgentSync{Agent: "a", Token: p.tok, Sequence: p.seq, AssignmentVersion: a.assignments.newest, Full: true, Reports: []Report{stopped}}, p.now); err != nil {
+	p.sequence++
+	if err := p.s.Observe(&AgentSync{Agent: "a", Token: p.token, Sequence: p.sequence, AssignmentVersion: a.assignments.newest, Full: true, Reports: []Report{stopped}}, p.now); err != nil {
 		t.Fatal(err)
 	}
 	if !p.s.isCurrent(i) {
-		t.Errorf("stopped as told is not current: %s", p.s.whyNotCurrent(i))
+		t.Errorf("stopped as assigned is not current: %s", p.s.whyNotCurrent(i))
 	}
 }
