--- a/cmd/poppyarch/instances.go
+++ b/cmd/poppyarch/instances.go
@@ -92,7 +92,7 @@
 			}
 		}
 		if len(selected) == before {
-			return nil, fmt.Errorf("%s: %w", name, agent.ErrUnknown)
+			return nil, fmt.Errorf("%s: %w", name, agent.ErrUnknownInstance)
 		}
 	}
 	return selected, nil
@@ -102,7 +102,7 @@
 func checkRunning(all []agent.Status) error {
 	down := 0
 	for _, instance := range all {
-		if instance.Wanted && instance.State != agent.Running {
+		if instance.ShouldRun && instance.State != agent.Running {
 			down++
 		}
 	}
@@ -129,7 +129,7 @@
 func printInstances(out io.Writer, instances []agent.Status) error {
 	t := textoutput.NewTable(out, "NAME", "STATE", "PID", "LISTEN", "RESTARTS", "SINCE", "LAST ERROR")
 	for _, s := range instances {
-		addresses := strings.Trim(s.Listen+" "+s.Objects, " ")
+		addresses := strings.Trim(s.Listen+" "+s.ObjectListen, " ")
 		t.Printf("%s\t%s\t%d\t%s\t%d\t%s\t%s\n", s.Name, s.State, s.PID, addresses, s.Restarts,
 			s.Since.Format(time.RFC3339), s.Error)
 	}
--- a/internal/nodes/nodefile/yaml.go
+++ b/internal/nodes/nodefile/yaml.go
@@ -1,18 +1,23 @@
 package nodefile
 
 import (
+	"cmp"
 	"fmt"
+	"maps"
 	"net/netip"
 	"path/filepath"
-	"regexp"
 	"slices"
-	"sort"
 	"strconv"
 
 	"go.yaml.in/yaml/v3"
 	"go4.org/netipx"
+
+	"poppyarch/internal/yamltree"
 )
 
+// groupAll is the name of the group that contains all nodes.
+const groupAll = "all"
+
 // group is a group of a YAML list, joined from all the places it stands at.
 type group struct {
 	name     string
@@ -43,11 +48,7 @@
 func (b *builder) yaml(path string, text []byte) {
 	var doc yaml.Node
 	if err := yaml.Unmarshal(text, &doc); err != nil {
-		f := Fault{Pos: Pos{path, 1, 0}, Text: err.Error()}
-		if m := regexp.MustCompile(`line (\d+)`).FindStringSubmatch(err.Error()); m != nil {
-			f.Pos.Line, _ = strconv.Atoi(m[1])
-		}
-		b.fault(f)
+		b.fault(Fault{Pos: Pos{path, yamltree.ErrorLine(err), 0}, Text: err.Error()})
 		b.doc.Whole = false
 		return
 	}
@@ -64,7 +65,7 @@
 		case "include":
 			t.include(v)
 		default:
-			t.group(key, k, v)
+			t.group(key, v)
 		}
 	})
 	t.resolve()
@@ -76,37 +77,25 @@
 	t.b.fault(Fault{Pos: t.pos(n), Key: key, Text: fmt.Sprintf(format, args...)})
 }
 
-func resolved(n *yaml.Node) *yaml.Node {
-	if n.Kind == yaml.AliasNode {
-		return n.Alias
-	}
-	return n
-}
-
-// each walks a mapping.
+// each calls f for the pairs of a mapping; faulty ones are reported and left out.
 func (t *tree) each(n *yaml.Node, at string, f func(key string, k, v *yaml.Node)) {
-	n = resolved(n)
-	if n.Kind == yaml.ScalarNode && n.Tag == "!!null" {
-		return
-	}
-	if n.Kind != yaml.MappingNode {
-		t.fault(n, at, "must be a mapping")
-		return
-	}
-	seen := map[string]bool{}
-	for i := 0; i+1 < len(n.Content); i += 2 {
-		k, v := n.Content[i], n.Content[i+1]
-		if k.Kind != yaml.ScalarNode || k.Tag == "!!merge" {
-			t.fault(k, at, "keys must be plain names")
-			continue
-		}
-		if seen[k.Value] {
-			t.fault(k, at+"."+k.Value, "key given twice: the first counts")
-			continue
-		}
-		seen[k.Value] = true
-		f(k.Value, k, v)
-	}
+	_ = yamltree.EachPair(n, yamltree.Visitor{ // neither function returns an error
+		Pair: func(key string, k, v *yaml.Node) error {
+			f(key, k, v)
+			return nil
+		},
+		Fault: func(f yamltree.Fault, n *yaml.Node, key string) error {
+			switch f {
+			case yamltree.NotMapping:
+				t.fault(n, at, "must be a mapping")
+			case yamltree.KeyNotPlain:
+				t.fault(n, at, "keys must be plain names")
+			case yamltree.KeyRepeated:
+				t.fault(n, at+"."+key, "key given twice: the first counts")
+			}
+			return nil
+		},
+	})
 }
 
 func (t *tree) kind(name string, n *yaml.Node) {
@@ -128,7 +117,7 @@
 }
 
 func (t *tree) include(n *yaml.Node) {
-	n = resolved(n)
+	n = yamltree.Resolve(n)
 	list := []*yaml.Node{n}
 	if n.Kind == yaml.SequenceNode {
 		list = n.Content
@@ -146,7 +135,7 @@
 	}
 }
 
-func (t *tree) group(name string, k, n *yaml.Node) {
+func (t *tree) group(name string, n *yaml.Node) {
 	g := t.groups[name]
 	if g == nil {
 		g = &group{name: name, vars: map[string]field{}}
@@ -160,7 +149,7 @@
 		case "children":
 			t.each(v, at, func(child string, k, v *yaml.Node) {
 				g.children = append(g.children, child)
-				t.group(child, k, v)
+				t.group(child, v)
 			})
 		case "hosts":
 			t.each(v, at, func(host string, k, v *yaml.Node) { t.hosts(name, host, at+"."+host, k, v) })
@@ -175,7 +164,7 @@
 // nets are the addresses that a group's nodes may have: prefixes, ranges and single ones.
 func (t *tree) nets(g *group, n *yaml.Node, at string) {
 	var set netipx.IPSetBuilder
-	n = resolved(n)
+	n = yamltree.Resolve(n)
 	list := []*yaml.Node{n}
 	if n.Kind == yaml.SequenceNode {
 		list = n.Content
@@ -234,7 +223,7 @@
 
 func (t *tree) vars(n *yaml.Node, at string, to map[string]field) {
 	t.each(n, at, func(key string, k, v *yaml.Node) {
-		v = resolved(v)
+		v = yamltree.Resolve(v)
 		if !slices.Contains(known, key) {
 			t.fault(k, at+"."+key, "unknown key")
 			return
@@ -256,72 +245,98 @@
 	})
 }
 
-// resolve works out every node's settings: from the outermost group to the innermost, groups of one depth in the order of
-// their names, the node's own last; the later wins.
+// resolve determines the settings of every node: from the outermost group to the innermost, groups of one depth in the order
+// of their names, the node's own last; the later wins.
 func (t *tree) resolve() {
-	parents := map[string][]string{}
 	for _, g := range t.groups {
-		for _, c := range g.children {
-			parents[c] = append(parents[c], g.name)
+		if !t.deepen(g, 1, map[string]bool{}) {
+			return
 		}
 	}
+	parents := t.parents()
+	for _, m := range t.nodesInOrder() {
+		groups := t.groupsOf(m, parents)
+		t.b.raws = append(t.b.raws, m.inherit(groups))
+	}
+}
+
+// parents returns the names of the groups that contain each group.
+func (t *tree) parents() map[string][]string {
+	parents := map[string][]string{}
 	for _, g := range t.groups {
-		if !t.deepen(g, 1, map[string]bool{}) {
-			return
+		for _, child := range g.children {
+			parents[child] = append(parents[child], g.name)
 		}
 	}
-	list := make([]*member, 0, len(t.nodes))
+	return parents
+}
+
+// nodesInOrder returns the nodes in the order of their first appearance.
+func (t *tree) nodesInOrder() []*member {
+	nodes := make([]*member, 0, len(t.nodes))
 	for _, m := range t.nodes {
-		list = append(list, m)
+		nodes = append(nodes, m)
 	}
-	sort.Slice(list, func(a, b int) bool { return list[a].order < list[b].order })
-	for _, m := range list {
-		in := map[string]bool{}
-		var climb func(string)
-		climb = func(name string) {
-			if !in[name] {
-				in[name] = true
-				for _, p := range parents[name] {
-					climb(p)
-				}
-			}
-		}
-		for _, g := range m.groups {
-			climb(g)
-		}
-		if t.groups["all"] != nil {
-			in["all"] = true
+	slices.SortFunc(nodes, func(a, b *member) int { return cmp.Compare(a.order, b.order) })
+	return nodes
+}
+
+// groupsOf returns the groups that a node is in, directly or not, the outermost first.
+func (t *tree) groupsOf(m *member, parents map[string][]string) []*group {
+	names := map[string]bool{}
+	var addWithParents func(string)
+	addWithParents = func(name string) {
+		if names[name] {
+			return
 		}
-		var order []*group
-		for name := range in {
-			order = append(order, t.groups[name])
+		names[name] = true
+		for _, parent := range parents[name] {
+			addWithParents(parent)
 		}
-		sort.Slice(order, func(a, b int) bool {
-			if (order[a].name == "all") != (order[b].name == "all") {
-				return order[a].name == "all"
-			}
-			if order[a].depth != order[b].depth {
-				return order[a].depth < order[b].depth
-			}
-			return order[a].name < order[b].name
-		})
-		r := raw{id: m.id, vars: map[string]field{}}
-		for _, g := range order {
-			if g.name != "all" {
-				r.groups = append(r.groups, g.name)
-			}
-			for k, v := range g.vars {
-				r.vars[k] = v
-			}
-			if g.nets != nil { // the innermost group's word
-				r.nets, r.netsOf = g.nets, g.name
-			}
+	}
+	for _, name := range m.groups {
+		addWithParents(name)
+	}
+	if t.groups[groupAll] != nil {
+		names[groupAll] = true
+	}
+	var groups []*group
+	for name := range names {
+		groups = append(groups, t.groups[name])
+	}
+	slices.SortFunc(groups, compareGroups)
+	return groups
+}
+
+// compareGroups orders groups by depth and name; the group of all nodes is outside of all others.
+func compareGroups(a, b *group) int {
+	if a.name == b.name {
+		return 0
+	}
+	if a.name == groupAll {
+		return -1
+	}
+	if b.name == groupAll {
+		return 1
+	}
+	return cmp.Or(cmp.Compare(a.depth, b.depth), cmp.Compare(a.name, b.name))
+}
+
+// inherit merges the settings of a node's groups and its own.
+func (m *member) inherit(groups []*group) raw {
+	r := raw{id: m.id, vars: map[string]field{}}
+	for _, g := range groups {
+		if g.name != groupAll {
+			r.groups = append(r.groups, g.name)
 		}
-		for k, v := range m.own {
-			r.vars[k] = v
+		maps.Copy(r.vars, g.vars)
+		if g.nets != nil {
+			r.nets = g.nets
+			r.netsOf = g.name
 		}
-		t.b.raws = append(t.b.raws, r)
 	}
+	maps.Copy(r.vars, m.own)
+	return r
 }
 
 func (t *tree) deepen(g *group, depth int, above map[string]bool) bool {
--- a/internal/observability/incident/incident_test.go
+++ b/internal/observability/incident/incident_test.go
@@ -62,8 +62,8 @@
 	return slices.ContainsFunc(list, func(s span) bool { return s.from > t && s.from <= to })
 }
 
-// serve is one request at broker b at t: its attempts go to nodes as the world has them.
-func (w *world) serve(b int, t int64, volume string) (record.Event, int64) {
+// serve is one request at t: its attempts go to nodes as the world has them.
+func (w *world) serve(t int64, volume string) (record.Event, int64) {
 	q := &record.Request{Class: 0, Plan: 0, Volume: volume, Units: 1}
 	at := t
 	for n := 0; n < 3; n++ {
@@ -114,65 +114,83 @@
 	return out
 }
 
-func (w *world) boot(b, k int, up, down int64) *incident.Stream {
-	type item struct {
-		end int64
-		e   record.Event
-	}
-	var items []item
-	note := func(t int64, kind record.Kind, subject, text string, value int64) {
-		if t >= up && t < down {
-			items = append(items, item{t, record.Event{At: t, Kind: kind, Note: &record.Note{Subject: subject, Text: text, Value: value}}})
-		}
-	}
-	for t := up; t < down; t += int64(w.r.ExpFloat64() / w.rate * float64(sec)) {
-		e, end := w.serve(b, t, fmt.Sprintf("v%d", w.r.IntN(6)))
-		if end < down {
-			items = append(items, item{end, e})
-		}
+// bootEvents collects the events of one incarnation of a broker, each with the time at which it is recorded.
+type bootEvents struct {
+	world *world
+	up    int64
+	down  int64
+	items []bootEvent
+}
+
+type bootEvent struct {
+	end int64
+	e   record.Event
+}
+
+// note adds a note, if the broker was up.
+func (x *bootEvents) note(t int64, kind record.Kind, subject, text string, value int64) {
+	if t >= x.up && t < x.down {
+		e := record.Event{At: t, Kind: kind, Note: &record.Note{Subject: subject, Text: text, Value: value}}
+		x.items = append(x.items, bootEvent{t, e})
 	}
-	for volume, s := range w.surge {
-		for t := max(s.from, up); t < min(s.to, down); t += int64(w.r.ExpFloat64() / (w.rate * 2) * float64(sec)) {
-			e, end := w.serve(b, t, volume)
-			if end < down {
-				items = append(items, item{end, e})
-			}
+}
+
+// requests adds the requests that arrive between two times at a rate, and end while the broker is up.
+func (x *bootEvents) requests(from, to int64, rate float64, volume func() string) {
+	for t := max(from, x.up); t < min(to, x.down); t += int64(x.world.r.ExpFloat64() / rate * float64(sec)) {
+		if e, end := x.world.serve(t, volume()); end < x.down {
+			x.items = append(x.items, bootEvent{end, e})
 		}
 	}
+}
+
+// changes adds the notes of what happens in the world.
+func (x *bootEvents) changes() {
+	w := x.world
 	for node, d := range w.drained {
 		delay := w.r.Int64N(200 * ms)
-		note(d.from+delay, record.KindList, fmt.Sprint("s-", node), "draining", 10+int64(node))
-		note(d.to+w.r.Int64N(200*ms), record.KindList, fmt.Sprint("s-", node), "up", 20+int64(node))
+		x.note(d.from+delay, record.KindList, fmt.Sprint("s-", node), "draining", 10+int64(node))
+		x.note(d.to+w.r.Int64N(200*ms), record.KindList, fmt.Sprint("s-", node), "up", 20+int64(node))
 	}
 	for node, c := range w.cold {
-		note(c.from+w.r.Int64N(300*ms), record.KindNode, fmt.Sprint("s-", node), "may have restarted: outcome 4", 0)
+		x.note(c.from+w.r.Int64N(300*ms), record.KindNode, fmt.Sprint("s-", node), "may have restarted: outcome 4", 0)
 	}
-	for v := int64(0); v < w.length/(5*sec); v++ { // the list changes now and then, so that clocks can be told
-		note(v*5*sec+2*sec+w.r.Int64N(150*ms), record.KindList, "s-x", fmt.Sprint("moved 10.0.0.", v), 100+v)
+	for v := int64(0); v < w.length/(5*sec); v++ { // the list changes now and then, so that clocks can be compared
+		x.note(v*5*sec+2*sec+w.r.Int64N(150*ms), record.KindList, "s-x", fmt.Sprint("moved 10.0.0.", v), 100+v)
 	}
 	if d := w.discoff; d != nil {
-		note(d.from+w.r.Int64N(2*sec), record.KindDiscovery, "", "down: status 503", 0)
-		note(d.to+w.r.Int64N(2*sec), record.KindDiscovery, "", "answers", 0)
+		x.note(d.from+w.r.Int64N(2*sec), record.KindDiscovery, "", "down: status 503", 0)
+		x.note(d.to+w.r.Int64N(2*sec), record.KindDiscovery, "", "answers", 0)
+	}
+}
+
+func (w *world) boot(b, k int, up, down int64) *incident.Stream {
+	events := &bootEvents{world: w, up: up, down: down}
+	events.requests(up, down, w.rate, func() string { return fmt.Sprintf("v%d", w.r.IntN(6)) })
+	for volume, s := range w.surge {
+		events.requests(s.from, s.to, w.rate*2, func() string { return volume })
 	}
+	events.changes()
 	for t := up; t < down; t += 500 * ms {
-		items = append(items, item{t, record.Event{At: t, Kind: record.KindBeat, Beat: &record.Beat{Wall: t}}})
+		events.items = append(events.items, bootEvent{t, record.Event{At: t, Kind: record.KindBeat, Beat: &record.Beat{Wall: t}}})
 	}
+	items := events.items
 	sort.SliceStable(items, func(x, y int) bool { return items[x].end < items[y].end })
 	ahead := w.zero + w.clocks[b]
 	if k > 0 {
 		ahead += w.back
 	}
 	s := incident.NewStream(fmt.Sprintf("n%d", b), fmt.Sprintf("boot%d-%d", b, k))
-	s.Event(&record.Event{At: up + ahead, Kind: record.KindBoot, Boot: &record.Boot{Name: s.Name, ID: s.ID, Began: up + ahead, Beat: 500 * ms, Sample: 1,
+	s.AddEvent(&record.Event{At: up + ahead, Kind: record.KindBoot, Boot: &record.Boot{Name: s.Name, ID: s.ID, Began: up + ahead, Beat: 500 * ms, Sample: 1,
 		Classes: []record.Class{{Name: "artwork-read", Aim: 400 * ms, Due: 2500 * ms, Worth: 2}}, Plans: []record.Plan{{Name: "basis", Price: 0.8}}}})
-	s.Frame(1, up+ahead)
+	s.AddFrame(1, up+ahead)
 	seq := uint64(1)
 	next := 0
 	for t := up + 50*ms; t < down; t += 50 * ms { // what was not written when it died is lost with it
 		seq++
 		missing := in(w.cut[b], t)
 		if !missing {
-			s.Frame(seq, t+ahead)
+			s.AddFrame(seq, t+ahead)
 		}
 		var lost record.Lost
 		for next < len(items) && items[next].end < t {
@@ -189,10 +207,10 @@
 				continue
 			}
 			x.e.At += ahead
-			s.Event(&x.e)
+			s.AddEvent(&x.e)
 		}
 		if lost.Events > 0 {
-			s.Event(&record.Event{At: t + ahead, Kind: record.KindLost, Lost: &lost})
+			s.AddEvent(&record.Event{At: t + ahead, Kind: record.KindLost, Lost: &lost})
 		}
 	}
 	return s
@@ -248,7 +266,7 @@
 var kinds = []incident.Kind{incident.BrokerDead, incident.NodeSilent, incident.NodeCold, incident.NodeDown, incident.NodeSlow, incident.NodeDrain, incident.VolumeSurge,
 	incident.DiscoveryDown, incident.Refusals, incident.Rollout}
 
-func (w *world) check(t *testing.T, what string) *incident.Analysis {
+func (w *world) check(t *testing.T, what string) {
 	t.Helper()
 	o := incident.DefaultOptions()
 	a := incident.Analyse(w.streams(), o)
@@ -271,7 +289,6 @@
 	if err := report.Text(io.Discard, a); err != nil {
 		t.Error(err)
 	}
-	return a
 }
 
 // Overlapping failures as the issue names them, each for itself and together: every one is reported within its bounds, none is
@@ -396,7 +413,7 @@
 	var got []string
 	for _, c := range incident.Diff(incident.Analyse(x.streams(), incident.DefaultOptions()), incident.Analyse(y.streams(), incident.DefaultOptions())) {
 		if c.Kind != incident.NodeCold {
-			got = append(got, c.What+" "+string(c.Kind)+" "+c.Who)
+			got = append(got, c.Presence+" "+string(c.Kind)+" "+c.Subject)
 		}
 	}
 	if want := []string{"in both node silent s-1", "only in the second broker dead n0"}; !slices.Equal(got, want) {
--- a/internal/testkit/cluster/cluster.go
+++ b/internal/testkit/cluster/cluster.go
@@ -85,8 +85,8 @@
 		if o.Lists {
 			continue
 		}
-		s.Disc.Set(discovery.Target{UID: fmt.Sprint("s-", k), Endpoint: ba, ObjectEndpoint: oa, AZ: "room", Model: "toy", PodGroup: k, State: "up",
-			CapacityHint: 1})
+		s.Disc.Set(discovery.Endpoint{ID: fmt.Sprint("s-", k), Addr: ba, ObjectAddr: oa, Zone: "room", Model: "toy", Shard: k, State: "up",
+			Capacity: 1})
 	}
 	at, err := serve((&http.Server{Handler: s.Disc}).Serve)
 	if err != nil {
@@ -331,11 +331,7 @@
 	if err != nil {
 		return err
 	}
-	h, err := process.Open(id)
-	if err != nil {
-		return err
-	}
-	return h.Signal(syscall.SIGKILL)
+	return id.Signal(syscall.SIGKILL)
 }
 
 // Close ends everything: agents drain their brokers, what is left after a while is killed.
@@ -376,10 +372,8 @@
 	all.Wait()
 	var err error
 	for _, id := range left {
-		if h, e := process.Open(id); e == nil {
-			_ = h.Signal(syscall.SIGKILL)
-			<-h.Done()
-			err = errors.Join(err, fmt.Errorf("broker with pid %d had to be killed", id.PID))
+		if id.Signal(syscall.SIGKILL) == nil {
+			err = errors.Join(err, fmt.Errorf("broker with pid %d had to be killed", id.PID), id.Wait(context.Background()))
 		}
 	}
 	for _, stop := range s.stops {
