--- a/internal/fleet/desired/desired.go
+++ b/internal/fleet/desired/desired.go
@@ -1,5 +1,5 @@
-// Package desired turns an inventory into the fleet that it wants, with the texts of the configurations it names: a
-// revision holds all it takes to go back to it.
+// Package desired derives the desired state of a fleet from an inventory. It includes the texts of the configurations
+// that the inventory refers to, so that a revision holds all that a rollback to it needs.
 package desired
 
 import (
@@ -13,67 +13,111 @@
 	"poppyarch/internal/host/inventory"
 )
 
-// Load reads an inventory. Instances without an agent are that of byDefault.
-func Load(path, byDefault string) (*spec.Spec, error) {
+// ReadFile returns the content of a file, as os.ReadFile does.
+type ReadFile func(path string) ([]byte, error)
+
+// Load derives the desired state from an inventory file. Instances that name no agent belong to defaultAgent. Errors name
+// the file, the instance and the field.
+func Load(path, defaultAgent string) (*spec.Spec, error) {
 	list, err := inventory.Load(path)
 	if err != nil {
 		return nil, err
 	}
-	out, err := FromInventory(list, byDefault, os.ReadFile)
+	s, err := FromInventory(list, defaultAgent, os.ReadFile)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return out, nil
+	return s, nil
 }
 
-// FromInventory does it with the instances at hand.
-func FromInventory(list []inventory.Instance, byDefault string, read func(string) ([]byte, error)) (*spec.Spec, error) {
-	out := &spec.Spec{Instances: map[string]*spec.Instance{}, Configs: map[string]string{}}
-	texts := map[string][]byte{}
+// FromInventory derives the desired state from the instances of an inventory. Configurations are read with read, each once.
+// Errors name the instance and the field; those of spec.Spec.Validate are returned with the state.
+func FromInventory(list []inventory.Instance, defaultAgent string, read ReadFile) (*spec.Spec, error) {
+	s := &spec.Spec{
+		Instances: map[string]*spec.Instance{},
+		Configs:   map[string]string{},
+	}
+	configs := configReader{read: read, texts: map[string][]byte{}}
 	for _, in := range list {
-		text, ok := texts[in.Config]
-		if !ok {
-			var err error
-			if text, err = read(in.Config); err != nil {
-				return nil, fmt.Errorf("%s.config: %w", in.Name, err)
-			}
-			if text, err = settle(text); err != nil {
-				return nil, fmt.Errorf("%s.config: %s: %w", in.Name, in.Config, err)
-			}
-			texts[in.Config] = text
+		text, err := configs.load(in.Config)
+		if err != nil {
+			return nil, fmt.Errorf("%s.config: %w", in.Name, err)
 		}
-		bare := in.WithoutFleetFields()
-		if _, err := agent.Compose(bare, text, nil); err != nil {
+		if _, err := agent.Compose(in.WithoutFleetFields(), text, nil); err != nil {
 			return nil, err
 		}
 		labels, err := inventory.ParseLabels(in.Labels)
 		if err != nil {
 			return nil, fmt.Errorf("%s.labels: %w", in.Name, err)
 		}
-		d := spec.ConfigDigest(text)
-		out.Configs[d] = string(text)
-		i := &spec.Instance{Name: in.Name, Agent: in.Agent, Domain: in.FailureDomain, Enabled: in.Enabled,
-			Start: spec.StartSettings{Config: d, Listen: in.Listen, ObjectListen: in.ObjectListen, Cores: in.Cores, MemoryMB: in.MemoryMB, Sockets: in.Sockets},
-			Live:  spec.LiveSettings{LogLevel: in.Log, Discovery: in.Discovery, MaxInFlight: in.MaxInFlight}}
-		if in.Groups != "" {
-			i.Groups = strings.Split(in.Groups, ",")
-		}
-		if len(labels) > 0 {
-			i.Labels = labels
-		}
+		digest := spec.ConfigDigest(text)
+		s.Configs[digest] = string(text)
+		i := newInstance(&in, digest, labels)
 		if i.Agent == "" {
-			i.Agent = byDefault
+			i.Agent = defaultAgent
 		}
-		out.Instances[in.Name] = i
+		s.Instances[in.Name] = i
+	}
+	return s, s.Validate()
+}
+
+// newInstance returns the desired state of an instance of the inventory.
+func newInstance(in *inventory.Instance, configDigest string, labels map[string]string) *spec.Instance {
+	i := &spec.Instance{
+		Name:    in.Name,
+		Agent:   in.Agent,
+		Domain:  in.FailureDomain,
+		Enabled: in.Enabled,
+		Start: spec.StartSettings{
+			Config:       configDigest,
+			Listen:       in.Listen,
+			ObjectListen: in.ObjectListen,
+			Cores:        in.Cores,
+			MemoryMB:     in.MemoryMB,
+			Sockets:      in.Sockets,
+		},
+		Live: spec.LiveSettings{
+			LogLevel:    in.Log,
+			Discovery:   in.Discovery,
+			MaxInFlight: in.MaxInFlight,
+		},
+	}
+	if in.Groups != "" {
+		i.Groups = strings.Split(in.Groups, ",")
+	}
+	if len(labels) > 0 {
+		i.Labels = labels
+	}
+	return i
+}
+
+// configReader reads configuration files, each once.
+type configReader struct {
+	read  ReadFile
+	texts map[string][]byte // by path, normalized
+}
+
+func (c *configReader) load(path string) ([]byte, error) {
+	if text, loaded := c.texts[path]; loaded {
+		return text, nil
+	}
+	text, err := c.read(path)
+	if err != nil {
+		return nil, err
+	}
+	if text, err = normalize(text); err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return out, out.Validate()
+	c.texts[path] = text
+	return text, nil
 }
 
-// settle brings a configuration's text into one form, so that another layout is no change.
-func settle(text []byte) ([]byte, error) {
-	var doc map[string]any
-	if err := json.Unmarshal(text, &doc); err != nil {
+// normalize returns a configuration text in a form that does not depend on its layout, so that another layout is not a
+// change of the desired state.
+func normalize(text []byte) ([]byte, error) {
+	var document map[string]any
+	if err := json.Unmarshal(text, &document); err != nil {
 		return nil, err
 	}
-	return json.Marshal(doc)
+	return json.Marshal(document)
 }
--- a/internal/fleet/settings/settings.go
+++ b/internal/fleet/settings/settings.go
@@ -1,10 +1,9 @@
-// Package settings reads a fleet's configuration file in TOML: how its manager and agents are set up, where the
-// command line finds the manager, and how revisions roll out. Errors name file, line and key.
+// Package settings reads a fleet's configuration file in TOML: the settings of its manager and agents, those of the
+// command line, and the strategy of rollouts. Errors name file, line and key.
 package settings
 
 import (
 	"bytes"
-	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -14,14 +13,19 @@
 
 	"github.com/pelletier/go-toml/v2"
 
+	"poppyarch/internal/fleet/spec"
 	"poppyarch/internal/fleet/state"
+	"poppyarch/internal/timing/clock"
 	"poppyarch/internal/tomlerror"
 )
 
-// Duration is a time in TOML, such as "5s" or "100ms".
+// Duration is a duration in TOML, such as "5s" or "100ms".
 type Duration time.Duration
 
-// UnmarshalText reads one; it may not be negative.
+// fromMicros returns a duration given in microseconds.
+func fromMicros(m clock.Micros) Duration { return Duration(clock.Duration(m)) }
+
+// UnmarshalText reads a duration, which may not be negative.
 func (d *Duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	if err != nil {
@@ -34,10 +38,10 @@
 	return nil
 }
 
-// Micros is the duration in microseconds.
-func (d Duration) Micros() int64 { return time.Duration(d).Microseconds() }
+// Micros returns the duration in microseconds.
+func (d Duration) Micros() clock.Micros { return clock.Micros(time.Duration(d) / time.Microsecond) }
 
-// File is the whole of it. All parts have defaults; each command uses its own.
+// File is the content of a settings file. Every setting has a default, and each command uses some of the parts.
 type File struct {
 	Manager  Manager  `toml:"manager"`
 	Agent    Agent    `toml:"agent"`
@@ -45,34 +49,34 @@
 	Strategy Strategy `toml:"strategy"`
 }
 
-// Manager sets the manager up.
+// Manager has the settings of the manager.
 type Manager struct {
 	Listen       string   `toml:"listen"`        // unix:PATH or HOST:PORT
-	JournalDir   string   `toml:"journal"`       // its folder
-	AgentTimeout Duration `toml:"silence"`       // an agent not heard of for so long is silent
+	JournalDir   string   `toml:"journal"`       // folder of its journal
+	AgentTimeout Duration `toml:"silence"`       // an agent without a call for so long is silent
 	MaxRevisions int      `toml:"revisions"`     // kept for rollback
-	AcceptDamage bool     `toml:"accept_damage"` // start though records of the journal are lost
+	AcceptDamage bool     `toml:"accept_damage"` // start although records of the journal are lost
 }
 
-// Agent sets an agent up.
+// Agent has the settings of an agent.
 type Agent struct {
 	Name           string   `toml:"name"`
 	Manager        string   `toml:"manager"`   // where the manager listens
-	JournalDir     string   `toml:"journal"`   // its folder
-	RunDir         string   `toml:"run_dir"`   // the brokers' configurations, sockets and logs
+	JournalDir     string   `toml:"journal"`   // folder of its journal
+	RunDir         string   `toml:"run_dir"`   // folder of the brokers' configurations, sockets and logs
 	DrainTimeout   Duration `toml:"drain"`     // from SIGTERM to SIGKILL
-	PollInterval   Duration `toml:"look"`      // between two looks at a broker
-	AcceptNewFleet bool     `toml:"new_fleet"` // follow another manager than before, or one that has lost history
+	PollInterval   Duration `toml:"look"`      // between two polls of a broker
+	AcceptNewFleet bool     `toml:"new_fleet"` // accept a manager of another fleet, or one that has lost history
 }
 
-// Fleet is for the command line.
+// Fleet has the settings of the command line.
 type Fleet struct {
 	Manager      string `toml:"manager"`
 	Inventory    string `toml:"inventory"`
 	DefaultAgent string `toml:"agent"` // of instances whose inventory names none
 }
 
-// Strategy is how revisions roll out.
+// Strategy says how a rollout brings a revision to the instances; see state.Strategy.
 type Strategy struct {
 	Canary           int                  `toml:"canary"`
 	Batch            state.CountOrPercent `toml:"batch"`
@@ -85,29 +89,72 @@
 	Overlap          string               `toml:"overlap"`
 }
 
-// RolloutStrategy turns it into the planner's form.
+// RolloutStrategy returns the strategy in the form that the fleet's state uses.
 func (s Strategy) RolloutStrategy() state.Strategy {
-	return state.Strategy{Canary: s.Canary, Batch: s.Batch, MaxUnavailable: s.MaxUnavailable, OneDomainPerWave: s.OneDomainPerWave,
-		SoakTime: s.SoakTime.Micros(), ProgressDeadline: s.ProgressDeadline.Micros(), FailureBudget: s.FailureBudget, OnFailure: s.OnFailure, Overlap: s.Overlap}
+	return state.Strategy{
+		Canary:           s.Canary,
+		Batch:            s.Batch,
+		MaxUnavailable:   s.MaxUnavailable,
+		OneDomainPerWave: s.OneDomainPerWave,
+		SoakTime:         s.SoakTime.Micros(),
+		ProgressDeadline: s.ProgressDeadline.Micros(),
+		FailureBudget:    s.FailureBudget,
+		OnFailure:        s.OnFailure,
+		Overlap:          s.Overlap,
+	}
 }
 
-// Default is what holds without a file. dir is where journals and sockets go.
+// Defaults for addresses, names and times.
+const (
+	defaultListen       = "127.0.0.1:7700"
+	defaultAgent        = "local"
+	defaultDrainTimeout = 15 * time.Second
+	defaultPollInterval = time.Second
+)
+
+// Default returns the settings without a file. Journals and sockets are in dir.
 func Default(dir string) File {
-	d := state.DefaultStrategy()
-	listen := "127.0.0.1:7700"
-	us := func(v int64) Duration { return Duration(time.Duration(v) * time.Microsecond) }
+	limits := state.DefaultLimits()
 	return File{
-		Manager: Manager{Listen: listen, JournalDir: filepath.Join(dir, "manager"), AgentTimeout: us(state.DefaultLimits().AgentTimeout),
-			MaxRevisions: state.DefaultLimits().MaxRevisions},
-		Agent: Agent{Name: "local", Manager: listen, JournalDir: filepath.Join(dir, "agent"), RunDir: dir, DrainTimeout: Duration(15 * time.Second),
-			PollInterval: Duration(time.Second)},
-		Fleet: Fleet{Manager: listen, DefaultAgent: "local"},
-		Strategy: Strategy{Canary: d.Canary, Batch: d.Batch, MaxUnavailable: d.MaxUnavailable, OneDomainPerWave: d.OneDomainPerWave, SoakTime: us(d.SoakTime),
-			ProgressDeadline: us(d.ProgressDeadline), FailureBudget: d.FailureBudget, OnFailure: d.OnFailure, Overlap: d.Overlap},
+		Manager: Manager{
+			Listen:       defaultListen,
+			JournalDir:   filepath.Join(dir, "manager"),
+			AgentTimeout: fromMicros(limits.AgentTimeout),
+			MaxRevisions: limits.MaxRevisions,
+		},
+		Agent: Agent{
+			Name:         defaultAgent,
+			Manager:      defaultListen,
+			JournalDir:   filepath.Join(dir, "agent"),
+			RunDir:       dir,
+			DrainTimeout: Duration(defaultDrainTimeout),
+			PollInterval: Duration(defaultPollInterval),
+		},
+		Fleet: Fleet{
+			Manager:      defaultListen,
+			DefaultAgent: defaultAgent,
+		},
+		Strategy: defaultStrategy(),
+	}
+}
+
+func defaultStrategy() Strategy {
+	d := state.DefaultStrategy()
+	return Strategy{
+		Canary:           d.Canary,
+		Batch:            d.Batch,
+		MaxUnavailable:   d.MaxUnavailable,
+		OneDomainPerWave: d.OneDomainPerWave,
+		SoakTime:         fromMicros(d.SoakTime),
+		ProgressDeadline: fromMicros(d.ProgressDeadline),
+		FailureBudget:    d.FailureBudget,
+		OnFailure:        d.OnFailure,
+		Overlap:          d.Overlap,
 	}
 }
 
-// Load reads a file over the defaults. Relative paths in it count from its folder.
+// Load reads a file; what it does not set has its default. Relative paths in it are relative to its folder. Without a path
+// the defaults are returned. For a value that is not valid the error is or wraps a *spec.FieldError.
 func Load(path, dir string) (File, error) {
 	f := Default(dir)
 	if path == "" {
@@ -117,9 +164,9 @@
 	if err != nil {
 		return f, err
 	}
-	d := toml.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields()
-	if err := d.Decode(&f); err != nil {
+	decoder := toml.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&f); err != nil {
 		return f, tomlerror.Error(path, err)
 	}
 	base := filepath.Dir(path)
@@ -128,36 +175,48 @@
 			*p = filepath.Join(base, *p)
 		}
 	}
-	if err := f.check(); err != nil {
+	if err := f.validate(); err != nil {
 		return f, fmt.Errorf("%s: %w", path, err)
 	}
 	return f, nil
 }
 
-func (f *File) check() error {
-	for key, addr := range map[string]string{"manager.listen": f.Manager.Listen, "agent.manager": f.Agent.Manager, "fleet.manager": f.Fleet.Manager} {
-		if p, ok := strings.CutPrefix(addr, "unix:"); ok && p != "" {
-			continue
+func (f *File) validate() error {
+	for _, address := range []struct{ key, value string }{
+		{"manager.listen", f.Manager.Listen},
+		{"agent.manager", f.Agent.Manager},
+		{"fleet.manager", f.Fleet.Manager},
+	} {
+		if !validAddress(address.value) {
+			return fieldErrorf(address.key, "%q is neither unix:PATH nor HOST:PORT", address.value)
 		}
-		if _, _, err := net.SplitHostPort(addr); err != nil {
-			return fmt.Errorf("%s: %q is neither unix:PATH nor HOST:PORT", key, addr)
-		}
-	}
-	if f.Manager.AgentTimeout <= 0 {
-		return errors.New("manager.silence: must be above 0")
-	}
-	if f.Manager.MaxRevisions < 2 {
-		return fmt.Errorf("manager.revisions: %d is under 2", f.Manager.MaxRevisions)
 	}
-	if f.Agent.Name == "" {
-		return errors.New("agent.name: missing")
+	switch {
+	case f.Manager.AgentTimeout <= 0:
+		return fieldErrorf("manager.silence", "must be above 0")
+	case f.Manager.MaxRevisions < 2:
+		return fieldErrorf("manager.revisions", "%d is under 2", f.Manager.MaxRevisions)
+	case f.Agent.Name == "":
+		return fieldErrorf("agent.name", "missing")
+	case f.Agent.DrainTimeout <= 0 || f.Agent.PollInterval <= 0:
+		return fieldErrorf("agent.drain and agent.look", "must be above 0")
 	}
-	if f.Agent.DrainTimeout <= 0 || f.Agent.PollInterval <= 0 {
-		return errors.New("agent.drain and agent.look: must be above 0")
-	}
-	st := f.Strategy.RolloutStrategy()
-	if err := st.Validate(); err != nil {
+	strategy := f.Strategy.RolloutStrategy()
+	if err := strategy.Validate(); err != nil {
 		return fmt.Errorf("strategy.%w", err)
 	}
 	return nil
 }
+
+// validAddress reports whether an address has the form unix:PATH or HOST:PORT.
+func validAddress(address string) bool {
+	if path, isUnix := strings.CutPrefix(address, "unix:"); isUnix && path != "" {
+		return true
+	}
+	_, _, err := net.SplitHostPort(address)
+	return err == nil
+}
+
+func fieldErrorf(field, format string, args ...any) error {
+	return &spec.FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}
+}
--- a/internal/fleet/settings/settings_test.go
+++ b/internal/fleet/settings/settings_test.go
@@ -5,10 +5,9 @@
 	"path/filepath"
 	"strings"
 	"testing"
-	"time"
 )
 
-func TestLoad(t *testing.T) {
+func TestLoadReadsFileAndNamesLineAndKeyOfErrors(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "fleet.toml")
 	for _, x := range []struct{ text, want string }{
@@ -26,7 +25,7 @@
 		}
 		f, err := Load(path, "/base")
 		if x.want == "" {
-			if err != nil || f.Strategy.RolloutStrategy().SoakTime != (2*time.Second).Microseconds() || f.Strategy.Batch.Of(50) != 5 ||
+			if err != nil || f.Strategy.RolloutStrategy().SoakTime != 2_000_000 || f.Strategy.Batch.Of(50) != 5 ||
 				f.Agent.RunDir != filepath.Join(dir, "run") || f.Manager.JournalDir != "/base/manager" {
 				t.Errorf("%v %+v", err, f)
 			}
