--- a/internal/fleet/settings/settings.go
+++ b/internal/fleet/settings/settings.go
@@ -39,7 +39,7 @@
 }
 
 // Micros returns the duration in microseconds.
-func (d Duration) Micros() clock.Micros { return clock.Micros(time.Duration(d) / time.Microsecond) }
+func (d Duration) Micros() clock.Micros { return clock.FromDuration(time.Duration(d)) }
 
 // File is the content of a settings file. Every setting has a default, and each command uses some of the parts.
 type File struct {
