--- a/internal/broker/limits/limits.go
+++ b/internal/broker/limits/limits.go
@@ -4,7 +4,8 @@
 
 import "poppyarch/internal/timing/clock"
 
-// Limits bounds one broker. Sizes are bytes and times are microseconds.
+// Limits bounds one broker. Sizes are bytes and times are microseconds. The order of the fields is that of the JSON encoding
+// and so does not change.
 type Limits struct {
 	// The machine.
 	Procs       int   `json:"procs"`        // threads that run Go code at once
@@ -14,27 +15,29 @@
 	NodeConns   int   `json:"node_conns"`   // connections to storage nodes
 
 	// Requests in flight and their sizes.
-	MaxInFlight     int          `json:"max_open"`      // requests admitted and not answered
-	MaxBodyBytes    int64        `json:"max_bodies"`    // message bytes held for them, together
-	MaxPipeline     int          `json:"max_pipeline"`  // requests in flight on one connection
-	MaxMessageBytes int          `json:"max_message"`   // one command
-	MaxArgs         int          `json:"max_args"`      // arguments of one command
-	MaxValueBytes   int          `json:"max_value"`     // one value, in a request or a response
-	MaxID           int          `json:"max_id"`        // a request's ID
-	MaxParams       int          `json:"max_params"`    // a command's list of names and values
-	BusyRetryAfter  clock.Micros `json:"busy_hint"`     // Retry-After of a process at capacity
-	AnswerMargin    clock.Micros `json:"answer_margin"` // a response leaves so long before its client's deadline
+	MaxInFlight     int   `json:"max_open"`     // requests admitted and not answered
+	MaxBodyBytes    int64 `json:"max_bodies"`   // message bytes held for them, together
+	MaxPipeline     int   `json:"max_pipeline"` // requests in flight on one connection
+	MaxMessageBytes int   `json:"max_message"`  // one command
+	MaxArgs         int   `json:"max_args"`     // arguments of one command
+	MaxValueBytes   int   `json:"max_value"`    // one value, in a request or a response
+	MaxID           int   `json:"max_id"`       // a request's ID
+	MaxParams       int   `json:"max_params"`   // a command's list of names and values
 
 	// Client connections.
 	ClientWriteTimeout             clock.Micros `json:"client_write"`  // for a client to take its response
 	ClientFirstByteTimeout         clock.Micros `json:"client_first"`  // for the first byte on a new connection
 	ClientStallTimeout             clock.Micros `json:"client_stall"`  // between two reads within a command
 	ClientRequestTimeout           clock.Micros `json:"client_send"`   // for a whole command
-	ClientIdleTimeout              clock.Micros `json:"client_idle"`   // between two commands
-	ClientIdleTimeoutUnderPressure clock.Micros `json:"client_lull"`   // the same where descriptors or memory are short
+	ClientIdleTimeoutUnderPressure clock.Micros `json:"client_lull"`   // between two commands, where descriptors or memory are short
 	ClientIdleConns                int          `json:"client_keep"`   // idle connections kept; the longest idle are closed first
+	ClientIdleTimeout              clock.Micros `json:"client_idle"`   // between two commands, in any case
 	ClientLingerTimeout            clock.Micros `json:"client_linger"` // after a close whose last response may not have arrived
 
+	// Responses.
+	BusyRetryAfter clock.Micros `json:"busy_hint"`     // Retry-After of a process at capacity
+	AnswerMargin   clock.Micros `json:"answer_margin"` // a response leaves so long before its client's deadline
+
 	// Graceful shutdown; all count from SIGTERM.
 	DrainAcceptTime clock.Micros `json:"drain_accept"` // the object frontend, and a frontend without clients, accept connections until then
 	DrainServeTime  clock.Micros `json:"drain_serve"`  // the block frontend admits requests until then
@@ -64,9 +67,9 @@
 	MaxHeaderBytes     int          `json:"max_head"`        // request line and header
 	ObjectBufferBytes  int          `json:"object_buffer"`   // of a response, held back before its first byte goes to the client
 	MaxParts           int          `json:"max_parts"`       // parts of one upload
-	MaxCompletionBytes int64        `json:"max_completion"`  // body of a call that completes an upload
 	ObjectIdleTimeout  clock.Micros `json:"object_idle"`     // an idle HTTP client connection is closed after this
 	ObjectStallTimeout clock.Micros `json:"object_stall"`    // between two reads or writes of a body
 	ReadBackTime       clock.Micros `json:"read_back"`       // part of a completion's time that is reserved to find out how it ended
 	ReadBackInterval   clock.Micros `json:"read_back_pause"` // between two checks of that
+	MaxCompletionBytes int64        `json:"max_completion"`  // body of a call that completes an upload
 }
