--- a/internal/broker/config/reload.go
+++ b/internal/broker/config/reload.go
@@ -12,7 +12,7 @@
 	startOnlyKeys = []string{"seed", "known"} // they describe a start and mean nothing later
 )
 
-// Reload reads the configuration again for a broker that runs with c. A running broker takes up discovery and log: next is c
+// Reload reads the configuration again for a broker that runs with c. A running broker applies discovery and log: next is c
 // with these two. needRestart names the other keys that have changed. An invalid file is an error, and c stays as it is.
 //
 // At the start LB_DISCOVERY overrides the file. An address that has changed in the file since the start, or since the last
--- a/internal/host/agent/runner.go
+++ b/internal/host/agent/runner.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// update takes up new settings where this needs no restart: nothing has changed, or the instance does not run. It reports
+// update stores new settings where this needs no restart: nothing has changed, or the instance does not run. It reports
 // whether that was so.
 func (r *runner) update(instance inventory.Instance) bool {
 	s := r.snapshot()
--- a/internal/host/inventory/yaml.go
+++ b/internal/host/inventory/yaml.go
@@ -25,7 +25,7 @@
 type document struct {
 	path   string
 	groups map[string]*group
-	hosts  map[string]*host // with the settings that stand at the host itself
+	hosts  map[string]*host // with the settings of the host itself
 }
 
 // parseYAML reads groups, hosts and vars in the form that configuration management tools use.
@@ -109,7 +109,7 @@
 	return g
 }
 
-// readHost reads one occurrence of a host. It may be in many groups, but each of its own settings stands only once.
+// readHost reads one occurrence of a host. It may be in many groups, but each of its own settings may be given only once.
 func (d *document) readHost(name, at string, keyNode, n *yaml.Node) error {
 	h := d.hosts[name]
 	if h == nil {
--- a/internal/nodes/discovery/poller.go
+++ b/internal/nodes/discovery/poller.go
@@ -110,7 +110,7 @@
 }
 
 // adjustGrace follows up a call: the grace doubles with each call that times out, up to two thirds of the notification
-// deadline, so that a slow discovery is heard in the end. While changes may be missing it stays as it is, since a hung call
+// deadline, so that the answer of a slow discovery arrives in the end. While changes may be missing it stays as it is, since a hung call
 // must end soon.
 func (p *poller) adjustGrace(err error, changesMissing bool) {
 	switch {
--- a/internal/nodes/discovery/progress.go
+++ b/internal/nodes/discovery/progress.go
@@ -64,7 +64,7 @@
 	return p.revision
 }
 
-// scheduleFullList follows up a call that asked from a revision. A discovery service that cannot give full lists to a whole
+// scheduleFullList follows up a call for the changes since a revision. A discovery service that cannot give full lists to a whole
 // fleet that has just changed to it may still answer calls for changes, which cost it little. Most often it is the same
 // service at another address, and these are complete. The full list then follows when the load has gone.
 func (p *progress) scheduleFullList(err error, revision int64, full bool) {
--- a/internal/timing/timerwheel/timerwheel.go
+++ b/internal/timing/timerwheel/timerwheel.go
@@ -102,7 +102,7 @@
 	slot := &w.overflow
 	for level := range levels {
 		shift := slotBits * level
-		// Within one turn of a level each slot stands for a single time.
+		// Within one turn of a level each slot holds a single tick.
 		if due>>shift-w.now>>shift < slots {
 			slot = &w.slot[level][due>>shift&slotMask]
 			break
--- a/internal/yamltree/yamltree.go
+++ b/internal/yamltree/yamltree.go
@@ -16,7 +16,7 @@
 const (
 	NotMapping  Fault = iota // the node is not a mapping
 	KeyNotPlain              // a key is not a plain scalar
-	KeyRepeated              // a key stands twice
+	KeyRepeated              // a key is repeated
 )
 
 // Visitor is called by EachPair. An error that one of its functions returns ends the walk.
