--- a/internal/broker/limits/limits.go
+++ b/internal/broker/limits/limits.go
@@ -4,8 +4,7 @@
 
 import "poppyarch/internal/timing/clock"
 
-// Limits bounds one broker. Sizes are bytes and times are microseconds. The order of the fields is that of the JSON encoding
-// and so does not change.
+// Limits bounds one broker. Sizes are bytes and times are microseconds. The order of the fields is that of the encoded form.
 type Limits struct {
 	// The machine.
 	Procs       int   `json:"procs"`        // threads that run Go code at once
@@ -29,9 +28,9 @@
 	ClientFirstByteTimeout         clock.Micros `json:"client_first"`  // for the first byte on a new connection
 	ClientStallTimeout             clock.Micros `json:"client_stall"`  // between two reads within a command
 	ClientRequestTimeout           clock.Micros `json:"client_send"`   // for a whole command
-	ClientIdleTimeoutUnderPressure clock.Micros `json:"client_lull"`   // between two commands, where descriptors or memory are short
+	ClientIdleTimeoutUnderPressure clock.Micros `json:"client_lull"`   // client_idle where descriptors or memory are short
 	ClientIdleConns                int          `json:"client_keep"`   // idle connections kept; the longest idle are closed first
-	ClientIdleTimeout              clock.Micros `json:"client_idle"`   // between two commands, in any case
+	ClientIdleTimeout              clock.Micros `json:"client_idle"`   // between two commands
 	ClientLingerTimeout            clock.Micros `json:"client_linger"` // after a close whose last response may not have arrived
 
 	// Responses.
--- a/internal/lab/fit/fit_test.go
+++ b/internal/lab/fit/fit_test.go
@@ -14,6 +14,7 @@
 
 	"poppyarch/internal/lab/model"
 	"poppyarch/internal/observability/record"
+	"poppyarch/internal/timing/clock"
 )
 
 // recorded writes what two brokers with clocks of their own would have recorded of n requests, two classes, one node in use by one at a time
@@ -24,37 +25,37 @@
 	lots := rand.New(rand.NewPCG(1, 1))
 	const wall = 1_790_000_000_000_000
 	buf := map[string][]byte{}
-	clocks := map[string]int64{"b1": 5_000_000, "b2": 900_000_000}
+	clocks := map[string]clock.Micros{"b1": 5_000_000, "b2": 900_000_000}
 	for name, began := range clocks {
-		e := record.Event{At: began, Kind: record.KindBoot, Boot: &record.Boot{Name: name, ID: "x", Began: began, Wall: wall, Sample: 1,
-			Classes: []record.Class{{Name: "read", Aim: 400_000, Due: 2_500_000, Worth: 2}, {Name: "new", Aim: 600_000, Due: 5_000_000, Worth: 2}},
-			Plans:   []record.Plan{{Name: "basis", Price: 0.8}, {Name: "unused", Price: 1}, {Name: "express", Price: 1.5}}}}
+		e := record.Event{At: began, Kind: record.KindIncarnation, Incarnation: &record.Incarnation{Name: name, ID: "x", StartedAt: began, WallClock: wall, SampleFraction: 1,
+			Classes: []record.Class{{Name: "read", LatencyObjective: 400_000, Deadline: 2_500_000, PriorityWeight: 2}, {Name: "new", LatencyObjective: 600_000, Deadline: 5_000_000, PriorityWeight: 2}},
+			Plans:   []record.Plan{{Name: "basis", PriceFactor: 0.8}, {Name: "unused", PriceFactor: 1}, {Name: "express", PriceFactor: 1.5}}}}
 		buf[name] = e.Append(nil, began)
 	}
-	at := int64(0)
+	at := clock.Micros(0)
 	for i := range n {
-		at += int64(lots.ExpFloat64() * 100_000)
+		at += clock.Micros(lots.ExpFloat64() * 100_000)
 		name := fmt.Sprint("b", 1+i%2)
 		class, volume, plan := i%4/3, i%6, uint8(0)
 		if volume >= 4 {
 			plan = 2
 		}
 		q := record.Request{Class: uint8(class), Plan: plan, Volume: fmt.Sprint("v", volume), Units: 2, Shard: int64(lots.IntN(3))}
-		took := int64(draw(class))
-		q.Tries = []record.Try{{Node: fmt.Sprint("n", q.Shard), Sent: 100, Took: took}}
+		took := clock.Micros(draw(class))
+		q.Attempts = []record.Attempt{{Node: fmt.Sprint("n", q.Shard), SentAfter: 100, Duration: took}}
 		if class == 1 {
 			q.Shard = -1
 		}
 		if crowd { // another stands in the same queue all the time
-			q.Tries = append(q.Tries, record.Try{Node: q.Tries[0].Node, Sent: 50, Took: took + 100})
+			q.Attempts = append(q.Attempts, record.Attempt{Node: q.Attempts[0].Node, SentAfter: 50, Duration: took + 100})
 		}
-		q.Took = took + 200
+		q.Duration = took + 200
 		e := record.Event{At: clocks[name] + at, Kind: record.KindRequest, Request: &q}
 		buf[name] = e.Append(buf[name], clocks[name])
 	}
 	for name, b := range buf {
-		f := record.Frame{Seq: 1, At: clocks[name], Now: clocks[name] + at, Events: b}
-		text := f.Append(record.SegmentHead(name, "x", 1))
+		f := record.Frame{Seq: 1, BaseTime: clocks[name], WrittenAt: clocks[name] + at, Events: b}
+		text := f.Append(record.SegmentHeader(name, "x", 1))
 		for _, copied := range []string{"", "-copy"} { // a copy counts once
 			if err := os.WriteFile(filepath.Join(dir, name+copied+".seg"), text, 0o600); err != nil {
 				t.Fatal(err)
--- a/internal/observability/console/console_test.go
+++ b/internal/observability/console/console_test.go
@@ -14,6 +14,7 @@
 	"poppyarch/internal/broker/control"
 	"poppyarch/internal/fleet/api"
 	"poppyarch/internal/fleet/state"
+	"poppyarch/internal/timing/clock"
 )
 
 func overview(n int) api.Overview {
@@ -22,7 +23,7 @@
 			Reason: "1 of 9 instances failed, more than 0"}}}
 	for k := range n {
 		name := fmt.Sprintf("n%03d", k)
-		o.Instances = append(o.Instances, state.InstanceStatus{Name: name, Agent: "m1", Enabled: true, Current: k != 1, Available: k != 1, Age: int64(k) * 3_000_000,
+		o.Instances = append(o.Instances, state.InstanceStatus{Name: name, Agent: "m1", Enabled: true, Current: k != 1, Available: k != 1, Age: clock.Micros(k) * 3_000_000,
 			Reason: strings.Repeat("because ", k%20), Report: state.Report{Process: state.Running, Incarnation: "b"}})
 		o.Stats = append(o.Stats, api.BrokerStats{Name: name, Age: 400_000, InFlight: 3, Stats: &control.Stats{Span: 1_000_000,
 			Requests: []control.RequestStats{{Class: "artwork-read", Plan: "express", Served: 100, Late: 2, Rejected: 3, P50: 12_000, P99: 90_000}},
@@ -55,7 +56,7 @@
 	m := New(nil, time.Second, false)
 	now := time.Unix(1000, 0)
 	m.Update(tea.WindowSizeMsg{Width: 80, Height: 24})
-	m.Update(answer{overview(60), nil, now})
+	m.Update(fetched{overview(60), nil, now})
 	for i, want := range []string{"n000", "s-5be2a07c", "00000003b4d60021", "artwork-read", "paused"} {
 		press(m, fmt.Sprint(i+1))
 		for _, open := range []bool{false, true} {
@@ -81,7 +82,7 @@
 	press(m, "1", "down", "down", "down")
 	o := overview(60)
 	o.Instances = o.Instances[2:]
-	m.Update(answer{o, nil, now})
+	m.Update(fetched{o, nil, now})
 	if !strings.Contains(m.View(), "> n003") {
 		t.Errorf("the selection has moved:\n%s", m.View())
 	}
@@ -90,7 +91,7 @@
 		t.Errorf("the end is out of sight:\n%s", m.View())
 	}
 	// The manager falls silent: what is shown stays, and says of when it is.
-	m.Update(answer{api.Overview{}, errors.New("no manager answers"), now.Add(7 * time.Second)})
+	m.Update(fetched{api.Overview{}, errors.New("no manager answers"), now.Add(7 * time.Second)})
 	if text := m.View(); !strings.Contains(text, "as of 7 s ago") || !strings.Contains(text, "n059") {
 		t.Errorf("%s", text)
 	}
@@ -101,12 +102,12 @@
 	if text := m.View(); !strings.Contains(text, "asking") {
 		t.Error(text)
 	}
-	m.Update(answer{api.Overview{}, errors.New("no manager answers at 127.0.0.1:7700"), time.Unix(5, 0)})
+	m.Update(fetched{api.Overview{}, errors.New("no manager answers at 127.0.0.1:7700"), time.Unix(5, 0)})
 	if text := m.View(); !strings.Contains(text, "no manager answers") {
 		t.Error(text)
 	}
 	press(m, "enter", "tab", "down", "enter") // nothing to open
-	m.Update(answer{api.Overview{}, nil, time.Unix(6, 0)})
+	m.Update(fetched{api.Overview{}, nil, time.Unix(6, 0)})
 	if text := m.View(); !strings.Contains(text, "no figures of nodes") {
 		t.Error(text)
 	}
--- a/internal/observability/incident/stream.go
+++ b/internal/observability/incident/stream.go
@@ -9,6 +9,7 @@
 	"poppyarch/internal/broker/decision"
 	"poppyarch/internal/observability/record"
 	"poppyarch/internal/observability/sketch"
+	"poppyarch/internal/timing/clock"
 )
 
 // Stream takes in the records of one boot of one broker, in the order of their frames. Times are the broker's own
@@ -16,7 +17,7 @@
 type Stream struct {
 	Name string
 	ID   string
-	Boot record.Boot // the last copy that could be read
+	Boot record.Incarnation // the last copy that could be read
 
 	frames     []frame
 	damaged    []damage // bytes that could not be read, by the frames around them
@@ -25,17 +26,17 @@
 	notes      []note
 	stopped    bool
 	nodes      map[string]*nodeRecord
-	groups     map[int64]map[group]*groupCounts // by second
-	volumes    map[string]map[int64]int         // requests by second of arrival
-	latency    map[uint8]*sketch.Index          // of served requests, by class
+	groups     map[clock.Micros]map[group]*groupCounts // by second
+	volumes    map[string]map[clock.Micros]int         // requests by second of arrival
+	latency    map[uint8]*sketch.Index                 // of served requests, by class
 	events     int
-	first      int64 // the earliest and the latest event
-	last       int64
+	first      clock.Micros // the earliest and the latest event
+	last       clock.Micros
 }
 
 type frame struct {
 	seq uint64
-	now int64
+	now clock.Micros
 }
 
 type damage struct {
@@ -43,10 +44,14 @@
 	bytes int
 }
 
-type heartbeat struct{ at, wall, open int64 }
+type heartbeat struct {
+	at   clock.Micros
+	wall clock.Micros
+	open int64 // requests in flight
+}
 
 type note struct {
-	at      int64
+	at      clock.Micros
 	kind    record.Kind
 	subject string
 	text    string
@@ -55,13 +60,13 @@
 
 // nodeRecord is what one boot saw of one node.
 type nodeRecord struct {
-	responses []int64   // when answers came
-	timedOut  []attempt // attempts without an answer
-	refused   []attempt // and without a connection
-	latency   map[int64]*sketch.Sketch
+	responses []clock.Micros // when answers came
+	timedOut  []attempt      // attempts without an answer
+	refused   []attempt      // and without a connection
+	latency   map[clock.Micros]*sketch.Sketch
 }
 
-type attempt struct{ sent, done int64 }
+type attempt struct{ sent, done clock.Micros }
 
 type group struct{ class, plan uint8 }
 
@@ -75,12 +80,12 @@
 
 // NewStream returns an empty one.
 func NewStream(name, id string) *Stream {
-	return &Stream{Name: name, ID: id, nodes: map[string]*nodeRecord{}, groups: map[int64]map[group]*groupCounts{},
-		volumes: map[string]map[int64]int{}, latency: map[uint8]*sketch.Index{}}
+	return &Stream{Name: name, ID: id, nodes: map[string]*nodeRecord{}, groups: map[clock.Micros]map[group]*groupCounts{},
+		volumes: map[string]map[clock.Micros]int{}, latency: map[uint8]*sketch.Index{}}
 }
 
 // AddFrame takes in that a frame is there.
-func (s *Stream) AddFrame(seq uint64, now int64) { s.frames = append(s.frames, frame{seq, now}) }
+func (s *Stream) AddFrame(seq uint64, now clock.Micros) { s.frames = append(s.frames, frame{seq, now}) }
 
 // AddDamage takes in that bytes behind frame after could not be read.
 func (s *Stream) AddDamage(after uint64, bytes int) {
@@ -96,24 +101,24 @@
 }
 
 // second is the slot of a time.
-const second = int64(1_000_000)
+const second = clock.Micros(1_000_000)
 
-func secondOf(at int64) int64 { return at - at%second }
+func secondOf(at clock.Micros) clock.Micros { return at - at%second }
 
 // AddEvent takes in one event.
 func (s *Stream) AddEvent(e *record.Event) {
 	s.events++
 	end := e.At
 	switch e.Kind {
-	case record.KindBoot:
-		s.Boot = *e.Boot
-	case record.KindBeat:
-		s.heartbeats = append(s.heartbeats, heartbeat{e.At, e.Beat.Wall, e.Beat.Open})
+	case record.KindIncarnation:
+		s.Boot = *e.Incarnation
+	case record.KindHeartbeat:
+		s.heartbeats = append(s.heartbeats, heartbeat{e.At, e.Heartbeat.WallClock, e.Heartbeat.InFlight})
 	case record.KindLost:
 		s.lost = append(s.lost, *e.Lost)
 	case record.KindSummary:
 	case record.KindRequest:
-		end += e.Request.Took
+		end += e.Request.Duration
 		s.addRequest(e.At, e.Request)
 	default:
 		if e.Kind == record.KindStop {
@@ -127,13 +132,13 @@
 	s.last = max(s.last, end)
 }
 
-func (s *Stream) addRequest(at int64, q *record.Request) {
+func (s *Stream) addRequest(at clock.Micros, q *record.Request) {
 	if v := s.volumes[q.Volume]; v != nil {
 		v[secondOf(at)]++
 	} else {
-		s.volumes[q.Volume] = map[int64]int{secondOf(at): 1}
+		s.volumes[q.Volume] = map[clock.Micros]int{secondOf(at): 1}
 	}
-	sec := secondOf(at + q.Took)
+	sec := secondOf(at + q.Duration)
 	byGroup := s.groups[sec]
 	if byGroup == nil {
 		byGroup = map[group]*groupCounts{}
@@ -145,39 +150,39 @@
 		t = &groupCounts{}
 		byGroup[g] = t
 	}
-	t.count[q.Answer%8]++
+	t.count[q.Result%8]++
 	t.units += q.Units
 	worth := 1.0
 	if int(q.Class) < len(s.Boot.Classes) {
-		worth *= s.Boot.Classes[q.Class].Worth
+		worth *= s.Boot.Classes[q.Class].PriorityWeight
 	}
 	if int(q.Plan) < len(s.Boot.Plans) {
-		worth *= s.Boot.Plans[q.Plan].Price
+		worth *= s.Boot.Plans[q.Plan].PriceFactor
 	}
 	switch {
-	case q.Answer == record.Served:
-		if int(q.Class) < len(s.Boot.Classes) && q.Took > s.Boot.Classes[q.Class].Aim {
+	case q.Result == record.Served:
+		if int(q.Class) < len(s.Boot.Classes) && q.Duration > s.Boot.Classes[q.Class].LatencyObjective {
 			t.late++
 			t.worth += worth * q.Units
 		}
 		x := s.latency[q.Class]
 		if x == nil {
-			x = sketch.NewIndex(second)
+			x = sketch.NewIndex(int64(second))
 			s.latency[q.Class] = x
 		}
-		x.Add(at+q.Took, q.Took)
-	case q.Answer != record.Left:
+		x.Add(int64(at+q.Duration), int64(q.Duration))
+	case q.Result != record.ClientDisconnected:
 		t.worth += worth * q.Units
 	}
-	for i := range q.Tries {
-		y := &q.Tries[i]
+	for i := range q.Attempts {
+		y := &q.Attempts[i]
 		n := s.nodes[y.Node]
 		if n == nil {
-			n = &nodeRecord{latency: map[int64]*sketch.Sketch{}}
+			n = &nodeRecord{latency: map[clock.Micros]*sketch.Sketch{}}
 			s.nodes[y.Node] = n
 		}
-		sent := at + y.Sent
-		done := sent + y.Took
+		sent := at + y.SentAfter
+		done := sent + y.Duration
 		switch decision.Outcome(y.Outcome) {
 		case decision.Served, decision.NodeError, decision.Rejected, decision.MalformedResponse: // it said something
 			n.responses = append(n.responses, done)
@@ -187,7 +192,7 @@
 					k = &sketch.Sketch{}
 					n.latency[secondOf(done)] = k
 				}
-				k.Add(y.Took)
+				k.Add(int64(y.Duration))
 			}
 		case decision.TimedOut:
 			n.timedOut = append(n.timedOut, attempt{sent, done})
@@ -215,14 +220,14 @@
 // Span is a broker's knowledge from one time to another. Slack is how far From may be off to the later side: a broker
 // that dies has its last word up to a heartbeat before.
 type Span struct {
-	Broker string `json:"broker"`
-	State  State  `json:"state"`
-	From   int64  `json:"from"`
-	To     int64  `json:"to"`
-	Slack  int64  `json:"slack,omitempty"`
-	Boot   string `json:"boot,omitempty"`
-	Events uint64 `json:"events,omitempty"` // lost, or bytes damaged
-	Text   string `json:"text,omitempty"`
+	Broker string       `json:"broker"`
+	State  State        `json:"state"`
+	From   clock.Micros `json:"from"`
+	To     clock.Micros `json:"to"`
+	Slack  clock.Micros `json:"slack,omitempty"`
+	Boot   string       `json:"boot,omitempty"`
+	Events uint64       `json:"events,omitempty"` // lost, or bytes damaged
+	Text   string       `json:"text,omitempty"`
 }
 
 // knowledge lists one boot's spans, by its own clock.
@@ -233,13 +238,13 @@
 	frames := slices.Clone(s.frames)
 	sort.Slice(frames, func(a, b int) bool { return frames[a].seq < frames[b].seq })
 	period := s.heartbeatInterval()
-	add := func(st State, from, to int64, events uint64, text string) {
+	add := func(st State, from, to clock.Micros, events uint64, text string) {
 		if to > from || events > 0 {
 			out = append(out, Span{Broker: s.Name, Boot: s.ID, State: st, From: from, To: to, Events: events, Text: text})
 		}
 	}
-	if f := frames[0]; f.seq > 1 && s.Boot.Began > 0 {
-		add(Missing, s.Boot.Began, s.first, 0, "the boot's first records have been removed or are nowhere")
+	if f := frames[0]; f.seq > 1 && s.Boot.StartedAt > 0 {
+		add(Missing, s.Boot.StartedAt, s.first, 0, "the boot's first records have been removed or are nowhere")
 	}
 	for i := 1; i < len(frames); i++ {
 		a, b := frames[i-1], frames[i]
@@ -253,7 +258,7 @@
 					st, text, n = Damaged, "bytes cannot be read", n+uint64(h.bytes)
 				}
 			}
-			if slices.ContainsFunc(s.lost, func(l record.Lost) bool { return l.Why == "disk" && l.From <= b.now && l.To >= a.now-period }) && st == Missing {
+			if slices.ContainsFunc(s.lost, func(l record.Lost) bool { return l.Reason == "disk" && l.From <= b.now && l.To >= a.now-period }) && st == Missing {
 				continue // the lost record says it better
 			}
 			add(st, a.now, b.now, n, text)
@@ -262,22 +267,22 @@
 		}
 	}
 	for _, l := range s.lost {
-		add(Lost, l.From, max(l.To, l.From+1), l.Events, "no room in the "+map[string]string{"disk": "folder", "full": "buffers"}[l.Why])
+		add(Lost, l.From, max(l.To, l.From+1), l.Events, "no room in the "+map[string]string{"disk": "folder", "full": "buffers"}[l.Reason])
 	}
 	return out
 }
 
 // heartbeatInterval is how often a boot lets hear of itself. Where the segments with its particulars are gone, it is taken for a second,
 // which is longer than any broker's that is set up as documented.
-func (s *Stream) heartbeatInterval() int64 {
-	if s.Boot.Beat > 0 {
-		return s.Boot.Beat
+func (s *Stream) heartbeatInterval() clock.Micros {
+	if s.Boot.HeartbeatInterval > 0 {
+		return s.Boot.HeartbeatInterval
 	}
 	return second
 }
 
 // end is a boot's last word.
-func (s *Stream) end() int64 {
+func (s *Stream) end() clock.Micros {
 	last := s.last
 	for _, f := range s.frames {
 		last = max(last, f.now)
@@ -286,9 +291,9 @@
 }
 
 // start is its first.
-func (s *Stream) start() int64 {
-	if s.Boot.Began > 0 {
-		return s.Boot.Began
+func (s *Stream) start() clock.Micros {
+	if s.Boot.StartedAt > 0 {
+		return s.Boot.StartedAt
 	}
 	return s.first
 }
--- a/internal/observability/record/decode.go
+++ b/internal/observability/record/decode.go
@@ -7,6 +7,7 @@
 	"math"
 
 	"poppyarch/internal/observability/sketch"
+	"poppyarch/internal/timing/clock"
 )
 
 // ErrMalformed says that the bytes of an event cannot be decoded.
@@ -31,7 +32,7 @@
 // Decoder decodes the events of frames. Equal strings are shared.
 type Decoder struct {
 	rest      []byte
-	base      int64
+	base      clock.Micros
 	malformed bool
 	shared    map[string]string
 }
@@ -40,7 +41,7 @@
 func NewDecoder() *Decoder { return &Decoder{shared: map[string]string{}} }
 
 // Reset makes the decoder read the events of a frame, whose times count from base.
-func (d *Decoder) Reset(events []byte, base int64) {
+func (d *Decoder) Reset(events []byte, base clock.Micros) {
 	d.rest = events
 	d.base = base
 	d.malformed = false
@@ -54,7 +55,7 @@
 	}
 	request := e.Request
 	*e = Event{Kind: Kind(d.byte())}
-	e.At = d.base + d.varint()
+	e.At = d.base + d.micros()
 	switch e.Kind {
 	case KindRequest:
 		if request == nil {
@@ -62,10 +63,10 @@
 		}
 		d.request(request)
 		e.Request = request
-	case KindBoot:
-		e.Boot = d.boot()
-	case KindBeat:
-		e.Beat = d.heartbeat()
+	case KindIncarnation:
+		e.Incarnation = d.boot()
+	case KindHeartbeat:
+		e.Heartbeat = d.heartbeat()
 	case KindSummary:
 		e.Summary = d.summary()
 	case KindLost:
@@ -83,46 +84,46 @@
 
 // request overwrites r and reuses its attempts.
 func (d *Decoder) request(r *Request) {
-	attempts := r.Tries[:0]
-	*r = Request{Class: d.byte(), Plan: d.byte(), Answer: Answer(d.byte()), Volume: d.string()}
+	attempts := r.Attempts[:0]
+	*r = Request{Class: d.byte(), Plan: d.byte(), Result: Result(d.byte()), Volume: d.string()}
 	r.Units = float64(d.uvarint()) / unitsScale
 	r.Shard = d.varint()
-	r.Took = int64(d.uvarint())
-	r.Hint = int64(d.uvarint())
+	r.Duration = clock.Micros(d.uvarint())
+	r.RetryAfter = clock.Micros(d.uvarint())
 	for range d.count(minAttemptBytes) {
-		attempts = append(attempts, Try{Node: d.string(), Sent: int64(d.uvarint()), Took: int64(d.uvarint()), Outcome: d.byte()})
+		attempts = append(attempts, Attempt{Node: d.string(), SentAfter: clock.Micros(d.uvarint()), Duration: clock.Micros(d.uvarint()), Outcome: d.byte()})
 	}
-	r.Tries = attempts
+	r.Attempts = attempts
 }
 
-func (d *Decoder) boot() *Boot {
-	boot := &Boot{Name: d.string(), ID: d.string(), Began: d.varint(), Wall: d.varint(), Beat: d.varint(), Sample: d.float()}
+func (d *Decoder) boot() *Incarnation {
+	boot := &Incarnation{Name: d.string(), ID: d.string(), StartedAt: d.micros(), WallClock: d.micros(), HeartbeatInterval: d.micros(), SampleFraction: d.float()}
 	for range d.count(minClassBytes) {
-		boot.Classes = append(boot.Classes, Class{Name: d.string(), Aim: d.varint(), Due: d.varint(), Worth: d.float()})
+		boot.Classes = append(boot.Classes, Class{Name: d.string(), LatencyObjective: d.micros(), Deadline: d.micros(), PriorityWeight: d.float()})
 	}
 	for range d.count(minPlanBytes) {
-		boot.Plans = append(boot.Plans, Plan{Name: d.string(), Price: d.float()})
+		boot.Plans = append(boot.Plans, Plan{Name: d.string(), PriceFactor: d.float()})
 	}
 	return boot
 }
 
-func (d *Decoder) heartbeat() *Beat {
-	return &Beat{
-		Wall:    d.varint(),
-		Open:    d.varint(),
-		Heap:    uint64(d.varint()),
-		Threads: d.varint(),
-		Nodes:   d.varint(),
-		List:    d.varint(),
+func (d *Decoder) heartbeat() *Heartbeat {
+	return &Heartbeat{
+		WallClock:    d.micros(),
+		InFlight:     d.varint(),
+		HeapBytes:    uint64(d.varint()),
+		Goroutines:   d.varint(),
+		NodeCount:    d.varint(),
+		ListRevision: d.varint(),
 	}
 }
 
 func (d *Decoder) summary() *Summary {
-	summary := &Summary{Span: d.varint()}
+	summary := &Summary{Span: d.micros()}
 	for range d.count(minGroupBytes) {
 		group := Group{Class: d.byte(), Plan: d.byte()}
-		for k := range group.Count {
-			group.Count[k] = d.uvarint()
+		for k := range group.Results {
+			group.Results[k] = d.uvarint()
 		}
 		group.Late = d.uvarint()
 		d.sketch(&group.Latency)
@@ -139,21 +140,21 @@
 	}
 	for range d.count(minVolumeBytes) {
 		summary.Volumes = append(summary.Volumes, VolumeCount{
-			Volume:  d.string(),
-			Count:   d.uvarint(),
-			Error:   d.uvarint(),
-			Refused: d.uvarint(),
-			Failed:  d.uvarint(),
-			Late:    d.uvarint(),
+			Volume:     d.string(),
+			Count:      d.uvarint(),
+			CountError: d.uvarint(),
+			Rejected:   d.uvarint(),
+			Failed:     d.uvarint(),
+			Late:       d.uvarint(),
 		})
 	}
 	return summary
 }
 
-func (d *Decoder) lost(at int64) *Lost {
-	from := d.varint()
-	to := d.varint()
-	return &Lost{From: at + from, To: at + to, Events: d.uvarint(), Requests: d.uvarint(), Why: d.string()}
+func (d *Decoder) lost(at clock.Micros) *Lost {
+	from := d.micros()
+	to := d.micros()
+	return &Lost{From: at + from, To: at + to, Events: d.uvarint(), Requests: d.uvarint(), Reason: d.string()}
 }
 
 // fail marks the input as malformed and drops what is left of it.
@@ -182,6 +183,9 @@
 	return v
 }
 
+// micros decodes a time or a duration that may be negative.
+func (d *Decoder) micros() clock.Micros { return clock.Micros(d.varint()) }
+
 func (d *Decoder) byte() byte {
 	if len(d.rest) == 0 {
 		d.malformed = true
