--- a/internal/fleet/journal/journal.go
+++ b/internal/fleet/journal/journal.go
@@ -87,7 +87,7 @@
 		return fmt.Errorf("journal: %w", err)
 	}
 	if err := j.log.Sync(); err != nil {
-		// What is on disk is unknown, and another Sync would not tell: the kernel may have dropped the pages.
+		// What is on disk is unknown, and another Sync would not show it: the kernel may have dropped the pages.
 		j.broken = fmt.Errorf("%w: %w", ErrBroken, err)
 		return fmt.Errorf("journal: %w", err)
 	}
--- a/internal/fleet/state/bench_test.go
+++ b/internal/fleet/state/bench_test.go
@@ -118,23 +118,23 @@
 }
 
 // rescan computes without the index what the state keeps in its counters and sets.
-func rescan(s *State) (out, of, differ int, gone []string) {
+func rescan(s *State) (unavailable, total, notCurrent int, departed []string) {
 	for name, i := range s.instances {
 		cur, up := s.isCurrent(i), i.isAvailable()
 		if i.release.desired != nil && i.release.desired.Enabled && i.availability.hasServed {
-			of++
+			total++
 			if !up || i.availability.restarting || i.observed.report.StartDigest != i.release.startDigest {
-				out++
+				unavailable++
 			}
 		}
 		if !cur {
-			differ++
+			notCurrent++
 		}
 		if i.observed.known && i.observed.report.Process == Absent && i.release.desired == nil {
-			gone = append(gone, name)
+			departed = append(departed, name)
 		}
 	}
-	return out, of, differ, gone
+	return unavailable, total, notCurrent, departed
 }
 
 // BenchmarkStep reports changes of ten instances and determines what is due: with the index, and by visiting all instances.
@@ -166,7 +166,14 @@
 					}
 					seq++
 					now++
-					if err := s.Observe(&AgentSync{Agent: agent, Token: s.agents.byName[agent].token, Sequence: seq, AssignmentVersion: s.agents.byName[agent].assignments.newest, Reports: changed}, now); err != nil {
+					call := &AgentSync{
+						Agent:             agent,
+						Token:             s.agents.byName[agent].token,
+						Sequence:          seq,
+						AssignmentVersion: s.agents.byName[agent].assignments.newest,
+						Reports:           changed,
+					}
+					if err := s.Observe(call, now); err != nil {
 						b.Fatal(err)
 					}
 					if plain {
--- a/internal/fleet/state/property_test.go
+++ b/internal/fleet/state/property_test.go
@@ -14,44 +14,43 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// broker is one process as it really is, whatever the manager believes.
+// broker is one process as it really is, which may differ from what the manager knows.
 type broker struct {
-	started  string // digest of what it was started with
-	config   string
-	boot     string
-	applied  uint64
-	healthy  bool
-	up       bool // has been reported healthy once since it was wanted
-	crashes  int
-	reported bool // healthy at its agent's last call
+	started     string // digest of what it was started with
+	config      string
+	incarnation string
+	applied     uint64
+	healthy     bool
+	up          bool // it has been reported healthy since it was enabled
+	crashes     int
+	reported    bool // healthy at its agent's last call
 }
 
 // simulatedAgent is one agent as it really is.
 type simulatedAgent struct {
-	name     string
-	token    uint64
-	seq      uint64
-	have     uint64
-	alive    bool
-	synced   bool
-	jobs     map[string]Assignment
-	brokers  map[string]*broker
-	lastSent []Report // the call that may arrive again, late
+	name        string
+	token       uint64
+	sequence    uint64 // of its last call
+	version     uint64 // of its assignments
+	alive       bool
+	assignments map[string]Assignment
+	brokers     map[string]*broker
+	lastSent    []Report // the call that may arrive again, late
 }
 
 // world is a fleet whose parts fail when the test says so, and its manager's state.
 type world struct {
-	t          *rapid.T
-	s          *State
-	log        []*Record // the journal
-	snap       []byte
-	since      int // records that the snapshot contains
-	now        clock.Micros
-	agents     map[string]*simulatedAgent
-	boots      int
-	cmds       int
-	agentNames []string
-	domains    int
+	t               *rapid.T
+	s               *State
+	log             []*Record // the journal
+	snapshot        []byte
+	snapshotRecords int // that the snapshot contains
+	now             clock.Micros
+	agents          map[string]*simulatedAgent
+	incarnations    int
+	commands        int
+	agentNames      []string
+	domains         int
 }
 
 // trace makes a run print every record and call.
@@ -79,8 +78,8 @@
 	}
 }
 
-// exposed counts, from what really is, the instances that have served, should, and do not or are about to stop. Only
-// those in among count, where it is given.
+// exposed counts the instances that have served, should serve, and do not serve or are about to stop. Where among is given,
+// only its instances count.
 func (w *world) exposed(among map[string]bool) (out, of int, all map[string]bool) {
 	all = map[string]bool{}
 	for name, i := range w.s.instances {
@@ -90,8 +89,8 @@
 		all[name] = true
 		var b *broker
 		up := false
-		for _, h := range w.agents {
-			if x := h.brokers[name]; x != nil {
+		for _, sim := range w.agents {
+			if x := sim.brokers[name]; x != nil {
 				b, up = x, up || x.up
 			}
 		}
@@ -110,7 +109,7 @@
 func (w *world) step() {
 	for n := 0; ; n++ {
 		if n > 10000 {
-			w.t.Fatal("the manager never comes to rest")
+			w.t.Fatal("the manager always has another record")
 		}
 		list := w.s.Step(w.now)
 		if len(list) == 0 {
@@ -130,51 +129,59 @@
 	}
 }
 
-// sync has an agent call the manager.
-func (w *world) sync(h *simulatedAgent) {
-	if !h.alive {
+// sync lets an agent call the manager.
+func (w *world) sync(sim *simulatedAgent) {
+	if !sim.alive {
 		return
 	}
-	if h.token == 0 {
-		r := w.s.Register(h.name, 0, w.now)
+	if sim.token == 0 {
+		r := w.s.Register(sim.name, 0, w.now)
 		w.put(r)
-		h.token, h.seq, h.have, h.synced = r.Token, 0, 0, false
+		sim.token, sim.sequence, sim.version = r.Token, 0, 0
 	}
-	h.seq++
+	sim.sequence++
 	var reports []Report
-	for _, name := range slices.Sorted(maps.Keys(h.jobs)) {
-		reports = append(reports, w.report(h, name))
-	}
-	h.lastSent = reports
-	if err := w.s.Observe(&AgentSync{Agent: h.name, Token: h.token, Sequence: h.seq, AssignmentVersion: h.have, Full: true, Reports: reports}, w.now); err != nil {
+	for _, name := range slices.Sorted(maps.Keys(sim.assignments)) {
+		reports = append(reports, w.report(sim, name))
+	}
+	sim.lastSent = reports
+	call := &AgentSync{
+		Agent:             sim.name,
+		Token:             sim.token,
+		Sequence:          sim.sequence,
+		AssignmentVersion: sim.version,
+		Full:              true,
+		Reports:           reports,
+	}
+	if err := w.s.Observe(call, w.now); err != nil {
 		if !errors.Is(err, ErrFenced) {
 			w.t.Fatal(err)
 		}
-		h.alive = false // a newer one is there: it stands down
+		sim.alive = false // a newer agent has registered: this one ends
 		return
 	}
-	for _, b := range h.brokers {
+	for _, b := range sim.brokers {
 		b.reported = b.healthy && b.crashes <= 2
 		b.up = b.up || b.reported
 	}
-	list, version := w.s.Assignments(h.name, h.have)
+	list, version := w.s.Assignments(sim.name, sim.version)
 	if trace {
-		w.t.Logf("%s token %d seq %d reports %+v gets %+v", h.name, h.token, h.seq, reports, list)
+		w.t.Logf("%s token %d seq %d reports %+v gets %+v", sim.name, sim.token, sim.sequence, reports, list)
 	}
-	if h.have == 0 { // all there is: what is not in it has been taken away
-		for name := range h.jobs {
-			h.jobs[name] = Assignment{Name: name, Release: true}
+	if sim.version == 0 { // the list is complete: what is not in it does not belong to the agent
+		for name := range sim.assignments {
+			sim.assignments[name] = Assignment{Name: name, Release: true}
 		}
 	}
 	for _, a := range list {
-		h.jobs[a.Name] = a
+		sim.assignments[a.Name] = a
 	}
-	h.have = version
+	sim.version = version
 }
 
-func (w *world) report(h *simulatedAgent, name string) Report {
-	b := h.brokers[name]
-	a := h.jobs[name]
+func (w *world) report(sim *simulatedAgent, name string) Report {
+	b := sim.brokers[name]
+	a := sim.assignments[name]
 	r := Report{Name: name, Process: Stopped}
 	switch {
 	case b == nil && (a.Desired == nil || a.Release):
@@ -182,39 +189,39 @@
 	case b != nil && b.crashes > 2:
 		r.Process, r.Flapping, r.Crashes = Backoff, true, b.crashes
 	case b != nil:
-		r.Process, r.Incarnation, r.AppliedEdition, r.StartDigest, r.Healthy = Running, b.boot, b.applied, b.started, b.healthy
+		r.Process, r.Incarnation, r.AppliedEdition, r.StartDigest, r.Healthy = Running, b.incarnation, b.applied, b.started, b.healthy
 	}
 	return r
 }
 
-// work has an agent do one thing for each of its instances.
-func (w *world) work(h *simulatedAgent) {
-	if !h.alive {
+// work lets an agent do one thing for each of its instances.
+func (w *world) work(sim *simulatedAgent) {
+	if !sim.alive {
 		return
 	}
-	for _, name := range slices.Sorted(maps.Keys(h.jobs)) {
-		a, b := h.jobs[name], h.brokers[name]
+	for _, name := range slices.Sorted(maps.Keys(sim.assignments)) {
+		a, b := sim.assignments[name], sim.brokers[name]
 		switch {
 		case a.Release || a.Desired == nil || !a.Desired.Enabled:
-			delete(h.brokers, name)
+			delete(sim.brokers, name)
 		case b == nil || b.started != a.Desired.Start.Digest():
 			for _, o := range w.agents {
-				if o != h && o.brokers[name] != nil {
-					w.t.Fatalf("%s is started at %s and still runs at %s", name, h.name, o.name)
+				if o != sim && o.brokers[name] != nil {
+					w.t.Fatalf("%s is started at %s and still runs at %s", name, sim.name, o.name)
 				}
 			}
-			w.boots++
+			w.incarnations++
 			old := b
-			b = &broker{started: a.Desired.Start.Digest(), config: a.Desired.Start.Config, boot: fmt.Sprint("b", w.boots), healthy: a.Desired.Start.Config != badConfig}
+			b = &broker{started: a.Desired.Start.Digest(), config: a.Desired.Start.Config, incarnation: fmt.Sprint("b", w.incarnations), healthy: a.Desired.Start.Config != badConfig}
 			if old != nil {
 				b.up = old.up
 			}
-			h.brokers[name] = b
+			sim.brokers[name] = b
 		case b.config == badConfig:
 			b.crashes++
 		case !b.healthy:
-			w.boots++
-			b.boot, b.applied, b.healthy = fmt.Sprint("b", w.boots), 0, true
+			w.incarnations++
+			b.incarnation, b.applied, b.healthy = fmt.Sprint("b", w.incarnations), 0, true
 		case b.applied != a.TargetEdition:
 			if a.TargetEdition < b.applied {
 				w.t.Fatalf("%s goes back from revision %d to %d", name, b.applied, a.TargetEdition)
@@ -248,8 +255,8 @@
 }
 
 func (w *world) command() *Command {
-	w.cmds++
-	return &Command{ID: fmt.Sprint("c", w.cmds), Author: "test"}
+	w.commands++
+	return &Command{ID: fmt.Sprint("c", w.commands), Author: "test"}
 }
 
 func (w *world) drawStrategy(t *rapid.T) Strategy {
@@ -264,39 +271,38 @@
 	return st
 }
 
-// restart has the manager die and come back from its journal, or from a snapshot and what came after it. Both must
-// lead to the same state.
+// restart lets the manager restart from its journal. The snapshot and the records after it must lead to the same state.
 func (w *world) restart() {
-	whole := New(testLimits)
+	replayed := New(testLimits)
 	for _, r := range w.log {
-		if err := whole.Apply(r); err != nil {
+		if err := replayed.Apply(r); err != nil {
 			w.t.Fatal(err)
 		}
 	}
-	if w.snap != nil {
-		short, err := Restore(w.snap, testLimits)
+	if w.snapshot != nil {
+		restored, err := Restore(w.snapshot, testLimits)
 		if err != nil {
 			w.t.Fatal(err)
 		}
-		for _, r := range w.log[w.since:] {
-			if err := short.Apply(r); err != nil {
+		for _, r := range w.log[w.snapshotRecords:] {
+			if err := restored.Apply(r); err != nil {
 				w.t.Fatalf("after a snapshot: %v", err)
 			}
 		}
-		a, b := w.image(whole), w.image(short)
-		if !bytes.Equal(a, b) {
-			w.t.Fatalf("a snapshot leads elsewhere:\n%s\n%s", a, b)
+		fromJournal, fromSnapshot := w.image(replayed), w.image(restored)
+		if !bytes.Equal(fromJournal, fromSnapshot) {
+			w.t.Fatalf("a snapshot leads elsewhere:\n%s\n%s", fromJournal, fromSnapshot)
 		}
 	}
-	whole.FinishReplay()
-	w.s = whole
-	for _, h := range w.agents {
-		h.have = 0 // another life of the manager: all assignments are asked for anew
-		h.seq = 0
+	replayed.FinishReplay()
+	w.s = replayed
+	for _, sim := range w.agents {
+		sim.version = 0 // the manager's incarnation is a new one: all assignments are fetched again
+		sim.sequence = 0
 	}
 }
 
-// image is a state in one form. What has been seen differs between the two ways and is left out.
+// image returns a state in a form that can be compared. What depends on the observed state is left out.
 func (w *world) image(s *State) []byte {
 	b, err := s.Snapshot()
 	if err == nil {
@@ -359,7 +365,7 @@
 		now:        1,
 	}
 	for _, name := range w.agentNames {
-		w.agents[name] = &simulatedAgent{name: name, alive: true, jobs: map[string]Assignment{}, brokers: map[string]*broker{}}
+		w.agents[name] = &simulatedAgent{name: name, alive: true, assignments: map[string]Assignment{}, brokers: map[string]*broker{}}
 	}
 	return w
 }
@@ -426,36 +432,36 @@
 }
 
 func (w *world) agentReturns(t *rapid.T) {
-	if h := w.pickAgent(t); !h.alive {
-		h.alive, h.token = true, 0
+	if sim := w.pickAgent(t); !sim.alive {
+		sim.alive, sim.token = true, 0
 	}
 }
 
 func (w *world) fencedAgentCalls(t *rapid.T) {
-	h := w.pickAgent(t)
-	if h.token <= 1 || w.s.CheckToken(h.name, h.token) != nil {
+	sim := w.pickAgent(t)
+	if sim.token <= 1 || w.s.CheckToken(sim.name, sim.token) != nil {
 		return
 	}
-	if err := w.s.Observe(&AgentSync{Agent: h.name, Token: h.token - 1, Sequence: 1 << 40, Full: true}, w.now); !errors.Is(err, ErrFenced) {
+	if err := w.s.Observe(&AgentSync{Agent: sim.name, Token: sim.token - 1, Sequence: 1 << 40, Full: true}, w.now); !errors.Is(err, ErrFenced) {
 		t.Fatalf("an older token: %v", err)
 	}
 }
 
 func (w *world) callArrivesAgain(t *rapid.T) {
-	h := w.pickAgent(t)
-	if !h.alive || h.seq == 0 || h.lastSent == nil {
+	sim := w.pickAgent(t)
+	if !sim.alive || sim.sequence == 0 || sim.lastSent == nil {
 		return
 	}
-	err := w.s.Observe(&AgentSync{Agent: h.name, Token: h.token, Sequence: h.seq, AssignmentVersion: h.have, Full: true}, w.now)
+	err := w.s.Observe(&AgentSync{Agent: sim.name, Token: sim.token, Sequence: sim.sequence, AssignmentVersion: sim.version, Full: true}, w.now)
 	if err != nil && !errors.Is(err, ErrFenced) { // fenced: a newer agent has registered since
 		t.Fatal(err)
 	}
 }
 
 func (w *world) brokerCrashes(t *rapid.T) {
-	h := w.pickAgent(t)
+	sim := w.pickAgent(t)
 	for _, name := range []string{"n0", "n1", "n2", "n3", "n4"} {
-		if b := h.brokers[name]; b != nil && rapid.Bool().Draw(t, "this") {
+		if b := sim.brokers[name]; b != nil && rapid.Bool().Draw(t, "this") {
 			b.healthy = false
 			break
 		}
@@ -464,12 +470,12 @@
 
 // machineIsLost removes all that runs on a silent agent's machine, and retires the agent.
 func (w *world) machineIsLost(t *rapid.T) {
-	h := w.pickAgent(t)
-	if h.alive || w.s.agents.byName[h.name] == nil || !w.s.agents.byName[h.name].session.silent {
+	sim := w.pickAgent(t)
+	if sim.alive || w.s.agents.byName[sim.name] == nil || !w.s.agents.byName[sim.name].session.silent {
 		return
 	}
-	h.jobs, h.brokers = map[string]Assignment{}, map[string]*broker{}
-	r, err := w.s.Retire(w.command(), h.name, w.now)
+	sim.assignments, sim.brokers = map[string]Assignment{}, map[string]*broker{}
+	r, err := w.s.Retire(w.command(), sim.name, w.now)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -494,14 +500,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.snap, w.since = b, len(w.log)
+	w.snapshot, w.snapshotRecords = b, len(w.log)
 }
 
 // endFailures lets all agents run again and ends all rollouts.
 func (w *world) endFailures() {
-	for _, h := range w.agents {
-		if !h.alive {
-			h.alive, h.token = true, 0
+	for _, sim := range w.agents {
+		if !sim.alive {
+			sim.alive, sim.token = true, 0
 		}
 	}
 	for _, revision := range w.s.rollouts.unfinished() {
@@ -547,10 +553,10 @@
 			w.t.Fatalf("%s is reported current and is %+v", name, b)
 		}
 	}
-	for _, h := range w.agents {
-		for name := range h.brokers {
-			if i := want.Instances[name]; i == nil || i.Agent != h.name {
-				w.t.Fatalf("%s still runs at %s", name, h.name)
+	for _, sim := range w.agents {
+		for name := range sim.brokers {
+			if i := want.Instances[name]; i == nil || i.Agent != sim.name {
+				w.t.Fatalf("%s still runs at %s", name, sim.name)
 			}
 		}
 	}
--- a/internal/fleet/state/rollout_test.go
+++ b/internal/fleet/state/rollout_test.go
@@ -52,7 +52,16 @@
 	sp := &spec.Spec{Instances: map[string]*spec.Instance{}, Configs: map[string]string{d: text}}
 	for k := range n {
 		name := fmt.Sprint("n", k)
-		sp.Instances[name] = &spec.Instance{Name: name, Agent: "a", Enabled: true, Start: spec.StartSettings{Config: d, Listen: fmt.Sprint("127.0.0.1:", 7000+k), MemoryMB: memory}}
+		sp.Instances[name] = &spec.Instance{
+			Name:    name,
+			Agent:   "a",
+			Enabled: true,
+			Start: spec.StartSettings{
+				Config:   d,
+				Listen:   fmt.Sprint("127.0.0.1:", 7000+k),
+				MemoryMB: memory,
+			},
+		}
 	}
 	r, _, err := p.s.Propose(&Command{ID: fmt.Sprint("c", p.now)}, sp, st, p.now)
 	if err != nil {
@@ -61,6 +70,18 @@
 	p.put(r)
 }
 
+// sync lets the agent report all of its instances.
+func (p *oneAgentFleet) sync(sequence, assignmentVersion uint64, reports ...Report) error {
+	return p.s.Observe(&AgentSync{
+		Agent:             "a",
+		Token:             p.token,
+		Sequence:          sequence,
+		AssignmentVersion: assignmentVersion,
+		Full:              true,
+		Reports:           reports,
+	}, p.now)
+}
+
 // run lets time pass.
 func (p *oneAgentFleet) run(duration clock.Micros) {
 	p.t.Helper()
@@ -73,14 +94,21 @@
 		_, version := p.s.Assignments("a", 0)
 		var reports []Report
 		for name, i := range p.s.agents.byName["a"].instances {
-			r := Report{Name: name, Process: Running, Incarnation: "b-" + name + i.release.startDigest, AppliedEdition: p.s.targetEdition(i), StartDigest: i.release.startDigest, Healthy: true}
+			r := Report{
+				Name:           name,
+				Process:        Running,
+				Incarnation:    "b-" + name + i.release.startDigest,
+				AppliedEdition: p.s.targetEdition(i),
+				StartDigest:    i.release.startDigest,
+				Healthy:        true,
+			}
 			if p.down[name] {
 				r = Report{Name: name, Process: Backoff, Error: "killed", Flapping: p.flapping[name], Crashes: 3}
 			}
 			reports = append(reports, r)
 		}
 		p.sequence++
-		if err := p.s.Observe(&AgentSync{Agent: "a", Token: p.token, Sequence: p.sequence, AssignmentVersion: version, Full: true, Reports: reports}, p.now); err != nil {
+		if err := p.sync(p.sequence, version, reports...); err != nil {
 			p.t.Fatal(err)
 		}
 	}
@@ -92,7 +120,11 @@
 	for _, budget := range []int{1, 2} {
 		p := newOneAgentFleet(t)
 		st := DefaultStrategy()
-		st.Canary, st.Batch, st.MaxUnavailable, st.SoakTime, st.ProgressDeadline = 0, CountOrPercent{Count: 4}, CountOrPercent{Count: 4}, 1_000_000, 10_000_000
+		st.Canary = 0
+		st.Batch = CountOrPercent{Count: 4}
+		st.MaxUnavailable = CountOrPercent{Count: 4}
+		st.SoakTime = 1_000_000
+		st.ProgressDeadline = 10_000_000
 		p.apply(8, 64, st)
 		p.run(20_000_000)
 		if !p.s.Settled() {
@@ -117,7 +149,11 @@
 func TestFailureInFinishedWaveCountsAgainstBudget(t *testing.T) {
 	p := newOneAgentFleet(t)
 	st := DefaultStrategy()
-	st.Canary, st.Batch, st.MaxUnavailable, st.SoakTime, st.ProgressDeadline = 0, CountOrPercent{Count: 1}, CountOrPercent{Count: 4}, 2_000_000, 60_000_000
+	st.Canary = 0
+	st.Batch = CountOrPercent{Count: 1}
+	st.MaxUnavailable = CountOrPercent{Count: 4}
+	st.SoakTime = 2_000_000
+	st.ProgressDeadline = 60_000_000
 	p.apply(4, 64, st)
 	p.run(30_000_000)
 	p.apply(4, 96, st)
@@ -147,7 +183,7 @@
 	good := i.observed.report
 	old := good
 	old.Incarnation, old.AppliedEdition, old.Healthy = "b-old", 1, false
-	if err := p.s.Observe(&AgentSync{Agent: "a", Token: p.token, Sequence: p.sequence - 1, AssignmentVersion: p.s.agents.byName["a"].assignments.newest, Full: true, Reports: []Report{old}}, p.now); err != nil {
+	if err := p.sync(p.sequence-1, p.s.agents.byName["a"].assignments.newest, old); err != nil {
 		t.Fatal(err)
 	}
 	if i.observed.report != good || !p.s.isCurrent(i) {
@@ -180,14 +216,14 @@
 	}
 	stopped := Report{Name: "n0", Process: Stopped}
 	p.sequence++
-	if err := p.s.Observe(&AgentSync{Agent: "a", Token: p.token, Sequence: p.sequence, AssignmentVersion: have, Full: true, Reports: []Report{stopped}}, p.now); err != nil {
+	if err := p.sync(p.sequence, have, stopped); err != nil {
 		t.Fatal(err)
 	}
 	if p.s.isCurrent(i) || p.s.Settled() {
 		t.Error("stopped before the agent knew of it counts as current")
 	}
 	p.sequence++
-	if err := p.s.Observe(&AgentSync{Agent: "a", Token: p.token, Sequence: p.sequence, AssignmentVersion: a.assignments.newest, Full: true, Reports: []Report{stopped}}, p.now); err != nil {
+	if err := p.sync(p.sequence, a.assignments.newest, stopped); err != nil {
 		t.Fatal(err)
 	}
 	if !p.s.isCurrent(i) {
--- a/internal/fleet/state/state.go
+++ b/internal/fleet/state/state.go
@@ -148,7 +148,7 @@
 
 // FinishReplay ends the replay of a journal. No agent has reported yet, so every instance counts as one that has served
 // and is out of service until its agent says otherwise: an instance that served before the manager's restart must not be
-// taken for a new one, even where it has been told to end since.
+// taken for a new one, even where it is to end since then.
 func (s *State) FinishReplay() {
 	for _, i := range s.instances {
 		i.availability.hasServed = true
