--- a/cmd/poppyarch/lab.go
+++ b/cmd/poppyarch/lab.go
@@ -235,7 +235,7 @@
 }
 
 func labSearch() *cobra.Command {
-	hunt := &search.Hunt{}
+	hunt := &search.Search{}
 	var path string
 	c := &cobra.Command{
 		Use: "search SCENARIO -o CASE", Short: "Search for faults under which a design breaks a rule or falls behind, and minimise the case",
@@ -249,7 +249,7 @@
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
 			out := textoutput.NewPrinter(cmd.OutOrStdout())
-			found, err := hunt.Run(ctx, func(try int, bad search.Bad) { out.Printf("candidate %d: %s %v\n", try+1, hunt.Design, bad) })
+			found, err := hunt.Run(ctx, func(try int, bad search.Verdict) { out.Printf("candidate %d: %s %v\n", try+1, hunt.Design, bad) })
 			if err != nil {
 				return err
 			}
@@ -257,21 +257,21 @@
 			if err != nil {
 				return err
 			}
-			head := fmt.Sprintf("# Found by lab hunt: %s %v against %s, seeds %d to %d.\n", hunt.Design, found.Bad, hunt.Against,
+			head := fmt.Sprintf("# Found by lab hunt: %s %v against %s, seeds %d to %d.\n", hunt.Design, found.Verdict, hunt.Reference,
 				hunt.Seed, hunt.Seed+uint64(hunt.Runs)-1)
 			if err := os.WriteFile(path, append([]byte(head), text...), 0o644); err != nil {
 				return err
 			}
-			out.Printf("made small: %s %v, %d plays, %s\n", hunt.Design, found.Bad, found.Plays, path)
+			out.Printf("made small: %s %v, %d plays, %s\n", hunt.Design, found.Verdict, found.Plays, path)
 			return out.Err()
 		},
 	}
 	flags := c.Flags()
 	flags.StringVarP(&hunt.Design, "design", "d", "module", "design")
-	flags.StringVar(&hunt.Against, "against", "oracle", "design to compare it with")
+	flags.StringVar(&hunt.Reference, "against", "oracle", "design to compare it with")
 	flags.Uint64Var(&hunt.Seed, "seed", 1, "seed of the search and of the first run")
 	flags.IntVar(&hunt.Runs, "runs", 2, "seeds of a candidate")
-	flags.IntVar(&hunt.Tries, "tries", 60, "candidates")
+	flags.IntVar(&hunt.Candidates, "tries", 60, "candidates")
 	flags.StringVarP(&path, "out", "o", "", "the case, a scenario")
 	markRequired(c, "out")
 	return c
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -146,7 +146,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Brokers, s.Nodes[0].Count, s.Load.Patience, s.Last = 1, 1, 0, model.Span(200e9)
+	s.Brokers, s.Nodes[0].Count, s.Load.Deadline, s.Duration = 1, 1, 0, model.Duration(200e9)
 	b := &Bisection{Scenario: s, Key: "load.rate", From: 5, To: 45, Design: "random", Measure: "time_ms", Bound: 50, Runs: 4, Most: 8, Seed: 1, Steps: 5}
 	steps := 0
 	f, err := b.Run(context.Background(), func(Step) { steps++ })
--- a/internal/lab/experiment/plan.go
+++ b/internal/lab/experiment/plan.go
@@ -232,7 +232,7 @@
 	}
 	var err error
 	switch x := v.Addr().Interface().(type) {
-	case *model.Span:
+	case *model.Duration:
 		err = x.UnmarshalText([]byte(text))
 	case *string:
 		*x = text
--- a/internal/lab/fit/fit.go
+++ b/internal/lab/fit/fit.go
@@ -270,10 +270,10 @@
 	if seconds < 1 {
 		return nil, w, nil, fmt.Errorf("the records span %.3f s, less than a second: no rate can be told", seconds)
 	}
-	s := &model.Scenario{Name: name, Brokers: len(t.Brokers), Last: model.Span(40 * time.Second), Warm: model.Span(5 * time.Second)}
-	s.Load = model.Load{Rate: round(float64(len(t.Asked)) / seconds / t.Sampled), Work: micros(all), Spread: w.Spread, Sigma: round(w.Sigma)}
-	s.Nodes = []model.Kind{{Count: max(len(t.nodes()), 1), Cores: 2, Speed: 1, Room: 40}}
-	s.Rules = model.Rules{Attempts: 3, Grace: model.Span(500 * time.Millisecond), Slack: model.Span(50 * time.Millisecond), Share: 0.3, Beyond: 0.08}
+	s := &model.Scenario{Name: name, Brokers: len(t.Brokers), Duration: model.Duration(40 * time.Second), WarmUp: model.Duration(5 * time.Second)}
+	s.Load = model.Load{Rate: round(float64(len(t.Asked)) / seconds / t.Sampled), Work: micros(all), Distribution: w.Spread, Sigma: round(w.Sigma)}
+	s.Nodes = []model.NodeGroup{{Count: max(len(t.nodes()), 1), Cores: 2, Speed: 1, QueueCapacity: 40}}
+	s.Rules = model.Rules{Attempts: 3, DrainGrace: model.Duration(500 * time.Millisecond), ResponseGrace: model.Duration(50 * time.Millisecond), BurstValue: 0.3, ExcessValue: 0.08}
 	t.classes(s, means, all)
 	t.plans(s, seconds)
 	notes := []string{
@@ -311,8 +311,8 @@
 
 func round(v float64) float64 { return math.Round(v*1e4) / 1e4 }
 
-func micros(v float64) model.Span {
-	return model.Span(time.Duration(math.Round(v)) * time.Microsecond)
+func micros(v float64) model.Duration {
+	return model.Duration(time.Duration(math.Round(v)) * time.Microsecond)
 }
 
 func (t *Trace) nodes() map[string]bool {
@@ -340,10 +340,10 @@
 		if count[k] == 0 {
 			continue
 		}
-		x := model.Class{Name: c.Name, Share: round(float64(count[k]) / float64(len(t.Asked))), Work: round(means[k] / all), Aim: model.Span(time.Duration(c.LatencyObjective) * time.Microsecond),
-			Patience: model.Span(time.Duration(max(c.Deadline, c.LatencyObjective)) * time.Microsecond), Worth: c.PriorityWeight, Late: 0.15, Repeat: "always"}
+		x := model.Class{Name: c.Name, Share: round(float64(count[k]) / float64(len(t.Asked))), Work: round(means[k] / all), LatencyObjective: model.Duration(time.Duration(c.LatencyObjective) * time.Microsecond),
+			Deadline: model.Duration(time.Duration(max(c.Deadline, c.LatencyObjective)) * time.Microsecond), Priority: c.PriorityWeight, LateValue: 0.15, Idempotency: "always"}
 		if 2*fresh[k] > count[k] {
-			x.Writes, x.Repeat = true, "never"
+			x.Writes, x.Idempotency = true, "never"
 		}
 		s.Classes = append(s.Classes, x)
 	}
@@ -374,7 +374,7 @@
 	smallest := math.Inf(1)
 	var sizes []float64
 	for k, p := range t.Plans {
-		x := model.Plan{Name: p.Name, Reserve: 1, Weight: 1, Price: p.PriceFactor, Hosts: [2]int{math.MaxInt, 1}, Nodes: [2]int{math.MaxInt, 1}}
+		x := model.Plan{Name: p.Name, ReservedRate: 1, Weight: 1, Price: p.PriceFactor, Hosts: [2]int{math.MaxInt, 1}, Nodes: [2]int{math.MaxInt, 1}}
 		total := 0
 		for _, v := range volumes {
 			if int(v.plan) != k {
--- a/internal/lab/fit/fit_test.go
+++ b/internal/lab/fit/fit_test.go
@@ -95,7 +95,7 @@
 		if len(s.Plans) != 2 || s.Plans[0].Volumes != 4 || s.Plans[1].Name != "express" || s.Plans[1].Volumes != 2 || s.Plans[1].Hosts != [2]int{1, 1} || s.Plans[0].Nodes[1] != 3 {
 			t.Errorf("%s: %+v", spread, s.Plans)
 		}
-		if c := s.Classes; len(c) != 2 || c[0].Share != 0.75 || c[0].Repeat != "always" || !c[1].Writes || c[1].Repeat != "never" || time.Duration(c[1].Patience) != 5*time.Second {
+		if c := s.Classes; len(c) != 2 || c[0].Share != 0.75 || c[0].Idempotency != "always" || !c[1].Writes || c[1].Idempotency != "never" || time.Duration(c[1].Deadline) != 5*time.Second {
 			t.Errorf("%s: %+v", spread, c)
 		}
 		if _, err := model.Play(s, "module", 1); err != nil {
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -6,24 +6,24 @@
 
 // What happens.
 const (
-	Taken    Kind = iota // Request, Broker, Class, Volume, Key, Units, Until: the broker has all of it
-	Sent                 // Request, Attempt, Broker, Node
-	Ended                // Request, Attempt, NeverRan: the broker knows how the attempt ended
-	Answered             // Request, Broker, Answer
-	Left                 // Request: its client waits no longer
-	Told                 // Broker, Node, State, Since: the broker's list says so from now on
-	Started              // Node, Shard, Zone: up, and cold
-	Fell                 // Node: more came than it could bear when cold
-	Died                 // Broker: with all that it had taken
+	RequestReceived    Kind = iota // Request, Broker, Class, Volume, Key, Units, Until: the broker has all of it
+	AttemptSent                    // Request, Attempt, Broker, Node
+	AttemptEnded                   // Request, Attempt, NeverRan: the broker knows how the attempt ended
+	ResponseSent                   // Request, Broker, Answer
+	ClientDisconnected             // Request: its client waits no longer
+	NodeNotified                   // Broker, Node, State, Since: the broker's list says so from now on
+	NodeStarted                    // Node, Shard, Zone: up, and cold
+	NodeOverloaded                 // Node: more came than it could bear when cold
+	BrokerDied                     // Broker: with all that it had taken
 )
 
-// Answer is a broker's final word on a request.
-type Answer uint8
+// Result is a broker's final word on a request.
+type Result uint8
 
 // The answers.
 const (
-	Served Answer = iota
-	Refused
+	Served Result = iota
+	Rejected
 	Failed
 )
 
@@ -34,26 +34,26 @@
 const (
 	Up State = iota
 	Draining
-	Gone
+	Removed
 )
 
 // Record is one thing that happened. Times are microseconds.
 type Record struct {
-	At       int64
-	Until    int64 // when the client of what is taken gives up; 0: never
-	Since    int64 // the start of the node that a broker is told of; 0: long ago
-	Request  uint64
-	Key      uint64
-	Units    float64
-	Attempt  int32
-	Broker   int32
-	Node     int32
-	Shard    int32
-	Zone     int32
-	Class    int32
-	Volume   int32
-	Kind     Kind
-	Answer   Answer
-	State    State
-	NeverRan bool // the outcome proves that nothing ran
+	At            int64
+	Deadline      int64 // when the client of what is taken gives up; 0: never
+	NodeStartedAt int64 // the start of the node that a broker is told of; 0: long ago
+	Request       uint64
+	Key           uint64
+	Units         float64
+	Attempt       int32
+	Broker        int32
+	Node          int32
+	Shard         int32
+	Zone          int32
+	Class         int32
+	Volume        int32
+	Kind          Kind
+	Result        Result
+	State         State
+	NeverRan      bool // the outcome proves that nothing ran
 }
--- a/internal/lab/load/install.go
+++ b/internal/lab/load/install.go
@@ -44,7 +44,7 @@
 	if err := s.Check(); err != nil {
 		return nil, fmt.Errorf("scenario %s: %w", s.Name, err)
 	}
-	for i, t := range s.Trouble {
+	for i, t := range s.Faults {
 		switch t.Kind {
 		case "pause", "hot", "load", "reconnect":
 		default:
@@ -61,7 +61,7 @@
 	disc := fake.NewDiscovery()
 	for _, k := range s.Nodes {
 		for range k.Count {
-			n := &fake.Timed{Cores: k.Cores, Speed: k.Speed, Room: k.Room, Handshake: time.Duration(s.Service.Handshake)}
+			n := &fake.Timed{Cores: k.Cores, Speed: k.Speed, Room: k.QueueCapacity, Handshake: time.Duration(s.Service.Handshake)}
 			block, err := in.serve(n.Serve)
 			if err != nil {
 				return in, err
@@ -160,7 +160,7 @@
 	for _, c := range in.Scenario.Ways() {
 		if c.Writes && write == "" {
 			write = c.Name
-		} else if !c.Writes && c.Repeat == "always" && read == "" {
+		} else if !c.Writes && c.Idempotency == "always" && read == "" {
 			read = c.Name
 		}
 	}
@@ -199,8 +199,8 @@
 	defer pauses.Wait()
 	defer stop()
 	for i, n := range in.nodes {
-		for k := range in.Scenario.Trouble {
-			if t := &in.Scenario.Trouble[k]; t.Kind == "pause" {
+		for k := range in.Scenario.Faults {
+			if t := &in.Scenario.Faults[k]; t.Kind == "pause" {
 				pauses.Go(func() { in.pause(on, t, n, seed, uint64(k)<<32|uint64(i)) })
 			}
 		}
@@ -234,7 +234,7 @@
 }
 
 // pause has a node stand still as the trouble says: again and again at times of its own, or once.
-func (in *Installation) pause(ctx context.Context, t *model.Trouble, n *fake.Timed, seed, which uint64) {
+func (in *Installation) pause(ctx context.Context, t *model.Fault, n *fake.Timed, seed, which uint64) {
 	lots := rand.New(rand.NewPCG(seed, which))
 	if lots.Float64() >= t.Share {
 		return
@@ -242,7 +242,7 @@
 	wait := time.Duration(t.At) + time.Duration(lots.Float64()*float64(t.Over))
 	for {
 		if t.At == 0 {
-			wait = time.Duration(lots.ExpFloat64() * float64(t.Every-t.Last))
+			wait = time.Duration(lots.ExpFloat64() * float64(t.Every-t.Duration))
 		}
 		timer := time.NewTimer(wait)
 		select {
@@ -251,7 +251,7 @@
 			timer.Stop()
 			return
 		}
-		n.Pause(time.Duration(t.Last))
+		n.Pause(time.Duration(t.Duration))
 		if t.At > 0 {
 			return
 		}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -87,7 +87,7 @@
 		return nil, fmt.Errorf("scenario %s: brokers: %d, but %d addresses are given", s.Name, s.Brokers, len(addrs))
 	}
 	classes := s.Ways()
-	from, to := time.Duration(s.Warm).Microseconds(), time.Duration(s.Last).Microseconds()
+	from, to := time.Duration(s.WarmUp).Microseconds(), time.Duration(s.Duration).Microseconds()
 	r.tally = tally{asked: statistics.NewBatches(from, to, batches), served: statistics.NewBatches(from, to, batches), took: statistics.NewBatches(from, to, batches)}
 	for _, a := range addrs {
 		r.clients = append(r.clients, &pool{addr: a})
@@ -155,7 +155,7 @@
 }
 
 func (r *Run) try(ctx context.Context, a *model.Arrival, class *model.Class, began time.Time) (outcome, time.Duration) {
-	until := began.Add(time.Duration(class.Patience))
+	until := began.Add(time.Duration(class.Deadline))
 	if r.web != nil {
 		return r.web.try(ctx, a, class, until)
 	}
@@ -178,7 +178,7 @@
 }
 
 func (r *Run) part(at int64) int {
-	per := max(time.Duration(r.Scenario.Last).Microseconds()/model.SeriesParts, 1)
+	per := max(time.Duration(r.Scenario.Duration).Microseconds()/model.SeriesParts, 1)
 	if k := int(at / per); k < model.SeriesParts {
 		return k
 	}
@@ -208,13 +208,13 @@
 	defer r.mu.Unlock()
 	t := &r.tally
 	t.served.Add(time.Since(r.start).Microseconds(), 1)
-	if a.At >= time.Duration(r.Scenario.Warm).Microseconds() {
+	if a.At >= time.Duration(r.Scenario.WarmUp).Microseconds() {
 		t.took.Add(a.At, took.Seconds())
 		t.latency.Add(took.Microseconds())
 	}
 	worth := a.Worth
-	if took > time.Duration(class.Aim) {
-		worth *= class.Late
+	if took > time.Duration(class.LatencyObjective) {
+		worth *= class.LateValue
 		t.res.Late++
 	} else if a.Inside {
 		t.earnedInside += worth
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -31,11 +31,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Brokers, s.Last, s.Warm, s.Load.Rate, s.Load.Work, s.Load.Retry = 2, model.Span(time.Second), 0, 60, model.Span(time.Millisecond), 0
+	s.Brokers, s.Duration, s.WarmUp, s.Load.Rate, s.Load.Work, s.Load.Retry = 2, model.Duration(time.Second), 0, 60, model.Duration(time.Millisecond), 0
 	for i := range s.Classes {
-		s.Classes[i].Aim, s.Classes[i].Patience = model.Span(patience/2), model.Span(patience)
+		s.Classes[i].LatencyObjective, s.Classes[i].Deadline = model.Duration(patience/2), model.Duration(patience)
 	}
-	s.Trouble = nil
+	s.Faults = nil
 	return s
 }
 
@@ -67,7 +67,7 @@
 func TestClientsOfTheModelBeforeRealBrokers(t *testing.T) {
 	for _, objects := range []bool{false, true} {
 		s := small(t)
-		s.Trouble = []model.Trouble{{Kind: "pause", Share: 1, Every: model.Span(time.Second), Last: model.Span(time.Millisecond)}}
+		s.Faults = []model.Fault{{Kind: "pause", Share: 1, Every: model.Duration(time.Second), Duration: model.Duration(time.Millisecond)}}
 		records := t.TempDir()
 		in, err := Install(s, Options{Dir: t.TempDir(), Objects: objects, Records: records}, inProcess(t))
 		if err != nil {
@@ -223,7 +223,7 @@
 func TestWhatSocketsCannotPlay(t *testing.T) {
 	for want, edit := range map[string]func(s *model.Scenario){
 		"trouble[0].kind: vanish": func(s *model.Scenario) {
-			s.Trouble = []model.Trouble{{Kind: "vanish", Share: 1, At: 1e9, Last: 1e9}}
+			s.Faults = []model.Fault{{Kind: "vanish", Share: 1, At: 1e9, Duration: 1e9}}
 		},
 		"nodes": func(s *model.Scenario) { s.Nodes = nil },
 	} {
--- a/internal/lab/model/broker.go
+++ b/internal/lab/model/broker.go
@@ -98,7 +98,7 @@
 	}
 	b.down, b.watching = true, false
 	b.epoch++
-	b.r.note(history.Record{Kind: history.Died, Broker: b.id})
+	b.r.note(history.Record{Kind: history.BrokerDied, Broker: b.id})
 	for _, n := range b.r.nodes {
 		for i := len(n.open) - 1; i >= 0; i-- { // in the order of the node's own list, so that runs repeat
 			if at := n.open[i]; at.b == b {
@@ -117,7 +117,7 @@
 	at.over = true
 	at.n.close(at)
 	if at.w != nil {
-		at.w.gone = b.r.s.Service.Drops
+		at.w.gone = b.r.s.Service.DropsExpired
 	}
 	if at.c != nil {
 		at.c.end()
@@ -145,7 +145,7 @@
 		case decision.Forward:
 			b.send(a)
 		case decision.Shed:
-			b.answer(a.ID, history.Refused, a.After)
+			b.answer(a.ID, history.Rejected, a.After)
 		case decision.Fail:
 			b.answer(a.ID, history.Failed, 0)
 		case decision.SetTimer:
@@ -165,7 +165,7 @@
 func (b *broker) take(q *request) {
 	b.open[q.id] = q
 	b.r.mostOpen = max(b.r.mostOpen, len(b.open))
-	b.r.note(history.Record{Kind: history.Taken, Request: q.id, Broker: b.id, Class: q.class, Volume: q.vol.id, Key: q.key, Units: q.units, Until: q.until})
+	b.r.note(history.Record{Kind: history.RequestReceived, Request: q.id, Broker: b.id, Class: q.class, Volume: q.vol.id, Key: q.key, Units: q.units, Deadline: q.until})
 	due := time.Duration(q.until) * time.Microsecond
 	if q.until == 0 {
 		due = b.r.now() + 1000*time.Hour
@@ -175,9 +175,9 @@
 }
 
 // answer is the broker's final word on a request that no node has served.
-func (b *broker) answer(id uint64, a history.Answer, hint time.Duration) {
+func (b *broker) answer(id uint64, a history.Result, hint time.Duration) {
 	q := b.open[id]
-	b.r.note(history.Record{Kind: history.Answered, Request: id, Broker: b.id, Answer: a})
+	b.r.note(history.Record{Kind: history.ResponseSent, Request: id, Broker: b.id, Result: a})
 	if q == nil {
 		return
 	}
@@ -195,9 +195,9 @@
 	at := &attempt{q: q, b: b, n: n, no: q.attempts, epoch: b.epoch, place: -1}
 	q.attempts, q.last = q.attempts+1, at
 	b.r.attempts++
-	b.r.note(history.Record{Kind: history.Sent, Request: q.id, Attempt: int32(at.no), Broker: b.id, Node: n.id})
+	b.r.note(history.Record{Kind: history.AttemptSent, Request: q.id, Attempt: int32(at.no), Broker: b.id, Node: n.id})
 	wait, fresh := b.r.delay(), false
-	if b.r.s.Link.Keep > 0 {
+	if b.r.s.Link.IdleTimeout > 0 {
 		if at.c = b.lend(n); at.c == nil {
 			fresh = true
 			wait += b.r.delay() + b.r.delay() + b.r.s.Link.Handshake.us()
@@ -240,7 +240,7 @@
 	c.idle++
 	when, epoch := c.idle, b.epoch
 	b.idle[c.n] = append(b.idle[c.n], c)
-	b.r.e.After(b.r.s.Link.Keep.us(), func() {
+	b.r.e.After(b.r.s.Link.IdleTimeout.us(), func() {
 		if c.idle != when || b.epoch != epoch {
 			return
 		}
@@ -327,7 +327,7 @@
 	at.over = true
 	at.n.close(at)
 	if at.w != nil && o != decision.Served {
-		at.w.gone = b.r.s.Service.Drops
+		at.w.gone = b.r.s.Service.DropsExpired
 	}
 	if at.c != nil {
 		if o == decision.Served || o == decision.Rejected || o == decision.NodeError {
@@ -337,7 +337,7 @@
 		}
 	}
 	q := at.q
-	b.r.note(history.Record{Kind: history.Ended, Request: q.id, Attempt: int32(at.no), Broker: b.id, Node: at.n.id, NeverRan: o.NotExecuted()})
+	b.r.note(history.Record{Kind: history.AttemptEnded, Request: q.id, Attempt: int32(at.no), Broker: b.id, Node: at.n.id, NeverRan: o.NotExecuted()})
 	if o == decision.Served && !q.over {
 		b.answer(q.id, history.Served, 0)
 	}
@@ -361,7 +361,7 @@
 		}
 		for i := range b.known {
 			if b.known[i].Node != "" && !named[int32(i)] {
-				b.r.note(history.Record{Kind: history.Told, Broker: b.id, Node: int32(i), State: history.Gone})
+				b.r.note(history.Record{Kind: history.NodeNotified, Broker: b.id, Node: int32(i), State: history.Removed})
 				b.known[i] = decision.Endpoint{}
 			}
 		}
@@ -369,7 +369,7 @@
 	for i := range list {
 		id := b.r.byName[list[i].Node].id
 		b.known[id] = list[i]
-		b.r.note(history.Record{Kind: history.Told, Broker: b.id, Node: id, State: history.State(list[i].State), Since: list[i].StartedAt.Microseconds()})
+		b.r.note(history.Record{Kind: history.NodeNotified, Broker: b.id, Node: id, State: history.State(list[i].State), NodeStartedAt: list[i].StartedAt.Microseconds()})
 	}
 	b.step(decision.Event{Kind: kind, Endpoints: list})
 }
--- a/internal/lab/model/client.go
+++ b/internal/lab/model/client.go
@@ -85,8 +85,8 @@
 		if price == 0 {
 			price = 1
 		}
-		r.config.Plans = append(r.config.Plans, decision.Plan{Name: p.Name, Weight: p.Weight, PriceFactor: price, UsualRate: units, ReservedRate: p.Reserve * units,
-			RateLimit: p.Limit * units, RateLimitBurst: p.Limit*units + 2*mostUnits*float64(p.Hosts[1]), RateLimitTolerance: 0.1 * (p.Limit*units + 2*mostUnits*float64(p.Hosts[1]))})
+		r.config.Plans = append(r.config.Plans, decision.Plan{Name: p.Name, Weight: p.Weight, PriceFactor: price, UsualRate: units, ReservedRate: p.ReservedRate * units,
+			RateLimit: p.RateLimit * units, RateLimitBurst: p.RateLimit*units + 2*mostUnits*float64(p.Hosts[1]), RateLimitTolerance: 0.1 * (p.RateLimit*units + 2*mostUnits*float64(p.Hosts[1]))})
 		for range p.Volumes {
 			v := &volume{id: int32(len(r.volumes)), plan: k, rate: rate, units: units, factor: 1}
 			v.name = fmt.Sprintf("%08x", 0x1000+v.id)
@@ -100,8 +100,8 @@
 			if lots.Float64() < p.Busy {
 				v.rate *= 1 + 2*lots.Float64()
 			}
-			full := p.Reserve*units + mostUnits
-			v.reserve = bucket{rate: p.Reserve * units, most: full, level: full}
+			full := p.ReservedRate*units + mostUnits
+			v.reserve = bucket{rate: p.ReservedRate * units, most: full, level: full}
 			v.share = bucket{rate: 2 * units, most: 2*units + mostUnits, level: 2 * units}
 			if lots.Float64() < p.Surge {
 				r.surges(v)
@@ -214,12 +214,12 @@
 		switch {
 		case q.inside:
 		case v.share.take(now, q.units):
-			kind = r.s.Rules.Share
+			kind = r.s.Rules.BurstValue
 		default:
-			kind = r.s.Rules.Beyond
+			kind = r.s.Rules.ExcessValue
 		}
 	}
-	q.worth = class.Worth * r.config.Plans[v.plan].PriceFactor * kind * q.units
+	q.worth = class.Priority * r.config.Plans[v.plan].PriceFactor * kind * q.units
 	r.due.add(now, q.worth)
 	r.asked.Add(now, 1)
 	r.seen++
@@ -265,7 +265,7 @@
 	b := r.brokers[v.hosts[i]]
 	r.lastID++
 	q.id = r.lastID
-	if p := r.classes[q.class].Patience.us(); len(r.s.Classes) > 0 || r.s.Load.Patience > 0 {
+	if p := r.classes[q.class].Deadline.us(); len(r.s.Classes) > 0 || r.s.Load.Deadline > 0 {
 		q.until = r.e.Now() + p
 	}
 	if b.down {
@@ -278,7 +278,7 @@
 			if !q.over && epoch == b.epoch {
 				q.over = true
 				r.given++
-				r.note(history.Record{Kind: history.Left, Request: q.id, Broker: b.id})
+				r.note(history.Record{Kind: history.ClientDisconnected, Request: q.id, Broker: b.id})
 				b.step(decision.Event{Kind: decision.ClientDisconnected, ID: q.id})
 				if at := q.last; at != nil && !at.over && b.epoch == epoch { // its broker ends the attempt; the node may go on with it
 					b.end(at, decision.Cancelled)
@@ -343,7 +343,7 @@
 	r.makeVolumes()
 	r.troubles()
 	r.clients()
-	r.e.Run(s.Last.us())
+	r.e.Run(s.Duration.us())
 	return all, r.err
 }
 
@@ -363,7 +363,7 @@
 }
 
 // heard is what a client hears. It comes again once after a refusal or a failure, if it is one that does.
-func (r *run) heard(q *request, a history.Answer, hint time.Duration) {
+func (r *run) heard(q *request, a history.Result, hint time.Duration) {
 	q.over = true
 	now := r.e.Now()
 	class := &r.classes[q.class]
@@ -376,15 +376,15 @@
 			r.latency.Add(took)
 		}
 		got := q.worth
-		if took > class.Aim.us() {
-			got *= class.Late
+		if took > class.LatencyObjective.us() {
+			got *= class.LateValue
 			r.late++
 		} else if q.inside {
 			r.earnedInside += got
 		}
 		r.earned.add(q.first, got)
 		return
-	case history.Refused:
+	case history.Rejected:
 		r.refused++
 	default:
 		r.failed++
--- a/internal/lab/model/design.go
+++ b/internal/lab/model/design.go
@@ -414,7 +414,7 @@
 
 // spare reports whether one more cannot push a cold node over.
 func (n *Node) spare() bool {
-	if n.cold == nil || n.cold.Multiple == 0 || n.began == 0 || n.warmth() >= 1 {
+	if n.cold == nil || n.cold.OverloadFactor == 0 || n.began == 0 || n.warmth() >= 1 {
 		return true
 	}
 	now, sum := n.e.Now(), 0.0
--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -46,12 +46,12 @@
 		return
 	}
 	wait := int64(0)
-	if per := d.r.s.Discovery.Calls; per > 0 {
+	if per := d.r.s.Discovery.CallRate; per > 0 {
 		now := d.r.e.Now()
 		d.free = max(d.free, now) + int64(1e6/per)
 		wait = d.free - now
 	}
-	if most := d.r.s.Discovery.Wait.us(); most > 0 && wait > most { // it has cost as much as one that is answered
+	if most := d.r.s.Discovery.Timeout.us(); most > 0 && wait > most { // it has cost as much as one that is answered
 		d.fails++
 		say(most+way, fail)
 		return
@@ -77,7 +77,7 @@
 func (d *discovery) changed(n *Node) {
 	m := member(n)
 	late := int64(0)
-	if mean := d.r.s.Discovery.Late.us(); mean > 0 {
+	if mean := d.r.s.Discovery.Delay.us(); mean > 0 {
 		late = int64((0.5 + d.lots.ExpFloat64()/2) * float64(mean) * max(d.times, 1))
 	}
 	d.r.e.After(late, func() { d.tell(n, m) })
--- a/internal/lab/model/members_test.go
+++ b/internal/lab/model/members_test.go
@@ -78,10 +78,10 @@
 
 // Without trouble the membership changes nothing; with a flapping node the rules hold, drains and cold starts among them.
 func TestMembersInTheModel(t *testing.T) {
-	s := &Scenario{Name: "flap", Brokers: 4, Last: Span(20e9), Warm: Span(time.Second), Nodes: []Kind{{Count: 6, Cores: 2, Speed: 1, Room: 20}},
-		Cold: Cold{Share: 0.2, Warm: Span(15e9), Multiple: 3, Window: Span(time.Second)}, Link: Link{Delay: Span(time.Millisecond), Keep: Span(5e9)},
-		Load:  Load{Rate: 60, Work: Span(30e6), Spread: "exponential", Patience: Span(2e9)},
-		Rules: Rules{Attempts: 3, Grace: Span(500e6), Slack: Span(50e6), Ask: Span(10e9)}}
+	s := &Scenario{Name: "flap", Brokers: 4, Duration: Duration(20e9), WarmUp: Duration(time.Second), Nodes: []NodeGroup{{Count: 6, Cores: 2, Speed: 1, QueueCapacity: 20}},
+		SlowStart: SlowStart{InitialCapacity: 0.2, Duration: Duration(15e9), OverloadFactor: 3, Window: Duration(time.Second)}, Link: Link{Delay: Duration(time.Millisecond), IdleTimeout: Duration(5e9)},
+		Load:  Load{Rate: 60, Work: Duration(30e6), Distribution: "exponential", Deadline: Duration(2e9)},
+		Rules: Rules{Attempts: 3, DrainGrace: Duration(500e6), ResponseGrace: Duration(50e6), NotificationDeadline: Duration(10e9)}}
 	play := func(design string) *Result {
 		r, err := Play(s, design, 4)
 		if err != nil {
@@ -92,7 +92,7 @@
 	if a, b := play("module"), play("members"); a.Service != b.Service || a.Attempts != b.Attempts {
 		t.Errorf("without trouble: %v and %v, %d and %d attempts", a.Service, b.Service, a.Attempts, b.Attempts)
 	}
-	s.Trouble = []Trouble{{Kind: "flap", Share: 0.3, Every: Span(3e9), Last: Span(400e6)}}
+	s.Faults = []Fault{{Kind: "flap", Share: 0.3, Every: Duration(3e9), Duration: Duration(400e6)}}
 	for _, d := range []string{"module", "members"} {
 		if r := play(d); len(r.Broken) > 0 || r.Service < 0.3 {
 			t.Errorf("%s: service %v, broken %v", d, r.Service, r.BrokenRules())
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -13,8 +13,8 @@
 )
 
 func one(cores int, rate float64, spread string) *Scenario {
-	return &Scenario{Name: "theory", Brokers: 1, Last: Span(4000 * time.Second), Warm: Span(100 * time.Second),
-		Nodes: []Kind{{Count: 1, Cores: cores, Speed: 1}}, Load: Load{Rate: rate, Work: Span(20 * time.Millisecond), Spread: spread, Sigma: 1}}
+	return &Scenario{Name: "theory", Brokers: 1, Duration: Duration(4000 * time.Second), WarmUp: Duration(100 * time.Second),
+		Nodes: []NodeGroup{{Count: 1, Cores: cores, Speed: 1}}, Load: Load{Rate: rate, Work: Duration(20 * time.Millisecond), Distribution: spread, Sigma: 1}}
 }
 
 // erlang is the chance that a request waits at c cores that are offered a.
@@ -56,10 +56,10 @@
 
 // The same seed gives the same run to the last figure, and other designs the same clients.
 func TestRunsRepeat(t *testing.T) {
-	s := &Scenario{Brokers: 7, Last: Span(20 * time.Second), Nodes: []Kind{{Count: 12, Cores: 2, Speed: 0.9, Room: 20}},
-		Load:    Load{Rate: 800, Work: Span(20 * time.Millisecond), Spread: "exponential", Patience: Span(time.Second)},
-		Service: Service{Drops: true},
-		Trouble: []Trouble{{Kind: "pause", Share: 1, Every: Span(5 * time.Second), Last: Span(100 * time.Millisecond)}, {Kind: "silence", Share: 0.2, Every: Span(9 * time.Second), Last: Span(3 * time.Second)}}}
+	s := &Scenario{Brokers: 7, Duration: Duration(20 * time.Second), Nodes: []NodeGroup{{Count: 12, Cores: 2, Speed: 0.9, QueueCapacity: 20}},
+		Load:    Load{Rate: 800, Work: Duration(20 * time.Millisecond), Distribution: "exponential", Deadline: Duration(time.Second)},
+		Service: Service{DropsExpired: true},
+		Faults:  []Fault{{Kind: "pause", Share: 1, Every: Duration(5 * time.Second), Duration: Duration(100 * time.Millisecond)}, {Kind: "silence", Share: 0.2, Every: Duration(9 * time.Second), Duration: Duration(3 * time.Second)}}}
 	for _, d := range Designs() {
 		a, err := Play(s, d, 5)
 		b, _ := Play(s, d, 5)
@@ -99,9 +99,9 @@
 // Figures that cannot be are refused by their keys.
 func TestScenarioNamesTheKey(t *testing.T) {
 	for key, spoil := range map[string]func(*Scenario){
-		"load.rate": func(s *Scenario) { s.Load.Rate = 0 }, "load.spread": func(s *Scenario) { s.Load.Spread = "x" },
-		"nodes[0].cores": func(s *Scenario) { s.Nodes[0].Cores = 0 }, "warm": func(s *Scenario) { s.Warm = s.Last },
-		"trouble[0].every": func(s *Scenario) { s.Trouble = []Trouble{{Kind: "pause", Share: 1, Every: 1, Last: 2}} },
+		"load.rate": func(s *Scenario) { s.Load.Rate = 0 }, "load.spread": func(s *Scenario) { s.Load.Distribution = "x" },
+		"nodes[0].cores": func(s *Scenario) { s.Nodes[0].Cores = 0 }, "warm": func(s *Scenario) { s.WarmUp = s.Duration },
+		"trouble[0].every": func(s *Scenario) { s.Faults = []Fault{{Kind: "pause", Share: 1, Every: 1, Duration: 2}} },
 	} {
 		s := one(1, 1, "constant")
 		spoil(s)
@@ -126,8 +126,8 @@
 func BenchmarkPlay(b *testing.B) {
 	for _, nodes := range shortened([]int{10, 100, 1000, 10_000}) {
 		b.Run(fmt.Sprint("nodes=", nodes), func(b *testing.B) {
-			s := &Scenario{Brokers: max(nodes/100, 1), Last: Span(time.Duration(2_000_000/nodes) * time.Millisecond), Nodes: []Kind{{Count: nodes, Cores: 2, Speed: 1}},
-				Load: Load{Rate: 28 * float64(nodes), Work: Span(50 * time.Millisecond), Spread: "exponential"}}
+			s := &Scenario{Brokers: max(nodes/100, 1), Duration: Duration(time.Duration(2_000_000/nodes) * time.Millisecond), Nodes: []NodeGroup{{Count: nodes, Cores: 2, Speed: 1}},
+				Load: Load{Rate: 28 * float64(nodes), Work: Duration(50 * time.Millisecond), Distribution: "exponential"}}
 			events := uint64(0)
 			for range b.N {
 				r, err := Play(s, "two", 1)
@@ -147,8 +147,8 @@
 	type size struct{ nodes, brokers, seconds int }
 	for _, size := range shortened([]size{{100, 10, 4}, {100, 10, 16}, {1000, 100, 4}, {1000, 1000, 4}, {10_000, 1000, 2}}) {
 		b.Run(fmt.Sprintf("nodes=%d/brokers=%d/seconds=%d", size.nodes, size.brokers, size.seconds), func(b *testing.B) {
-			s := &Scenario{Brokers: size.brokers, Last: Span(time.Duration(size.seconds) * time.Second), Nodes: []Kind{{Count: size.nodes, Cores: 2, Speed: 1}},
-				Load: Load{Rate: 28 * float64(size.nodes), Work: Span(50 * time.Millisecond), Spread: "exponential"}}
+			s := &Scenario{Brokers: size.brokers, Duration: Duration(time.Duration(size.seconds) * time.Second), Nodes: []NodeGroup{{Count: size.nodes, Cores: 2, Speed: 1}},
+				Load: Load{Rate: 28 * float64(size.nodes), Work: Duration(50 * time.Millisecond), Distribution: "exponential"}}
 			most := uint64(0)
 			events := uint64(0)
 			for range b.N {
@@ -181,27 +181,27 @@
 }
 
 // fleet is a small one with everything that the model has, and one trouble.
-func fleet(trouble ...Trouble) *Scenario {
-	ms := func(n int) Span { return Span(time.Duration(n) * time.Millisecond) }
-	return &Scenario{Name: "fleet", Brokers: 8, Zones: 2, Last: ms(12_000), Nodes: []Kind{{8, 2, 0.95, 30}, {4, 2, 0.6, 30}},
-		Service: Service{Connections: 60, Handshake: ms(4), Remembers: 2, Seek: 0.4, Defer: 0.3, Flush: ms(2000)},
-		Cold:    Cold{Share: 0.2, Warm: ms(8000), Multiple: 3, Window: ms(1000)}, Link: Link{Delay: 500, Jitter: 500, Handshake: 1000, Keep: ms(5000)},
-		Discovery: Discovery{Calls: 50, Wait: ms(2000), Late: ms(300)},
-		Load:      Load{Rate: 200, Work: ms(52), Spread: "lognormal", Sigma: 0.3, Retry: 0.4, Reread: 0.3, Shift: ms(5000), Skew: 0.8},
-		Classes: []Class{{Name: "read", Share: 0.65, Work: 0.8, Aim: ms(400), Patience: ms(2500), Worth: 2, Late: 0.1, Repeat: "always"},
-			{Name: "new", Share: 0.35, Work: 1.4, Aim: ms(600), Patience: ms(5000), Worth: 2, Late: 0.1, Repeat: "never", Writes: true}},
-		Plans: []Plan{{Name: "basis", Volumes: 40, Size: 1, Reserve: 0.3, Weight: 1, Price: 0.8, Hosts: [2]int{1, 3}, Nodes: [2]int{1, 4}, Busy: 0.2, Surge: 0.1},
-			{Name: "express", Volumes: 30, Size: 2, Reserve: 1.2, Weight: 3, Price: 1.5, Hosts: [2]int{1, 3}, Nodes: [2]int{1, 4}, Limit: 4}},
-		Rules: Rules{Attempts: 3, Slack: ms(50), Share: 0.3, Beyond: 0.08, Ask: ms(10_000)}, Trouble: trouble}
+func fleet(trouble ...Fault) *Scenario {
+	ms := func(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
+	return &Scenario{Name: "fleet", Brokers: 8, Zones: 2, Duration: ms(12_000), Nodes: []NodeGroup{{8, 2, 0.95, 30}, {4, 2, 0.6, 30}},
+		Service:   Service{Connections: 60, Handshake: ms(4), CachedKeys: 2, CacheMissCost: 0.4, DeferredWrite: 0.3, FlushInterval: ms(2000)},
+		SlowStart: SlowStart{InitialCapacity: 0.2, Duration: ms(8000), OverloadFactor: 3, Window: ms(1000)}, Link: Link{Delay: 500, Jitter: 500, Handshake: 1000, IdleTimeout: ms(5000)},
+		Discovery: Discovery{CallRate: 50, Timeout: ms(2000), Delay: ms(300)},
+		Load:      Load{Rate: 200, Work: ms(52), Distribution: "lognormal", Sigma: 0.3, Retry: 0.4, Reread: 0.3, Shift: ms(5000), Skew: 0.8},
+		Classes: []Class{{Name: "read", Share: 0.65, Work: 0.8, LatencyObjective: ms(400), Deadline: ms(2500), Priority: 2, LateValue: 0.1, Idempotency: "always"},
+			{Name: "new", Share: 0.35, Work: 1.4, LatencyObjective: ms(600), Deadline: ms(5000), Priority: 2, LateValue: 0.1, Idempotency: "never", Writes: true}},
+		Plans: []Plan{{Name: "basis", Volumes: 40, Size: 1, ReservedRate: 0.3, Weight: 1, Price: 0.8, Hosts: [2]int{1, 3}, Nodes: [2]int{1, 4}, Busy: 0.2, Surge: 0.1},
+			{Name: "express", Volumes: 30, Size: 2, ReservedRate: 1.2, Weight: 3, Price: 1.5, Hosts: [2]int{1, 3}, Nodes: [2]int{1, 4}, RateLimit: 4}},
+		Rules: Rules{Attempts: 3, ResponseGrace: ms(50), BurstValue: 0.3, ExcessValue: 0.08, NotificationDeadline: ms(10_000)}, Faults: trouble}
 }
 
 // The module keeps every rule in every trouble, and all of them at once; each play can be repeated to the last figure. What a trouble costs shows.
 func TestModuleInEveryTrouble(t *testing.T) {
-	s := func(n float64) Span { return Span(n * float64(time.Second)) }
-	var all []Trouble
-	for _, kind := range Kinds() {
-		x := Trouble{Kind: kind, Share: 0.5, At: s(3), Last: s(2.5), Over: s(1)}
-		if troubles[kind] {
+	s := func(n float64) Duration { return Duration(n * float64(time.Second)) }
+	var all []Fault
+	for _, kind := range FaultKinds() {
+		x := Fault{Kind: kind, Share: 0.5, At: s(3), Duration: s(2.5), Over: s(1)}
+		if faultHasFactor[kind] {
 			x.Factor = map[string]float64{"slow": 0.3, "hot": 6, "load": 1.8, "late": 4, "lossy": 0.5, "error": 0.5}[kind]
 		}
 		all = append(all, x)
@@ -211,7 +211,7 @@
 		t.Fatalf("%v %+v", err, calm)
 	}
 	harm := 0
-	for _, list := range append([][]Trouble{all}, pieces(all)...) {
+	for _, list := range append([][]Fault{all}, pieces(all)...) {
 		name := list[0].Kind
 		if len(list) > 1 {
 			name = "all"
@@ -235,16 +235,16 @@
 	}
 }
 
-func pieces(all []Trouble) (out [][]Trouble) {
+func pieces(all []Fault) (out [][]Fault) {
 	for _, x := range all {
-		out = append(out, []Trouble{x})
+		out = append(out, []Fault{x})
 	}
 	return out
 }
 
 // Designs differ where they should: sending at once pushes cold nodes over, and the checker says so; who sees the true state does best.
 func TestDesignsDiffer(t *testing.T) {
-	s := fleet(Trouble{Kind: "replace", Share: 0.7, At: Span(2 * time.Second), Last: Span(2 * time.Second), Over: Span(time.Second)})
+	s := fleet(Fault{Kind: "replace", Share: 0.7, At: Duration(2 * time.Second), Duration: Duration(2 * time.Second), Over: Duration(time.Second)})
 	s.Load.Rate = 320
 	got := map[string]*Result{}
 	for _, d := range Designs() {
--- a/internal/lab/model/node.go
+++ b/internal/lab/model/node.go
@@ -24,7 +24,7 @@
 
 	e       *engine.Engine
 	service *Service
-	cold    *Cold
+	cold    *SlowStart
 	mean    float64 // of a request's work
 	level   func(by float64)
 	fell    func(n *Node)
@@ -82,21 +82,21 @@
 }
 
 func (n *Node) warmth() float64 {
-	if n.cold == nil || n.cold.Warm == 0 || n.began == 0 {
+	if n.cold == nil || n.cold.Duration == 0 || n.began == 0 {
 		return 1
 	}
-	age := float64(n.e.Now()-n.began) / float64(n.cold.Warm.us())
-	return min(1, n.cold.Share+(1-n.cold.Share)*age)
+	age := float64(n.e.Now()-n.began) / float64(n.cold.Duration.us())
+	return min(1, n.cold.InitialCapacity+(1-n.cold.InitialCapacity)*age)
 }
 
 // bears is how many requests of mean work it stands while cold, in the window, before chance is reckoned with.
 func (n *Node) bears() float64 {
-	return n.cold.Multiple * n.warmth() * n.Speed * float64(n.Cores) * float64(n.cold.Window.us()) / n.mean
+	return n.cold.OverloadFactor * n.warmth() * n.Speed * float64(n.Cores) * float64(n.cold.Window.us()) / n.mean
 }
 
 // offer counts what reaches it, turned away or not: too much of it in too short a time, and a cold node falls.
 func (n *Node) offer(size float64) {
-	if n.cold == nil || n.cold.Multiple == 0 || n.began == 0 || n.warmth() >= 1 {
+	if n.cold == nil || n.cold.OverloadFactor == 0 || n.began == 0 || n.warmth() >= 1 {
 		return
 	}
 	if n.reached != nil {
@@ -111,7 +111,7 @@
 	for _, x := range n.recent {
 		sum += x.size
 	}
-	told := n.told * (1 + (1-n.cold.Share)/n.cold.Share*max(0, float64(now-n.began-n.cold.Window.us()))/float64(n.cold.Warm.us()))
+	told := n.told * (1 + (1-n.cold.InitialCapacity)/n.cold.InitialCapacity*max(0, float64(now-n.began-n.cold.Window.us()))/float64(n.cold.Duration.us()))
 	n.peak = max(n.peak, sum/withChance(told))
 	if sum > withChance(n.bears()) {
 		n.fallen = true
@@ -146,11 +146,11 @@
 	if n.service == nil {
 		return size
 	}
-	if w.write && n.service.Defer > 0 {
-		n.putOff += size * n.service.Defer
-		size *= 1 - n.service.Defer
+	if w.write && n.service.DeferredWrite > 0 {
+		n.putOff += size * n.service.DeferredWrite
+		size *= 1 - n.service.DeferredWrite
 	}
-	if most := n.service.Remembers; most > 0 && w.key != 0 {
+	if most := n.service.CachedKeys; most > 0 && w.key != 0 {
 		known := false
 		for i, k := range n.keys {
 			if k == w.key {
@@ -160,7 +160,7 @@
 			}
 		}
 		if known && w.first {
-			size *= 1 - n.service.Seek
+			size *= 1 - n.service.CacheMissCost
 		}
 		if n.keys = append(n.keys, w.key); len(n.keys) > most {
 			n.keys = n.keys[1:]
--- a/internal/lab/model/run.go
+++ b/internal/lab/model/run.go
@@ -50,7 +50,7 @@
 	Requests   int               `json:"requests"`
 	Events     uint64            `json:"events"`
 	Broken     map[string]int    `json:"broken,omitempty"`
-	Words      []rules.Broken    `json:"words,omitempty"` // the first rules broken
+	Words      []rules.Violation `json:"words,omitempty"` // the first rules broken
 }
 
 // Quantiles are where a result says how long those served took.
@@ -138,23 +138,23 @@
 
 func (r *run) newNode(cores int, speed float64, room int, shard, zone int32, kind float64) *Node {
 	n := &Node{Cores: cores, Speed: speed, Room: room, id: int32(len(r.nodes)), shard: shard, zone: zone, kind: kind, e: r.e, service: &r.s.Service,
-		cold: &r.s.Cold, mean: r.mean, told: r.config.SlowStartCapacityUnits / meanUnits}
+		cold: &r.s.SlowStart, mean: r.mean, told: r.config.SlowStartCapacityUnits / meanUnits}
 	n.name = fmt.Sprintf("n%05d", n.id)
 	n.level = func(by float64) { r.inside.Add(r.e.Now(), by) }
 	n.reached = func() { r.coldSends++ }
 	n.fell = func(n *Node) {
 		r.falls++
-		r.note(history.Record{Kind: history.Fell, Node: n.id})
+		r.note(history.Record{Kind: history.NodeOverloaded, Node: n.id})
 		r.crash(n)
 	}
 	r.nodes = append(r.nodes, n)
 	r.byName[n.name] = n
-	if every := r.s.Service.Flush.us(); every > 0 && r.s.Service.Defer > 0 {
+	if every := r.s.Service.FlushInterval.us(); every > 0 && r.s.Service.DeferredWrite > 0 {
 		lots := r.e.Stream("flush of " + n.name)
 		var next func()
 		next = func() {
 			n.flush()
-			if n.state != history.Gone {
+			if n.state != history.Removed {
 				r.e.After(int64((0.5+lots.Float64())*float64(every)), next)
 			}
 		}
@@ -169,31 +169,31 @@
 // settings are what the module is told, as the platform would tell it.
 func (r *run) settings() {
 	s := r.s
-	c := decision.Config{Brokers: s.Brokers, MaxAttempts: s.Rules.Attempts, PollsEndpoints: true, MaxPollInterval: time.Duration(s.Rules.Ask), SendsRetryAfter: true, MaxRetryAfter: 5 * time.Second,
-		MeanUnits: meanUnits, MaxUnits: mostUnits, QuotaPriorityWeight: s.Rules.Share, SlowStartFraction: s.Cold.Share, SlowStartDuration: time.Duration(s.Cold.Warm)}
+	c := decision.Config{Brokers: s.Brokers, MaxAttempts: s.Rules.Attempts, PollsEndpoints: true, MaxPollInterval: time.Duration(s.Rules.NotificationDeadline), SendsRetryAfter: true, MaxRetryAfter: 5 * time.Second,
+		MeanUnits: meanUnits, MaxUnits: mostUnits, QuotaPriorityWeight: s.Rules.BurstValue, SlowStartFraction: s.SlowStart.InitialCapacity, SlowStartDuration: time.Duration(s.SlowStart.Duration)}
 	if c.MaxAttempts == 0 {
 		c.MaxAttempts = 1 << 20
 	}
 	if len(s.Plans) == 0 {
 		c.MaxUnits = meanUnits
 	}
-	if s.Cold.Multiple > 0 && s.Cold.Warm > 0 {
-		c.OverloadWindow = time.Duration(s.Cold.Window)
-		c.SlowStartCapacityUnits = s.Cold.Bears
+	if s.SlowStart.OverloadFactor > 0 && s.SlowStart.Duration > 0 {
+		c.OverloadWindow = time.Duration(s.SlowStart.Window)
+		c.SlowStartCapacityUnits = s.SlowStart.InitialUnits
 	}
 	if c.OverloadWindow > 0 && c.SlowStartCapacityUnits == 0 {
 		least := math.Inf(1)
 		for _, k := range s.Nodes {
 			least = min(least, float64(k.Cores)*k.Speed)
 		}
-		c.SlowStartCapacityUnits = meanUnits * s.Cold.Multiple * s.Cold.Share * least * c.OverloadWindow.Seconds() / (r.mean / 1e6)
+		c.SlowStartCapacityUnits = meanUnits * s.SlowStart.OverloadFactor * s.SlowStart.InitialCapacity * least * c.OverloadWindow.Seconds() / (r.mean / 1e6)
 	}
-	if s.Link.Keep > 0 {
-		c.ConnectionReuseWindow, c.HandshakeCost = time.Duration(s.Link.Keep), float64(s.Service.Handshake.us()+s.Link.Handshake.us())/r.mean
+	if s.Link.IdleTimeout > 0 {
+		c.ConnectionReuseWindow, c.HandshakeCost = time.Duration(s.Link.IdleTimeout), float64(s.Service.Handshake.us()+s.Link.Handshake.us())/r.mean
 	}
 	for _, k := range r.classes {
-		x := decision.Class{Name: k.Name, LatencyObjective: time.Duration(k.Aim), Deadline: time.Duration(k.Patience), PriorityWeight: k.Worth}
-		if k.Repeat == "never" {
+		x := decision.Class{Name: k.Name, LatencyObjective: time.Duration(k.LatencyObjective), Deadline: time.Duration(k.Deadline), PriorityWeight: k.Priority}
+		if k.Idempotency == "never" {
 			x.Idempotency = decision.NotIdempotent
 		}
 		c.Classes = append(c.Classes, x)
@@ -201,21 +201,21 @@
 	r.config = c
 }
 
-func (r *run) terms() rules.Terms {
-	t := rules.Terms{MaxAttempts: int32(r.s.Rules.Attempts), Grace: r.s.Rules.Grace.us(), Slack: r.s.Rules.Slack.us(), Window: r.s.Cold.Window.us()}
-	if t.Grace == 0 {
-		t.Grace = 500_000
+func (r *run) terms() rules.Settings {
+	t := rules.Settings{MaxAttempts: int32(r.s.Rules.Attempts), DrainGrace: r.s.Rules.DrainGrace.us(), ResponseGrace: r.s.Rules.ResponseGrace.us(), SlowStartWindow: r.s.SlowStart.Window.us()}
+	if t.DrainGrace == 0 {
+		t.DrainGrace = 500_000
 	}
 	for _, k := range r.classes {
 		x := rules.Class{}
-		if k.Repeat == "never" {
-			x.Repeat = rules.Never
+		if k.Idempotency == "never" {
+			x.Idempotency = rules.NotIdempotent
 		}
 		t.Classes = append(t.Classes, x)
 	}
-	t.Limit = func(volume int32) rules.Limit {
+	t.RateLimit = func(volume int32) rules.RateLimit {
 		p := r.config.Plans[r.volumes[volume].plan]
-		return rules.Limit{Rate: p.RateLimit, Burst: p.RateLimitBurst, Slack: p.RateLimitTolerance}
+		return rules.RateLimit{Rate: p.RateLimit, Burst: p.RateLimitBurst, Tolerance: p.RateLimitTolerance}
 	}
 	return t
 }
@@ -228,7 +228,7 @@
 	if err := CheckDesign(design); err != nil {
 		return nil, err
 	}
-	to := s.Last.us()
+	to := s.Duration.us()
 	r := prepare(s, design, seed)
 	r.build()
 	r.makeVolumes()
@@ -250,7 +250,7 @@
 
 // prepare is a run before its first event.
 func prepare(s *Scenario, design string, seed uint64) *run {
-	from, to := s.Warm.us(), s.Last.us()
+	from, to := s.WarmUp.us(), s.Duration.us()
 	r := &run{s: s, e: engine.New(seed), name: design, classes: s.classes(), byName: map[string]*Node{}, from: from, loadBy: 1,
 		asked: statistics.NewBatches(from, to, batches), spent: statistics.NewBatches(from, to, batches),
 		served: statistics.NewBatches(from, to, batches), inside: statistics.NewLevel(from, to, batches)}
@@ -268,17 +268,17 @@
 
 // patience is the longest of all classes; 0: for ever.
 func (r *run) patience() (most int64) {
-	if len(r.s.Classes) == 0 && r.s.Load.Patience == 0 {
+	if len(r.s.Classes) == 0 && r.s.Load.Deadline == 0 {
 		return 0
 	}
 	for _, c := range r.classes {
-		most = max(most, c.Patience.us())
+		most = max(most, c.Deadline.us())
 	}
 	return most
 }
 
 // ended: no client begins anew.
-func (r *run) ended() bool { return r.e.Now() >= r.s.Last.us() }
+func (r *run) ended() bool { return r.e.Now() >= r.s.Duration.us() }
 
 // build puts up nodes, discovery and brokers. All brokers begin with the list.
 func (r *run) build() {
@@ -293,8 +293,8 @@
 	for _, k := range s.Nodes {
 		for range k.Count {
 			i := int32(len(r.nodes))
-			n := r.newNode(k.Cores, k.Speed, k.Room, i, i%zones, float64(k.Cores)*k.Speed/mean)
-			r.checker.Place(n.id, n.shard, n.zone)
+			n := r.newNode(k.Cores, k.Speed, k.QueueCapacity, i, i%zones, float64(k.Cores)*k.Speed/mean)
+			r.checker.AddNode(n.id, n.shard, n.zone)
 		}
 	}
 	r.first = len(r.nodes)
@@ -330,8 +330,8 @@
 		res.ColdPeak = max(res.ColdPeak, n.peak)
 	}
 	res.ColdSends = r.coldSends
-	if c := r.checker.Count(); len(c) > 0 {
-		res.Broken, res.Words = c, r.checker.Broken()
+	if c := r.checker.Counts(); len(c) > 0 {
+		res.Broken, res.Words = c, r.checker.Violations()
 		if len(res.Words) > 10 {
 			res.Words = res.Words[:10]
 		}
--- a/internal/lab/model/settings.go
+++ b/internal/lab/model/settings.go
@@ -26,10 +26,10 @@
 	var classes, plans []m
 	for _, k := range s.classes() {
 		repeat := "fragile"
-		if k.Repeat == "always" {
+		if k.Idempotency == "always" {
 			repeat = "retryable"
 		}
-		classes = append(classes, m{"name": k.Name, "aim_ns": ns(time.Duration(k.Aim)), "give_up_ns": ns(time.Duration(k.Patience)), "importance": k.Worth, "repeat": repeat})
+		classes = append(classes, m{"name": k.Name, "aim_ns": ns(time.Duration(k.LatencyObjective)), "give_up_ns": ns(time.Duration(k.Deadline)), "importance": k.Priority, "repeat": repeat})
 	}
 	for _, p := range c.Plans {
 		plans = append(plans, m{"name": p.Name, "shares": p.Weight, "value_factor": p.PriceFactor, "usual_rate": p.UsualRate, "floor_rate": p.ReservedRate, "never_over": p.RateLimit,
--- a/internal/lab/model/settings_test.go
+++ b/internal/lab/model/settings_test.go
@@ -48,8 +48,8 @@
 	if err := toml.Unmarshal(text, s); err != nil {
 		t.Fatal(err)
 	}
-	s.Last, s.Load.Retry = model.Span(8e9), 0
-	s.Trouble = append(s.Trouble, model.Trouble{Kind: "hot", Share: 0.5, At: 2e9, Last: 2e9, Factor: 4}, model.Trouble{Kind: "crash", Share: 0.5, At: 3e9, Last: 1e9})
+	s.Duration, s.Load.Retry = model.Duration(8e9), 0
+	s.Faults = append(s.Faults, model.Fault{Kind: "hot", Share: 0.5, At: 2e9, Duration: 2e9, Factor: 4}, model.Fault{Kind: "crash", Share: 0.5, At: 3e9, Duration: 1e9})
 	all, err := model.Clients(s, 5)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/model/trouble.go
+++ b/internal/lab/model/trouble.go
@@ -9,8 +9,8 @@
 
 // troubles come to nodes, brokers or volumes chosen by lot: once, or each again and again at times of its own.
 func (r *run) troubles() {
-	for k := range r.s.Trouble {
-		p := &r.s.Trouble[k]
+	for k := range r.s.Faults {
+		p := &r.s.Faults[k]
 		if r.sink != nil && p.Kind != "hot" && p.Kind != "reconnect" && p.Kind != "load" {
 			continue // nothing of it reaches clients
 		}
@@ -20,7 +20,7 @@
 			r.each(p, lot, len(r.brokers), func(i int) {
 				b := r.brokers[i]
 				b.die()
-				r.e.After(p.Last.us(), func() {
+				r.e.After(p.Duration.us(), func() {
 					if b.down {
 						r.fail(b.wake())
 					}
@@ -29,7 +29,7 @@
 		case "hot":
 			r.each(p, lot, len(r.volumes), func(i int) {
 				r.times(r.volumes[i], p.Factor)
-				r.e.After(p.Last.us(), func() { r.times(r.volumes[i], 1/p.Factor) })
+				r.e.After(p.Duration.us(), func() { r.times(r.volumes[i], 1/p.Factor) })
 			})
 		case "reconnect":
 			r.each(p, lot, len(r.volumes), func(i int) {
@@ -39,23 +39,23 @@
 		case "load":
 			r.each(p, lot, 1, func(int) {
 				r.loads(p.Factor)
-				r.e.After(p.Last.us(), func() { r.loads(1 / p.Factor) })
+				r.e.After(p.Duration.us(), func() { r.loads(1 / p.Factor) })
 			})
 		case "discovery":
 			r.each(p, lot, 1, func(int) {
 				r.discovery.stop()
-				r.e.After(p.Last.us(), func() { r.discovery.down = false })
+				r.e.After(p.Duration.us(), func() { r.discovery.down = false })
 			})
 		case "late":
 			r.each(p, lot, 1, func(int) {
 				r.discovery.times = p.Factor
-				r.e.After(p.Last.us(), func() { r.discovery.times = 1 })
+				r.e.After(p.Duration.us(), func() { r.discovery.times = 1 })
 			})
 		case "zone":
 			r.each(p, lot, max(r.s.Zones, 1), func(zone int) {
 				for _, n := range r.nodes {
 					if int(n.zone) == zone {
-						r.vanish(n, p.Last.us())
+						r.vanish(n, p.Duration.us())
 					}
 				}
 			})
@@ -66,7 +66,7 @@
 }
 
 // each has something happen to those that the lot falls on.
-func (r *run) each(p *Trouble, lot *rand.Rand, n int, f func(i int)) {
+func (r *run) each(p *Fault, lot *rand.Rand, n int, f func(i int)) {
 	for i := range n {
 		if lot.Float64() >= p.Share {
 			continue
@@ -76,11 +76,11 @@
 			continue
 		}
 		when := rand.New(rand.NewPCG(lot.Uint64(), uint64(i)))
-		between := float64((p.Every - p.Last).us())
+		between := float64((p.Every - p.Duration).us())
 		var next func()
 		next = func() {
 			f(i)
-			r.e.After(p.Last.us()+int64(when.ExpFloat64()*between), next)
+			r.e.After(p.Duration.us()+int64(when.ExpFloat64()*between), next)
 		}
 		r.e.After(int64(when.ExpFloat64()*between), next)
 	}
@@ -95,8 +95,8 @@
 	return n
 }
 
-func (r *run) trouble(p *Trouble, n *Node) {
-	epoch, last := n.epoch, p.Last.us()
+func (r *run) trouble(p *Fault, n *Node) {
+	epoch, last := n.epoch, p.Duration.us()
 	undo := func(f func()) {
 		r.e.After(last, func() {
 			if n.epoch == epoch {
@@ -152,7 +152,7 @@
 	if n.down || n.away || n.state != history.Up {
 		return
 	}
-	n.state, n.down = history.Gone, true
+	n.state, n.down = history.Removed, true
 	r.crash(n)
 	r.discovery.changed(n)
 	r.e.After(last, func() {
@@ -177,7 +177,7 @@
 
 func (r *run) restart(n *Node) {
 	n.start()
-	r.note(history.Record{Kind: history.Started, Node: n.id, Shard: n.shard, Zone: n.zone})
+	r.note(history.Record{Kind: history.NodeStarted, Node: n.id, Shard: n.shard, Zone: n.zone})
 	r.discovery.changed(n)
 }
 
@@ -192,11 +192,11 @@
 		heir := r.newNode(n.Cores, n.Speed, n.Room, n.shard, n.zone, n.kind)
 		n.heir = heir
 		heir.start()
-		r.note(history.Record{Kind: history.Started, Node: heir.id, Shard: heir.shard, Zone: heir.zone})
+		r.note(history.Record{Kind: history.NodeStarted, Node: heir.id, Shard: heir.shard, Zone: heir.zone})
 		r.discovery.changed(heir)
 	})
 	r.e.After(last, func() {
-		n.state, n.down = history.Gone, true
+		n.state, n.down = history.Removed, true
 		r.crash(n)
 		r.discovery.changed(n)
 	})
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -299,10 +299,10 @@
 		return nil, fmt.Errorf("scenario %s: nothing was played", s.Name)
 	}
 	sec := &Section{Title: s.Name, Lead: fmt.Sprintf("%d brokers, %d nodes, %v, %.3g of all cores asked for; %d seeds of each design. Shades are intervals at 95 in 100.",
-		s.Brokers, s.Count(), time.Duration(s.Last), s.Offered(), len(all[0]))}
+		s.Brokers, s.Count(), time.Duration(s.Duration), s.Offered(), len(all[0]))}
 	course := &chart.Chart{Title: "service over the run", X: "seconds", Y: "service", Curve: true, Zero: true, Bands: bands(s)}
 	times := &chart.Chart{Title: "time from a client's first try to its answer", X: "of those served, part", Y: "ms", Curve: true, Zero: true}
-	part := time.Duration(s.Last).Seconds() / model.SeriesParts
+	part := time.Duration(s.Duration).Seconds() / model.SeriesParts
 	for _, rs := range all {
 		line, q := chart.Series{Name: rs[0].Design}, chart.Series{Name: rs[0].Design}
 		for k := range model.SeriesParts {
@@ -355,12 +355,12 @@
 
 // bands are the troubles that come once.
 func bands(s *model.Scenario) (out []chart.Band) {
-	for _, t := range s.Trouble {
+	for _, t := range s.Faults {
 		if t.At == 0 {
 			continue
 		}
 		from := time.Duration(t.At).Seconds()
-		out = append(out, chart.Band{From: from, To: min(from+time.Duration(t.Over+t.Last).Seconds(), time.Duration(s.Last).Seconds()),
+		out = append(out, chart.Band{From: from, To: min(from+time.Duration(t.Over+t.Duration).Seconds(), time.Duration(s.Duration).Seconds()),
 			Name: fmt.Sprintf("%s %.3g", t.Kind, t.Share)})
 	}
 	return out
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -119,7 +119,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Brokers, s.Load.Rate, s.Last, s.Trouble[1].At = 4, 60, model.Span(6e9), model.Span(1e9)
+	s.Brokers, s.Load.Rate, s.Duration, s.Faults[1].At = 4, 60, model.Duration(6e9), model.Duration(1e9)
 	var all [][]*model.Result
 	for _, d := range []string{"module", "two"} {
 		var rs []*model.Result
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -10,54 +10,54 @@
 	"poppyarch/internal/lab/history"
 )
 
-// Repeat is how far a class may be sent again once an attempt may have run.
-type Repeat uint8
+// Idempotency is how far a class may be sent again once an attempt may have run.
+type Idempotency uint8
 
 // The kinds of repetition.
 const (
-	Always Repeat = iota
-	Within        // for a while, at the nodes of a group
-	Never
+	Idempotent      Idempotency = iota
+	IdempotentByKey             // for a while, at the nodes of a group
+	NotIdempotent
 )
 
-// Group is where a repeat is known for one.
-type Group uint8
+// DeduplicationScope is where a repeat is known for one.
+type DeduplicationScope uint8
 
 // The groups.
 const (
-	AllNodes Group = iota
+	AllNodes DeduplicationScope = iota
 	SameZone
 	SameShard
 )
 
 // Class is what the rules know of a class.
 type Class struct {
-	Repeat  Repeat
-	Group   Group
-	Window  int64
-	InOrder bool
+	Idempotency         Idempotency
+	DeduplicationScope  DeduplicationScope
+	DeduplicationWindow int64
+	Ordered             bool
 }
 
-// Limit is what a volume may take of all nodes together.
-type Limit struct{ Rate, Burst, Slack float64 }
-
-// Terms are the figures that bind. A figure of 0 binds nothing.
-type Terms struct {
-	Classes     []Class
-	Limit       func(volume int32) Limit
-	MaxAttempts int32
-	Grace       int64 // for drains
-	Slack       int64 // for answers
-	Window      int64 // in which a cold node falls
-	Budget      bool
-	BudgetFree  float64
-	BudgetShare float64
-	BudgetTime  int64
-	Quiet       int64 // rest of a key after an attempt with an open end
+// RateLimit is what a volume may take of all nodes together.
+type RateLimit struct{ Rate, Burst, Tolerance float64 }
+
+// Settings are the figures that bind. A figure of 0 binds nothing.
+type Settings struct {
+	Classes           []Class
+	RateLimit         func(volume int32) RateLimit
+	MaxAttempts       int32
+	DrainGrace        int64 // for drains
+	ResponseGrace     int64 // for answers
+	SlowStartWindow   int64 // in which a cold node falls
+	RetryBudget       bool
+	RetryBudgetBase   float64
+	RetryBudgetRatio  float64
+	RetryBudgetWindow int64
+	KeyQuietTime      int64 // rest of a key after an attempt with an open end
 }
 
-// Broken is a rule that was broken.
-type Broken struct {
+// Violation is a rule that was broken.
+type Violation struct {
 	At      int64  `json:"at_us"`
 	Rule    string `json:"rule"`
 	Request uint64 `json:"request,omitempty"`
@@ -108,7 +108,7 @@
 
 // Checker reads records in the order of their times.
 type Checker struct {
-	terms    Terms
+	terms    Settings
 	now      int64
 	open     map[uint64]*request
 	nodes    map[int32]*node
@@ -117,7 +117,7 @@
 	turns    map[turn]*queue
 	taken    map[int32][]int64
 	further  map[int32][]int64
-	broken   []Broken
+	broken   []Violation
 	perRule  map[string]int
 	mostOpen int
 }
@@ -137,24 +137,24 @@
 const most = 100
 
 // New returns a checker for one run.
-func New(t Terms) *Checker {
+func New(t Settings) *Checker {
 	return &Checker{terms: t, open: map[uint64]*request{}, nodes: map[int32]*node{}, views: map[int32]*view{}, stores: map[int32]*store{},
 		turns: map[turn]*queue{}, taken: map[int32][]int64{}, further: map[int32][]int64{}, perRule: map[string]int{}}
 }
 
-// Broken lists the first rules broken.
-func (c *Checker) Broken() []Broken { return c.broken }
+// Violations lists the first rules broken.
+func (c *Checker) Violations() []Violation { return c.broken }
 
-// Count is how often each rule was broken.
-func (c *Checker) Count() map[string]int { return c.perRule }
+// Counts is how often each rule was broken.
+func (c *Checker) Counts() map[string]int { return c.perRule }
 
-// MostOpen is the most requests that it knew at once.
-func (c *Checker) MostOpen() int { return c.mostOpen }
+// MaxOpen is the most requests that it knew at once.
+func (c *Checker) MaxOpen() int { return c.mostOpen }
 
 func (c *Checker) fault(rule string, r *history.Record, format string, args ...any) {
 	c.perRule[rule]++
 	if len(c.broken) < most {
-		c.broken = append(c.broken, Broken{At: r.At, Rule: rule, Request: r.Request, Broker: r.Broker, Node: r.Node, Text: fmt.Sprintf(format, args...)})
+		c.broken = append(c.broken, Violation{At: r.At, Rule: rule, Request: r.Request, Broker: r.Broker, Node: r.Node, Text: fmt.Sprintf(format, args...)})
 	}
 }
 
@@ -165,11 +165,11 @@
 	}
 	c.now = r.At
 	switch r.Kind {
-	case history.Taken:
+	case history.RequestReceived:
 		c.take(r)
-	case history.Sent:
+	case history.AttemptSent:
 		c.send(r)
-	case history.Ended:
+	case history.AttemptEnded:
 		if q := c.open[r.Request]; q != nil && int(r.Attempt) < len(q.attempts) {
 			a := &q.attempts[r.Attempt]
 			a.over, a.neverRan = true, r.NeverRan
@@ -178,25 +178,25 @@
 			}
 			c.settle(q)
 		}
-	case history.Answered:
+	case history.ResponseSent:
 		c.answer(r)
-	case history.Left:
+	case history.ClientDisconnected:
 		if q := c.open[r.Request]; q != nil {
 			q.left = true
 			c.settle(q)
 		}
-	case history.Told:
+	case history.NodeNotified:
 		v := c.view(r.Broker)
 		if v.told[r.Node] != r.State || v.since[r.Node] == 0 {
 			v.since[r.Node] = max(r.At, 1)
 		}
-		v.told[r.Node], v.start[r.Node] = r.State, r.Since
-	case history.Started:
+		v.told[r.Node], v.start[r.Node] = r.State, r.NodeStartedAt
+	case history.NodeStarted:
 		old := c.nodes[r.Node]
 		c.nodes[r.Node] = &node{first: old != nil && old.first, shard: r.Shard, zone: r.Zone, cold: true, began: r.At}
-	case history.Fell:
+	case history.NodeOverloaded:
 		c.fell(r)
-	case history.Died:
+	case history.BrokerDied:
 		c.died(r)
 	}
 }
@@ -222,20 +222,20 @@
 	q := &request{rec: *r}
 	c.open[r.Request] = q
 	c.mostOpen = max(c.mostOpen, len(c.open))
-	if c.terms.Classes[r.Class].InOrder {
+	if c.terms.Classes[r.Class].Ordered {
 		k := turn{r.Broker, r.Class, r.Key}
 		if c.turns[k] == nil {
 			c.turns[k] = &queue{}
 		}
 		c.turns[k].ids = append(c.turns[k].ids, r.Request)
 	}
-	if c.terms.Budget {
+	if c.terms.RetryBudget {
 		c.taken[r.Broker] = append(c.taken[r.Broker], r.At)
 	}
 }
 
 func (c *Checker) turn(q *request) *queue {
-	if !c.terms.Classes[q.rec.Class].InOrder {
+	if !c.terms.Classes[q.rec.Class].Ordered {
 		return nil
 	}
 	return c.turns[turn{q.rec.Broker, q.rec.Class, q.rec.Key}]
@@ -252,8 +252,8 @@
 	switch {
 	case q.answered:
 		c.fault("answer", r, "sent after its final answer")
-	case q.rec.Until > 0 && r.At > q.rec.Until+c.terms.Slack:
-		c.fault("answer", r, "sent %d us after its client had given up", r.At-q.rec.Until)
+	case q.rec.Deadline > 0 && r.At > q.rec.Deadline+c.terms.ResponseGrace:
+		c.fault("answer", r, "sent %d us after its client had given up", r.At-q.rec.Deadline)
 	}
 	if m := c.terms.MaxAttempts; m > 0 && int32(len(q.attempts)) >= m {
 		c.fault("attempts", r, "attempt %d of %d", len(q.attempts)+1, m)
@@ -263,15 +263,15 @@
 		if a.over && a.neverRan {
 			continue
 		}
-		switch class.Repeat {
-		case Never:
+		switch class.Idempotency {
+		case NotIdempotent:
 			c.fault("repeat", r, "attempt %d may have run at node %d, and the class must never run twice", i, a.node)
-		case Within:
+		case IdempotentByKey:
 			from := c.node(a.node)
-			ok := class.Group == AllNodes || class.Group == SameZone && from.zone == to.zone || class.Group == SameShard && from.shard == to.shard
+			ok := class.DeduplicationScope == AllNodes || class.DeduplicationScope == SameZone && from.zone == to.zone || class.DeduplicationScope == SameShard && from.shard == to.shard
 			if !ok {
 				c.fault("repeat", r, "attempt %d may have run at node %d, outside the group of node %d", i, a.node, r.Node)
-			} else if r.At > a.at+class.Window {
+			} else if r.At > a.at+class.DeduplicationWindow {
 				c.fault("repeat", r, "attempt %d may have run, %d us ago", i, r.At-a.at)
 			}
 		}
@@ -281,7 +281,7 @@
 	known = known || to.first && !v.anew
 	if !known {
 		c.fault("list", r, "sent to a node that the broker's list has never named")
-	} else if state != history.Up && r.At > v.since[r.Node]+c.terms.Grace {
+	} else if state != history.Up && r.At > v.since[r.Node]+c.terms.DrainGrace {
 		c.fault("drain", r, "sent %d us after the broker was told", r.At-v.since[r.Node])
 	}
 	c.order(q, r)
@@ -289,7 +289,7 @@
 	c.limit(q, r)
 	if to.cold {
 		to.sends = append(to.sends, sent{r.At, known && v.start[r.Node] >= to.began})
-		for len(to.sends) > 0 && to.sends[0].at < r.At-c.terms.Window {
+		for len(to.sends) > 0 && to.sends[0].at < r.At-c.terms.SlowStartWindow {
 			to.sends = to.sends[1:]
 		}
 	}
@@ -305,13 +305,13 @@
 	return n
 }
 
-// Place tells where a node stands that was up before the history began, and that all brokers begin with it on their lists.
-func (c *Checker) Place(id, shard, zone int32) {
+// AddNode tells where a node stands that was up before the history began, and that all brokers begin with it on their lists.
+func (c *Checker) AddNode(id, shard, zone int32) {
 	c.nodes[id] = &node{shard: shard, zone: zone, first: true}
 }
 
-// Warm tells that a node may be forgotten as a cold one.
-func (c *Checker) Warm(id int32) {
+// EndSlowStart tells that a node may be forgotten as a cold one.
+func (c *Checker) EndSlowStart(id int32) {
 	if n := c.nodes[id]; n != nil {
 		n.cold, n.sends = false, nil
 	}
@@ -325,29 +325,29 @@
 	if t.ids[0] != r.Request {
 		c.fault("order", r, "sent while request %x of its key is open", t.ids[0])
 	}
-	if c.terms.Quiet > 0 && t.rest > 0 && r.At < t.rest+c.terms.Quiet {
+	if c.terms.KeyQuietTime > 0 && t.rest > 0 && r.At < t.rest+c.terms.KeyQuietTime {
 		c.fault("order", r, "sent %d us after an attempt of its key with an open end", r.At-t.rest)
 	}
 }
 
 func (c *Checker) budget(q *request, r *history.Record) {
-	if !c.terms.Budget || len(q.attempts) == 0 {
+	if !c.terms.RetryBudget || len(q.attempts) == 0 {
 		return
 	}
-	late := func(at int64) bool { return at < r.At-c.terms.BudgetTime }
+	late := func(at int64) bool { return at < r.At-c.terms.RetryBudgetWindow }
 	c.taken[r.Broker] = slices.DeleteFunc(c.taken[r.Broker], late)
 	c.further[r.Broker] = append(slices.DeleteFunc(c.further[r.Broker], late), r.At)
-	if n, may := float64(len(c.further[r.Broker])), c.terms.BudgetFree+c.terms.BudgetShare*float64(len(c.taken[r.Broker])); n > may {
+	if n, may := float64(len(c.further[r.Broker])), c.terms.RetryBudgetBase+c.terms.RetryBudgetRatio*float64(len(c.taken[r.Broker])); n > may {
 		c.fault("budget", r, "%.0f further attempts, %.1f allowed", n, may)
 	}
 }
 
 func (c *Checker) limit(q *request, r *history.Record) {
-	if c.terms.Limit == nil || q.drawn {
+	if c.terms.RateLimit == nil || q.drawn {
 		return
 	}
 	q.drawn = true
-	l := c.terms.Limit(q.rec.Volume)
+	l := c.terms.RateLimit(q.rec.Volume)
 	if l.Rate <= 0 {
 		return
 	}
@@ -358,8 +358,8 @@
 	}
 	s.level = math.Min(l.Burst, s.level+l.Rate*float64(r.At-s.at)/1e6) - q.rec.Units
 	s.at = r.At
-	if s.level < -l.Slack-1e-9 {
-		c.fault("limit", r, "volume %d is %.2f units beyond its limit and slack", q.rec.Volume, -s.level-l.Slack)
+	if s.level < -l.Tolerance-1e-9 {
+		c.fault("limit", r, "volume %d is %.2f units beyond its limit and slack", q.rec.Volume, -s.level-l.Tolerance)
 	}
 }
 
@@ -372,11 +372,11 @@
 	case q.answered:
 		c.fault("answer", r, "answered twice")
 		return
-	case q.rec.Until > 0 && r.At > q.rec.Until+c.terms.Slack:
-		c.fault("answer", r, "answered %d us after its client had given up", r.At-q.rec.Until)
+	case q.rec.Deadline > 0 && r.At > q.rec.Deadline+c.terms.ResponseGrace:
+		c.fault("answer", r, "answered %d us after its client had given up", r.At-q.rec.Deadline)
 	}
 	q.answered = true
-	if r.Answer == history.Refused && c.terms.Classes[q.rec.Class].Repeat == Never {
+	if r.Result == history.Rejected && c.terms.Classes[q.rec.Class].Idempotency == NotIdempotent {
 		for i, a := range q.attempts {
 			if !a.over || !a.neverRan {
 				c.fault("refusal", r, "refused though attempt %d may have run", i)
@@ -401,7 +401,7 @@
 
 func (c *Checker) forget(q *request) {
 	delete(c.open, q.rec.Request)
-	if !c.terms.Classes[q.rec.Class].InOrder {
+	if !c.terms.Classes[q.rec.Class].Ordered {
 		return
 	}
 	k := turn{q.rec.Broker, q.rec.Class, q.rec.Key}
@@ -409,7 +409,7 @@
 		if i := slices.Index(t.ids, q.rec.Request); i >= 0 {
 			t.ids = slices.Delete(t.ids, i, i+1)
 		}
-		if len(t.ids) == 0 && (t.rest == 0 || c.now >= t.rest+c.terms.Quiet) {
+		if len(t.ids) == 0 && (t.rest == 0 || c.now >= t.rest+c.terms.KeyQuietTime) {
 			delete(c.turns, k)
 		}
 	}
@@ -423,7 +423,7 @@
 	}
 	told, all := 0, 0
 	for _, s := range n.sends {
-		if s.at >= r.At-c.terms.Window {
+		if s.at >= r.At-c.terms.SlowStartWindow {
 			all++
 			if s.told {
 				told++
@@ -458,13 +458,13 @@
 func (c *Checker) Finish(at int64) {
 	ids := make([]uint64, 0, len(c.open))
 	for id, q := range c.open {
-		if !q.answered && !q.left && q.rec.Until > 0 && q.rec.Until+c.terms.Slack < at {
+		if !q.answered && !q.left && q.rec.Deadline > 0 && q.rec.Deadline+c.terms.ResponseGrace < at {
 			ids = append(ids, id)
 		}
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
 		q := c.open[id]
-		c.fault("answer", &history.Record{At: at, Request: id, Broker: q.rec.Broker, Node: -1}, "never answered; its client gave up at %d us", q.rec.Until)
+		c.fault("answer", &history.Record{At: at, Request: id, Broker: q.rec.Broker, Node: -1}, "never answered; its client gave up at %d us", q.rec.Deadline)
 	}
 }
--- a/internal/lab/search/search.go
+++ b/internal/lab/search/search.go
@@ -13,51 +13,51 @@
 	"poppyarch/internal/lab/model"
 )
 
-// Hunt is one search.
-type Hunt struct {
-	Base    *model.Scenario // its own troubles stay
-	Design  string
-	Against string
-	Seed    uint64
-	Runs    int // seeds of a play
-	Tries   int // candidates
+// Search is one search.
+type Search struct {
+	Base       *model.Scenario // its own troubles stay
+	Design     string
+	Reference  string
+	Seed       uint64
+	Runs       int // seeds of a play
+	Candidates int // candidates
 }
 
-// Bad is how a design does on a scenario: rules broken count before everything else.
-type Bad struct {
-	Rules  []string // broken, by name
-	Behind float64  // mean service less than the other design's
+// Verdict is how a design does on a scenario: rules broken count before everything else.
+type Verdict struct {
+	Rules     []string // broken, by name
+	Shortfall float64  // mean service less than the other design's
 }
 
 // worse reports whether b is the better find.
-func (b Bad) worse(o Bad) bool {
+func (b Verdict) worse(o Verdict) bool {
 	if (len(b.Rules) > 0) != (len(o.Rules) > 0) {
 		return len(b.Rules) > 0
 	}
-	return b.Behind > o.Behind
+	return b.Shortfall > o.Shortfall
 }
 
 // like reports whether a smaller case still shows what was found: a rule that was broken there, or nearly as much lost.
-func (b Bad) like(found Bad) bool {
+func (b Verdict) like(found Verdict) bool {
 	for _, r := range found.Rules {
 		if slices.Contains(b.Rules, r) {
 			return true
 		}
 	}
-	return len(found.Rules) == 0 && found.Behind > 0 && b.Behind >= 0.8*found.Behind
+	return len(found.Rules) == 0 && found.Shortfall > 0 && b.Shortfall >= 0.8*found.Shortfall
 }
 
-func (b Bad) String() string {
+func (b Verdict) String() string {
 	if len(b.Rules) > 0 {
-		return fmt.Sprintf("breaks %v, %.3f behind", b.Rules, b.Behind)
+		return fmt.Sprintf("breaks %v, %.3f behind", b.Rules, b.Shortfall)
 	}
-	return fmt.Sprintf("%.3f behind", b.Behind)
+	return fmt.Sprintf("%.3f behind", b.Shortfall)
 }
 
-// Find is a scenario, and how bad it is.
-type Find struct {
+// Case is a scenario, and how bad it is.
+type Case struct {
 	Scenario *model.Scenario
-	Bad      Bad
+	Verdict  Verdict
 	Plays    int
 }
 
@@ -65,20 +65,20 @@
 const most = 4
 
 // Run searches: half of the candidates are drawn anew, half are the worst so far with a change; then the worst is made small.
-func (h *Hunt) Run(ctx context.Context, say func(try int, b Bad)) (*Find, error) {
-	for _, d := range []string{h.Design, h.Against} {
+func (h *Search) Run(ctx context.Context, say func(try int, b Verdict)) (*Case, error) {
+	for _, d := range []string{h.Design, h.Reference} {
 		if err := model.CheckDesign(d); err != nil {
 			return nil, err
 		}
 	}
-	if h.Runs < 1 || h.Tries < 1 {
-		return nil, fmt.Errorf("runs and tries: %d and %d cannot be", h.Runs, h.Tries)
+	if h.Runs < 1 || h.Candidates < 1 {
+		return nil, fmt.Errorf("runs and tries: %d and %d cannot be", h.Runs, h.Candidates)
 	}
 	rng := rand.New(rand.NewPCG(h.Seed, 7))
-	best := &Find{}
-	var worst []model.Trouble
-	for try := range h.Tries {
-		var list []model.Trouble
+	best := &Case{}
+	var worst []model.Fault
+	for try := range h.Candidates {
+		var list []model.Fault
 		if worst == nil || rng.IntN(2) == 0 {
 			for range 1 + rng.IntN(most) {
 				list = append(list, h.draw(rng))
@@ -91,8 +91,8 @@
 			return nil, err
 		}
 		best.Plays++
-		if worst == nil || b.worse(best.Bad) {
-			worst, best.Bad = list, b
+		if worst == nil || b.worse(best.Verdict) {
+			worst, best.Verdict = list, b
 			say(try, b)
 		}
 	}
@@ -100,28 +100,28 @@
 	if err != nil {
 		return nil, err
 	}
-	best.Bad = b
+	best.Verdict = b
 	best.Scenario, err = h.with(list)
 	return best, err
 }
 
-func (h *Hunt) with(list []model.Trouble) (*model.Scenario, error) {
+func (h *Search) with(list []model.Fault) (*model.Scenario, error) {
 	s, err := h.Base.Copy()
 	if err != nil {
 		return nil, err
 	}
-	s.Trouble = append(s.Trouble, list...)
+	s.Faults = append(s.Faults, list...)
 	return s, nil
 }
 
 // play holds the design against the other, seed by seed.
-func (h *Hunt) play(ctx context.Context, list []model.Trouble) (Bad, error) {
+func (h *Search) play(ctx context.Context, list []model.Fault) (Verdict, error) {
 	if err := ctx.Err(); err != nil {
-		return Bad{}, err
+		return Verdict{}, err
 	}
 	s, err := h.with(list)
 	if err != nil {
-		return Bad{}, err
+		return Verdict{}, err
 	}
 	got, errs := make([]*model.Result, 2*h.Runs), make([]error, 2*h.Runs)
 	room := make(chan struct{}, runtime.GOMAXPROCS(0))
@@ -130,20 +130,20 @@
 		wait.Go(func() {
 			room <- struct{}{}
 			defer func() { <-room }()
-			got[i], errs[i] = model.Play(s, []string{h.Design, h.Against}[i%2], h.Seed+uint64(i/2))
+			got[i], errs[i] = model.Play(s, []string{h.Design, h.Reference}[i%2], h.Seed+uint64(i/2))
 		})
 	}
 	wait.Wait()
-	var b Bad
+	var b Verdict
 	for i, r := range got {
 		if errs[i] != nil {
 			return b, errs[i]
 		}
 		if i%2 == 1 {
-			b.Behind += r.Service / float64(h.Runs)
+			b.Shortfall += r.Service / float64(h.Runs)
 			continue
 		}
-		b.Behind -= r.Service / float64(h.Runs)
+		b.Shortfall -= r.Service / float64(h.Runs)
 		for rule := range r.Broken {
 			if !slices.Contains(b.Rules, rule) {
 				b.Rules = append(b.Rules, rule)
@@ -155,14 +155,14 @@
 }
 
 // draw is any trouble, once, in the middle of the run.
-func (h *Hunt) draw(rng *rand.Rand) model.Trouble {
-	kinds := model.Kinds()
-	last := time.Duration(h.Base.Last)
-	part := func(from, to float64) model.Span {
+func (h *Search) draw(rng *rand.Rand) model.Fault {
+	kinds := model.FaultKinds()
+	last := time.Duration(h.Base.Duration)
+	part := func(from, to float64) model.Duration {
 		d := time.Duration((from + (to-from)*rng.Float64()) * float64(last))
-		return model.Span(max(d.Round(100*time.Millisecond), 100*time.Millisecond))
+		return model.Duration(max(d.Round(100*time.Millisecond), 100*time.Millisecond))
 	}
-	t := model.Trouble{Kind: kinds[rng.IntN(len(kinds))], Share: 0.1 + 0.9*rng.Float64(), At: part(0.1, 0.6), Last: part(0.02, 0.3), Over: part(0, 0.2)}
+	t := model.Fault{Kind: kinds[rng.IntN(len(kinds))], Share: 0.1 + 0.9*rng.Float64(), At: part(0.1, 0.6), Duration: part(0.02, 0.3), Over: part(0, 0.2)}
 	switch t.Kind {
 	case "slow", "lossy", "error":
 		t.Factor = 0.05 + 0.85*rng.Float64()
@@ -175,7 +175,7 @@
 }
 
 // change is a list with one trouble more, less, drawn anew, or at another time.
-func (h *Hunt) change(rng *rand.Rand, list []model.Trouble) []model.Trouble {
+func (h *Search) change(rng *rand.Rand, list []model.Fault) []model.Fault {
 	list = slices.Clone(list)
 	i := rng.IntN(len(list))
 	switch x := rng.IntN(4); {
@@ -192,9 +192,9 @@
 }
 
 // shrink takes away whole troubles, and then halves shares and lengths, while what was found still shows.
-func (h *Hunt) shrink(ctx context.Context, list []model.Trouble, f *Find) ([]model.Trouble, Bad, error) {
-	found, now := f.Bad, f.Bad
-	accept := func(next []model.Trouble) (bool, error) {
+func (h *Search) shrink(ctx context.Context, list []model.Fault, f *Case) ([]model.Fault, Verdict, error) {
+	found, now := f.Verdict, f.Verdict
+	accept := func(next []model.Fault) (bool, error) {
 		b, err := h.play(ctx, next)
 		f.Plays++
 		if err != nil || !b.like(found) {
@@ -213,10 +213,10 @@
 		}
 	}
 	for i := range list {
-		for _, less := range []func(t *model.Trouble) bool{
-			func(t *model.Trouble) bool { t.Share /= 2; return t.Share > 0.02 },
-			func(t *model.Trouble) bool { t.Last /= 2; return t.Last > model.Span(20*time.Millisecond) },
-			func(t *model.Trouble) bool { ok := t.Over > 0; t.Over = 0; return ok },
+		for _, less := range []func(t *model.Fault) bool{
+			func(t *model.Fault) bool { t.Share /= 2; return t.Share > 0.02 },
+			func(t *model.Fault) bool { t.Duration /= 2; return t.Duration > model.Duration(20*time.Millisecond) },
+			func(t *model.Fault) bool { ok := t.Over > 0; t.Over = 0; return ok },
 		} {
 			for {
 				next := slices.Clone(list)
--- a/internal/testkit/compat/json_test.go
+++ b/internal/testkit/compat/json_test.go
@@ -71,7 +71,7 @@
 	"journal-report":          &journal.RecoveryReport{},
 	"lab-figure":              &statistics.Figure{},
 	"lab-result":              &model.Result{},
-	"lab-violation":           &rules.Broken{},
+	"lab-violation":           &rules.Violation{},
 	"limits":                  &limits.Limits{},
 	"load-report":             &load.Report{},
 	"membership-explanation":  &membership.Explanation{},
