--- a/cmd/poppyarch/lab.go
+++ b/cmd/poppyarch/lab.go
@@ -235,7 +235,7 @@
 }
 
 func labSearch() *cobra.Command {
-	hunt := &search.Search{}
+	finder := &search.Search{}
 	var path string
 	c := &cobra.Command{
 		Use: "search SCENARIO -o CASE", Short: "Search for faults under which a design breaks a rule or falls behind, and minimise the case",
@@ -243,13 +243,15 @@
 		Args:    usage(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var err error
-			if hunt.Base, err = experiment.ReadScenario(args[0]); err != nil {
+			if finder.Base, err = experiment.ReadScenario(args[0]); err != nil {
 				return &exit{exitUsage, err}
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
 			out := textoutput.NewPrinter(cmd.OutOrStdout())
-			found, err := hunt.Run(ctx, func(try int, bad search.Verdict) { out.Printf("candidate %d: %s %v\n", try+1, hunt.Design, bad) })
+			found, err := finder.Run(ctx, func(candidate int, verdict search.Verdict) {
+				out.Printf("candidate %d: %s %v\n", candidate+1, finder.Design, verdict)
+			})
 			if err != nil {
 				return err
 			}
@@ -257,21 +259,21 @@
 			if err != nil {
 				return err
 			}
-			head := fmt.Sprintf("# Found by lab hunt: %s %v against %s, seeds %d to %d.\n", hunt.Design, found.Verdict, hunt.Reference,
-				hunt.Seed, hunt.Seed+uint64(hunt.Runs)-1)
+			head := fmt.Sprintf("# Found by lab hunt: %s %v against %s, seeds %d to %d.\n", finder.Design, found.Verdict, finder.Reference,
+				finder.Seed, finder.Seed+uint64(finder.Runs)-1)
 			if err := os.WriteFile(path, append([]byte(head), text...), 0o644); err != nil {
 				return err
 			}
-			out.Printf("made small: %s %v, %d plays, %s\n", hunt.Design, found.Verdict, found.Plays, path)
+			out.Printf("made small: %s %v, %d plays, %s\n", finder.Design, found.Verdict, found.Plays, path)
 			return out.Err()
 		},
 	}
 	flags := c.Flags()
-	flags.StringVarP(&hunt.Design, "design", "d", "module", "design")
-	flags.StringVar(&hunt.Reference, "against", "oracle", "design to compare it with")
-	flags.Uint64Var(&hunt.Seed, "seed", 1, "seed of the search and of the first run")
-	flags.IntVar(&hunt.Runs, "runs", 2, "seeds of a candidate")
-	flags.IntVar(&hunt.Candidates, "tries", 60, "candidates")
+	flags.StringVarP(&finder.Design, "design", "d", "module", "design")
+	flags.StringVar(&finder.Reference, "against", "oracle", "design to compare it with")
+	flags.Uint64Var(&finder.Seed, "seed", 1, "seed of the search and of the first run")
+	flags.IntVar(&finder.Runs, "runs", 2, "seeds of a candidate")
+	flags.IntVar(&finder.Candidates, "tries", 60, "candidates")
 	flags.StringVarP(&path, "out", "o", "", "the case, a scenario")
 	markRequired(c, "out")
 	return c
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -7,8 +7,8 @@
 	"poppyarch/internal/lab/history"
 )
 
-// Each rule is broken by a short history, and kept by one that differs in one record.
-func TestEachRule(t *testing.T) {
+// Each rule is broken by a short history, and kept by one that differs little.
+func TestEachRuleIsCheckedFromBothSides(t *testing.T) {
 	terms := Settings{Classes: []Class{{}, {Idempotency: NotIdempotent}, {Idempotency: IdempotentByKey, DeduplicationScope: SameZone, DeduplicationWindow: 100}, {Ordered: true}}, MaxAttempts: 3, DrainGrace: 500, ResponseGrace: 50, SlowStartWindow: 1000,
 		RetryBudget: true, RetryBudgetRatio: 1, RetryBudgetWindow: 1000, RateLimit: func(int32) RateLimit { return RateLimit{Rate: 1e6, Burst: 8, Tolerance: 1} }}
 	take := func(at int64, id uint64, class int32) history.Record {
@@ -83,8 +83,8 @@
 	}
 }
 
-// What a broker had taken dies with it and is owed no answer; what it was told dies too.
-func TestDeathOfABroker(t *testing.T) {
+// The requests of a broker that dies need no response; the next process knows nothing of what it was notified of.
+func TestDeadBrokerForgetsItsRequestsAndNotifications(t *testing.T) {
 	c := New(Settings{Classes: []Class{{}}, DrainGrace: 500})
 	c.AddNode(0, 0, 0) // on every first list; a second process knows only what it is told
 	for _, r := range []history.Record{{Kind: history.RequestReceived, Request: 9, Deadline: 9}, {Kind: history.AttemptSent, Request: 9}, {Kind: history.AttemptEnded, Request: 9}, {Kind: history.ResponseSent, Request: 9}, {At: 1, Kind: history.RequestReceived, Request: 1, Deadline: 9}, {At: 2, Kind: history.BrokerDied}, {At: 3, Kind: history.RequestReceived, Request: 2, Deadline: 9},
@@ -97,8 +97,8 @@
 	}
 }
 
-// What is over is forgotten.
-func TestMemoryFollowsWhatIsOpen(t *testing.T) {
+// Requests are forgotten when they have their response and all outcomes are known.
+func TestMemoryIsBoundedByOpenRequests(t *testing.T) {
 	c := New(Settings{Classes: []Class{{Ordered: true}}, RetryBudget: true, RetryBudgetBase: 1, RetryBudgetWindow: 10, DrainGrace: 1})
 	c.Add(&history.Record{Kind: history.NodeNotified})
 	for i := range int64(5000) {
@@ -108,7 +108,7 @@
 			c.Add(&r)
 		}
 	}
-	if len(c.open) > 0 || c.MaxOpen() != 1 || len(c.turns) > 0 {
-		t.Errorf("%d open, %d at most, %d turns", len(c.open), c.MaxOpen(), len(c.turns))
+	if len(c.requests) > 0 || c.MaxOpen() != 1 || len(c.keys) > 0 {
+		t.Errorf("%d open, %d at most, %d keys", len(c.requests), c.MaxOpen(), len(c.keys))
 	}
 }
--- a/internal/lab/search/search.go
+++ b/internal/lab/search/search.go
@@ -1,237 +1,126 @@
-// Package search looks for troubles under which a design breaks a rule or falls far behind another, and makes what it has found small: a case to keep.
+// Package search looks for faults under which a design breaks a rule or falls far behind a reference design, and reduces
+// what it finds to a small scenario that is worth keeping.
 package search
 
 import (
 	"context"
 	"fmt"
 	"math/rand/v2"
-	"runtime"
 	"slices"
-	"sync"
-	"time"
 
 	"poppyarch/internal/lab/model"
 )
 
-// Search is one search.
-type Search struct {
-	Base       *model.Scenario // its own troubles stay
-	Design     string
-	Reference  string
-	Seed       uint64
-	Runs       int // seeds of a play
-	Candidates int // candidates
-}
-
-// Verdict is how a design does on a scenario: rules broken count before everything else.
-type Verdict struct {
-	Rules     []string // broken, by name
-	Shortfall float64  // mean service less than the other design's
-}
-
-// worse reports whether b is the better find.
-func (b Verdict) worse(o Verdict) bool {
-	if (len(b.Rules) > 0) != (len(o.Rules) > 0) {
-		return len(b.Rules) > 0
-	}
-	return b.Shortfall > o.Shortfall
-}
+// maxFaults is the largest number of faults that a search adds to a scenario.
+const maxFaults = 4
 
-// like reports whether a smaller case still shows what was found: a rule that was broken there, or nearly as much lost.
-func (b Verdict) like(found Verdict) bool {
-	for _, r := range found.Rules {
-		if slices.Contains(b.Rules, r) {
-			return true
-		}
-	}
-	return len(found.Rules) == 0 && found.Shortfall > 0 && b.Shortfall >= 0.8*found.Shortfall
-}
+// randomStream tells the random numbers of a search from those of the runs with the same seed.
+const randomStream = 7
 
-func (b Verdict) String() string {
-	if len(b.Rules) > 0 {
-		return fmt.Sprintf("breaks %v, %.3f behind", b.Rules, b.Shortfall)
-	}
-	return fmt.Sprintf("%.3f behind", b.Shortfall)
+// Search is one search. The same search always finds the same case.
+type Search struct {
+	Base       *model.Scenario // its own faults stay
+	Design     string
+	Reference  string // design to compare with
+	Seed       uint64 // of the search, and of the first run of each candidate
+	Runs       int    // of each candidate, each with its own seed
+	Candidates int
 }
 
-// Case is a scenario, and how bad it is.
+// Case is a scenario that a search has found.
 type Case struct {
 	Scenario *model.Scenario
 	Verdict  Verdict
-	Plays    int
+	Plays    int // candidates and smaller cases that were played
 }
 
-// most troubles of a candidate.
-const most = 4
-
-// Run searches: half of the candidates are drawn anew, half are the worst so far with a change; then the worst is made small.
-func (h *Search) Run(ctx context.Context, say func(try int, b Verdict)) (*Case, error) {
-	for _, d := range []string{h.Design, h.Reference} {
-		if err := model.CheckDesign(d); err != nil {
-			return nil, err
-		}
-	}
-	if h.Runs < 1 || h.Candidates < 1 {
-		return nil, fmt.Errorf("runs and tries: %d and %d cannot be", h.Runs, h.Candidates)
-	}
-	rng := rand.New(rand.NewPCG(h.Seed, 7))
-	best := &Case{}
-	var worst []model.Fault
-	for try := range h.Candidates {
-		var list []model.Fault
-		if worst == nil || rng.IntN(2) == 0 {
-			for range 1 + rng.IntN(most) {
-				list = append(list, h.draw(rng))
-			}
-		} else {
-			list = h.change(rng, worst)
-		}
-		b, err := h.play(ctx, list)
-		if err != nil {
-			return nil, err
-		}
-		best.Plays++
-		if worst == nil || b.worse(best.Verdict) {
-			worst, best.Verdict = list, b
-			say(try, b)
-		}
+// Run searches, and reduces the worst candidate. Half of the candidates are drawn at random, half are changes of the worst so
+// far. It calls report for each candidate that is the worst so far; candidates count from 0.
+func (s *Search) Run(ctx context.Context, report func(candidate int, verdict Verdict)) (*Case, error) {
+	if err := s.check(); err != nil {
+		return nil, err
 	}
-	list, b, err := h.shrink(ctx, worst, best)
+	worst, err := s.findWorst(ctx, report)
 	if err != nil {
 		return nil, err
 	}
-	best.Verdict = b
-	best.Scenario, err = h.with(list)
-	return best, err
-}
-
-func (h *Search) with(list []model.Fault) (*model.Scenario, error) {
-	s, err := h.Base.Copy()
-	if err != nil {
+	if err := worst.shrink(ctx); err != nil {
 		return nil, err
 	}
-	s.Faults = append(s.Faults, list...)
-	return s, nil
+	scenario, err := s.scenarioWith(worst.faults)
+	return &Case{Scenario: scenario, Verdict: worst.verdict, Plays: worst.plays}, err
 }
 
-// play holds the design against the other, seed by seed.
-func (h *Search) play(ctx context.Context, list []model.Fault) (Verdict, error) {
-	if err := ctx.Err(); err != nil {
-		return Verdict{}, err
-	}
-	s, err := h.with(list)
-	if err != nil {
-		return Verdict{}, err
+func (s *Search) check() error {
+	for _, design := range []string{s.Design, s.Reference} {
+		if err := model.CheckDesign(design); err != nil {
+			return err
+		}
 	}
-	got, errs := make([]*model.Result, 2*h.Runs), make([]error, 2*h.Runs)
-	room := make(chan struct{}, runtime.GOMAXPROCS(0))
-	var wait sync.WaitGroup
-	for i := range got {
-		wait.Go(func() {
-			room <- struct{}{}
-			defer func() { <-room }()
-			got[i], errs[i] = model.Play(s, []string{h.Design, h.Reference}[i%2], h.Seed+uint64(i/2))
-		})
+	if s.Runs < 1 || s.Candidates < 1 {
+		return fmt.Errorf("runs and tries: %d and %d cannot be", s.Runs, s.Candidates)
 	}
-	wait.Wait()
-	var b Verdict
-	for i, r := range got {
-		if errs[i] != nil {
-			return b, errs[i]
+	return nil
+}
+
+// findWorst returns the worst candidate, ready to be reduced.
+func (s *Search) findWorst(ctx context.Context, report func(candidate int, verdict Verdict)) (*shrinker, error) {
+	random := rand.New(rand.NewPCG(s.Seed, randomStream))
+	worst := &shrinker{search: s}
+	for candidate := range s.Candidates {
+		faults := s.nextCandidate(random, worst.faults)
+		verdict, err := s.evaluate(ctx, faults)
+		if err != nil {
+			return nil, err
 		}
-		if i%2 == 1 {
-			b.Shortfall += r.Service / float64(h.Runs)
+		worst.plays++
+		if worst.faults != nil && !verdict.worse(worst.finding) {
 			continue
 		}
-		b.Shortfall -= r.Service / float64(h.Runs)
-		for rule := range r.Broken {
-			if !slices.Contains(b.Rules, rule) {
-				b.Rules = append(b.Rules, rule)
-			}
-		}
+		worst.faults = faults
+		worst.finding = verdict
+		worst.verdict = verdict
+		report(candidate, verdict)
 	}
-	slices.Sort(b.Rules)
-	return b, nil
+	return worst, nil
 }
 
-// draw is any trouble, once, in the middle of the run.
-func (h *Search) draw(rng *rand.Rand) model.Fault {
-	kinds := model.FaultKinds()
-	last := time.Duration(h.Base.Duration)
-	part := func(from, to float64) model.Duration {
-		d := time.Duration((from + (to-from)*rng.Float64()) * float64(last))
-		return model.Duration(max(d.Round(100*time.Millisecond), 100*time.Millisecond))
+// nextCandidate draws faults, or changes those of the worst candidate so far. worst is nil before the first.
+func (s *Search) nextCandidate(random *rand.Rand, worst []model.Fault) []model.Fault {
+	if worst != nil && random.IntN(2) != 0 {
+		return s.mutate(random, worst)
 	}
-	t := model.Fault{Kind: kinds[rng.IntN(len(kinds))], Share: 0.1 + 0.9*rng.Float64(), At: part(0.1, 0.6), Duration: part(0.02, 0.3), Over: part(0, 0.2)}
-	switch t.Kind {
-	case "slow", "lossy", "error":
-		t.Factor = 0.05 + 0.85*rng.Float64()
-	case "hot", "late":
-		t.Factor = 2 + 10*rng.Float64()
-	case "load":
-		t.Factor = 1.1 + 2*rng.Float64()
+	var faults []model.Fault
+	for range 1 + random.IntN(maxFaults) {
+		faults = append(faults, s.drawFault(random))
 	}
-	return t
+	return faults
 }
 
-// change is a list with one trouble more, less, drawn anew, or at another time.
-func (h *Search) change(rng *rand.Rand, list []model.Fault) []model.Fault {
-	list = slices.Clone(list)
-	i := rng.IntN(len(list))
-	switch x := rng.IntN(4); {
-	case x == 0 && len(list) < most:
-		return append(list, h.draw(rng))
-	case x == 1 && len(list) > 1:
-		return slices.Delete(list, i, i+1)
-	case x == 2:
-		list[i].At, list[i].Over = h.draw(rng).At, h.draw(rng).Over
+// mutate returns faults with one added, removed, replaced, or begun at another time.
+func (s *Search) mutate(random *rand.Rand, faults []model.Fault) []model.Fault {
+	faults = slices.Clone(faults)
+	i := random.IntN(len(faults))
+	switch choice := random.IntN(4); {
+	case choice == 0 && len(faults) < maxFaults:
+		return append(faults, s.drawFault(random))
+	case choice == 1 && len(faults) > 1:
+		return slices.Delete(faults, i, i+1)
+	case choice == 2:
+		faults[i].At = s.drawFault(random).At
+		faults[i].Over = s.drawFault(random).Over
 	default:
-		list[i] = h.draw(rng)
+		faults[i] = s.drawFault(random)
 	}
-	return list
+	return faults
 }
 
-// shrink takes away whole troubles, and then halves shares and lengths, while what was found still shows.
-func (h *Search) shrink(ctx context.Context, list []model.Fault, f *Case) ([]model.Fault, Verdict, error) {
-	found, now := f.Verdict, f.Verdict
-	accept := func(next []model.Fault) (bool, error) {
-		b, err := h.play(ctx, next)
-		f.Plays++
-		if err != nil || !b.like(found) {
-			return false, err
-		}
-		list, now = next, b
-		return true, nil
-	}
-	for i := 0; i < len(list) && len(list) > 1; {
-		ok, err := accept(slices.Delete(slices.Clone(list), i, i+1))
-		if err != nil {
-			return nil, now, err
-		}
-		if !ok {
-			i++
-		}
-	}
-	for i := range list {
-		for _, less := range []func(t *model.Fault) bool{
-			func(t *model.Fault) bool { t.Share /= 2; return t.Share > 0.02 },
-			func(t *model.Fault) bool { t.Duration /= 2; return t.Duration > model.Duration(20*time.Millisecond) },
-			func(t *model.Fault) bool { ok := t.Over > 0; t.Over = 0; return ok },
-		} {
-			for {
-				next := slices.Clone(list)
-				if !less(&next[i]) {
-					break
-				}
-				ok, err := accept(next)
-				if err != nil {
-					return nil, now, err
-				}
-				if !ok {
-					break
-				}
-			}
-		}
+// scenarioWith returns a copy of the base scenario with further faults.
+func (s *Search) scenarioWith(faults []model.Fault) (*model.Scenario, error) {
+	scenario, err := s.Base.Copy()
+	if err != nil {
+		return nil, err
 	}
-	return list, now, nil
+	scenario.Faults = append(scenario.Faults, faults...)
+	return scenario, nil
 }
--- /dev/null
+++ b/internal/lab/search/shrink.go
@@ -0,0 +1,98 @@
+package search
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"poppyarch/internal/lab/model"
+)
+
+// Bounds below which faults are not reduced any further.
+const (
+	minShare    = 0.02
+	minDuration = model.Duration(20 * time.Millisecond)
+)
+
+// reductions make a fault smaller in place. They return false where it cannot become smaller.
+var reductions = []func(*model.Fault) bool{halveShare, halveDuration, removeSpread}
+
+func halveShare(f *model.Fault) bool {
+	f.Share /= 2
+	return f.Share > minShare
+}
+
+func halveDuration(f *model.Fault) bool {
+	f.Duration /= 2
+	return f.Duration > minDuration
+}
+
+// removeSpread makes a fault begin everywhere at the same time.
+func removeSpread(f *model.Fault) bool {
+	spread := f.Over > 0
+	f.Over = 0
+	return spread
+}
+
+// shrinker makes a case smaller while it still shows its finding.
+type shrinker struct {
+	search  *Search
+	finding Verdict
+	faults  []model.Fault // of the smallest case so far
+	verdict Verdict       // on it
+	plays   int
+}
+
+// shrink removes faults, and then reduces each of those that are left.
+func (k *shrinker) shrink(ctx context.Context) error {
+	if err := k.removeFaults(ctx); err != nil {
+		return err
+	}
+	for i := range k.faults {
+		for _, reduce := range reductions {
+			if err := k.reduceFault(ctx, i, reduce); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+func (k *shrinker) removeFaults(ctx context.Context) error {
+	for i := 0; i < len(k.faults) && len(k.faults) > 1; {
+		removed, err := k.try(ctx, slices.Delete(slices.Clone(k.faults), i, i+1))
+		if err != nil {
+			return err
+		}
+		if !removed {
+			i++
+		}
+	}
+	return nil
+}
+
+// reduceFault reduces a fault as often as the finding still shows.
+func (k *shrinker) reduceFault(ctx context.Context, i int, reduce func(*model.Fault) bool) error {
+	for {
+		smaller := slices.Clone(k.faults)
+		if !reduce(&smaller[i]) {
+			return nil
+		}
+		reduced, err := k.try(ctx, smaller)
+		if err != nil || !reduced {
+			return err
+		}
+	}
+}
+
+// try plays a smaller case, and takes it over if it reproduces the finding.
+func (k *shrinker) try(ctx context.Context, faults []model.Fault) (bool, error) {
+	verdict, err := k.search.evaluate(ctx, faults)
+	k.plays++
+	if err != nil || !verdict.reproduces(k.finding) {
+		return false, err
+	}
+	k.faults = faults
+	k.verdict = verdict
+	return true, nil
+}
