--- a/internal/fleet/journal/journal.go
+++ b/internal/fleet/journal/journal.go
@@ -99,9 +99,6 @@
 // Size returns the size of the current log in bytes. Compaction makes it small.
 func (j *Journal) Size() int64 { return j.logSize }
 
-// LastSequence returns the sequence number of the last stored record.
-func (j *Journal) LastSequence() uint64 { return j.sequence }
-
 // Err returns why nothing more can be written, or nil. The error matches ErrBroken.
 func (j *Journal) Err() error { return j.broken }
 
--- a/internal/fleet/state/revision.go
+++ b/internal/fleet/state/revision.go
@@ -138,9 +138,6 @@
 // NewestRevision returns the number of the newest revision, 0 if there is none.
 func (s *State) NewestRevision() uint64 { return s.desired.revision }
 
-// DesiredInstances returns the instances that the newest revision defines, by name.
-func (s *State) DesiredInstances() map[string]*spec.Instance { return maps.Clone(s.desired.instances) }
-
 // History lists the kept revisions, newest first, up to a limit.
 func (s *State) History(limit int) []Revision {
 	list := []Revision{}
