--- a/internal/observability/incident/collect/collect.go
+++ b/internal/observability/incident/collect/collect.go
@@ -148,7 +148,7 @@
 		for {
 			ok, err := d.Next(&e)
 			if err != nil { // whole, and yet not to be read: of another version
-				found.Faults = append(found.Faults, fmt.Sprintf("%s boot %s frame %d: %v", s.Name, s.ID, last, err))
+				found.Faults = append(found.Faults, fmt.Sprintf("%s boot %s frame %d: %v", s.Name, s.BootID, last, err))
 				s.AddDamage(last-1, len(p.Frame.Events)) // it is not there, as far as what is known goes
 				return
 			}
--- a/internal/observability/incident/format.go
+++ b/internal/observability/incident/format.go
@@ -7,76 +7,37 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// FormatTime words a time, to the millisecond, in UTC.
+const (
+	// maxExactBound is the width up to which a bound is shown as a single time.
+	maxExactBound = 50 * millisecond
+	// maxExactDuration is the same for a duration.
+	maxExactDuration = 200 * millisecond
+)
+
+// FormatTime returns the time of day in UTC, to the millisecond.
 func FormatTime(us clock.Micros) string {
 	return time.UnixMicro(int64(us)).UTC().Format("15:04:05.000")
 }
 
-// Format is an uncertain time: to the point where it is known well, else from and to.
+// Format returns a time that is known well as a single time, else from and to.
 func (b Bound) Format() string {
-	if b.Latest-b.Earliest <= 50_000 {
+	if b.Latest-b.Earliest <= maxExactBound {
 		return FormatTime(b.Earliest)
 	}
 	return FormatTime(b.Earliest) + " to " + FormatTime(b.Latest)
 }
 
-// FormatDuration words how long an episode lasted, between the least and the most.
+// FormatDuration returns how long an episode lasted, at least and at most.
 func (e *Episode) FormatDuration() string {
-	least, most := max(e.End.Earliest-e.Begin.Latest, 0), e.End.Latest-e.Begin.Earliest
-	f := func(v clock.Micros) string { return fmt.Sprintf("%.1f s", float64(v)/1e6) }
+	least := max(e.End.Earliest-e.Begin.Latest, 0)
+	most := e.End.Latest - e.Begin.Earliest
 	switch {
 	case e.Open:
-		return "at least " + f(least)
-	case most-least <= 200_000:
-		return f((least + most) / 2)
+		return "at least " + formatSeconds(least)
+	case most-least <= maxExactDuration:
+		return formatSeconds((least + most) / 2)
 	}
-	return f(least) + " to " + f(most)
+	return formatSeconds(least) + " to " + formatSeconds(most)
 }
 
-// Change is an episode that only one of two analyses has, or that differs.
-type Change struct {
-	Presence string   `json:"what"` // "only in the first", "only in the second", "in both"
-	Kind     Kind     `json:"kind"`
-	Subject  string   `json:"subject"`
-	First    *Episode `json:"first,omitempty"`
-	Second   *Episode `json:"second,omitempty"`
-}
-
-// Diff holds two incidents against each other: episodes of one kind and subject are matched in their order.
-func Diff(a, b *Analysis) (out []Change) {
-	type key struct {
-		kind Kind
-		who  string
-	}
-	split := func(x *Analysis) (map[key][]*Episode, []key) {
-		m, order := map[key][]*Episode{}, []key{}
-		for i := range x.Episodes {
-			e := &x.Episodes[i]
-			k := key{e.Kind, e.Subject}
-			if m[k] == nil {
-				order = append(order, k)
-			}
-			m[k] = append(m[k], e)
-		}
-		return m, order
-	}
-	ma, oa := split(a)
-	mb, ob := split(b)
-	for _, k := range oa {
-		for i, e := range ma[k] {
-			if i < len(mb[k]) {
-				out = append(out, Change{"in both", k.kind, k.who, e, mb[k][i]})
-			} else {
-				out = append(out, Change{"only in the first", k.kind, k.who, e, nil})
-			}
-		}
-	}
-	for _, k := range ob {
-		for i, e := range mb[k] {
-			if i >= len(ma[k]) {
-				out = append(out, Change{"only in the second", k.kind, k.who, nil, e})
-			}
-		}
-	}
-	return out
-}
+func formatSeconds(d clock.Micros) string { return fmt.Sprintf("%.1f s", float64(d)/float64(second)) }
--- a/internal/observability/incident/incident_test.go
+++ b/internal/observability/incident/incident_test.go
@@ -185,7 +185,7 @@
 		ahead += w.back
 	}
 	s := incident.NewStream(fmt.Sprintf("n%d", b), fmt.Sprintf("boot%d-%d", b, k))
-	s.AddEvent(&record.Event{At: up + ahead, Kind: record.KindIncarnation, Incarnation: &record.Incarnation{Name: s.Name, ID: s.ID, StartedAt: up + ahead, HeartbeatInterval: 500 * ms, SampleFraction: 1,
+	s.AddEvent(&record.Event{At: up + ahead, Kind: record.KindIncarnation, Incarnation: &record.Incarnation{Name: s.Name, ID: s.BootID, StartedAt: up + ahead, HeartbeatInterval: 500 * ms, SampleFraction: 1,
 		Classes: []record.Class{{Name: "artwork-read", LatencyObjective: 400 * ms, Deadline: 2500 * ms, PriorityWeight: 2}}, Plans: []record.Plan{{Name: "basis", PriceFactor: 0.8}}}})
 	s.AddFrame(1, up+ahead)
 	seq := uint64(1)
@@ -234,7 +234,7 @@
 		}
 	}
 	for n, s := range w.cold {
-		out = append(out, check.Truth{Kind: incident.NodeCold, Subject: fmt.Sprint("s-", n), Begin: z + s.from, End: z + s.to})
+		out = append(out, check.Truth{Kind: incident.NodeSlowStart, Subject: fmt.Sprint("s-", n), Begin: z + s.from, End: z + s.to})
 	}
 	for n, s := range w.drained {
 		out = append(out, check.Truth{Kind: incident.NodeDrain, Subject: fmt.Sprint("s-", n), Begin: z + s.from, End: z + s.to})
@@ -267,8 +267,8 @@
 }
 
 // kinds that the emulated worlds have; the rest would be invented.
-var kinds = []incident.Kind{incident.BrokerDead, incident.NodeSilent, incident.NodeCold, incident.NodeDown, incident.NodeSlow, incident.NodeDrain, incident.VolumeSurge,
-	incident.DiscoveryDown, incident.Refusals, incident.Rollout}
+var kinds = []incident.Kind{incident.BrokerDead, incident.NodeSilent, incident.NodeSlowStart, incident.NodeDown, incident.NodeSlow, incident.NodeDrain, incident.VolumeSurge,
+	incident.DiscoveryDown, incident.Rejections, incident.Rollout}
 
 func (w *world) check(t *testing.T, what string) {
 	t.Helper()
@@ -416,8 +416,8 @@
 	y.dead[0] = []span{{40 * sec, 45 * sec}}
 	var got []string
 	for _, c := range incident.Diff(incident.Analyse(x.streams(), incident.DefaultOptions()), incident.Analyse(y.streams(), incident.DefaultOptions())) {
-		if c.Kind != incident.NodeCold {
-			got = append(got, c.Presence+" "+string(c.Kind)+" "+c.Subject)
+		if c.Kind != incident.NodeSlowStart {
+			got = append(got, c.PresentIn+" "+string(c.Kind)+" "+c.Subject)
 		}
 	}
 	if want := []string{"in both node silent s-1", "only in the second broker dead n0"}; !slices.Equal(got, want) {
--- a/internal/observability/incident/report/page.go
+++ b/internal/observability/incident/report/page.go
@@ -33,7 +33,7 @@
 <pattern id="dots" width="6" height="6" patternUnits="userSpaceOnUse"><rect width="6" height="6" fill="#fff"/><circle cx="2" cy="2" r="1" fill="#aab3c0"/></pattern>
 </defs></svg>
 <h1>{{.Title}}</h1>
-<p>{{.Span}}. {{len .Brokers}} brokers, {{len .Nodes}} nodes, {{.Events}} events, {{len .Episodes}} episodes.{{if lt .Sampled 1.0}} Requests were sampled: impacts count the recorded ones.{{end}}</p>
+<p>{{.Span}}. {{len .Brokers}} brokers, {{len .Nodes}} nodes, {{.Events}} events, {{len .Episodes}} episodes.{{if lt .SampleFraction 1.0}} Requests were sampled: impacts count the recorded ones.{{end}}</p>
 
 <h2>Timeline</h2>
 <div class="legend">
@@ -62,9 +62,9 @@
 <input id="q" type="search" placeholder="Search episodes, nodes, evidence" aria-label="search">
 <table id="t"><thead><tr><th>No</th><th>Episode</th><th>Who</th><th>Begin</th><th>End</th><th>Lasted</th><th class="n">Late</th><th class="n">Refused</th><th class="n">Failed</th><th class="n">Worth</th><th>Evidence</th></tr></thead><tbody>
 {{range .Episodes}}<tr id="e{{.ID}}"><td>{{.ID}}</td><td>{{.Kind}}</td><td>{{.Subject}}</td><td>{{.Begin.Format}}</td><td>{{if .Open}}still going on{{else}}{{.End.Format}}{{end}}</td><td>{{took .}}</td>
-<td class="n">{{.Impact.Late}}</td><td class="n">{{.Impact.Refused}}</td><td class="n">{{.Impact.Failed}}</td><td class="n">{{printf "%.0f" .Impact.Worth}}</td>
-<td><pre>{{join .Evidence}}</pre>{{if .Doubt}}<pre class="doubt">a bound falls into a gap:
-{{join .Doubt}}</pre>{{end}}{{if .Overlaps}}<small>with {{range .Overlaps}}<a href="#e{{.}}">{{.}}</a> {{end}}</small>{{end}}</td></tr>
+<td class="n">{{.Impact.Late}}</td><td class="n">{{.Impact.Rejected}}</td><td class="n">{{.Impact.Failed}}</td><td class="n">{{printf "%.0f" .Impact.WeightLost}}</td>
+<td><pre>{{join .Evidence}}</pre>{{if .Uncertainties}}<pre class="doubt">a bound falls into a gap:
+{{join .Uncertainties}}</pre>{{end}}{{if .Overlaps}}<small>with {{range .Overlaps}}<a href="#e{{.}}">{{.}}</a> {{end}}</small>{{end}}</td></tr>
 {{else}}<tr><td colspan="11">No episodes.</td></tr>{{end}}
 </tbody></table>
 
--- a/internal/observability/incident/report/plot.go
+++ b/internal/observability/incident/report/plot.go
@@ -40,7 +40,7 @@
 
 func answerPlot(a *incident.Analysis, axis timeAxis) plot {
 	return newPlot(a, axis, "Answers a second", []string{"served", "late", "refused", "failed"}, func(s incident.Second) []float64 {
-		return []float64{float64(s.Served), float64(s.Late), float64(s.Refused), float64(s.Failed)}
+		return []float64{float64(s.Served), float64(s.Late), float64(s.Rejected), float64(s.Failed)}
 	})
 }
 
@@ -63,7 +63,7 @@
 				continue
 			}
 			y := float64(plotHeight) - v[k]/highest*float64(plotHeight-plotTopMargin)
-			l.addPoint(axis.position(s.At+secondMicros/2), y)
+			l.addPoint(axis.position(s.Begin+secondMicros/2), y)
 		}
 		l.endPiece()
 		p.Lines = append(p.Lines, l.line)
@@ -83,11 +83,11 @@
 		class = "blind-all"
 	}
 	return bar{
-		X:     axis.position(s.At),
-		W:     max(axis.position(s.At+secondMicros)-axis.position(s.At), minSpanWidth),
+		X:     axis.position(s.Begin),
+		W:     max(axis.position(s.Begin+secondMicros)-axis.position(s.Begin), minSpanWidth),
 		H:     plotHeight,
 		Class: class,
-		Title: fmt.Sprintf("%s: nothing is known of %d of %d brokers", incident.FormatTime(s.At), s.UnknownBrokers, len(a.Brokers)),
+		Title: fmt.Sprintf("%s: nothing is known of %d of %d brokers", incident.FormatTime(s.Begin), s.UnknownBrokers, len(a.Brokers)),
 	}
 }
 
--- a/internal/observability/incident/report/report_test.go
+++ b/internal/observability/incident/report/report_test.go
@@ -19,7 +19,7 @@
 	for k, span := range [][2]clock.Micros{{1, 10}, {16, 25}} {
 		s := incident.NewStream("n<1>", string(rune('a'+k)))
 		begin := span[0] * sec
-		s.AddEvent(&record.Event{At: begin, Kind: record.KindIncarnation, Incarnation: &record.Incarnation{Name: "n<1>", ID: s.ID, StartedAt: begin, HeartbeatInterval: sec / 2, SampleFraction: 1,
+		s.AddEvent(&record.Event{At: begin, Kind: record.KindIncarnation, Incarnation: &record.Incarnation{Name: "n<1>", ID: s.BootID, StartedAt: begin, HeartbeatInterval: sec / 2, SampleFraction: 1,
 			Classes: []record.Class{{Name: "read", LatencyObjective: sec, PriorityWeight: 1}}, Plans: []record.Plan{{Name: "p", PriceFactor: 1}}}})
 		seq := uint64(0)
 		for at := begin; at < span[1]*sec; at += sec / 5 {
@@ -40,7 +40,7 @@
 	for _, s := range a.Seconds {
 		if s.UnknownBrokers == 1 {
 			blind++
-			if s.At < 10*sec || s.At >= 16*sec || s.Served > 0 {
+			if s.Begin < 10*sec || s.Begin >= 16*sec || s.Served > 0 {
 				t.Errorf("%+v", s)
 			}
 		}
--- a/internal/observability/incident/report/text.go
+++ b/internal/observability/incident/report/text.go
@@ -25,8 +25,8 @@
 	day := time.UnixMicro(int64(a.From)).UTC().Format("2006-01-02")
 	p.Printf("%s, %s to %s UTC: %d brokers, %d nodes, %d events, %d episodes\n", day, incident.FormatTime(a.From),
 		incident.FormatTime(a.To), len(a.Brokers), len(a.Nodes), a.Events, len(a.Episodes))
-	if a.Sampled < 1 {
-		p.Printf("requests were sampled, 1 in %.0f at the least: impacts count the recorded ones\n", 1/a.Sampled)
+	if a.SampleFraction < 1 {
+		p.Printf("requests were sampled, 1 in %.0f at the least: impacts count the recorded ones\n", 1/a.SampleFraction)
 	}
 	p.Section(func(w io.Writer) error { return printEpisodes(w, a.Episodes) })
 	p.Println("\nwhat is not known:")
@@ -51,7 +51,7 @@
 		}
 		overlaps := strings.Trim(fmt.Sprint(e.Overlaps), "[]")
 		t.Printf("%d\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%.0f\t%s\n", e.ID, e.Kind, e.Subject, e.Begin.Format(), end, e.FormatDuration(),
-			e.Impact.Late, e.Impact.Refused, e.Impact.Failed, e.Impact.Worth, overlaps)
+			e.Impact.Late, e.Impact.Rejected, e.Impact.Failed, e.Impact.WeightLost, overlaps)
 	}
 	return t.Flush()
 }
@@ -95,7 +95,7 @@
 	for _, evidence := range e.Evidence {
 		p.Println("seen   ", evidence)
 	}
-	for _, doubt := range e.Doubt {
+	for _, doubt := range e.Uncertainties {
 		p.Println("doubt   a bound falls into a gap:", doubt)
 	}
 	for _, overlap := range e.Overlaps {
@@ -108,7 +108,7 @@
 func printImpact(w io.Writer, groups []incident.GroupImpact) error {
 	t := textoutput.NewTable(w, "\nCLASS", "PLAN", "SERVED", "LATE", "REFUSED", "FAILED", "WORTH LOST")
 	for _, g := range groups {
-		t.Printf("%s\t%s\t%d\t%d\t%d\t%d\t%.0f\n", g.Class, g.Plan, g.Served, g.Late, g.Refused, g.Failed, g.Worth)
+		t.Printf("%s\t%s\t%d\t%d\t%d\t%d\t%.0f\n", g.Class, g.Plan, g.Served, g.Late, g.Rejected, g.Failed, g.WeightLost)
 	}
 	return t.Flush()
 }
@@ -119,7 +119,7 @@
 	for _, c := range changes {
 		x, y := impact(c.First), impact(c.Second)
 		t.Printf("%s\t%s\t%s\t%s\t%d > %d\t%d > %d\t%d > %d\t%.0f > %.0f\n", c.Kind, c.Subject, duration(c.First), duration(c.Second),
-			x.Late, y.Late, x.Refused, y.Refused, x.Failed, y.Failed, x.Worth, y.Worth)
+			x.Late, y.Late, x.Rejected, y.Rejected, x.Failed, y.Failed, x.WeightLost, y.WeightLost)
 	}
 	return t.Flush()
 }
--- a/internal/observability/incident/stream.go
+++ b/internal/observability/incident/stream.go
@@ -1,37 +1,45 @@
-// Package incident works out from brokers' records what happened: what is known when, which episodes there were, how
-// exactly their begins and ends are known, and what they cost. It does no I/O: a collector feeds it.
+// Package incident works out from brokers' records what happened: what is known of whom and when, which episodes there were,
+// how exactly their begins and ends are known, and what they cost. It does no I/O: package collect reads the records.
 package incident
 
 import (
-	"slices"
-	"sort"
-
 	"poppyarch/internal/broker/decision"
 	"poppyarch/internal/observability/record"
 	"poppyarch/internal/observability/sketch"
 	"poppyarch/internal/timing/clock"
 )
 
-// Stream takes in the records of one boot of one broker, in the order of their frames. Times are the broker's own
-// until Analyse brings all to one clock.
+// resultKinds is the number of counters by result; unknown results of newer versions share them.
+const resultKinds = 8
+
+const (
+	millisecond clock.Micros = 1000
+	second                   = 1000 * millisecond
+)
+
+// secondOf returns the second that a time lies in.
+func secondOf(at clock.Micros) clock.Micros { return at - at%second }
+
+// Stream collects the records of one boot of one broker, in the order of their frames. Times are on the broker's own clock
+// until Analyse relates all clocks.
 type Stream struct {
-	Name string
-	ID   string
-	Boot record.Incarnation // the last copy that could be read
+	Name   string // of the broker
+	BootID string
+	Boot   record.Incarnation // the last copy that could be read
 
 	frames     []frame
-	damaged    []damage // bytes that could not be read, by the frames around them
+	damaged    []damage
 	lost       []record.Lost
 	heartbeats []heartbeat
 	notes      []note
-	stopped    bool
+	stopped    bool // the boot said that it stopped
 	nodes      map[string]*nodeRecord
 	groups     map[clock.Micros]map[group]*groupCounts // by second
 	volumes    map[string]map[clock.Micros]int         // requests by second of arrival
 	latency    map[uint8]*sketch.Index                 // of served requests, by class
 	events     int
-	first      clock.Micros // the earliest and the latest event
-	last       clock.Micros
+	first      clock.Micros // time of the earliest event
+	last       clock.Micros // time at which the latest event ended
 }
 
 type frame struct {
@@ -39,17 +47,19 @@
 	now clock.Micros
 }
 
+// damage is bytes that could not be read.
 type damage struct {
-	after uint64 // the last frame before it
+	after uint64 // the last frame before them
 	bytes int
 }
 
 type heartbeat struct {
-	at   clock.Micros
-	wall clock.Micros
-	open int64 // requests in flight
+	at       clock.Micros
+	wall     clock.Micros
+	inFlight int64
 }
 
+// note is an event of a broker that is not a request.
 type note struct {
 	at      clock.Micros
 	kind    record.Kind
@@ -60,9 +70,9 @@
 
 // nodeRecord is what one boot saw of one node.
 type nodeRecord struct {
-	responses []clock.Micros // when answers came
-	timedOut  []attempt      // attempts without an answer
-	refused   []attempt      // and without a connection
+	responses []clock.Micros // times of all responses
+	timedOut  []attempt      // attempts without a response
+	refused   []attempt      // attempts whose connection was refused or broke
 	latency   map[clock.Micros]*sketch.Sketch
 }
 
@@ -70,29 +80,36 @@
 
 type group struct{ class, plan uint8 }
 
-// groupCounts counts requests of one group in one second, by when they ended.
+// groupCounts counts the requests of one group that ended in one second.
 type groupCounts struct {
-	count [8]int64
-	late  int64
-	units float64
-	worth float64 // of what was refused, failed or late
+	results    [resultKinds]int64
+	late       int64
+	weightLost float64 // of what was rejected, failed or late
 }
 
-// NewStream returns an empty one.
-func NewStream(name, id string) *Stream {
-	return &Stream{Name: name, ID: id, nodes: map[string]*nodeRecord{}, groups: map[clock.Micros]map[group]*groupCounts{},
-		volumes: map[string]map[clock.Micros]int{}, latency: map[uint8]*sketch.Index{}}
+// NewStream returns the empty stream of a boot.
+func NewStream(name, bootID string) *Stream {
+	return &Stream{
+		Name:    name,
+		BootID:  bootID,
+		nodes:   map[string]*nodeRecord{},
+		groups:  map[clock.Micros]map[group]*groupCounts{},
+		volumes: map[string]map[clock.Micros]int{},
+		latency: map[uint8]*sketch.Index{},
+	}
 }
 
-// AddFrame takes in that a frame is there.
-func (s *Stream) AddFrame(seq uint64, now clock.Micros) { s.frames = append(s.frames, frame{seq, now}) }
+// AddFrame adds a frame of the records. Its events are added one by one.
+func (s *Stream) AddFrame(seq uint64, now clock.Micros) {
+	s.frames = append(s.frames, frame{seq: seq, now: now})
+}
 
-// AddDamage takes in that bytes behind frame after could not be read.
+// AddDamage adds bytes behind a frame that cannot be read.
 func (s *Stream) AddDamage(after uint64, bytes int) {
-	s.damaged = append(s.damaged, damage{after, bytes})
+	s.damaged = append(s.damaged, damage{after: after, bytes: bytes})
 }
 
-// LastFrame is the number of the last frame taken in; 0: none.
+// LastFrame returns the number of the frame that was added last; 0 if there is none.
 func (s *Stream) LastFrame() uint64 {
 	if len(s.frames) == 0 {
 		return 0
@@ -100,12 +117,7 @@
 	return s.frames[len(s.frames)-1].seq
 }
 
-// second is the slot of a time.
-const second = clock.Micros(1_000_000)
-
-func secondOf(at clock.Micros) clock.Micros { return at - at%second }
-
-// AddEvent takes in one event.
+// AddEvent adds an event.
 func (s *Stream) AddEvent(e *record.Event) {
 	s.events++
 	end := e.At
@@ -113,7 +125,7 @@
 	case record.KindIncarnation:
 		s.Boot = *e.Incarnation
 	case record.KindHeartbeat:
-		s.heartbeats = append(s.heartbeats, heartbeat{e.At, e.Heartbeat.WallClock, e.Heartbeat.InFlight})
+		s.heartbeats = append(s.heartbeats, heartbeat{at: e.At, wall: e.Heartbeat.WallClock, inFlight: e.Heartbeat.InFlight})
 	case record.KindLost:
 		s.lost = append(s.lost, *e.Lost)
 	case record.KindSummary:
@@ -124,7 +136,7 @@
 		if e.Kind == record.KindStop {
 			s.stopped = true
 		}
-		s.notes = append(s.notes, note{e.At, e.Kind, e.Note.Subject, e.Note.Text, e.Note.Value})
+		s.notes = append(s.notes, note{at: e.At, kind: e.Kind, subject: e.Note.Subject, text: e.Note.Text, value: e.Note.Value})
 	}
 	if s.first == 0 || e.At < s.first {
 		s.first = e.At
@@ -133,147 +145,101 @@
 }
 
 func (s *Stream) addRequest(at clock.Micros, q *record.Request) {
-	if v := s.volumes[q.Volume]; v != nil {
-		v[secondOf(at)]++
-	} else {
-		s.volumes[q.Volume] = map[clock.Micros]int{secondOf(at): 1}
-	}
-	sec := secondOf(at + q.Duration)
-	byGroup := s.groups[sec]
-	if byGroup == nil {
-		byGroup = map[group]*groupCounts{}
-		s.groups[sec] = byGroup
-	}
-	g := group{q.Class, q.Plan}
-	t := byGroup[g]
-	if t == nil {
-		t = &groupCounts{}
-		byGroup[g] = t
-	}
-	t.count[q.Result%8]++
-	t.units += q.Units
-	worth := 1.0
-	if int(q.Class) < len(s.Boot.Classes) {
-		worth *= s.Boot.Classes[q.Class].PriorityWeight
-	}
-	if int(q.Plan) < len(s.Boot.Plans) {
-		worth *= s.Boot.Plans[q.Plan].PriceFactor
-	}
-	switch {
-	case q.Result == record.Served:
-		if int(q.Class) < len(s.Boot.Classes) && q.Duration > s.Boot.Classes[q.Class].LatencyObjective {
-			t.late++
-			t.worth += worth * q.Units
-		}
-		x := s.latency[q.Class]
-		if x == nil {
-			x = sketch.NewIndex(int64(second))
-			s.latency[q.Class] = x
-		}
-		x.Add(int64(at+q.Duration), int64(q.Duration))
-	case q.Result != record.ClientDisconnected:
-		t.worth += worth * q.Units
+	requests := s.volumes[q.Volume]
+	if requests == nil {
+		requests = map[clock.Micros]int{}
+		s.volumes[q.Volume] = requests
 	}
+	requests[secondOf(at)]++
+	s.addResult(at+q.Duration, q)
 	for i := range q.Attempts {
-		y := &q.Attempts[i]
-		n := s.nodes[y.Node]
-		if n == nil {
-			n = &nodeRecord{latency: map[clock.Micros]*sketch.Sketch{}}
-			s.nodes[y.Node] = n
+		s.addAttempt(at, &q.Attempts[i])
+	}
+}
+
+// addResult counts a request that ended at a time.
+func (s *Stream) addResult(end clock.Micros, q *record.Request) {
+	counts := s.groupCounts(secondOf(end), group{class: q.Class, plan: q.Plan})
+	counts.results[q.Result%resultKinds]++
+	switch q.Result {
+	case record.Served:
+		if s.isLate(q) {
+			counts.late++
+			counts.weightLost += s.weight(q)
 		}
-		sent := at + y.SentAfter
-		done := sent + y.Duration
-		switch decision.Outcome(y.Outcome) {
-		case decision.Served, decision.NodeError, decision.Rejected, decision.MalformedResponse: // it said something
-			n.responses = append(n.responses, done)
-			if decision.Outcome(y.Outcome) == decision.Served {
-				k := n.latency[secondOf(done)]
-				if k == nil {
-					k = &sketch.Sketch{}
-					n.latency[secondOf(done)] = k
-				}
-				k.Add(int64(y.Duration))
-			}
-		case decision.TimedOut:
-			n.timedOut = append(n.timedOut, attempt{sent, done})
-		case decision.ConnectFailed, decision.ConnectionLost:
-			n.refused = append(n.refused, attempt{sent, done})
+		latency := s.latency[q.Class]
+		if latency == nil {
+			latency = sketch.NewIndex(int64(second))
+			s.latency[q.Class] = latency
 		}
+		latency.Add(int64(end), int64(q.Duration))
+	case record.ClientDisconnected:
+	default:
+		counts.weightLost += s.weight(q)
 	}
 }
 
-// State is what is known of a broker at a time.
-type State string
-
-// The states of knowledge.
-const (
-	Known       State = "known"
-	Lost        State = "lost"         // dropped under load or for want of room, and counted
-	Damaged     State = "damaged"      // bytes that cannot be read
-	Missing     State = "missing"      // frames that are nowhere
-	Stalled     State = "stalled"      // the process wrote nothing for longer than its heartbeat
-	Dead        State = "dead"         // from the last word of a boot that did not say it stopped, to the next boot
-	Stopped     State = "stopped"      // it said that it stopped
-	NotRecorded State = "not recorded" // before the first word there is, and after the last of one that may still run
-)
+func (s *Stream) groupCounts(sec clock.Micros, g group) *groupCounts {
+	groups := s.groups[sec]
+	if groups == nil {
+		groups = map[group]*groupCounts{}
+		s.groups[sec] = groups
+	}
+	if groups[g] == nil {
+		groups[g] = &groupCounts{}
+	}
+	return groups[g]
+}
 
-// Span is a broker's knowledge from one time to another. Slack is how far From may be off to the later side: a broker
-// that dies has its last word up to a heartbeat before.
-type Span struct {
-	Broker string       `json:"broker"`
-	State  State        `json:"state"`
-	From   clock.Micros `json:"from"`
-	To     clock.Micros `json:"to"`
-	Slack  clock.Micros `json:"slack,omitempty"`
-	Boot   string       `json:"boot,omitempty"`
-	Events uint64       `json:"events,omitempty"` // lost, or bytes damaged
-	Text   string       `json:"text,omitempty"`
+// isLate reports whether a served request took longer than the latency objective of its class.
+func (s *Stream) isLate(q *record.Request) bool {
+	return int(q.Class) < len(s.Boot.Classes) && q.Duration > s.Boot.Classes[q.Class].LatencyObjective
 }
 
-// knowledge lists one boot's spans, by its own clock.
-func (s *Stream) knowledge() (out []Span) {
-	if len(s.frames) == 0 {
-		return nil
+// weight returns the priority weight of a request times its price and its units, as far as they are recorded.
+func (s *Stream) weight(q *record.Request) float64 {
+	weight := 1.0
+	if int(q.Class) < len(s.Boot.Classes) {
+		weight *= s.Boot.Classes[q.Class].PriorityWeight
 	}
-	frames := slices.Clone(s.frames)
-	sort.Slice(frames, func(a, b int) bool { return frames[a].seq < frames[b].seq })
-	period := s.heartbeatInterval()
-	add := func(st State, from, to clock.Micros, events uint64, text string) {
-		if to > from || events > 0 {
-			out = append(out, Span{Broker: s.Name, Boot: s.ID, State: st, From: from, To: to, Events: events, Text: text})
-		}
+	if int(q.Plan) < len(s.Boot.Plans) {
+		weight *= s.Boot.Plans[q.Plan].PriceFactor
 	}
-	if f := frames[0]; f.seq > 1 && s.Boot.StartedAt > 0 {
-		add(Missing, s.Boot.StartedAt, s.first, 0, "the boot's first records have been removed or are nowhere")
+	return weight * q.Units
+}
+
+// addAttempt adds an attempt of a request that arrived at a time.
+func (s *Stream) addAttempt(arrivedAt clock.Micros, a *record.Attempt) {
+	n := s.nodes[a.Node]
+	if n == nil {
+		n = &nodeRecord{latency: map[clock.Micros]*sketch.Sketch{}}
+		s.nodes[a.Node] = n
 	}
-	for i := 1; i < len(frames); i++ {
-		a, b := frames[i-1], frames[i]
-		switch {
-		case b.seq == a.seq: // a copy
-			continue
-		case b.seq > a.seq+1:
-			st, text, n := Missing, "frames are missing", uint64(0)
-			for _, h := range s.damaged {
-				if h.after >= a.seq && h.after < b.seq {
-					st, text, n = Damaged, "bytes cannot be read", n+uint64(h.bytes)
-				}
-			}
-			if slices.ContainsFunc(s.lost, func(l record.Lost) bool { return l.Reason == "disk" && l.From <= b.now && l.To >= a.now-period }) && st == Missing {
-				continue // the lost record says it better
-			}
-			add(st, a.now, b.now, n, text)
-		case b.now-a.now > 2*period+period/2:
-			add(Stalled, a.now, b.now, 0, "no heartbeat")
-		}
+	sent := arrivedAt + a.SentAfter
+	done := sent + a.Duration
+	switch decision.Outcome(a.Outcome) {
+	case decision.Served:
+		n.responses = append(n.responses, done)
+		n.addLatency(done, a.Duration)
+	case decision.NodeError, decision.Rejected, decision.MalformedResponse:
+		n.responses = append(n.responses, done)
+	case decision.TimedOut:
+		n.timedOut = append(n.timedOut, attempt{sent: sent, done: done})
+	case decision.ConnectFailed, decision.ConnectionLost:
+		n.refused = append(n.refused, attempt{sent: sent, done: done})
 	}
-	for _, l := range s.lost {
-		add(Lost, l.From, max(l.To, l.From+1), l.Events, "no room in the "+map[string]string{"disk": "folder", "full": "buffers"}[l.Reason])
+}
+
+func (n *nodeRecord) addLatency(done, latency clock.Micros) {
+	sec := secondOf(done)
+	if n.latency[sec] == nil {
+		n.latency[sec] = &sketch.Sketch{}
 	}
-	return out
+	n.latency[sec].Add(int64(latency))
 }
 
-// heartbeatInterval is how often a boot lets hear of itself. Where the segments with its particulars are gone, it is taken for a second,
-// which is longer than any broker's that is set up as documented.
+// heartbeatInterval returns how often the boot wrote a heartbeat. Where its incarnation record is lost it is taken to be a
+// second, which is longer than any documented configuration has it.
 func (s *Stream) heartbeatInterval() clock.Micros {
 	if s.Boot.HeartbeatInterval > 0 {
 		return s.Boot.HeartbeatInterval
@@ -281,7 +247,15 @@
 	return second
 }
 
-// end is a boot's last word.
+// start returns the boot's start, or its earliest event where that is lost.
+func (s *Stream) start() clock.Micros {
+	if s.Boot.StartedAt > 0 {
+		return s.Boot.StartedAt
+	}
+	return s.first
+}
+
+// end returns the time of the boot's latest record.
 func (s *Stream) end() clock.Micros {
 	last := s.last
 	for _, f := range s.frames {
@@ -289,11 +263,3 @@
 	}
 	return last
 }
-
-// start is its first.
-func (s *Stream) start() clock.Micros {
-	if s.Boot.StartedAt > 0 {
-		return s.Boot.StartedAt
-	}
-	return s.first
-}
