--- a/internal/observability/sketch/sketch.go
+++ b/internal/observability/sketch/sketch.go
@@ -1,16 +1,14 @@
-// Package sketch has a quantile sketch that can be merged, and an index of sketches over time. Values are whole and
-// not negative, such as microseconds.
+// Package sketch has a mergeable quantile sketch, an index of sketches over time, and a counter of the most frequent keys.
+// Values are integers of at least 0, such as microseconds.
 package sketch
 
 import (
-	"encoding/binary"
-	"errors"
 	"math"
 	"math/bits"
 )
 
-// subBits sets the accuracy: each power of two is cut into 2^subBits buckets, so that a quantile is off by at most
-// 1/2^(subBits+1) of itself, under 0.8 %.
+// subBits sets the accuracy: each power of two is divided into 2^subBits buckets, so that the relative error of a quantile is
+// at most 1/2^(subBits+1), below 0.8 %.
 const subBits = 6
 
 const (
@@ -18,17 +16,17 @@
 	buckets = (64 - subBits + 1) * sub
 )
 
-// Sketch counts values in buckets whose width grows with the value. The zero value is empty. It costs memory for the
-// span of values seen and not for their number.
+// Sketch counts values in buckets whose width grows with the value. The zero value is empty. Its memory grows with the range
+// of the values and not with their number.
 type Sketch struct {
 	first  int      // bucket of counts[0]
-	counts []uint64 // from the least to the greatest seen
+	counts []uint64 // from the lowest bucket in use to the highest
 	n      uint64
 	sum    float64
 	max    int64
 }
 
-// bucket is exact below 2^subBits and logarithmic above. It takes a shift and no logarithm.
+// bucket returns the bucket of a value: its own below 2^subBits, logarithmic above.
 func bucket(v int64) int {
 	if v < sub {
 		return int(max(v, 0))
@@ -37,7 +35,7 @@
 	return e*sub + int(v>>e)
 }
 
-// middle is the value that stands for a bucket.
+// middle returns the value in the middle of a bucket.
 func middle(b int) int64 {
 	if b < 2*sub {
 		return int64(b)
@@ -56,15 +54,15 @@
 		return
 	}
 	b := bucket(v)
-	s.reach(b, b)
+	s.extend(b, b)
 	s.counts[b-s.first] += n
 	s.n += n
 	s.sum += float64(v) * float64(n)
 	s.max = max(s.max, v)
 }
 
-// reach makes room for buckets from lo to hi.
-func (s *Sketch) reach(lo, hi int) {
+// extend makes counts cover the buckets from lo to hi.
+func (s *Sketch) extend(lo, hi int) {
 	if len(s.counts) == 0 {
 		s.first = lo
 	}
@@ -78,12 +76,12 @@
 	}
 }
 
-// Merge adds all that o has counted.
+// Merge adds the values of another sketch.
 func (s *Sketch) Merge(o *Sketch) {
 	if o.n == 0 {
 		return
 	}
-	s.reach(o.first, o.first+len(o.counts)-1)
+	s.extend(o.first, o.first+len(o.counts)-1)
 	for i, c := range o.counts {
 		s.counts[o.first-s.first+i] += c
 	}
@@ -92,19 +90,19 @@
 	s.max = max(s.max, o.max)
 }
 
-// Reset empties it and keeps its memory.
+// Reset empties the sketch and keeps its memory.
 func (s *Sketch) Reset() {
 	clear(s.counts)
 	s.counts, s.n, s.sum, s.max = s.counts[:0], 0, 0, 0
 }
 
-// Count is how many values were counted.
+// Count returns the number of values.
 func (s *Sketch) Count() uint64 { return s.n }
 
-// Max is the greatest, exactly.
+// Max returns the greatest value, without the error of the buckets.
 func (s *Sketch) Max() int64 { return s.max }
 
-// Mean is exact but for rounding.
+// Mean returns the mean, without the error of the buckets; 0 if there are no values.
 func (s *Sketch) Mean() float64 {
 	if s.n == 0 {
 		return 0
@@ -112,7 +110,7 @@
 	return s.sum / float64(s.n)
 }
 
-// Quantile is the value that a share q of the values does not exceed; 0 where there are none.
+// Quantile returns the value that a fraction q of the values does not exceed; 0 if there are no values.
 func (s *Sketch) Quantile(q float64) int64 {
 	if s.n == 0 {
 		return 0
@@ -130,162 +128,3 @@
 	}
 	return s.max
 }
-
-// Append writes it in a compact form.
-func (s *Sketch) Append(b []byte) []byte {
-	b = binary.AppendUvarint(b, s.n)
-	if s.n == 0 {
-		return b
-	}
-	b = binary.AppendUvarint(b, uint64(s.max))
-	b = binary.AppendUvarint(b, math.Float64bits(s.sum))
-	b = binary.AppendUvarint(b, uint64(s.first))
-	b = binary.AppendUvarint(b, uint64(len(s.counts)))
-	for i := 0; i < len(s.counts); i++ { // a zero is followed by how many more follow
-		b = binary.AppendUvarint(b, s.counts[i])
-		if s.counts[i] == 0 {
-			run := 0
-			for i+1 < len(s.counts) && s.counts[i+1] == 0 {
-				run++
-				i++
-			}
-			b = binary.AppendUvarint(b, uint64(run))
-		}
-	}
-	return b
-}
-
-var errForm = errors.New("sketch: cannot be read")
-
-// Read reads what Append wrote into s and returns the rest.
-func (s *Sketch) Read(b []byte) ([]byte, error) {
-	s.Reset()
-	bad := false
-	next := func() uint64 {
-		v, n := binary.Uvarint(b)
-		if n <= 0 {
-			bad = true
-			return 0
-		}
-		b = b[n:]
-		return v
-	}
-	n := next()
-	if bad || n == 0 {
-		if bad {
-			return nil, errForm
-		}
-		return b, nil
-	}
-	s.max, s.sum = int64(next()), math.Float64frombits(next())
-	first, length := next(), next()
-	if bad || first >= buckets || length > buckets || length == 0 {
-		return nil, errForm
-	}
-	s.first = int(first)
-	total := uint64(0)
-	for i := uint64(0); i < length; i++ {
-		c := next()
-		s.counts = append(s.counts, c)
-		total += c
-		if c == 0 {
-			run := next()
-			if bad || run > length-i-1 {
-				return nil, errForm
-			}
-			for range run {
-				s.counts = append(s.counts, 0)
-			}
-			i += run
-		}
-	}
-	s.n = n
-	if bad || total != n {
-		s.Reset()
-		return nil, errForm
-	}
-	return b, nil
-}
-
-// Index answers for quantiles over any span of time. It keeps sketches of slots and of doublings of them, so that a span
-// takes a few merges and not a look at every slot in it. Each value is added to one sketch a level when the next level's
-// block is complete, not when it comes.
-type Index struct {
-	Width  int64 // of a slot
-	base   int64 // slot number of levels[0][0]
-	levels [][]*Sketch
-	done   []int // blocks of each level that are complete in the level above
-}
-
-// NewIndex returns an index with slots of so much time.
-func NewIndex(width int64) *Index { return &Index{Width: width} }
-
-// Add counts a value at a time. Times may come in any order; one that lies more than a thousand slots before the first
-// is counted with the earliest slot.
-func (x *Index) Add(at, v int64) {
-	slot := at / x.Width
-	if len(x.levels) == 0 {
-		x.base = slot &^ (1<<10 - 1)
-		x.levels = [][]*Sketch{nil}
-	}
-	k := slot - x.base
-	if k < 0 {
-		k = 0 // before everything: kept with the first rather than lost
-	}
-	for l := range x.levels {
-		if l > 0 && int(k>>l) >= x.done[l-1] {
-			break // that block is not built yet
-		}
-		for int64(len(x.levels[l])) <= k>>l {
-			x.levels[l] = append(x.levels[l], nil)
-		}
-		if x.levels[l][k>>l] == nil {
-			x.levels[l][k>>l] = &Sketch{}
-		}
-		x.levels[l][k>>l].Add(v)
-	}
-}
-
-// Build completes the higher levels. Values added later go into them as well.
-func (x *Index) Build() {
-	for l := 0; l < len(x.levels) && len(x.levels[l]) > 1; l++ {
-		if len(x.levels) == l+1 {
-			x.levels = append(x.levels, nil)
-			x.done = append(x.done, 0)
-		}
-		for k := x.done[l]; k < len(x.levels[l])/2; k++ {
-			var m *Sketch
-			for _, j := range []int{2 * k, 2*k + 1} {
-				if x.levels[l][j] != nil {
-					if m == nil {
-						m = &Sketch{}
-					}
-					m.Merge(x.levels[l][j])
-				}
-			}
-			x.levels[l+1] = append(x.levels[l+1], m)
-		}
-		x.done[l] = len(x.levels[l+1])
-	}
-}
-
-// Span merges all slots that begin at or after from and before to.
-func (x *Index) Span(from, to int64) *Sketch {
-	out := &Sketch{}
-	if len(x.levels) == 0 || to <= from {
-		return out
-	}
-	lo := max((from+x.Width-1)/x.Width-x.base, 0)
-	hi := min((to+x.Width-1)/x.Width-x.base, int64(len(x.levels[0])))
-	for lo < hi {
-		l := 0
-		for l+1 < len(x.levels) && lo&(1<<(l+1)-1) == 0 && lo+1<<(l+1) <= hi && lo>>(l+1) < int64(len(x.levels[l+1])) {
-			l++
-		}
-		if k := lo >> l; k < int64(len(x.levels[l])) && x.levels[l][k] != nil {
-			out.Merge(x.levels[l][k])
-		}
-		lo += 1 << l
-	}
-	return out
-}
--- a/internal/observability/sketch/top.go
+++ b/internal/observability/sketch/top.go
@@ -5,47 +5,47 @@
 	"slices"
 )
 
-// Top finds the keys that come most often, in a fixed number of places (space-saving): a key that has none takes the
-// place of the least counted one and inherits its count as the bound of its error. Every key with more than 1/n of all
-// counts is among the n places. The zero value is not usable.
+// Top counts the most frequent keys with a fixed number of entries (the space-saving algorithm): a key without an entry
+// replaces the one with the lowest count and inherits that count as its error. Every key with more than 1/n of all counts is
+// among n entries. The zero value is not usable.
 type Top struct {
-	most  int
-	place map[string]int
-	list  []Counted // a heap by Count, the least first
+	size  int            // number of entries
+	index map[string]int // of the entry of a key
+	list  []Counted      // a heap by Count, the lowest first
 }
 
-// Counted is a key with a count that may be too high by Error and is never too low.
+// Counted is a key and its count, which may be too high by Error and is never too low.
 type Counted struct {
 	Key   string
 	Count uint64
 	Error uint64
-	Extra [3]uint64 // counted beside it, since the key took its place
+	Extra [3]uint64 // counters of the caller, from when the key got its entry
 }
 
-// NewTop returns an empty one with n places.
-func NewTop(n int) *Top { return &Top{most: n, place: make(map[string]int, n)} }
+// NewTop returns an empty counter with n entries.
+func NewTop(n int) *Top { return &Top{size: n, index: make(map[string]int, n)} }
 
-// Add counts a key n times and returns its entry, for Extra. The entry is good until the next call.
+// Add counts a key n times and returns its entry, for Extra. The entry is valid until the next call.
 func (t *Top) Add(key string, n uint64) *Counted {
-	if i, ok := t.place[key]; ok {
+	if i, ok := t.index[key]; ok {
 		t.list[i].Count += n
 		return &t.list[t.down(i)]
 	}
-	if len(t.list) < t.most {
+	if len(t.list) < t.size {
 		t.list = append(t.list, Counted{Key: key, Count: n})
-		t.place[key] = len(t.list) - 1
+		t.index[key] = len(t.list) - 1
 		return &t.list[t.up(len(t.list)-1)]
 	}
 	least := &t.list[0]
-	delete(t.place, least.Key)
+	delete(t.index, least.Key)
 	*least = Counted{Key: key, Count: least.Count + n, Error: least.Count}
-	t.place[key] = 0
+	t.index[key] = 0
 	return &t.list[t.down(0)]
 }
 
 func (t *Top) swap(i, j int) {
 	t.list[i], t.list[j] = t.list[j], t.list[i]
-	t.place[t.list[i].Key], t.place[t.list[j].Key] = i, j
+	t.index[t.list[i].Key], t.index[t.list[j].Key] = i, j
 }
 
 func (t *Top) up(i int) int {
@@ -77,21 +77,21 @@
 	}
 }
 
-// floor is what a key without a place may have come at the most.
+// floor returns the highest count that a key without an entry may have.
 func (t *Top) floor() uint64 {
-	if len(t.list) < t.most {
+	if len(t.list) < t.size {
 		return 0
 	}
 	return t.list[0].Count
 }
 
-// Merge counts what another has counted. A key that only one of them has may have come in the other as well, up to that
-// one's least count.
+// Merge adds the counts of another counter. A key that only one of them has may have been counted by the other as well, up to
+// its floor.
 func (t *Top) Merge(o *Top) {
 	mine, theirs := t.floor(), o.floor()
 	all := make([]Counted, 0, len(t.list)+len(o.list))
 	for _, x := range t.list {
-		if i, ok := o.place[x.Key]; ok {
+		if i, ok := o.index[x.Key]; ok {
 			y := &o.list[i]
 			x.Count, x.Error = x.Count+y.Count, x.Error+y.Error
 			for k := range x.Extra {
@@ -103,28 +103,28 @@
 		all = append(all, x)
 	}
 	for _, x := range o.list {
-		if _, ok := t.place[x.Key]; !ok {
+		if _, ok := t.index[x.Key]; !ok {
 			x.Count, x.Error = x.Count+mine, x.Error+mine
 			all = append(all, x)
 		}
 	}
 	slices.SortFunc(all, func(a, b Counted) int { return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Key, b.Key)) })
-	all = all[:min(len(all), t.most)]
+	all = all[:min(len(all), t.size)]
 	slices.Reverse(all) // ascending is a heap
 	t.list = all
-	clear(t.place)
+	clear(t.index)
 	for i, x := range all {
-		t.place[x.Key] = i
+		t.index[x.Key] = i
 	}
 }
 
-// Reset empties it.
+// Reset empties the counter.
 func (t *Top) Reset() {
-	clear(t.place)
+	clear(t.index)
 	t.list = t.list[:0]
 }
 
-// List is the n most counted, the most first.
+// List returns the n entries with the highest counts, the highest first.
 func (t *Top) List(n int) []Counted {
 	out := slices.Clone(t.list)
 	slices.SortFunc(out, func(a, b Counted) int { return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Key, b.Key)) })
