--- a/cmd/poppyarch/inventory.go
+++ b/cmd/poppyarch/inventory.go
@@ -56,7 +56,7 @@
 func loadComplete(cmd *cobra.Command, path string) (*nodefile.Doc, bool) {
 	doc := nodefile.Load(path, nodeFiles)
 	faults := printFaults(cmd, doc)
-	return doc, faults == 0 && doc.Whole
+	return doc, faults == 0 && doc.Complete
 }
 
 func (f *inventoryFlags) checkCommand() *cobra.Command {
--- a/internal/broker/server/nodelists.go
+++ b/internal/broker/server/nodelists.go
@@ -127,7 +127,7 @@
 			l.keepValid(next, fault.Node)
 		}
 	}
-	if !doc.Whole || !settled {
+	if !doc.Complete || !settled {
 		for id := range l.valid {
 			l.keepValid(next, id)
 		}
@@ -140,7 +140,7 @@
 	changed := l.publish(func(members *membership.Set, version int64, now clock.Micros) []membership.Member {
 		return members.Replace(membership.Files, version, entries, now)
 	})
-	return listUpdate{changed: changed, settled: settled, complete: doc.Whole}
+	return listUpdate{changed: changed, settled: settled, complete: doc.Complete}
 }
 
 // keepValid adds the last valid content of a node's row to next, if next has no row of it.
@@ -212,7 +212,7 @@
 	doc = nodefile.LoadAll(l.paths, nodefile.Files{Read: texts.read, List: texts.list})
 	isSettled = settled()
 	if !isSettled {
-		doc = nodefile.LoadAll(l.paths, nodefile.Files{Read: texts.readWholeLines, List: texts.list})
+		doc = nodefile.LoadAll(l.paths, nodefile.Files{Read: texts.readCompleteLines, List: texts.list})
 	}
 	l.readPaths = texts.paths
 	return doc, isSettled
@@ -243,8 +243,8 @@
 	return f.text, f.err
 }
 
-// readWholeLines is read without what follows the last line end of a CSV file.
-func (t *fileTexts) readWholeLines(path string) ([]byte, error) {
+// readCompleteLines is read without what follows the last line end of a CSV file.
+func (t *fileTexts) readCompleteLines(path string) ([]byte, error) {
 	text, err := t.read(path)
 	if isCSV(path) {
 		text = text[:strings.LastIndexByte(string(text), '\n')+1]
--- a/internal/nodes/nodefile/csv.go
+++ b/internal/nodes/nodefile/csv.go
@@ -34,14 +34,14 @@
 			}
 			b.fault(Fault{Pos: at, Text: err.Error()})
 			if header == nil {
-				b.doc.Whole = false
+				b.doc.Complete = false
 				return
 			}
 			continue
 		}
 		if header == nil {
 			if header = b.header(at, cells); header == nil {
-				b.doc.Whole = false
+				b.doc.Complete = false
 				return
 			}
 			continue
@@ -51,7 +51,7 @@
 	b.header0 = header
 	if header == nil {
 		b.fault(Fault{Pos: Pos{path, 1, 0}, Text: "no header: empty, or written half way"})
-		b.doc.Whole = false
+		b.doc.Complete = false
 	}
 }
 
--- a/internal/nodes/nodefile/nodefile.go
+++ b/internal/nodes/nodefile/nodefile.go
@@ -72,9 +72,9 @@
 
 // Doc is what a list says.
 type Doc struct {
-	Rows   []Row
-	Faults []Fault
-	Whole  bool // false: a file could not be read at all, and what is missing may well still be there
+	Rows     []Row
+	Faults   []Fault
+	Complete bool // false: a file could not be read at all, and what is missing may well still be there
 }
 
 // field is a setting with its place.
@@ -107,7 +107,7 @@
 
 // LoadAll reads several as if they were one.
 func LoadAll(paths []string, f Files) *Doc {
-	d := &Doc{Whole: true}
+	d := &Doc{Complete: true}
 	b := &builder{doc: d, files: f, kinds: map[string]Kind{}, seen: map[string]bool{}}
 	for _, path := range paths {
 		b.load(path, Pos{File: path})
@@ -160,13 +160,13 @@
 			}
 		}
 		b.fault(Fault{Pos: from, Text: path + ": an inventory ends in .csv, .yaml or .yml, or is a folder of such"})
-		b.doc.Whole = false
+		b.doc.Complete = false
 		return
 	}
 	text, err := b.files.Read(path)
 	if err != nil {
 		b.fault(Fault{Pos: from, Text: err.Error()})
-		b.doc.Whole = false
+		b.doc.Complete = false
 		return
 	}
 	if ext == ".csv" {
--- a/internal/nodes/nodefile/nodefile_test.go
+++ b/internal/nodes/nodefile/nodefile_test.go
@@ -54,7 +54,7 @@
 
 func TestYAML(t *testing.T) {
 	d := Parse("n.yaml", []byte(list))
-	if len(d.Faults) > 0 || !d.Whole || !slices.Equal(ids(d), []string{"node-01", "node-02", "node-03", "node-04", "node-05", "slow-1"}) {
+	if len(d.Faults) > 0 || !d.Complete || !slices.Equal(ids(d), []string{"node-01", "node-02", "node-03", "node-04", "node-05", "slow-1"}) {
 		t.Fatalf("%v %v", ids(d), faults(d))
 	}
 	r := d.Rows[2]
@@ -94,8 +94,8 @@
 		{"n.yaml", "g: {children: {h: {children: {g: {}}}}}\n", "contains itself", 0, false},
 	} {
 		d := Parse(x.file, []byte(x.text))
-		if all := strings.Join(faults(d), "\n"); !strings.Contains(all, x.want) || len(d.Rows) != x.rows || d.Whole != x.whole {
-			t.Errorf("%q: %d rows, whole %v, %s", x.text, len(d.Rows), d.Whole, all)
+		if all := strings.Join(faults(d), "\n"); !strings.Contains(all, x.want) || len(d.Rows) != x.rows || d.Complete != x.whole {
+			t.Errorf("%q: %d rows, whole %v, %s", x.text, len(d.Rows), d.Complete, all)
 		}
 	}
 }
@@ -145,8 +145,8 @@
 	got := ids(d)
 	slices.Sort(got)
 	all := strings.Join(faults(d), "\n")
-	if !slices.Equal(got, []string{"a", "b", "c"}) || d.Whole || !strings.Contains(all, "included already") || !strings.Contains(all, "none.csv") || !strings.Contains(all, "given twice") {
-		t.Errorf("%v %v %s", got, d.Whole, all)
+	if !slices.Equal(got, []string{"a", "b", "c"}) || d.Complete || !strings.Contains(all, "included already") || !strings.Contains(all, "none.csv") || !strings.Contains(all, "given twice") {
+		t.Errorf("%v %v %s", got, d.Complete, all)
 	}
 }
 
@@ -276,7 +276,7 @@
 			text := strings.Join(lines, "")
 			d, changed, some := r.Read("n.csv", text)
 			want := Parse("n.csv", []byte(text))
-			if !reflect.DeepEqual(d.Rows, want.Rows) && len(d.Rows)+len(want.Rows) > 0 || !reflect.DeepEqual(d.Faults, want.Faults) || d.Whole != want.Whole {
+			if !reflect.DeepEqual(d.Rows, want.Rows) && len(d.Rows)+len(want.Rows) > 0 || !reflect.DeepEqual(d.Faults, want.Faults) || d.Complete != want.Complete {
 				t.Fatalf("%q:\n%+v %v\n%+v %v", text, d.Rows, faults(d), want.Rows, faults(want))
 			}
 			if some {
--- a/internal/nodes/nodefile/reader.go
+++ b/internal/nodes/nodefile/reader.go
@@ -27,7 +27,7 @@
 			return r.doc, changed, true
 		}
 	}
-	b := &builder{doc: &Doc{Whole: true}, kinds: map[string]Kind{}, seen: map[string]bool{}}
+	b := &builder{doc: &Doc{Complete: true}, kinds: map[string]Kind{}, seen: map[string]bool{}}
 	b.csv(path, text)
 	b.check()
 	*r = Reader{path: path, text: text}
@@ -115,7 +115,7 @@
 
 // parseLines parses complete lines of rows. Anything wrong with them is reported as false.
 func (r *Reader) parseLines(lines string, firstLine int) ([]Row, bool) {
-	b := &builder{doc: &Doc{Whole: true}, kinds: map[string]Kind{}, seen: map[string]bool{}}
+	b := &builder{doc: &Doc{Complete: true}, kinds: map[string]Kind{}, seen: map[string]bool{}}
 	for i, line := range strings.Split(lines, "\n") {
 		line = strings.TrimSuffix(line, "\r")
 		if trimmed := strings.TrimSpace(line); trimmed == "" || trimmed[0] == '#' {
--- a/internal/nodes/nodefile/yaml.go
+++ b/internal/nodes/nodefile/yaml.go
@@ -49,12 +49,12 @@
 	var doc yaml.Node
 	if err := yaml.Unmarshal(text, &doc); err != nil {
 		b.fault(Fault{Pos: Pos{path, yamltree.ErrorLine(err), 0}, Text: err.Error()})
-		b.doc.Whole = false
+		b.doc.Complete = false
 		return
 	}
 	if len(doc.Content) == 0 {
 		b.fault(Fault{Pos: Pos{path, 1, 0}, Text: "empty, or written half way"})
-		b.doc.Whole = false
+		b.doc.Complete = false
 		return
 	}
 	t := &tree{b: b, path: path, groups: map[string]*group{}, nodes: map[string]*member{}}
@@ -342,7 +342,7 @@
 func (t *tree) deepen(g *group, depth int, above map[string]bool) bool {
 	if above[g.name] {
 		t.b.fault(Fault{Pos: Pos{t.path, 1, 0}, Key: g.name, Text: "the group contains itself"})
-		t.b.doc.Whole = false
+		t.b.doc.Complete = false
 		return false
 	}
 	above[g.name] = true
