--- a/internal/nodes/nodefile/nodefile.go
+++ b/internal/nodes/nodefile/nodefile.go
@@ -72,9 +72,9 @@
 
 // Doc is what a list says.
 type Doc struct {
-	Rows     []Row
-	Faults   []Fault
-	Complete bool // false: a file could not be read at all, and what is missing may well still be there
+	Rows     []Row   `json:"Rows"`
+	Faults   []Fault `json:"Faults"`
+	Complete bool    `json:"Whole"` // false: a file could not be read at all, and what is missing may well still be there
 }
 
 // field is a setting with its place.
