--- a/internal/lab/model/validate.go
+++ b/internal/lab/model/validate.go
@@ -36,7 +36,7 @@
 // validator keeps the first error.
 type validator struct {
 	parent *validator // the one that keeps the error; nil: this one does
-	prefix string   // of keys
+	prefix string     // of keys
 	first  error
 }
 
