--- /dev/null
+++ b/internal/lab/model/attempt.go
@@ -0,0 +1,182 @@
+package model
+
+import (
+	"time"
+
+	"poppyarch/internal/broker/decision"
+	"poppyarch/internal/lab/history"
+)
+
+// attempt is one attempt of a request at one node.
+type attempt struct {
+	request   *request
+	broker    *broker
+	node      *Node
+	conn      *conn
+	work      *Work
+	number    int
+	epoch     int // of the broker
+	openIndex int // among those open at the node; -1: not there
+	ended     bool
+}
+
+// abandon removes an attempt from its node without an outcome for its broker.
+func (b *broker) abandon(at *attempt) {
+	at.ended = true
+	at.node.removeOpen(at)
+	if at.work != nil {
+		at.work.gone = b.run.s.Service.DropsExpired
+	}
+	if at.conn != nil {
+		at.conn.end()
+	}
+}
+
+// send begins an attempt.
+func (b *broker) send(a *decision.Action) {
+	n, q := b.run.byName[a.Node], b.open[a.ID]
+	if q == nil || n == nil || q.last != nil && !q.last.ended {
+		b.run.ignoredForwards++
+		return
+	}
+	at := &attempt{request: q, broker: b, node: n, number: q.attempts, epoch: b.epoch, openIndex: -1}
+	q.attempts, q.last = q.attempts+1, at
+	b.run.attempts++
+	b.run.record(history.Record{Kind: history.AttemptSent, Request: q.id, Attempt: int32(at.number), Broker: b.id, Node: n.id})
+	wait, fresh := b.run.delay(), false
+	if b.run.s.Link.IdleTimeout > 0 {
+		if at.conn = b.takeIdleConn(n); at.conn == nil {
+			fresh = true
+			wait += b.run.delay() + b.run.delay() + b.run.s.Link.Handshake.us()
+			b.run.handshakes++
+		}
+	}
+	n.addOpen(at)
+	if wait > 0 {
+		b.run.e.After(wait, func() { b.arriveAtNode(at, fresh) })
+	} else {
+		b.arriveAtNode(at, fresh)
+	}
+	if after := a.After.Microseconds(); after < time.Hour.Microseconds() && !at.ended {
+		b.run.e.After(after, func() { b.endAttempt(at, decision.TimedOut) })
+	}
+}
+
+// arriveAtNode handles the arrival of an attempt at its node. fresh means that its connection is new.
+func (b *broker) arriveAtNode(at *attempt, fresh bool) {
+	n := at.node
+	switch {
+	case at.ended || n.away: // nothing comes of it
+		return
+	case n.down:
+		b.reportOutcome(at, decision.ConnectFailed)
+		return
+	}
+	if fresh {
+		if most := b.run.s.Service.Connections; most > 0 && n.conns >= most {
+			b.reportOutcome(at, decision.Rejected)
+			return
+		}
+		n.conns++
+		at.conn = &conn{node: n, epoch: n.epoch, busy: true}
+	}
+	if n.offer(at.request.work); n.down {
+		return // it fell, and all that it had is lost
+	}
+	q := at.request
+	if n.state != history.Up {
+		b.reportOutcome(at, decision.Rejected)
+		return
+	}
+	if n.errors > 0 && b.run.random.Float64() < n.errors {
+		b.reportOutcome(at, decision.NodeError)
+		return
+	}
+	w := &Work{Size: q.work, key: q.key, write: b.run.classes[q.class].Writes, first: at.number == 0}
+	if fresh {
+		w.Size += float64(b.run.s.Service.Handshake.us())
+	}
+	w.done = func() {
+		if n.lossy > 0 && b.run.random.Float64() < n.lossy {
+			return
+		}
+		if w.write && q.volume != nil {
+			q.volume.wrote(q.key, n.shard)
+		}
+		b.reportOutcome(at, decision.Served)
+	}
+	at.work = w
+	if !n.Take(w) {
+		b.run.full++
+		b.reportOutcome(at, decision.Rejected)
+	}
+}
+
+// reportOutcome passes an outcome to the broker after the way back.
+func (b *broker) reportOutcome(at *attempt, o decision.Outcome) {
+	if d := b.run.delay(); d > 0 {
+		b.run.e.After(d, func() { b.endAttempt(at, o) })
+		return
+	}
+	// No event may be handed in while the design is still at the last one.
+	if b.run.stepping == b {
+		b.run.e.After(0, func() { b.endAttempt(at, o) })
+		return
+	}
+	b.endAttempt(at, o)
+}
+
+// endAttempt handles the outcome of an attempt.
+func (b *broker) endAttempt(at *attempt, o decision.Outcome) {
+	if at.ended || at.epoch != b.epoch {
+		return
+	}
+	at.ended = true
+	at.node.removeOpen(at)
+	if at.work != nil && o != decision.Served {
+		at.work.gone = b.run.s.Service.DropsExpired
+	}
+	if at.conn != nil {
+		if o == decision.Served || o == decision.Rejected || o == decision.NodeError {
+			b.keepIdleConn(at.conn)
+		} else {
+			at.conn.end()
+		}
+	}
+	q := at.request
+	b.run.record(history.Record{Kind: history.AttemptEnded, Request: q.id, Attempt: int32(at.number), Broker: b.id, Node: at.node.id, NeverRan: o.NotExecuted()})
+	if o == decision.Served && !q.done {
+		b.respond(q.id, history.Served, 0)
+	}
+	b.step(decision.Event{Kind: decision.AttemptEnded, ID: q.id, Attempt: at.number, Node: at.node.name, Outcome: o, Final: q.done})
+}
+
+// addOpen and removeOpen keep the attempts that are open at a node.
+func (n *Node) addOpen(at *attempt) {
+	at.openIndex = len(n.open)
+	n.open = append(n.open, at)
+}
+
+func (n *Node) removeOpen(at *attempt) {
+	if at.openIndex < 0 {
+		return
+	}
+	last := n.open[len(n.open)-1]
+	n.open[at.openIndex], last.openIndex = last, at.openIndex
+	n.open = n.open[:len(n.open)-1]
+	at.openIndex = -1
+}
+
+// crash ends a node's process. Brokers see that their connections have broken.
+func (r *run) crash(n *Node) {
+	n.stop()
+	for len(n.open) > 0 {
+		at := n.open[len(n.open)-1]
+		n.removeOpen(at)
+		if at.work == nil && at.conn == nil && !at.ended {
+			r.e.After(r.delay(), func() { at.broker.endAttempt(at, decision.ConnectFailed) })
+		} else {
+			r.e.After(r.delay(), func() { at.broker.endAttempt(at, decision.ConnectionLost) })
+		}
+	}
+}
--- a/internal/lab/model/client.go
+++ b/internal/lab/model/client.go
@@ -190,7 +190,7 @@
 
 // comes is a client's first try.
 func (r *run) comes(v *volume) {
-	q := &request{first: r.e.Now(), vol: v, work: r.draw(), units: meanUnits}
+	q := &request{firstTryAt: r.e.Now(), volume: v, work: r.draw(), units: meanUnits}
 	lots := r.who
 	if len(r.classes) > 1 {
 		x := lots.Float64() * r.shares
@@ -210,28 +210,28 @@
 	now := r.e.Now()
 	kind := 1.0
 	if v.lots != nil {
-		q.inside = v.reserve.take(now, q.units)
+		q.withinReserve = v.reserve.take(now, q.units)
 		switch {
-		case q.inside:
+		case q.withinReserve:
 		case v.share.take(now, q.units):
 			kind = r.s.Rules.BurstValue
 		default:
 			kind = r.s.Rules.ExcessValue
 		}
 	}
-	q.worth = class.Priority * r.config.Plans[v.plan].PriceFactor * kind * q.units
-	r.due.add(now, q.worth)
+	q.weight = class.Priority * r.config.Plans[v.plan].PriceFactor * kind * q.units
+	r.due.add(now, q.weight)
 	r.asked.Add(now, 1)
 	r.seen++
-	if q.inside {
-		r.dueInside += q.worth
+	if q.withinReserve {
+		r.dueInside += q.weight
 	}
 	r.try(q, r.who)
 }
 
 // where the data of a request lies.
 func (r *run) where(q *request, lots *rand.Rand) {
-	v := q.vol
+	v := q.volume
 	if len(v.shards) == 0 || r.classes[q.class].Writes {
 		q.shard = -1
 		if v.lots != nil {
@@ -253,7 +253,7 @@
 
 // try is one way of a client to a broker.
 func (r *run) try(q *request, lots *rand.Rand) {
-	v := q.vol
+	v := q.volume
 	i := 0
 	if n := len(v.hosts); n > 1 {
 		i = r.host(v, lots)
@@ -266,27 +266,27 @@
 	r.lastID++
 	q.id = r.lastID
 	if p := r.classes[q.class].Deadline.us(); len(r.s.Classes) > 0 || r.s.Load.Deadline > 0 {
-		q.until = r.e.Now() + p
+		q.deadline = r.e.Now() + p
 	}
 	if b.down {
 		r.unheard++
 		return
 	}
-	if q.until > 0 {
+	if q.deadline > 0 {
 		epoch := b.epoch
-		r.e.At(q.until, func() {
-			if !q.over && epoch == b.epoch {
-				q.over = true
+		r.e.At(q.deadline, func() {
+			if !q.done && epoch == b.epoch {
+				q.done = true
 				r.given++
-				r.note(history.Record{Kind: history.ClientDisconnected, Request: q.id, Broker: b.id})
+				r.record(history.Record{Kind: history.ClientDisconnected, Request: q.id, Broker: b.id})
 				b.step(decision.Event{Kind: decision.ClientDisconnected, ID: q.id})
-				if at := q.last; at != nil && !at.over && b.epoch == epoch { // its broker ends the attempt; the node may go on with it
-					b.end(at, decision.Cancelled)
+				if at := q.last; at != nil && !at.ended && b.epoch == epoch { // its broker ends the attempt; the node may go on with it
+					b.endAttempt(at, decision.Cancelled)
 				}
 			}
 		})
 	}
-	b.take(q)
+	b.receive(q)
 }
 
 // host draws the broker of a try: the lead most often, the others less and less.
@@ -336,8 +336,8 @@
 	var all []Arrival
 	r := prepare(s, "", seed)
 	r.sink = func(q *request, broker int32) {
-		all = append(all, Arrival{At: q.first, Broker: broker, Class: int(q.class), Plan: q.vol.plan, Volume: q.vol.name, Hosts: len(q.vol.hosts), Key: q.key,
-			Shard: q.shard, Units: q.units, Work: q.work, Worth: q.worth, Inside: q.inside})
+		all = append(all, Arrival{At: q.firstTryAt, Broker: broker, Class: int(q.class), Plan: q.volume.plan, Volume: q.volume.name, Hosts: len(q.volume.hosts), Key: q.key,
+			Shard: q.shard, Units: q.units, Work: q.work, Worth: q.weight, Inside: q.withinReserve})
 	}
 	r.build()
 	r.makeVolumes()
@@ -362,35 +362,35 @@
 	return out, nil
 }
 
-// heard is what a client hears. It comes again once after a refusal or a failure, if it is one that does.
-func (r *run) heard(q *request, a history.Result, hint time.Duration) {
-	q.over = true
+// handleResponse is what a client hears. It comes again once after a refusal or a failure, if it is one that does.
+func (r *run) handleResponse(q *request, a history.Result, hint time.Duration) {
+	q.done = true
 	now := r.e.Now()
 	class := &r.classes[q.class]
 	switch a {
 	case history.Served:
 		r.served.Add(now, 1)
-		took := now - q.first
+		took := now - q.firstTryAt
 		if now >= r.from {
-			r.spent.Add(q.first, float64(took)/1e6)
+			r.spent.Add(q.firstTryAt, float64(took)/1e6)
 			r.latency.Add(took)
 		}
-		got := q.worth
+		got := q.weight
 		if took > class.LatencyObjective.us() {
 			got *= class.LateValue
 			r.late++
-		} else if q.inside {
+		} else if q.withinReserve {
 			r.earnedInside += got
 		}
-		r.earned.add(q.first, got)
+		r.earned.add(q.firstTryAt, got)
 		return
 	case history.Rejected:
 		r.refused++
 	default:
 		r.failed++
 	}
-	if q.try == 0 && r.s.Load.Retry > 0 && r.again.Float64() < r.s.Load.Retry {
-		again := &request{first: q.first, work: q.work, units: q.units, key: q.key, worth: q.worth, vol: q.vol, class: q.class, shard: q.shard, try: 1, inside: q.inside}
+	if q.tryNumber == 0 && r.s.Load.Retry > 0 && r.again.Float64() < r.s.Load.Retry {
+		again := &request{firstTryAt: q.firstTryAt, work: q.work, units: q.units, key: q.key, weight: q.weight, volume: q.volume, class: q.class, shard: q.shard, tryNumber: 1, withinReserve: q.withinReserve}
 		r.e.After(max(hint.Microseconds(), 50_000), func() { r.try(again, r.again) })
 	}
 }
--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -69,7 +69,7 @@
 				list = append(list, d.seen[i])
 			}
 		}
-		b.told(decision.EndpointsReplaced, list)
+		b.notify(decision.EndpointsReplaced, list)
 	})
 }
 
@@ -99,7 +99,7 @@
 			epoch := b.epoch
 			d.r.e.After(max(d.r.delay(), 1), func() {
 				if b.epoch == epoch && b.watching {
-					b.told(decision.EndpointsChanged, []decision.Endpoint{m})
+					b.notify(decision.EndpointsChanged, []decision.Endpoint{m})
 				}
 			})
 		}
--- a/internal/lab/model/run.go
+++ b/internal/lab/model/run.go
@@ -97,26 +97,26 @@
 	sink      func(q *request, broker int32) // takes tries in the brokers' place
 	err       error
 
-	from                    int64
-	draw                    func() float64
-	who, again, lots, links *rand.Rand
-	loadBy                  float64
-	lastID, keys            uint64
+	from                      int64
+	draw                      func() float64
+	who, again, random, links *rand.Rand
+	loadBy                    float64
+	lastID, keys              uint64
 
-	asked, spent, served    *statistics.Batches
-	inside                  *statistics.Level
-	latency                 sketch.Sketch // microseconds
-	due, earned             ledger
-	dueInside, earnedInside float64
-	full, given, seen, moot int
-	refused, failed, late   int
-	unheard, attempts       int
-	handshakes, falls       int
-	coldSends               int
-	mostOpen                int
+	asked, spent, served               *statistics.Batches
+	inside                             *statistics.Level
+	latency                            sketch.Sketch // microseconds
+	due, earned                        ledger
+	dueInside, earnedInside            float64
+	full, given, seen, ignoredForwards int
+	refused, failed, late              int
+	unheard, attempts                  int
+	handshakes, falls                  int
+	coldSends                          int
+	mostOpen                           int
 }
 
-func (r *run) note(rec history.Record) {
+func (r *run) record(rec history.Record) {
 	rec.At = r.e.Now()
 	r.checker.Add(&rec)
 }
@@ -144,7 +144,7 @@
 	n.reached = func() { r.coldSends++ }
 	n.fell = func(n *Node) {
 		r.falls++
-		r.note(history.Record{Kind: history.NodeOverloaded, Node: n.id})
+		r.record(history.Record{Kind: history.NodeOverloaded, Node: n.id})
 		r.crash(n)
 	}
 	r.nodes = append(r.nodes, n)
@@ -233,7 +233,7 @@
 	r.build()
 	r.makeVolumes()
 	for _, b := range r.brokers {
-		r.fail(b.wake())
+		r.fail(b.start())
 	}
 	r.troubles()
 	r.clients()
@@ -256,7 +256,7 @@
 		served: statistics.NewBatches(from, to, batches), inside: statistics.NewLevel(from, to, batches)}
 	per := max(to/SeriesParts, 1)
 	r.due, r.earned = ledger{per, make([]float64, SeriesParts)}, ledger{per, make([]float64, SeriesParts)}
-	r.who, r.again, r.lots, r.links = r.e.Stream("who"), r.e.Stream("again"), r.e.Stream("lots"), r.e.Stream("links")
+	r.who, r.again, r.random, r.links = r.e.Stream("who"), r.e.Stream("again"), r.e.Stream("lots"), r.e.Stream("links")
 	for _, c := range r.classes {
 		r.shares += c.Share
 	}
@@ -301,14 +301,14 @@
 	r.discovery = &discovery{r: r, lots: r.e.Stream("discovery"), times: 1}
 	r.discovery.first()
 	for i := range int32(s.Brokers) {
-		r.brokers = append(r.brokers, &broker{r: r, id: i, zone: i % zones, rng: r.e.Stream(fmt.Sprint("broker ", i)), known: append([]decision.Endpoint(nil), r.discovery.seen...)})
+		r.brokers = append(r.brokers, &broker{run: r, id: i, zone: i % zones, random: r.e.Stream(fmt.Sprint("broker ", i)), known: append([]decision.Endpoint(nil), r.discovery.seen...)})
 	}
 }
 
 func (r *run) result(design string, seed uint64, to int64) *Result {
 	res := &Result{Scenario: r.s.Name, Design: design, Seed: seed, Asked: r.asked.Rate(), Served: r.served.Rate(), Time: r.spent.Mean(), Inside: r.inside.Mean(to),
 		Full: r.full, GivenUp: r.given, Refused: r.refused, Failed: r.failed, Late: r.late, Unheard: r.unheard, Attempts: r.attempts, Handshakes: r.handshakes,
-		Calls: r.discovery.calls, Fell: r.falls, MostOpen: r.mostOpen, Moot: r.moot, Events: r.e.Count(), Requests: r.seen}
+		Calls: r.discovery.calls, Fell: r.falls, MostOpen: r.mostOpen, Moot: r.ignoredForwards, Events: r.e.Count(), Requests: r.seen}
 	res.Median, res.P99 = float64(r.latency.Quantile(0.5))/1e6, float64(r.latency.Quantile(0.99))/1e6
 	for _, at := range Quantiles {
 		res.Quantiles = append(res.Quantiles, float64(r.latency.Quantile(at))/1e6)
--- a/internal/lab/model/trouble.go
+++ b/internal/lab/model/trouble.go
@@ -19,10 +19,10 @@
 		case "broker":
 			r.each(p, lot, len(r.brokers), func(i int) {
 				b := r.brokers[i]
-				b.die()
+				b.crash()
 				r.e.After(p.Duration.us(), func() {
 					if b.down {
-						r.fail(b.wake())
+						r.fail(b.start())
 					}
 				})
 			})
@@ -177,7 +177,7 @@
 
 func (r *run) restart(n *Node) {
 	n.start()
-	r.note(history.Record{Kind: history.NodeStarted, Node: n.id, Shard: n.shard, Zone: n.zone})
+	r.record(history.Record{Kind: history.NodeStarted, Node: n.id, Shard: n.shard, Zone: n.zone})
 	r.discovery.changed(n)
 }
 
@@ -192,7 +192,7 @@
 		heir := r.newNode(n.Cores, n.Speed, n.Room, n.shard, n.zone, n.kind)
 		n.heir = heir
 		heir.start()
-		r.note(history.Record{Kind: history.NodeStarted, Node: heir.id, Shard: heir.shard, Zone: heir.zone})
+		r.record(history.Record{Kind: history.NodeStarted, Node: heir.id, Shard: heir.shard, Zone: heir.zone})
 		r.discovery.changed(heir)
 	})
 	r.e.After(last, func() {
