--- a/internal/fleet/reconcile/action.go
+++ b/internal/fleet/reconcile/action.go
@@ -7,33 +7,33 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// ActionKind says what the agent is to do.
+// ActionKind is the type of an Action.
 type ActionKind uint8
 
 // The kinds of actions.
 const (
 	NoAction       ActionKind = iota
-	FindProcess               // look for a process with LaunchID
-	StartProcess              // start one with a new launch id
+	FindProcess               // look for a process that was started with LaunchID
+	StartProcess              // start a process with a new launch id
 	Terminate                 // ask the process to drain
-	Kill                      // end it at once
-	Probe                     // ask the broker for its state and its health
-	SendCommand               // send Command
-	ForgetInstance            // nothing is left of the instance
+	Kill                      // kill the process
+	Probe                     // query the broker's state and health
+	SendCommand               // send Command to the broker
+	ForgetInstance            // the instance has ended and may be forgotten
 )
 
-// Action is the next thing to do for an instance. The agent records its result before it asks for another.
+// Action is the next step for an instance. The agent records its result before it asks for another one.
 type Action struct {
 	Kind     ActionKind
-	LaunchID string   // of FindProcess
-	Command  *Command // of SendCommand
+	LaunchID string   // for FindProcess
+	Command  *Command // for SendCommand
 	Reason   string   // for the log
 }
 
-// never is the wake time where only an event can bring a next action.
+// never is the wake time when only an event can lead to another action.
 const never = clock.Micros(math.MaxInt64 / 2)
 
-// Next returns the action to take now, and the time at which to ask again at the latest.
+// Next returns the action to take now, and the latest time at which to call Next again.
 func (c *Controller) Next(now clock.Micros) (action Action, wakeAt clock.Micros) {
 	switch c.Phase {
 	case StartIntended:
@@ -86,13 +86,14 @@
 	return Action{Kind: Kill, Reason: "it did not drain in time"}, now
 }
 
-// nextCall decides on the next call to a broker that should run as it does.
+// nextCall returns the next call to a broker whose process should keep running with its current start settings.
 func (c *Controller) nextCall(now clock.Micros) (Action, clock.Micros) {
 	if c.status.known() && now-c.status.observedAt > c.config.StatusTTL {
 		c.status = brokerStatus{}
 	}
 	if c.Pending != nil && c.Pending.TargetEdition != c.Desired.TargetEdition {
-		// Repeated now, the same id would carry other content. Whether the broker took the command shows at the next probe.
+		// A repeat would send other content under the same id. The next probe shows whether the broker applied the
+		// command.
 		c.Pending = nil
 		c.status = brokerStatus{}
 		c.calls.nextProbeAt = 0
@@ -101,10 +102,10 @@
 		if c.calls.failures > 0 && now < c.calls.nextProbeAt {
 			return Action{}, c.calls.nextProbeAt
 		}
-		return c.unlessHeldBack(now, Action{Kind: SendCommand, Command: c.Pending, Reason: "the command's outcome is unknown"})
+		return c.ifBreakerAllows(now, Action{Kind: SendCommand, Command: c.Pending, Reason: "the command's outcome is unknown"})
 	}
 	if c.needsCommand(now) {
-		action, wakeAt := c.unlessHeldBack(now, Action{Kind: SendCommand, Reason: "it holds an older edition"})
+		action, wakeAt := c.ifBreakerAllows(now, Action{Kind: SendCommand, Reason: "it holds an older edition"})
 		if action.Kind == SendCommand {
 			c.Pending = c.newCommand()
 			action.Command = c.Pending
@@ -114,11 +115,11 @@
 	if now < c.calls.nextProbeAt {
 		return Action{}, c.calls.nextProbeAt
 	}
-	return c.unlessHeldBack(now, Action{Kind: Probe})
+	return c.ifBreakerAllows(now, Action{Kind: Probe})
 }
 
-// unlessHeldBack returns a call, or no action where the circuit breaker does not allow it.
-func (c *Controller) unlessHeldBack(now clock.Micros, call Action) (Action, clock.Micros) {
+// ifBreakerAllows returns call if the circuit breaker allows it, and otherwise no action and the time to ask again.
+func (c *Controller) ifBreakerAllows(now clock.Micros, call Action) (Action, clock.Micros) {
 	if allowed, retryAt := c.calls.breaker.Allow(now); !allowed {
 		return Action{}, retryAt
 	}
@@ -129,7 +130,8 @@
 	return c.Pending != nil && c.status.known() && c.Pending.Incarnation == c.status.incarnation
 }
 
-// needsCommand reports whether a recent status shows an older edition than desired, which the broker has not rejected.
+// needsCommand reports whether a recent status shows an edition older than the target edition, the broker has not
+// rejected the target edition, and no command is pending or delayed.
 func (c *Controller) needsCommand(now clock.Micros) bool {
 	return c.Pending == nil &&
 		c.status.known() &&
--- a/internal/fleet/reconcile/config.go
+++ b/internal/fleet/reconcile/config.go
@@ -9,21 +9,21 @@
 
 // Config holds the intervals and limits by which a Controller decides.
 type Config struct {
-	HealthyProbeInterval   clock.Micros // between two probes of a healthy broker
-	UnhealthyProbeInterval clock.Micros // and of one that is not
-	StatusTTL              clock.Micros // age at which a broker's last status counts no more
-	DrainTimeout           clock.Micros // from the request to drain to the kill
-
-	InitialBackoff    clock.Micros // before the restart after a crash; doubles with each further one
-	MaxBackoff        clock.Micros // bound of the doubling
-	StableRunTime     clock.Micros // a run of this length ends the doubling
-	CrashWindow       clock.Micros // in which crashes are counted
-	FlappingThreshold int          // crashes within the window that make an instance flap
-
-	Breaker retry.BreakerConfig // of the calls to one broker
+	HealthyProbeInterval   clock.Micros // time between probes of a healthy broker
+	UnhealthyProbeInterval clock.Micros // time between probes of an unhealthy broker
+	StatusTTL              clock.Micros // age at which a broker's last status expires
+	DrainTimeout           clock.Micros // time from the request to drain until the process is killed
+
+	InitialBackoff    clock.Micros // delay of the restart after the first crash; doubles with each further crash
+	MaxBackoff        clock.Micros // upper limit of that delay
+	StableRunTime     clock.Micros // a process that has run for this long resets the delay to InitialBackoff
+	CrashWindow       clock.Micros // period within which crashes are counted
+	FlappingThreshold int          // crashes within CrashWindow at which an instance is reported as flapping
+
+	Breaker retry.BreakerConfig // for the calls to one broker
 }
 
-// DefaultConfig suits brokers whose longest deadline is some seconds.
+// DefaultConfig returns a configuration for brokers whose longest request deadline is a few seconds.
 func DefaultConfig() Config {
 	return Config{
 		HealthyProbeInterval:   clock.FromDuration(time.Second),
--- a/internal/fleet/reconcile/controller_test.go
+++ b/internal/fleet/reconcile/controller_test.go
@@ -31,12 +31,12 @@
 	return &control.State{Boot: incarnation, PID: testPID, StartDigest: "d", AppliedRevision: applied}
 }
 
-// nextCommand returns the command that the controller gives out at testTime.
+// nextCommand returns the command that Next returns at testTime. It fails the test for any other action.
 func nextCommand(t *testing.T, c *Controller) *Command {
 	t.Helper()
 	action, _ := c.Next(testTime)
 	if action.Kind != SendCommand {
-		t.Fatalf("the next action is %+v, want a command", action)
+		t.Fatalf("next action is %+v, want SendCommand", action)
 	}
 	return action.Command
 }
@@ -51,7 +51,7 @@
 	} {
 		c.RecordProbe(now, other, true, nil)
 		if r := c.Report(now); r.Incarnation != "b1" || r.AppliedEdition != 0 {
-			t.Fatalf("after the state %+v of another process the report is %+v", other, r)
+			t.Fatalf("after a probe that returned the state of another process, %+v, the report is %+v", other, r)
 		}
 	}
 }
@@ -62,16 +62,16 @@
 	c.RecordProbe(now, brokerState("b1", 0), true, nil)
 	superseded := *nextCommand(t, c)
 	if superseded.Incarnation != "b1" || superseded.TargetEdition != 5 || superseded.BaseEdition != 0 {
-		t.Fatalf("%+v", superseded)
+		t.Fatalf("first command is %+v, want incarnation b1 from edition 0 to 5", superseded)
 	}
-	// The command is not repeated for another target edition, since its id has other content now.
+	// The command is not repeated, since the same id would now carry another target edition.
 	c.SetDesired(Desired{Run: true, StartDigest: "d", TargetEdition: 8})
 	if action, _ := c.Next(now); action.Kind != Probe {
-		t.Fatalf("%+v", action)
+		t.Fatalf("next action is %+v, want Probe", action)
 	}
 	c.RecordProbe(now, brokerState("b1", 0), true, nil)
 	if command := nextCommand(t, c); command.ID == superseded.ID || command.TargetEdition != 8 {
-		t.Fatalf("%+v", command)
+		t.Fatalf("second command is %+v, want a new id and target edition 8", command)
 	}
 	c.RecordOutcome(now, superseded.ID, &control.Outcome{Code: control.CodeApplied, Boot: "b1", AppliedRevision: 5}, nil)
 	if r := c.Report(now); r.AppliedEdition != 0 || c.Pending == nil || c.Pending.TargetEdition != 8 {
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestCommandEndsWithItsIncarnation(t *testing.T) {
+func TestPendingCommandIsDroppedWhenItsIncarnationEnds(t *testing.T) {
 	c := newRunningController()
 	c.SetDesired(Desired{Run: true, StartDigest: "d", TargetEdition: 8})
 	now := testTime
@@ -87,15 +87,15 @@
 	nextCommand(t, c)
 	c.RecordProbe(now, brokerState("b2", 0), true, nil)
 	if c.Pending != nil || c.Report(now).Incarnation != "b2" {
-		t.Fatalf("%+v", c.Pending)
+		t.Fatalf("pending command is %+v, reported incarnation %q; want none and b2", c.Pending, c.Report(now).Incarnation)
 	}
 	command := nextCommand(t, c)
 	if command.Incarnation != "b2" {
-		t.Fatalf("%+v", command)
+		t.Fatalf("command is %+v, want incarnation b2", command)
 	}
 	c.RecordOutcome(now, command.ID, &control.Outcome{Code: control.CodeApplied, Boot: "b2", AppliedRevision: 8}, nil)
 	if r := c.Report(now); r.AppliedEdition != 8 || r.Incarnation != "b2" {
-		t.Fatalf("%+v", r)
+		t.Fatalf("report is %+v, want incarnation b2 with edition 8", r)
 	}
 }
 
@@ -104,10 +104,10 @@
 	now := testTime
 	c.RecordProbe(now, brokerState("b2", 8), true, nil)
 	if r := c.Report(now); r.AppliedEdition != 8 || r.Incarnation != "b2" || !r.Healthy {
-		t.Fatalf("%+v", r)
+		t.Fatalf("report is %+v, want the healthy incarnation b2 with edition 8", r)
 	}
 	if r := c.Report(now + DefaultConfig().StatusTTL + 1); r.Incarnation != "" || r.AppliedEdition != 0 || r.Healthy {
-		t.Fatalf("%+v", r)
+		t.Fatalf("report after the status TTL is %+v, want no broker status", r)
 	}
 }
 
@@ -120,22 +120,22 @@
 	for step := range 50 {
 		now += 100_000
 		if action, _ := c.Next(now); action.Kind == SendCommand {
-			t.Fatalf("sent again at step %d", step)
+			t.Fatalf("rejected edition was sent again at step %d", step)
 		} else if action.Kind == Probe {
 			c.RecordProbe(now, brokerState("b1", 0), true, nil)
 		}
 	}
 	if r := c.Report(now); r.RejectedEdition != 5 {
-		t.Fatalf("%+v", r)
+		t.Fatalf("report is %+v, want rejected edition 5", r)
 	}
 	c.SetDesired(Desired{Run: true, StartDigest: "d", TargetEdition: 6})
 	c.RecordProbe(now, brokerState("b1", 0), true, nil)
 	if action, _ := c.Next(now); action.Kind != SendCommand || c.Report(now).RejectedEdition != 0 {
-		t.Fatalf("%+v", action)
+		t.Fatalf("next action is %+v, rejected edition %d; want SendCommand and 0", action, c.Report(now).RejectedEdition)
 	}
 }
 
-// waitForProbe moves the time on until the controller gives out a probe, or until end.
+// waitForProbe advances the time until Next returns a probe, or until end.
 func waitForProbe(c *Controller, now, end clock.Micros) (probeAt clock.Micros, ok bool) {
 	for now < end {
 		action, wakeAt := c.Next(now)
@@ -147,7 +147,7 @@
 	return now, false
 }
 
-func TestBrokerWithoutAnswersIsProbedLessOftenAndFoundAgain(t *testing.T) {
+func TestUnresponsiveBrokerIsProbedLessOftenUntilItRecovers(t *testing.T) {
 	const minute = clock.Micros(60_000_000)
 	c := newRunningController()
 	now := testTime
@@ -162,15 +162,15 @@
 		c.RecordProbe(now, nil, false, errors.New("connection refused"))
 	}
 	if probes > 40 || probes < 5 {
-		t.Errorf("%d probes in a minute without an answer", probes)
+		t.Errorf("%d probes in a minute of an unresponsive broker, want 5 to 40", probes)
 	}
-	answersFrom := now
+	recoveredAt := now
 	now, ok := waitForProbe(c, now, now+minute)
 	if !ok {
-		t.Fatal("not probed for a minute")
+		t.Fatal("the broker was not probed within a minute of its recovery")
 	}
 	c.RecordProbe(now, brokerState("b1", 5), true, nil)
-	if now-answersFrom > DefaultConfig().Breaker.MaxOpen+1_000_000 || c.Report(now).Incarnation != "b1" {
-		t.Errorf("found again after %d µs", now-answersFrom)
+	if now-recoveredAt > DefaultConfig().Breaker.MaxOpen+1_000_000 || c.Report(now).Incarnation != "b1" {
+		t.Errorf("probed %d µs after the recovery, and reported as %+v", now-recoveredAt, c.Report(now))
 	}
 }
--- a/internal/fleet/reconcile/event.go
+++ b/internal/fleet/reconcile/event.go
@@ -9,8 +9,8 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// SetDesired sets the desired state. A new target edition lets a rejected change be tried again; other start settings end
-// the restart backoff, since another start may well succeed where this one crashed.
+// SetDesired sets the desired state. A new target edition allows another attempt after a rejected change. New start
+// settings reset the restart backoff, since a process with them may run although the previous one crashed.
 func (c *Controller) SetDesired(desired Desired) {
 	if desired.TargetEdition != c.Desired.TargetEdition {
 		c.rejectedEdition = 0
@@ -23,14 +23,14 @@
 	c.calls.nextProbeAt = 0
 }
 
-// RecordStartIntent notes that a process is about to be started. The intent must be on disk before the start.
+// RecordStartIntent records that a process is about to be started. The intent must be on disk before the start.
 func (c *Controller) RecordStartIntent(launchID, startDigest string) {
 	c.Phase = StartIntended
 	c.LaunchID = launchID
 	c.StartDigest = startDigest
 }
 
-// RecordRunning notes that the process runs: started now, or found to be running from before.
+// RecordRunning records that the process runs, whether it was started just now or found running.
 func (c *Controller) RecordRunning(id process.Identity, now clock.Micros) {
 	c.Phase = Running
 	c.Process = id
@@ -40,13 +40,14 @@
 	c.calls = callState{breaker: retry.NewBreaker(c.config.Breaker)}
 }
 
-// RecordNotFound notes that no process has the launch id.
+// RecordNotFound records that no process has the launch id.
 func (c *Controller) RecordNotFound() {
 	c.Phase = NoProcess
 	c.Process = process.Identity{}
 }
 
-// RecordExit notes that the process has ended. cause says how; it counts as a crash unless the process was draining.
+// RecordExit records that the process has ended, and the cause. An exit counts as a crash unless the process was
+// draining.
 func (c *Controller) RecordExit(now clock.Micros, cause string) {
 	wasDraining := c.Phase == Draining
 	c.Phase = NoProcess
@@ -61,7 +62,7 @@
 	c.recordCrash(now, cause)
 }
 
-// RecordStartFailure notes that the process could not be started.
+// RecordStartFailure records that the process could not be started.
 func (c *Controller) RecordStartFailure(now clock.Micros, err error) {
 	c.Phase = NoProcess
 	c.Process = process.Identity{}
@@ -84,7 +85,7 @@
 	c.crashes.backoff.Reset()
 }
 
-// RecordProbe notes the result of a probe: the broker's state and health, or the error of a probe without an answer.
+// RecordProbe records the result of a probe: the broker's state and health, or the error of a probe that got no answer.
 func (c *Controller) RecordProbe(now clock.Micros, state *control.State, healthy bool, err error) {
 	if c.Phase != Running {
 		return
@@ -99,7 +100,7 @@
 	}
 	c.recordSuccess(now)
 	if c.Pending != nil && c.Pending.Incarnation != state.Boot {
-		c.Pending = nil // its incarnation has ended, and whatever it had applied with it
+		c.Pending = nil // its incarnation has ended, and what that had applied is lost
 	}
 	c.status = brokerStatus{
 		incarnation:    state.Boot,
@@ -116,8 +117,8 @@
 	}
 }
 
-// RecordOutcome notes the outcome of a command, or the error of a call without an answer. An outcome of any but the
-// pending command is ignored.
+// RecordOutcome records the outcome of a command, or the error of a call that got no answer. The outcome of a command
+// that is not pending is ignored.
 func (c *Controller) RecordOutcome(now clock.Micros, commandID string, outcome *control.Outcome, err error) {
 	if c.Pending == nil || c.Pending.ID != commandID {
 		return
@@ -146,7 +147,8 @@
 	c.lastError = string(outcome.Code) + ": " + outcome.Reason
 }
 
-// RecordNotSent notes that the command that Next gave out could not be written to the journal, and so was not sent.
+// RecordNotSent records that the command that Next returned was not sent, because it could not be written to the
+// journal.
 func (c *Controller) RecordNotSent() {
 	c.Pending = nil
 	c.calls.breaker.Cancel()
@@ -158,8 +160,9 @@
 	c.retryBudget.RecordCall()
 }
 
-// recordFailure notes a call without an answer. Until a process has answered for the first time it is starting, and
-// failures do not count. After that a quick retry needs the budget, and failures in a row open the breaker.
+// recordFailure records a call that got no answer. Until a process has answered for the first time, it is assumed to be
+// starting, and failures do not count. After that, an early retry needs the retry budget, and consecutive failures open
+// the circuit breaker.
 func (c *Controller) recordFailure(now clock.Micros, cause string) {
 	if !c.calls.answered {
 		c.calls.breaker.Record(now, true, 0)
--- a/internal/fleet/reconcile/property_test.go
+++ b/internal/fleet/reconcile/property_test.go
@@ -14,8 +14,8 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// simulation carries out a controller's actions on a simulated process and broker, with failures drawn at random, and
-// checks each of them.
+// simulation carries out a controller's actions on a simulated process and broker, with random failures, and checks
+// each of the actions.
 type simulation struct {
 	t          *rapid.T
 	controller *Controller
@@ -26,10 +26,10 @@
 	pid      int
 
 	incarnation int
-	probed      string // incarnation that was probed last
-	applied     uint64 // edition that the present incarnation holds
+	lastProbed  string // incarnation of the last probe
+	applied     uint64 // edition that the current incarnation holds
 
-	targetOfCommand map[string]uint64 // by command id
+	targetOfCommand map[string]uint64 // target editions by command id
 }
 
 func newSimulation(t *rapid.T) *simulation {
@@ -43,7 +43,7 @@
 	}
 }
 
-// step lets some time pass; then the desired state changes, the process dies, or the next action is carried out.
+// step advances the time; then the desired state changes, the process is killed, or the next action is carried out.
 func (s *simulation) step() {
 	s.now += clock.Micros(rapid.IntRange(0, 2_000_000).Draw(s.t, "time"))
 	switch rapid.IntRange(0, 9).Draw(s.t, "event") {
@@ -54,7 +54,7 @@
 			s.exit()
 		}
 	default:
-		s.act()
+		s.takeAction()
 		s.checkReport()
 	}
 }
@@ -73,18 +73,18 @@
 	s.controller.RecordExit(s.now, "killed")
 }
 
-func (s *simulation) act() {
+func (s *simulation) takeAction() {
 	switch action, _ := s.controller.Next(s.now); action.Kind {
 	case StartProcess:
 		s.start()
 	case Terminate:
 		if !s.running || s.draining {
-			s.t.Fatalf("asked to drain: running %v, draining %v", s.running, s.draining)
+			s.t.Fatalf("Terminate with running %v, draining %v", s.running, s.draining)
 		}
 		s.draining = true
 	case Kill:
 		if !s.draining {
-			s.t.Fatal("killed without having been asked to drain")
+			s.t.Fatal("Kill of a process that has not been asked to drain")
 		}
 		s.exit()
 	case Probe:
@@ -96,7 +96,7 @@
 
 func (s *simulation) start() {
 	if s.running {
-		s.t.Fatal("started while it runs")
+		s.t.Fatal("StartProcess while a process runs")
 	}
 	s.controller.RecordStartIntent("launch", s.controller.Desired.StartDigest)
 	if rapid.IntRange(0, 5).Draw(s.t, "start fails") == 0 {
@@ -113,23 +113,23 @@
 
 func (s *simulation) probe() {
 	if !s.running {
-		s.t.Fatal("probed while nothing runs")
+		s.t.Fatal("Probe while no process runs")
 	}
 	if rapid.IntRange(0, 3).Draw(s.t, "probe fails") == 0 {
 		s.controller.RecordProbe(s.now, nil, false, errors.New("time-out"))
 		return
 	}
-	s.probed = fmt.Sprint("b", s.incarnation)
-	answer := &control.State{Boot: s.probed, PID: s.pid, StartDigest: s.controller.StartDigest, AppliedRevision: s.applied}
+	s.lastProbed = fmt.Sprint("b", s.incarnation)
+	answer := &control.State{Boot: s.lastProbed, PID: s.pid, StartDigest: s.controller.StartDigest, AppliedRevision: s.applied}
 	s.controller.RecordProbe(s.now, answer, true, nil)
 }
 
 func (s *simulation) send(command *Command) {
-	if command.Incarnation != s.probed || s.draining {
-		s.t.Fatalf("a command to %s, probed last was %s, draining %v", command.Incarnation, s.probed, s.draining)
+	if command.Incarnation != s.lastProbed || s.draining {
+		s.t.Fatalf("SendCommand to incarnation %s, last probed %s, draining %v", command.Incarnation, s.lastProbed, s.draining)
 	}
 	if target, sent := s.targetOfCommand[command.ID]; sent && target != command.TargetEdition {
-		s.t.Fatalf("command %s for the editions %d and %d", command.ID, target, command.TargetEdition)
+		s.t.Fatalf("command id %s has the target editions %d and %d", command.ID, target, command.TargetEdition)
 	}
 	s.targetOfCommand[command.ID] = command.TargetEdition
 	lost := errors.New("connection reset")
@@ -144,7 +144,7 @@
 	}
 }
 
-// apply is the broker's side of a command.
+// apply does what a broker does with a command.
 func (s *simulation) apply(command *Command) *control.Outcome {
 	outcome := &control.Outcome{Code: control.CodeApplied, Boot: command.Incarnation}
 	if command.BaseEdition == s.applied {
@@ -159,15 +159,15 @@
 func (s *simulation) checkReport() {
 	report := s.controller.Report(s.now)
 	if report.AppliedEdition > s.applied {
-		s.t.Fatalf("reported %+v, applied is %d", report, s.applied)
+		s.t.Fatalf("report is %+v, but the broker has applied edition %d only", report, s.applied)
 	}
 	if !s.running && (report.Incarnation != "" || report.Process == state.Running) {
-		s.t.Fatalf("reported %+v, and nothing runs", report)
+		s.t.Fatalf("report is %+v, but no process runs", report)
 	}
 }
 
-// Whatever happens in whatever order: no start while a process runs, no second drain, no kill without a drain, no command
-// but to the incarnation that was probed last, and no report of what that incarnation has not said.
+// In any order of events there is no start while a process runs, no second drain, no kill without a drain, no command
+// to an incarnation other than the one probed last, and no report of anything that this incarnation has not stated.
 func TestActionsAndReportsAreSafeInAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t)
--- a/internal/fleet/reconcile/report.go
+++ b/internal/fleet/reconcile/report.go
@@ -5,8 +5,8 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// Report returns the instance's state for the manager: of its broker no more than the present incarnation has
-// said within the status TTL.
+// Report returns the instance's state for the manager. It includes the broker's status only if the current incarnation
+// has reported it within the status TTL.
 func (c *Controller) Report(now clock.Micros) state.Report {
 	report := state.Report{
 		Name:            c.Name,
@@ -51,7 +51,7 @@
 	return state.Stopped
 }
 
-// flapping drops crashes that are older than the window, and reports whether too many are left.
+// flapping drops crashes older than the crash window, and reports whether the rest reach the flapping threshold.
 func (c *Controller) flapping(now clock.Micros) bool {
 	for len(c.crashes.recent) > 0 && now-c.crashes.recent[0] > c.config.CrashWindow {
 		c.crashes.recent = c.crashes.recent[1:]
