--- a/internal/fleet/supervisor/action.go
+++ b/internal/fleet/supervisor/action.go
@@ -14,7 +14,7 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// untilNextAction returns the time until an instance's next action is due, at most maxIdle.
+// untilNextAction returns the time until the next action of any instance is due, at most maxIdle.
 func (s *Supervisor) untilNextAction() time.Duration {
 	now := s.clock.Now()
 	at := now + clock.FromDuration(maxIdle)
@@ -26,7 +26,7 @@
 	return clock.Duration(max(at-now, 0))
 }
 
-// takeDueActions takes all actions that are due. Only a journal that cannot be used any more is an error.
+// takeDueActions takes all actions that are due. It returns an error only if the journal can no longer be used.
 func (s *Supervisor) takeDueActions(ctx context.Context) error {
 	for _, name := range slices.Sorted(maps.Keys(s.instances)) {
 		if err := s.takeActionsOf(ctx, s.instances[name]); err != nil {
@@ -43,8 +43,8 @@
 			if s.journal.Err() != nil {
 				return err
 			}
-			// The disk is full, say: there may be space later.
-			instance.nextActionAt = s.clock.Now() + clock.FromDuration(journalRetryTime)
+			// The cause may pass, such as a full disk.
+			instance.nextActionAt = s.clock.Now() + clock.FromDuration(journalRetryDelay)
 			return nil
 		}
 		if !more {
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// takeNextAction takes an instance's next action. It returns false where no other one follows for now, and an error where a
-// record could not be written, so that the action was not taken.
+// takeNextAction takes an instance's next action. It returns false if no other action follows for now, and an error if
+// a record could not be written and so the action was not taken.
 func (s *Supervisor) takeNextAction(ctx context.Context, instance *managedInstance) (more bool, err error) {
 	pending := instance.Pending
 	action, wakeAt := instance.Next(s.clock.Now())
@@ -69,10 +69,10 @@
 		return true, s.startProcess(instance)
 	case reconcile.Terminate:
 		s.log.Info("agent: instance asked to drain", "instance", instance.Name, "pid", instance.Process.PID, "why", action.Reason)
-		_ = instance.handle.Terminate() // fails only where it has ended, which is an event of its own
+		_ = instance.handle.Terminate() // fails only if the process has ended, which arrives as an event
 	case reconcile.Kill:
 		s.log.Error("agent: instance killed", "instance", instance.Name, "pid", instance.Process.PID, "why", action.Reason)
-		_ = instance.handle.Kill() // fails only where it has ended
+		_ = instance.handle.Kill() // fails only if the process has ended
 	case reconcile.Probe:
 		s.probe(ctx, instance)
 	case reconcile.SendCommand:
@@ -88,7 +88,7 @@
 	return true, nil
 }
 
-// findProcess looks for a process that an earlier agent may have started without writing its identity down.
+// findProcess looks for a process that an earlier agent may have started without recording its identity in the journal.
 func (s *Supervisor) findProcess(instance *managedInstance, launchID string) error {
 	id, ok := s.runner.Find(launchID)
 	if !ok {
@@ -100,7 +100,7 @@
 	}
 	adopted, err := s.runner.Adopt(id)
 	if err != nil {
-		return nil // it has ended just now, and the next search finds none
+		return nil // the process has just ended, and the next search does not find it
 	}
 	if err := s.commit(&record{Kind: recordStarted, Name: instance.Name, Process: &id}); err != nil {
 		return err
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// startProcess starts a process. The intent is written before the start, the identity after it.
+// startProcess starts a process. It commits the intent before the start, and the identity after it.
 func (s *Supervisor) startProcess(instance *managedInstance) error {
 	now := s.clock.Now()
 	assigned := s.state.Instances[instance.Name].Assignment.Desired
@@ -136,7 +136,7 @@
 	s.log.Info("agent: instance started", "instance", instance.Name, "pid", id.PID)
 	instance.RecordRunning(id, now)
 	s.watch(instance, started)
-	// Where this fails on a full disk, the next agent finds the process by its launch id.
+	// If this fails, say on a full disk, the next agent finds the process by its launch id.
 	return s.commit(&record{Kind: recordStarted, Name: instance.Name, Process: &id})
 }
 
@@ -153,7 +153,7 @@
 	return hex.EncodeToString(b[:])
 }
 
-// probe asks an instance's broker for its state in a goroutine.
+// probe queries the state of an instance's broker in a goroutine.
 func (s *Supervisor) probe(ctx context.Context, instance *managedInstance) {
 	instance.callInFlight = true
 	assigned := s.state.Instances[instance.Name].Assignment.Desired
--- a/internal/fleet/supervisor/assignments.go
+++ b/internal/fleet/supervisor/assignments.go
@@ -7,8 +7,8 @@
 	"poppyarch/internal/fleet/state"
 )
 
-// takeAssignments makes assignments the desired state. The configurations that they name are fetched first, so that the
-// journal has them together. Assignments of a session that has ended meanwhile are ignored.
+// takeAssignments makes assignments the desired state. It fetches the configurations that they refer to first, so that
+// one journal record holds both. Assignments of a session that has ended meanwhile are ignored.
 func (s *Supervisor) takeAssignments(ctx context.Context, registration api.Registration, assignments *api.Assignments) error {
 	configs, err := s.fetchConfigs(ctx, assignments)
 	if err != nil {
@@ -23,7 +23,7 @@
 	})
 }
 
-// fetchConfigs returns the texts, by digest, of the configurations that the journal does not have.
+// fetchConfigs fetches the configurations that the journal does not hold, and returns their texts by digest.
 func (s *Supervisor) fetchConfigs(ctx context.Context, assignments *api.Assignments) (map[string]string, error) {
 	var missing []string
 	if err := s.runInLoop(ctx, func() error {
@@ -51,7 +51,7 @@
 	return configs, nil
 }
 
-// commitAssignments writes assignments to the journal, and sets the desired state of the instances by them.
+// commitAssignments writes assignments to the journal, and sets the desired state of the instances from them.
 func (s *Supervisor) commitAssignments(fleetID string, assignments *api.Assignments, configs map[string]string) error {
 	if fleetID == s.state.FleetID && assignments.Edition < s.state.Edition {
 		return &HistoryError{
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// releasedAndReported returns the instances that the assignments release again although they have ended as released: so the
-// manager knows of it, and they can be forgotten.
+// releasedAndReported returns the names of the instances that had been released and have ended, and that the
+// assignments release again: the manager knows that they have ended, and they can be forgotten.
 func (s *Supervisor) releasedAndReported(assignments *api.Assignments) []string {
 	released := map[string]bool{}
 	for i := range assignments.List {
@@ -112,7 +112,7 @@
 	return names
 }
 
-// forget forgets those of the instances that are still released.
+// forget deletes the named instances that are still released.
 func (s *Supervisor) forget(names []string) error {
 	for _, name := range names {
 		if stored := s.state.Instances[name]; stored == nil || !stored.Assignment.Release {
--- a/internal/fleet/supervisor/compat_test.go
+++ b/internal/fleet/supervisor/compat_test.go
@@ -43,14 +43,14 @@
 	for i, encoded := range records {
 		var decoded record
 		if err := json.Unmarshal(encoded, &decoded); err != nil {
-			t.Fatalf("record %d: %v", i, err)
+			t.Fatalf("decode record %d: %v", i, err)
 		}
 		again, err := json.Marshal(&decoded)
 		if err != nil {
-			t.Fatalf("record %d: %v", i, err)
+			t.Fatalf("encode record %d: %v", i, err)
 		}
 		if !bytes.Equal(again, encoded) {
-			t.Errorf("record %d is encoded as\n%s\nand was stored as\n%s", i, again, encoded)
+			t.Errorf("record %d is encoded as\n%s\nwant the stored form\n%s", i, again, encoded)
 		}
 	}
 	replayed, err := replay(nil, records)
@@ -84,7 +84,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(again, stored) {
-		t.Errorf("restored and written again it differs:\n%s", again)
+		t.Errorf("the restored snapshot is encoded as\n%s\nwant the stored form\n%s", again, stored)
 	}
 }
 
@@ -92,9 +92,9 @@
 	records := readStoredJournal(t)
 	records[1] = records[1][:len(records[1])/2]
 	if _, err := replay(nil, records); err == nil {
-		t.Error("no error for a record that is cut short")
+		t.Error("replay accepted a truncated record")
 	}
 	if _, err := replay([]byte(`{"cases":`), nil); err == nil {
-		t.Error("no error for a snapshot that is cut short")
+		t.Error("replay accepted a truncated snapshot")
 	}
 }
--- a/internal/fleet/supervisor/event.go
+++ b/internal/fleet/supervisor/event.go
@@ -7,12 +7,13 @@
 	"poppyarch/internal/fleet/reconcile"
 )
 
-// event is a result that another goroutine hands to the one of Run. Only a journal that cannot be used any more is an error.
+// event is a result that another goroutine passes to Run's goroutine. handle returns an error only if the journal can
+// no longer be used.
 type event interface {
 	handle(s *Supervisor) error
 }
 
-// send hands over an event, unless ctx is done.
+// send passes an event to Run's goroutine, unless ctx is done first.
 func (s *Supervisor) send(ctx context.Context, e event) {
 	select {
 	case s.events <- e:
@@ -20,7 +21,7 @@
 	}
 }
 
-// handleEvents handles an event and those that are queued behind it.
+// handleEvents handles an event and those queued after it.
 func (s *Supervisor) handleEvents(e event) error {
 	for {
 		if err := e.handle(s); err != nil {
@@ -34,7 +35,7 @@
 	}
 }
 
-// functionCall is a function that another goroutine has Run's goroutine execute.
+// functionCall is a function that another goroutine passes to Run's goroutine for execution.
 type functionCall struct {
 	function func() error
 	result   chan error
@@ -45,7 +46,7 @@
 	return nil
 }
 
-// runInLoop executes a function in the goroutine of Run and returns its error, or that of ctx once that is done.
+// runInLoop executes a function in Run's goroutine and returns its error, or that of ctx once ctx is done.
 func (s *Supervisor) runInLoop(ctx context.Context, function func() error) error {
 	call := &functionCall{function: function, result: make(chan error, 1)}
 	s.send(ctx, call)
@@ -57,7 +58,7 @@
 	}
 }
 
-// processExited says that a process has ended. err is nil for exit code 0.
+// processExited is the end of a process. err is nil for exit code 0.
 type processExited struct {
 	instance   *managedInstance
 	generation int // of the process
@@ -108,7 +109,7 @@
 	return s.commitCommandEnd(e.instance, pending)
 }
 
-// commandFinished is the outcome of a command, or the error of a call without an answer.
+// commandFinished is the outcome of a command, or the error of a call that got no answer.
 type commandFinished struct {
 	instance   *managedInstance
 	generation int // of the process that the command was for
@@ -134,8 +135,8 @@
 	return s.commitCommandEnd(e.instance, pending)
 }
 
-// commitCommandEnd writes down that the command that was pending has an outcome, or has lost its incarnation. Where that
-// fails the next agent repeats the command with the same id, or finds another incarnation.
+// commitCommandEnd records that the command that was pending has an outcome, or that its incarnation has ended. If the
+// record cannot be written, the next agent repeats the command with the same id or finds another incarnation.
 func (s *Supervisor) commitCommandEnd(instance *managedInstance, wasPending *reconcile.Command) error {
 	if wasPending == nil || instance.Pending != nil {
 		return nil
--- a/internal/fleet/supervisor/fakes_test.go
+++ b/internal/fleet/supervisor/fakes_test.go
@@ -22,38 +22,38 @@
 	rejectedMaxInFlight = 666   // brokers reject a change to this limit
 )
 
-// errReset is the error of a call whose answer is lost.
+// errReset is the error of a call whose response is lost.
 var errReset = errors.New("connection reset")
 
-// fakeMachine is a ProcessRunner and BrokerClient in memory. Its processes outlive every agent.
+// fakeMachine is an in-memory ProcessRunner and BrokerClient. Its processes keep running when an agent ends.
 type fakeMachine struct {
 	t *testing.T
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	processes map[int]*fakeProcess
 	lastPID   int
-	starts    map[string]int // by instance
-	applied   map[string]int // times that a change was applied, by incarnation and edition
-	changes   int            // received
-
-	// Faults to come. The changes and answers count from 1; 0: none.
-	crashBeforeChange int  // the broker of this change crashes before it records it
-	crashAfterChange  int  // and after it
-	loseAnswer        int  // to this change
+	starts    map[string]int // number of starts by instance
+	applied   map[string]int // how often a change was applied, by incarnation and edition
+	changes   int            // number of changes received
+
+	// Faults to inject. Changes are numbered from 1; 0 means none.
+	crashBeforeChange int  // the broker crashes before it records this change
+	crashAfterChange  int  // the broker crashes after it has recorded this change
+	loseResponse      int  // the response to this change is lost
 	unresponsive      bool // brokers do not answer
 }
 
-// fakeProcess is a broker's process.
+// fakeProcess is the process of a broker.
 type fakeProcess struct {
 	machine     *fakeMachine
 	id          process.Identity
 	instance    string
 	launchID    string
 	startDigest string
-	crashing    bool
+	crashing    bool // it crashes soon after its start
 	ledger      *control.Ledger
 	done        chan struct{}
-	ended       sync.Once
+	endOnce     sync.Once
 }
 
 func newFakeMachine(t *testing.T) *fakeMachine {
@@ -64,7 +64,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.processOf(instance.Name) != nil {
-		m.t.Errorf("%s is started while it runs", instance.Name)
+		m.t.Errorf("instance %s is started while a process of it runs", instance.Name)
 	}
 	m.lastPID++
 	p := &fakeProcess{
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// pids returns the pids of all processes, in order.
+// pids returns the pids of all processes in ascending order.
 func (m *fakeMachine) pids() []int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -146,7 +146,7 @@
 }
 
 func (p *fakeProcess) end() {
-	p.ended.Do(func() {
+	p.endOnce.Do(func() {
 		p.machine.mu.Lock()
 		delete(p.machine.processes, p.id.PID)
 		p.machine.mu.Unlock()
@@ -209,13 +209,13 @@
 		p.end()
 		return nil, errReset
 	}
-	if number == m.loseAnswer {
+	if number == m.loseResponse {
 		return nil, errReset
 	}
 	return outcome, nil
 }
 
-// decide is the broker's side of a change. The caller holds mu.
+// decide does what a broker does with a change. The caller holds mu.
 func (m *fakeMachine) decide(p *fakeProcess, instance *spec.Instance, change *control.Change) *control.Outcome {
 	if outcome := p.ledger.Admit(change); outcome != nil {
 		return outcome
@@ -227,10 +227,10 @@
 	return p.ledger.Record(change, nil, nil)
 }
 
-// managerLink is a connection to a manager that can be cut.
+// managerLink is a Manager that forwards calls to another one, and whose connection can be cut.
 type managerLink struct {
 	mu      sync.Mutex
-	manager *manager.Manager // nil: the link is cut
+	manager *manager.Manager // nil while the connection is cut
 }
 
 func (l *managerLink) get() (*manager.Manager, error) {
--- a/internal/fleet/supervisor/fleet_test.go
+++ b/internal/fleet/supervisor/fleet_test.go
@@ -18,7 +18,7 @@
 	"poppyarch/internal/testkit/faultfs"
 )
 
-// testLog discards the log, unless a variable asks for it.
+// testLog discards the log, unless the environment variable POPPYARCH_TEST_LOG is set.
 var testLog = newTestLog()
 
 func newTestLog() *slog.Logger {
@@ -28,16 +28,17 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
 }
 
-// fleet is a manager, a machine and whatever agents a test starts. It is used in a synctest bubble.
+// fleet is a test fixture with a manager, a machine and the agents that a test starts. It must run in a synctest
+// bubble.
 type fleet struct {
-	t           *testing.T
-	machine     *fakeMachine
-	managerDisk *faultfs.FS
-	link        *managerLink
-	manager     *manager.Manager
-	stop        context.CancelFunc // of the manager
-	managerRuns sync.WaitGroup
-	commands    int
+	t             *testing.T
+	machine       *fakeMachine
+	managerDisk   *faultfs.FS
+	link          *managerLink
+	manager       *manager.Manager
+	cancelManager context.CancelFunc // stops the manager
+	managerDone   sync.WaitGroup
+	commands      int // number of commands created
 }
 
 func newFleet(t *testing.T) *fleet {
@@ -55,24 +56,24 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	f.manager = m
-	f.stop = cancel
+	f.cancelManager = cancel
 	f.link.set(m)
-	f.managerRuns.Go(func() { _ = m.Run(ctx) }) // its disk fails in some tests
+	f.managerDone.Go(func() { _ = m.Run(ctx) }) // fails in tests with a full disk of the manager
 }
 
 func (f *fleet) stopManager() {
 	f.link.set(nil)
-	f.stop()
-	f.managerRuns.Wait()
+	f.cancelManager()
+	f.managerDone.Wait()
 }
 
-// close ends the manager and all processes. Agents have ended before.
+// close ends the manager and all processes. The agents must have ended.
 func (f *fleet) close() {
 	f.stopManager()
 	f.machine.endAll()
 }
 
-// startAgent starts an agent on a journal. The returned function kills it; ended receives the result of Run.
+// startAgent starts an agent with its journal on disk. kill ends the agent; ended receives the error of Open or Run.
 func (f *fleet) startAgent(disk journal.FS) (kill func(), ended chan error) {
 	f.t.Helper()
 	return f.startAgentWith(disk, f.machine, Options{Name: "a1"})
@@ -91,7 +92,7 @@
 	go func() {
 		defer close(closed)
 		ended <- s.Run(ctx)
-		_ = s.Close() // its disk fails in some tests
+		_ = s.Close() // fails in tests with disk faults
 	}()
 	return func() { cancel(); <-closed }, ended
 }
@@ -101,7 +102,7 @@
 	return state.Command{ID: fmt.Sprint("c", f.commands)}
 }
 
-// newSpec returns a fleet of n instances with a memory limit and a log level.
+// newSpec returns the desired state of a fleet of n instances with a memory limit and a log level.
 func newSpec(n, memoryMB int, logLevel string) spec.Spec {
 	const config = "good"
 	digest := spec.ConfigDigest([]byte(config))
@@ -119,7 +120,7 @@
 	return s
 }
 
-// apply sets the desired state of the fleet and returns its revision.
+// apply sets the desired state of the fleet and returns the revision.
 func (f *fleet) apply(s spec.Spec) uint64 {
 	f.t.Helper()
 	strategy := state.DefaultStrategy()
@@ -133,12 +134,13 @@
 	return reply.Result.Revision
 }
 
-// settles waits until the manager reports the fleet as settled, or some time has passed. Meanwhile it compares each report
-// with the machine.
-func (f *fleet) settles(within time.Duration) bool {
+// waitUntilSettled waits until the manager reports the fleet as settled, and returns false if it does not within the
+// given time. Meanwhile it compares each status with the machine.
+func (f *fleet) waitUntilSettled(within time.Duration) bool {
 	f.t.Helper()
 	for end := time.Now().Add(within); ; time.Sleep(50 * time.Millisecond) {
-		// All that happens at this very instant must be over, or a broker may die between the report and the comparison.
+		// Everything that happens at this instant must have finished, or a broker may crash between the report and the
+		// comparison.
 		synctest.Wait()
 		overview, err := f.manager.Overview(spec.Selector{})
 		if err != nil {
@@ -160,12 +162,12 @@
 
 func (f *fleet) mustSettle(when string, within time.Duration) {
 	f.t.Helper()
-	if !f.settles(within) {
-		f.t.Fatalf("%s: not settled within %v", when, within)
+	if !f.waitUntilSettled(within) {
+		f.t.Fatalf("%s: the fleet did not settle within %v", when, within)
 	}
 }
 
-// compareWithMachine checks that no instance is reported as current that is not.
+// compareWithMachine checks that every instance that is reported as current is current.
 func (f *fleet) compareWithMachine(instances []state.InstanceStatus) {
 	f.t.Helper()
 	f.machine.mu.Lock()
@@ -176,12 +178,12 @@
 		}
 		p := f.machine.processOf(instance.Name)
 		if p == nil || p.ledger.Boot() == instance.Report.Incarnation && p.ledger.Applied() < instance.TargetEdition {
-			f.t.Errorf("%s is reported current and is not", instance.Name)
+			f.t.Errorf("instance %s is reported as current but is not: %+v", instance.Name, instance.Report)
 		}
 	}
 }
 
-// checkMachine checks that each instance runs once and as desired, and that no incarnation applied a change twice.
+// checkMachine checks that each instance runs once and as desired, and that no incarnation has applied a change twice.
 func (f *fleet) checkMachine(when string, s spec.Spec) {
 	f.t.Helper()
 	f.machine.mu.Lock()
@@ -189,7 +191,7 @@
 	for name, instance := range s.Instances {
 		p := f.machine.processOf(name)
 		if p == nil || p.startDigest != instance.Start.Digest() || p.ledger.Applied() == 0 {
-			f.t.Errorf("%s: %s is %+v", when, name, p)
+			f.t.Errorf("%s: process of %s is %+v, want one with the desired start settings and an applied change", when, name, p)
 		}
 	}
 	if len(f.machine.processes) != len(s.Instances) {
@@ -197,7 +199,7 @@
 	}
 	for change, times := range f.machine.applied {
 		if times > 1 {
-			f.t.Errorf("%s: %s was applied %d times", when, change, times)
+			f.t.Errorf("%s: change %q was applied %d times", when, change, times)
 		}
 	}
 }
--- a/internal/fleet/supervisor/instance.go
+++ b/internal/fleet/supervisor/instance.go
@@ -11,24 +11,24 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// managedInstance is an instance with what is in flight for it.
+// managedInstance is an instance with its process and the call in flight to its broker.
 type managedInstance struct {
 	*reconcile.Controller
-	handle       Process      // of its process; nil: none runs
-	generation   int          // counts processes: events of earlier ones are ignored
-	callInFlight bool         // to its broker
-	nextActionAt clock.Micros // 0: at once
-	unreported   *measurement // nil: all statistics have been reported
+	handle       Process      // its process, nil if none runs
+	generation   int          // number of the process; events of earlier processes are ignored
+	callInFlight bool         // a call to its broker is in flight
+	nextActionAt clock.Micros // 0 if due immediately
+	unreported   *measurement // nil if all statistics have been reported
 }
 
-// measurement are the statistics of a broker that have not been reported yet.
+// measurement holds the statistics of a broker as of one probe.
 type measurement struct {
 	stats      *control.Stats
-	inFlight   int64 // requests
+	inFlight   int64 // number of requests
 	measuredAt clock.Micros
 }
 
-// instance returns the instance with a name, which begins to exist with that.
+// instance returns the instance with a name, and creates it if there is none.
 func (s *Supervisor) instance(name string) *managedInstance {
 	if known := s.instances[name]; known != nil {
 		return known
@@ -38,7 +38,7 @@
 	return added
 }
 
-// restoreInstance restores an instance from the journal, and adopts its process if that still runs.
+// restoreInstance restores an instance from the journal, and adopts its process if it still runs.
 func (s *Supervisor) restoreInstance(name string) error {
 	stored := s.state.Instances[name]
 	restored := s.instance(name)
@@ -49,7 +49,7 @@
 	}
 	restored.RecordStartIntent(stored.LaunchID, stored.StartDigest)
 	if stored.Process == nil {
-		return nil // the controller has it looked for by its launch id
+		return nil // the next action is to find it by its launch id
 	}
 	id := *stored.Process
 	adopted, err := s.runner.Adopt(id)
@@ -72,15 +72,15 @@
 	return nil
 }
 
-// watch makes a process that of an instance, and waits for its end in a goroutine.
+// watch sets the process of an instance, and waits for its exit in a goroutine.
 func (s *Supervisor) watch(instance *managedInstance, p Process) {
 	instance.handle = p
 	instance.generation++
 	exited := &processExited{instance: instance, generation: instance.generation, pid: p.Identity().PID}
 	s.watchers.Go(func() {
-		exited.err = p.Wait(s.watching)
-		if s.watching.Err() == nil {
-			s.send(s.watching, exited)
+		exited.err = p.Wait(s.watchCtx)
+		if s.watchCtx.Err() == nil {
+			s.send(s.watchCtx, exited)
 		}
 	})
 }
--- a/internal/fleet/supervisor/journal.go
+++ b/internal/fleet/supervisor/journal.go
@@ -11,19 +11,19 @@
 	"poppyarch/internal/host/process"
 )
 
-// errJournal is the error of an action that was not taken, as its record could not be written.
+// errJournal is the error of an action that was not taken because its record could not be written.
 var errJournal = errors.New("agent: journal not written")
 
 // record is one entry of an agent's journal. An intent is written before its action, a result after it.
 type record struct {
 	Kind        recordKind          `json:"kind"`
-	Name        string              `json:"name,omitempty"` // of the instance
+	Name        string              `json:"name,omitempty"` // name of the instance
 	FleetID     string              `json:"fleet,omitempty"`
 	Edition     uint64              `json:"edition,omitempty"`
-	Full        bool                `json:"full,omitempty"` // Assignments has every instance, and not only those that have changed
+	Full        bool                `json:"full,omitempty"` // Assignments lists every instance, not only those that have changed
 	Assignments []state.Assignment  `json:"list,omitempty"`
 	Nodes       []spec.NodeOverride `json:"nodes,omitempty"`
-	Configs     map[string]string   `json:"configs,omitempty"` // text by digest
+	Configs     map[string]string   `json:"configs,omitempty"` // texts by digest
 	LaunchID    string              `json:"mark,omitempty"`
 	StartDigest string              `json:"digest,omitempty"`
 	Process     *process.Identity   `json:"id,omitempty"`
@@ -35,28 +35,28 @@
 const (
 	recordAssignments     recordKind = "assign"   // the desired state has changed
 	recordStarting        recordKind = "starting" // a process is about to be started with LaunchID and StartDigest
-	recordStarted         recordKind = "started"  // it runs as Process
+	recordStarted         recordKind = "started"  // the process runs as Process
 	recordEnded           recordKind = "ended"    // no process runs any more
 	recordCommandSent     recordKind = "command"  // Command is about to be sent
-	recordCommandFinished recordKind = "result"   // its outcome is known, or its incarnation has ended
-	recordForgotten       recordKind = "forget"   // the instance is no longer this agent's
+	recordCommandFinished recordKind = "result"   // the outcome of the command is known, or its incarnation has ended
+	recordForgotten       recordKind = "forget"   // the instance no longer belongs to this agent
 )
 
-// journalState is what all records of the journal amount to. It is also the journal's snapshot.
+// journalState is the state that results from all records of the journal. It is also the content of its snapshots.
 type journalState struct {
 	FleetID   string                    `json:"fleet"`
-	Edition   uint64                    `json:"edition"` // the highest that the manager has shown
+	Edition   uint64                    `json:"edition"` // the highest edition that the manager has sent
 	Nodes     []spec.NodeOverride       `json:"nodes"`
-	Configs   map[string]string         `json:"configs"` // text by digest
+	Configs   map[string]string         `json:"configs"` // texts by digest
 	Instances map[string]*instanceState `json:"cases"`
 }
 
-// instanceState is the part of one instance. Its process fields are empty where none was started.
+// instanceState is the state of one instance. The fields from LaunchID on are empty if no process was started.
 type instanceState struct {
 	Assignment  state.Assignment   `json:"assignment"`
 	LaunchID    string             `json:"mark,omitempty"`
 	StartDigest string             `json:"digest,omitempty"`
-	Process     *process.Identity  `json:"id,omitempty"` // nil: not known whether the start succeeded
+	Process     *process.Identity  `json:"id,omitempty"` // nil while it is unknown whether the start succeeded
 	Command     *reconcile.Command `json:"command,omitempty"`
 }
 
@@ -77,12 +77,12 @@
 	return &journalState{Configs: map[string]string{}, Instances: map[string]*instanceState{}}
 }
 
-// replay builds the state from a journal's snapshot, nil for none, and the records after it.
+// replay builds the state from a journal's snapshot, which is nil if there is none, and the records after it.
 func replay(snapshot []byte, records [][]byte) (*journalState, error) {
 	s := newJournalState()
 	if snapshot != nil {
 		if err := json.Unmarshal(snapshot, s); err != nil {
-			return nil, fmt.Errorf("snapshot: %w", err)
+			return nil, fmt.Errorf("decode snapshot: %w", err)
 		}
 	}
 	for i, encoded := range records {
@@ -142,7 +142,7 @@
 	}
 	for _, assignment := range r.Assignments {
 		if assignment.Unreleased {
-			continue // it keeps its present assignment until its rollout wave
+			continue // the instance keeps its current assignment until its rollout wave
 		}
 		if instance := s.Instances[assignment.Name]; instance != nil {
 			instance.Assignment = assignment
@@ -153,8 +153,8 @@
 	s.dropUnusedConfigs()
 }
 
-// releaseUnlisted releases the instances that a full list of assignments does not leave to this agent. The others follow
-// from their entries.
+// releaseUnlisted releases the instances that a full list of assignments does not mark as unreleased. Those on the list
+// then get their assignment from it.
 func (s *journalState) releaseUnlisted(assignments []state.Assignment) {
 	unreleased := map[string]bool{}
 	for i := range assignments {
@@ -181,8 +181,8 @@
 	}
 }
 
-// commit appends a record to the journal and, only once that is on disk, applies it. The error is errJournal where nothing
-// has changed.
+// commit appends a record to the journal and applies it once it is on disk. The error wraps errJournal if nothing has
+// changed.
 func (s *Supervisor) commit(r *record) error {
 	encoded, err := json.Marshal(r)
 	if err == nil {
@@ -199,8 +199,8 @@
 	return s.state.apply(r)
 }
 
-// commitResult commits a record that may be missing from the journal, as the next agent learns the same from the process
-// or the broker. Only a journal that cannot be used any more is an error.
+// commitResult commits a record that may be missing from the journal, since the next agent learns the same from the
+// process or the broker. It returns an error only if the journal can no longer be used.
 func (s *Supervisor) commitResult(r *record) error {
 	if err := s.commit(r); err != nil && s.journal.Err() != nil {
 		return err
@@ -208,8 +208,8 @@
 	return nil
 }
 
-// compactIfDue replaces the journal's log by a snapshot once the log is long enough. Only a journal that cannot be used any
-// more is an error.
+// compactIfDue replaces the journal's log with a snapshot once the log exceeds Options.CompactBytes. It returns an
+// error only if the journal can no longer be used.
 func (s *Supervisor) compactIfDue() error {
 	if s.journal.Size() <= s.options.CompactBytes {
 		return nil
--- a/internal/fleet/supervisor/journal_test.go
+++ b/internal/fleet/supervisor/journal_test.go
@@ -12,19 +12,19 @@
 	"poppyarch/internal/testkit/faultfs"
 )
 
-// assignment desires an instance with a configuration.
+// assignment returns the assignment of an instance with a configuration.
 func assignment(name, configDigest string) state.Assignment {
 	return state.Assignment{Name: name, Desired: &spec.Instance{Name: name, Start: spec.StartSettings{Config: configDigest}}}
 }
 
-func apply(t *testing.T, s *journalState, r *record) {
+func mustApply(t *testing.T, s *journalState, r *record) {
 	t.Helper()
 	if err := s.apply(r); err != nil {
-		t.Fatalf("record %s: %v", r.Kind, err)
+		t.Fatalf("apply record %s: %v", r.Kind, err)
 	}
 }
 
-func TestRecordThatDoesNotFitTheStateIsAnError(t *testing.T) {
+func TestRecordOfUnknownInstanceOrKindIsRejected(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		record record
@@ -35,7 +35,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newJournalState()
-			apply(t, s, &record{Kind: recordAssignments, Assignments: []state.Assignment{assignment("n1", "d")}})
+			mustApply(t, s, &record{Kind: recordAssignments, Assignments: []state.Assignment{assignment("n1", "d")}})
 			if err := s.apply(&c.record); err == nil || err.Error() != c.want {
 				t.Errorf("got %v, want %s", err, c.want)
 			}
@@ -43,11 +43,11 @@
 	}
 }
 
-func TestFullListReleasesWhatItDoesNotName(t *testing.T) {
+func TestFullListReleasesUnlistedInstances(t *testing.T) {
 	s := newJournalState()
-	apply(t, s, &record{Kind: recordAssignments, Assignments: []state.Assignment{assignment("n1", "d"), assignment("n2", "d"), assignment("n3", "d")}})
+	mustApply(t, s, &record{Kind: recordAssignments, Assignments: []state.Assignment{assignment("n1", "d"), assignment("n2", "d"), assignment("n3", "d")}})
 	unreleased := state.Assignment{Name: "n3", Unreleased: true}
-	apply(t, s, &record{Kind: recordAssignments, Full: true, Assignments: []state.Assignment{assignment("n1", "d"), unreleased}})
+	mustApply(t, s, &record{Kind: recordAssignments, Full: true, Assignments: []state.Assignment{assignment("n1", "d"), unreleased}})
 	for name, released := range map[string]bool{"n1": false, "n2": true, "n3": false} {
 		if got := s.Instances[name].desired().Released; got != released {
 			t.Errorf("%s released: %v, want %v", name, got, released)
@@ -60,18 +60,18 @@
 
 func TestUnusedConfigurationsAreDropped(t *testing.T) {
 	s := newJournalState()
-	apply(t, s, &record{
+	mustApply(t, s, &record{
 		Kind:        recordAssignments,
 		Assignments: []state.Assignment{assignment("n1", "old"), assignment("n2", "kept")},
 		Configs:     map[string]string{"old": "1", "kept": "2"},
 	})
-	apply(t, s, &record{
+	mustApply(t, s, &record{
 		Kind:        recordAssignments,
 		Assignments: []state.Assignment{assignment("n1", "new")},
 		Configs:     map[string]string{"new": "3"},
 	})
 	if got := slices.Sorted(maps.Keys(s.Configs)); !slices.Equal(got, []string{"kept", "new"}) {
-		t.Errorf("the configurations are %v", got)
+		t.Errorf("configurations are %v, want kept and new", got)
 	}
 }
 
@@ -90,20 +90,20 @@
 	disk.SetRoom(0)
 	r := &record{Kind: recordAssignments, FleetID: "f", Assignments: []state.Assignment{assignment("n1", "d")}}
 	if err := s.commit(r); !errors.Is(err, errJournal) {
-		t.Errorf("got %v", err)
+		t.Errorf("commit on a full disk returned %v, want errJournal", err)
 	}
 	if err := s.commitResult(r); err != nil {
-		t.Errorf("a result that the next agent learns again: %v", err)
+		t.Errorf("commitResult on a full disk returned %v, want none", err)
 	}
 	if s.state.FleetID != "" || len(s.state.Instances) != 0 {
-		t.Errorf("applied: %+v", s.state)
+		t.Errorf("a record that is not on disk was applied: %+v", s.state)
 	}
 	disk.SetRoom(-1)
 	if err := s.commit(r); err != nil {
 		t.Error(err)
 	}
 	if s.state.FleetID != "f" || s.state.Instances["n1"] == nil {
-		t.Errorf("not applied: %+v", s.state)
+		t.Errorf("the record on disk was not applied: %+v", s.state)
 	}
 }
 
@@ -141,6 +141,6 @@
 		t.Fatal(err)
 	}
 	if s.FleetID != "f" || s.Edition != 7 || s.Instances["n1"].LaunchID != "l1" || s.Instances["n1"].StartDigest != "s1" {
-		t.Errorf("replayed: %+v", s)
+		t.Errorf("replayed state is %+v, want fleet f, edition 7, and n1 with launch id l1 and start digest s1", s)
 	}
 }
--- a/internal/fleet/supervisor/local.go
+++ b/internal/fleet/supervisor/local.go
@@ -15,15 +15,15 @@
 	"poppyarch/internal/host/process"
 )
 
-// LocalBrokers runs brokers as processes of this machine. It is a ProcessRunner and their BrokerClient.
+// LocalBrokers runs brokers as processes on this machine. It implements ProcessRunner and BrokerClient.
 type LocalBrokers struct {
-	Program string   // path of poppyarch
-	Args    []string // that make it a broker; nil: serve
-	Env     []string // besides the agent's own environment
-	Dir     string   // of the instances' configurations, control sockets and logs
+	Program string   // path of the poppyarch binary
+	Args    []string // arguments that make it a broker; nil means serve
+	Env     []string // variables added to the agent's own environment
+	Dir     string   // folder of the instances' configurations, control sockets and logs
 }
 
-// inventoryInstance returns an instance in the inventory's form.
+// inventoryInstance converts an instance to its inventory form.
 func inventoryInstance(instance *spec.Instance) inventory.Instance {
 	return inventory.Instance{
 		Name:         instance.Name,
@@ -40,7 +40,8 @@
 	return "unix:" + filepath.Join(b.Dir, name+".ctl")
 }
 
-// Start starts a broker with the start settings of an instance. Its live settings come later, by its control endpoint.
+// Start starts a broker with the start settings of an instance. The live settings are sent to its control endpoint
+// later.
 func (b *LocalBrokers) Start(instance *spec.Instance, text, launchID string) (Process, error) {
 	endpoint := &config.Control{Listen: b.controlAddress(instance.Name), StartDigest: instance.Start.Digest()}
 	content, err := agent.Compose(inventoryInstance(instance), []byte(text), endpoint)
@@ -65,13 +66,13 @@
 		return nil, err
 	}
 	if err := id.CheckRunning(); err != nil && !errors.Is(err, process.ErrExited) {
-		_ = cmd.Process.Kill() // fails only where it has ended
+		_ = cmd.Process.Kill() // fails only if the process has ended
 		return nil, err
 	}
 	return &localProcess{id: id, exited: exited}, nil
 }
 
-// Adopt returns a broker's process that an earlier agent started, or process.ErrExited.
+// Adopt returns the process of a broker that an earlier agent started, or process.ErrExited.
 func (b *LocalBrokers) Adopt(id process.Identity) (Process, error) {
 	if err := id.CheckRunning(); err != nil {
 		return nil, err
@@ -79,18 +80,18 @@
 	return &localProcess{id: id}, nil
 }
 
-// Find looks for the broker's process of a launch.
+// Find looks for the broker process of a launch.
 func (b *LocalBrokers) Find(launchID string) (process.Identity, bool) {
 	return process.FindByLaunchID(launchID)
 }
 
-// localProcess is a Process of this machine.
+// localProcess is a Process on this machine.
 type localProcess struct {
 	id     process.Identity
-	exited <-chan error // receives how it ended; nil: an earlier agent started it
+	exited <-chan error // receives the result of the process; nil if an earlier agent started it
 }
 
-// errAdoptedExit is how a process has ended that an earlier agent started.
+// errAdoptedExit is the result of a process that an earlier agent started: only its parent learns its exit status.
 var errAdoptedExit = errors.New("ended; how is known only to the agent that started it")
 
 func (p *localProcess) Identity() process.Identity { return p.id }
@@ -112,7 +113,7 @@
 	}
 }
 
-// Probe asks a broker for its state, and whether its front ends answer.
+// Probe returns the state of a broker and whether its front ends answer.
 func (b *LocalBrokers) Probe(ctx context.Context, instance *spec.Instance) (*control.State, bool, error) {
 	client, err := control.Dial(b.controlAddress(instance.Name))
 	if err != nil {
--- a/internal/fleet/supervisor/report.go
+++ b/internal/fleet/supervisor/report.go
@@ -9,22 +9,22 @@
 	"poppyarch/internal/fleet/state"
 )
 
-// requestReport has a report sent before the interval has passed.
+// requestReport requests a report before the report interval has passed.
 func (s *Supervisor) requestReport() {
 	select {
 	case s.reportNow <- struct{}{}:
-	default: // it has been requested already
+	default: // a report has already been requested
 	}
 }
 
-// observation is what the agent can report at one time.
+// observation is what the agent has observed at one time.
 type observation struct {
 	session   session
 	instances map[string]state.Report
 	stats     []api.BrokerStats
 }
 
-// observe returns what the agent can report now. Statistics are given out once.
+// observe returns what the agent can report now. Each set of statistics is returned only once.
 func (s *Supervisor) observe() observation {
 	now := s.clock.Now()
 	o := observation{session: s.session, instances: map[string]state.Report{}}
@@ -38,17 +38,17 @@
 	return o
 }
 
-// reporter sends the reports of one session after the other.
+// reporter sends the reports of successive sessions.
 type reporter struct {
 	agent        string
 	manager      Manager
 	registration api.Registration
-	sequence     uint64                  // of the last report in the session
-	acknowledged map[string]state.Report // that the manager has; nil: unknown, the next report is a full one
+	sequence     uint64                  // sequence number of the last report in the session
+	acknowledged map[string]state.Report // reports that the manager has; nil if unknown, so the next one is full
 }
 
-// sendReports reports to the manager what has changed: on request, and at each interval in any case. It returns
-// state.ErrFenced where a newer agent has registered, and nil once ctx is done.
+// sendReports reports changes to the manager, on request and at every report interval. It returns state.ErrFenced if a
+// newer agent has registered, and nil once ctx is done.
 func (s *Supervisor) sendReports(ctx context.Context) error {
 	ticker := time.NewTicker(s.options.ReportInterval)
 	defer ticker.Stop()
@@ -71,7 +71,7 @@
 	}
 }
 
-// isCurrent reports whether no other registration has replaced one.
+// isCurrent reports whether registration is that of the current session.
 func (s *Supervisor) isCurrent(ctx context.Context, registration api.Registration) bool {
 	var current bool
 	err := s.runInLoop(ctx, func() error {
@@ -81,7 +81,7 @@
 	return err == nil && current
 }
 
-// send sends what differs from the acknowledged reports, or everything after an error or in a new session.
+// send sends the reports that differ from the acknowledged ones, or all of them after an error or in a new session.
 func (r *reporter) send(ctx context.Context, current *observation) error {
 	if current.session.registration != r.registration {
 		r.registration = current.session.registration
--- a/internal/fleet/supervisor/session.go
+++ b/internal/fleet/supervisor/session.go
@@ -12,29 +12,29 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// Delays between attempts to reach the manager.
+// Delays before further attempts to reach the manager.
 const (
 	initialManagerBackoff = 100 * time.Millisecond
 	maxManagerBackoff     = 5 * time.Second
 )
 
-// HistoryError is the error of a manager that belongs to another fleet than the agent follows, or whose journal is older
-// than what the agent has seen, restored from a backup say. The agent leaves its brokers as they are until an operator
-// accepts the manager with Options.AcceptNewFleet.
+// HistoryError reports a manager that belongs to another fleet than the one that the agent follows, or whose journal is
+// older than what the agent has seen, for example because it was restored from a backup. The agent leaves its brokers
+// as they are until an operator accepts the manager with Options.AcceptNewFleet.
 type HistoryError struct {
-	FleetID      string // of the manager
-	Edition      uint64 // the newest of the manager
-	KnownFleetID string // that the agent follows
-	KnownEdition uint64 // the highest that the agent has seen
+	FleetID      string // fleet of the manager
+	Edition      uint64 // newest edition of the manager
+	KnownFleetID string // fleet that the agent follows
+	KnownEdition uint64 // highest edition that the agent has seen
 }
 
 func (e *HistoryError) Error() string {
-	return fmt.Sprintf("agent: the manager has lost history or is another fleet's: fleet %s at edition %d, this agent follows %s and has seen %d",
+	return fmt.Sprintf("agent: manager belongs to another fleet or has lost history: it has fleet %s at edition %d, this agent follows fleet %s and has seen edition %d",
 		e.FleetID, e.Edition, e.KnownFleetID, e.KnownEdition)
 }
 
-// followManager keeps a session with the manager, and takes assignments in it, until ctx is done. It returns
-// state.ErrFenced where a newer agent has registered.
+// followManager keeps a session with the manager and takes assignments in it until ctx is done. It returns
+// state.ErrFenced if a newer agent has registered.
 func (s *Supervisor) followManager(ctx context.Context) error {
 	backoff := &retry.Backoff{Initial: clock.FromDuration(initialManagerBackoff), Max: clock.FromDuration(maxManagerBackoff)}
 	for ctx.Err() == nil {
@@ -52,12 +52,12 @@
 		default:
 			s.log.Warn("agent: manager not reached", "err", err)
 		}
-		_ = retry.Sleep(ctx, backoff.Next()) // the loop ends with ctx
+		_ = retry.Sleep(ctx, backoff.Next()) // the loop checks ctx
 	}
 	return nil
 }
 
-// runSession registers and then takes assignments until a call fails.
+// runSession registers with the manager and then takes assignments until a call fails.
 func (s *Supervisor) runSession(ctx context.Context, backoff *retry.Backoff) error {
 	registration, err := s.register(ctx)
 	if err != nil {
@@ -73,9 +73,10 @@
 	return s.pollAssignments(ctx, registration, backoff)
 }
 
-// register registers at the manager, or returns a HistoryError where that is not to be followed.
+// register registers with the manager. It returns a HistoryError for a manager that the agent must not follow.
 func (s *Supervisor) register(ctx context.Context) (api.Registration, error) {
-	// The manager may fence off the former token before this agent has heard of the new one: that is no newer agent.
+	// The manager may fence off the previous token before this agent receives the new one. Without a current
+	// registration, that is not mistaken for a newer agent.
 	if err := s.runInLoop(ctx, func() error {
 		s.session.registration = api.Registration{}
 		return nil
@@ -100,7 +101,8 @@
 	return s.manager.Register(ctx, s.options.Name, history.KnownEdition)
 }
 
-// checkHistory returns a HistoryError for a manager that is not a later state of the one that the agent has followed.
+// checkHistory returns a HistoryError if the manager belongs to another fleet than the one that the agent follows, or
+// has fewer editions than the agent has seen. An agent that follows no fleet yet accepts any manager.
 func (s *Supervisor) checkHistory(registration api.Registration) error {
 	if s.state.FleetID == "" || s.state.FleetID == registration.FleetID && s.state.Edition <= registration.Edition {
 		return nil
@@ -113,7 +115,7 @@
 	}
 }
 
-// pollAssignments polls for assignments and applies them, until the manager ends the session.
+// pollAssignments polls for assignments and applies them until the session ends.
 func (s *Supervisor) pollAssignments(ctx context.Context, registration api.Registration, backoff *retry.Backoff) error {
 	request := &api.AssignmentsRequest{
 		Agent:  s.options.Name,
--- a/internal/fleet/supervisor/supervisor.go
+++ b/internal/fleet/supervisor/supervisor.go
@@ -1,8 +1,9 @@
-// Package supervisor runs a fleet's agent, which keeps one machine's instances in the state that the manager assigns. Package
-// reconcile decides on the actions; this package journals them, carries them out and reports to the manager. An agent may
-// die at any point: its brokers keep serving, and the next agent on the same journal continues from what was written.
+// Package supervisor runs a fleet's agent, which keeps one machine's instances in the state that the manager assigns.
+// Package reconcile decides on the actions; this package journals them, carries them out and reports to the manager. An
+// agent may crash at any point: its brokers keep serving, and the next agent on the same journal continues from what
+// was written.
 //
-// All state is owned by the goroutine of Run. Other goroutines wait for processes, brokers and the manager, and hand their
+// All state is owned by Run's goroutine. Other goroutines wait for processes, brokers and the manager, and pass their
 // results to it as events.
 package supervisor
 
@@ -27,9 +28,10 @@
 // Process is the process of a broker, started by this agent or by an earlier one.
 type Process interface {
 	Identity() process.Identity
-	// Wait returns how the process ended, nil for exit code 0; or the error of ctx once that is done. It is called once.
+	// Wait waits for the process to end and returns its result, nil for exit code 0, or the error of ctx once ctx is
+	// done. It is called once.
 	Wait(ctx context.Context) error
-	Terminate() error // asks it to drain
+	Terminate() error // asks the process to drain
 	Kill() error
 }
 
@@ -45,9 +47,9 @@
 
 // BrokerClient calls running brokers.
 type BrokerClient interface {
-	// Probe asks a broker for its state, and whether its front ends answer.
+	// Probe returns the state of a broker and whether its front ends answer.
 	Probe(ctx context.Context, instance *spec.Instance) (state *control.State, healthy bool, err error)
-	// SendChange sends a change to a broker. An error means that it is unknown whether the broker applied it.
+	// SendChange sends a change to a broker. After an error it is unknown whether the broker has applied the change.
 	SendChange(ctx context.Context, instance *spec.Instance, change *control.Change) (*control.Outcome, error)
 }
 
@@ -65,23 +67,23 @@
 	defaultBrokerTimeout  = 2 * time.Second
 	defaultCompactBytes   = 1 << 20
 
-	retryBudgetCapacity = 20  // retries of calls to brokers
-	retryBudgetPerCall  = 0.1 // retries
+	retryBudgetCapacity = 20  // retries of calls to brokers, over all instances
+	retryBudgetPerCall  = 0.1 // retries earned by each call
 
 	eventQueueLength = 64
 
-	maxIdle          = time.Minute // between two checks for what is due
-	journalRetryTime = time.Second // before an action whose record could not be written is tried again
+	maxIdle           = time.Minute // longest time between checks for due actions
+	journalRetryDelay = time.Second // delay before an action whose record could not be written is tried again
 )
 
-// Options sets an agent up.
+// Options configures an agent.
 type Options struct {
 	Name           string
-	Reconcile      reconcile.Config // zero: reconcile.DefaultConfig
-	ReportInterval time.Duration    // between two reports when nothing has changed; 0: 1 s
-	LongPollWait   time.Duration    // for new assignments; 0: 20 s
-	BrokerTimeout  time.Duration    // of one call to a broker; 0: 2 s
-	CompactBytes   int64            // size of the log at which it is compacted; 0: 1 MiB
+	Reconcile      reconcile.Config // zero value means reconcile.DefaultConfig
+	ReportInterval time.Duration    // time between reports when nothing has changed; 0 means 1 s
+	LongPollWait   time.Duration    // how long one call waits for new assignments; 0 means 20 s
+	BrokerTimeout  time.Duration    // of one call to a broker; 0 means 2 s
+	CompactBytes   int64            // size of the journal's log above which it is compacted; 0 means 1 MiB
 	AcceptNewFleet bool             // accept a manager of another fleet, or one that has lost history
 }
 
@@ -104,7 +106,7 @@
 	return o
 }
 
-// Supervisor is an agent. Open, Run, Drain and Close are called one after the other.
+// Supervisor is an agent. Open, Run, Drain and Close are called in this order.
 type Supervisor struct {
 	options Options
 	runner  ProcessRunner
@@ -114,26 +116,26 @@
 	log     *slog.Logger
 
 	events       chan event
-	reportNow    chan struct{}  // has a report sent before the interval has passed
+	reportNow    chan struct{}  // requests a report before the report interval has passed
 	calls        sync.WaitGroup // calls to brokers and the manager; Run waits for them
-	watchers     sync.WaitGroup // of processes; Close waits for them
-	watching     context.Context
+	watchers     sync.WaitGroup // goroutines that wait for processes; Close waits for them
+	watchCtx     context.Context
 	stopWatching context.CancelFunc // called by Close
 
-	// Owned by the goroutine of Run.
+	// Owned by Run's goroutine.
 	journal        *journal.Journal
 	journalFailing bool // the last record could not be written
 	state          *journalState
 	instances      map[string]*managedInstance
-	retryBudget    *retry.Budget // of calls to brokers
+	retryBudget    *retry.Budget // for calls to brokers
 	session        session
 }
 
-// session is what was agreed with the manager.
+// session is the state of the session with the manager.
 type session struct {
 	registration       api.Registration // zero while the agent is not registered
 	token              uint64           // fencing token of the last registration
-	assignmentsVersion uint64           // that the state follows; 0: of an earlier session
+	assignmentsVersion uint64           // version that the state follows, 0 if it is from an earlier session
 }
 
 // Open reads the journal in fs and returns an agent, which Run starts.
@@ -149,8 +151,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// Processes are watched between Run and Close too, by Drain, and so not by the context of Run.
-	watching, stopWatching := context.WithCancel(context.Background())
+	// Drain needs the exits of processes after Run has returned, so they are not watched with the context of Run.
+	watchCtx, stopWatching := context.WithCancel(context.Background())
 	return &Supervisor{
 		options:      options.withDefaults(),
 		runner:       runner,
@@ -160,7 +162,7 @@
 		log:          log,
 		events:       make(chan event, eventQueueLength),
 		reportNow:    make(chan struct{}, 1),
-		watching:     watching,
+		watchCtx:     watchCtx,
 		stopWatching: stopWatching,
 		journal:      j,
 		state:        state,
@@ -176,9 +178,9 @@
 	return s.journal.Close()
 }
 
-// Run keeps the instances in their desired state until ctx is done, and then returns nil. It returns state.ErrFenced where a
-// newer agent has registered, and the journal's error where that cannot be written any more. The brokers keep running in
-// any case; Drain ends them.
+// Run keeps the instances in their desired state until ctx is done, and then returns nil. It returns state.ErrFenced if
+// a newer agent has registered, and the journal's error if the journal can no longer be written. The brokers keep
+// running in any case; Drain ends them.
 func (s *Supervisor) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer s.calls.Wait()
@@ -198,7 +200,7 @@
 			return err
 		}
 		if err := s.journal.Err(); err != nil {
-			return err // what is on disk is unknown: the next agent reads it anew
+			return err // what is on disk is unknown, and the next agent reads the journal again
 		}
 		if err := s.compactIfDue(); err != nil {
 			return err
@@ -218,17 +220,18 @@
 	}
 }
 
-// Drain asks all processes to drain, and returns when they have ended or ctx is done. It is called after Run has returned.
+// Drain asks all processes to drain, and returns when they have ended or ctx is done. It is called after Run has
+// returned.
 func (s *Supervisor) Drain(ctx context.Context) {
 	for _, instance := range s.instances {
 		if instance.handle != nil {
-			_ = instance.handle.Terminate() // fails only where it has ended, which is an event of its own
+			_ = instance.handle.Terminate() // fails only if the process has ended, which arrives as an event
 		}
 	}
 	for s.anyProcess() {
 		select {
 		case e := <-s.events:
-			_ = e.handle(s) // an exit that is not in the journal is found by the next agent
+			_ = e.handle(s) // the next agent detects an exit that could not be written to the journal
 		case <-ctx.Done():
 			return
 		}
--- a/internal/fleet/supervisor/supervisor_test.go
+++ b/internal/fleet/supervisor/supervisor_test.go
@@ -16,16 +16,16 @@
 	"poppyarch/internal/testkit/faultfs"
 )
 
-// runRollouts brings three instances up, changes their start settings, and then a live setting. The agent crashes at one of
-// the calls to its disk (0: at none), halfway through a write if torn is set, and another one takes over. runRollouts
-// returns the number of calls.
-func runRollouts(t *testing.T, crashAt int, torn bool, prepare func(*fakeMachine)) (diskCalls int) {
+// runRollouts starts three instances, changes their start settings, and then a live setting. The agent crashes at disk
+// call crashAt (0 means never), halfway through a write if torn is set, and another agent takes over. injectFaults
+// injects faults into the machine. runRollouts returns the number of disk calls.
+func runRollouts(t *testing.T, crashAt int, torn bool, injectFaults func(*fakeMachine)) (diskCalls int) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		when := fmt.Sprintf("crash at disk call %d, torn %v", crashAt, torn)
 		f := newFleet(t)
 		defer f.close()
-		prepare(f.machine)
+		injectFaults(f.machine)
 		disk := faultfs.New()
 		if crashAt > 0 {
 			disk.CrashAt(crashAt, torn)
@@ -42,7 +42,7 @@
 	return diskCalls
 }
 
-// keepAgentRunning starts an agent, and another one whenever it has ended, until stop is called.
+// keepAgentRunning starts an agent, and another one whenever it ends, until stop is called.
 func (f *fleet) keepAgentRunning(disk *faultfs.FS) (stop func()) {
 	f.t.Helper()
 	kill, ended := f.startAgent(disk)
@@ -55,7 +55,7 @@
 				kill()
 				return
 			case err := <-ended:
-				testLog.Info("test: the agent ended and is started again", "err", err)
+				testLog.Info("test: agent ended, starting another one", "err", err)
 				disk.Reboot()
 				kill, ended = f.startAgent(disk)
 			}
@@ -69,12 +69,12 @@
 
 func noFault(*fakeMachine) {}
 
-// The agent crashes at every single call to its disk, which is before and after each record that it writes, and another one
-// takes over: brokers keep serving, none is started twice or lost, and no incarnation applies a change twice.
+// The agent crashes at every single disk call, which means before and after each record that it writes, and another
+// agent takes over: brokers keep serving, none is started twice or lost, and no incarnation applies a change twice.
 func TestBrokersSurviveAnAgentCrashAtEveryDiskCall(t *testing.T) {
 	calls := runRollouts(t, 0, false, noFault)
 	if calls < 40 {
-		t.Fatalf("only %d calls", calls)
+		t.Fatalf("%d disk calls without a crash, want at least 40", calls)
 	}
 	for crashAt := 1; crashAt <= calls; crashAt++ {
 		for _, torn := range []bool{false, true} {
@@ -87,7 +87,7 @@
 	for change := 1; change <= 9; change++ {
 		runRollouts(t, 0, false, func(m *fakeMachine) { m.crashBeforeChange = change })
 		runRollouts(t, 0, false, func(m *fakeMachine) { m.crashAfterChange = change })
-		runRollouts(t, 0, false, func(m *fakeMachine) { m.loseAnswer = change })
+		runRollouts(t, 0, false, func(m *fakeMachine) { m.loseResponse = change })
 	}
 }
 
@@ -101,13 +101,13 @@
 		before := f.machine.pids()
 		newer, err := f.manager.Register("a1", 0)
 		if err != nil || newer.Token < 2 {
-			t.Fatal(newer, err)
+			t.Fatalf("registration of a newer agent: token %d, error %v; want a token of at least 2", newer.Token, err)
 		}
 		if err := <-ended; !errors.Is(err, state.ErrFenced) {
-			t.Fatalf("the older agent ended with %v", err)
+			t.Fatalf("the older agent ended with %v, want ErrFenced", err)
 		}
 		if after := f.machine.pids(); !slices.Equal(after, before) {
-			t.Errorf("its brokers were %v and are %v", before, after)
+			t.Errorf("brokers of the older agent are %v, want %v as before", after, before)
 		}
 		f.machine.mu.Lock()
 		defer f.machine.mu.Unlock()
@@ -115,7 +115,7 @@
 			p.ledger.Admit(&control.Change{ID: "x", FencingToken: newer.Token, Boot: p.ledger.Boot(), BaseRevision: 99})
 			outcome := p.ledger.Admit(&control.Change{ID: "y", FencingToken: newer.Token - 1, Boot: p.ledger.Boot()})
 			if outcome == nil || outcome.Code != control.CodeFenced {
-				t.Errorf("an older token: %+v", outcome)
+				t.Errorf("outcome of a change with the older token is %+v, want CodeFenced", outcome)
 			}
 		}
 	})
@@ -133,11 +133,11 @@
 		disk.SetRoom(10)
 		s := newSpec(3, 96, "")
 		f.apply(s)
-		if f.settles(30 * time.Second) {
-			t.Fatal("settled without a journal")
+		if f.waitUntilSettled(30 * time.Second) {
+			t.Fatal("the fleet settled although the disk is full")
 		}
 		if pids, starts := f.machine.pids(), f.machine.startsOf("n0"); len(pids) != 2 || starts != 1 {
-			t.Errorf("%d processes, n0 started %d times", len(pids), starts)
+			t.Errorf("%d processes, n0 started %d times; want 2 and 1", len(pids), starts)
 		}
 		disk.SetRoom(-1)
 		f.mustSettle("with space again", 2*time.Minute)
@@ -153,22 +153,23 @@
 		override := &spec.NodeOverride{ID: "s", State: spec.NodeDraining}
 		request := &api.NodesRequest{Command: f.newCommand(), Changes: []state.NodeChange{{ID: "s", Override: override}}}
 		if _, err := f.manager.ChangeNodes(request); !errors.Is(err, api.ErrStorage) {
-			t.Errorf("got %v", err)
+			t.Errorf("ChangeNodes on a full disk returned %v, want ErrStorage", err)
 		}
 		overview, err := f.manager.Overview(spec.Selector{})
 		if err != nil || len(overview.Nodes) != 0 || overview.JournalFault == "" {
-			t.Errorf("%+v %v", overview, err)
+			t.Errorf("overview is %+v, error %v; want no node and a journal fault", overview, err)
 		}
 		f.managerDisk.SetRoom(-1)
 	})
 }
 
-// checkPausedAtCanary waits until the rollout of a revision is paused with one failed instance, and returns that.
+// checkPausedAtCanary waits until the rollout of a revision is paused with one failed instance, and returns the
+// instance and the reason.
 func (f *fleet) checkPausedAtCanary(revision uint64) (instance, reason string) {
 	f.t.Helper()
 	progress, err := f.manager.Wait(f.t.Context(), revision, time.Minute)
 	if err != nil || progress.Rollouts[0].Phase != state.Paused || len(progress.Rollouts[0].Failed) != 1 {
-		f.t.Fatalf("%v %+v", err, progress.Rollouts)
+		f.t.Fatalf("rollouts are %+v, error %v; want a paused one with one failed instance", progress.Rollouts, err)
 	}
 	for name, why := range progress.Rollouts[0].Failed {
 		instance = name
@@ -195,7 +196,7 @@
 		revision := f.apply(bad)
 		f.checkPausedAtCanary(revision)
 		if f.machine.startsOf("n1") != 1 || f.machine.startsOf("n2") != 1 {
-			t.Errorf("n1 was started %d times, n2 %d times", f.machine.startsOf("n1"), f.machine.startsOf("n2"))
+			t.Errorf("n1 was started %d times, n2 %d times; want each once", f.machine.startsOf("n1"), f.machine.startsOf("n2"))
 		}
 		rollback := &api.RollbackRequest{Command: f.newCommand(), To: revision - 1, Strategy: state.DefaultStrategy()}
 		if _, err := f.manager.Rollback(rollback); err != nil {
@@ -221,7 +222,7 @@
 		}
 		instance, reason := f.checkPausedAtCanary(f.apply(rejected))
 		if instance != "n0" || reason != "turned down by the broker: refused: live.max_open: not that" {
-			t.Errorf("%s: %s", instance, reason)
+			t.Errorf("instance %s failed because of %q, want n0 and the broker's rejection", instance, reason)
 		}
 		f.checkMachine("after the rejection", good)
 	})
@@ -244,7 +245,7 @@
 	})
 }
 
-func TestNothingIsReportedOfUnresponsiveBrokers(t *testing.T) {
+func TestStatusOfUnresponsiveBrokersIsNotReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.close()
@@ -256,11 +257,11 @@
 		time.Sleep(10 * time.Second)
 		overview, err := f.manager.Overview(spec.Selector{})
 		if err != nil || len(overview.Instances) != 3 {
-			t.Fatalf("%+v %v", overview, err)
+			t.Fatalf("overview is %+v, error %v; want three instances", overview, err)
 		}
 		for _, instance := range overview.Instances {
 			if instance.Current || instance.Available || instance.Report.Incarnation != "" {
-				t.Errorf("nothing is known of %s, and it is reported as %+v", instance.Name, instance)
+				t.Errorf("the broker of %s does not answer, but its status is %+v", instance.Name, instance)
 			}
 		}
 		f.machine.setUnresponsive(false)
@@ -268,7 +269,7 @@
 	})
 }
 
-// advanceEditions has the manager count many editions, which a new manager does not reach by itself.
+// advanceEditions raises the manager's edition beyond any that a new manager reaches in the test.
 func (f *fleet) advanceEditions() {
 	f.t.Helper()
 	for i := range 80 {
@@ -282,8 +283,9 @@
 	}
 }
 
-// An agent ignores a manager with an empty journal at the same address, until an operator accepts it. Then no broker is
-// restarted, though only a canary is released at first, and each comes to hold what the new manager desires.
+// An agent ignores a manager with an empty journal at the same address until an operator accepts it. After that, no
+// broker is restarted, although only a canary is released at first, and each broker reaches the state that the new
+// manager desires.
 func TestManagerWithoutHistoryIsIgnoredUntilItIsAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -314,8 +316,8 @@
 	})
 }
 
-// The instance of a machine that is gone waits for it until an operator retires its agent, and then starts elsewhere. An
-// agent that is in contact cannot be retired, and one that comes back after all ends its instances.
+// The instance of an agent that has crashed starts on another machine only after an operator has retired the agent. An
+// agent that is in contact cannot be retired, and a retired one that returns ends its instances.
 func TestInstanceOfARetiredAgentStartsElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -333,7 +335,7 @@
 			return err
 		}
 		if err := retire(); !errors.Is(err, state.ErrInvalidState) {
-			t.Errorf("retiring an agent that is in contact: %v", err)
+			t.Errorf("retiring an agent that is in contact returned %v, want ErrInvalidState", err)
 		}
 		kill()
 		moved := newSpec(1, 64, "")
@@ -341,7 +343,7 @@
 		f.apply(moved)
 		time.Sleep(time.Minute)
 		if len(otherMachine.pids()) != 0 {
-			t.Fatal("the instance runs on both machines")
+			t.Fatal("the instance was started elsewhere before its agent was retired")
 		}
 		if err := retire(); err != nil {
 			t.Fatal(err)
@@ -353,7 +355,7 @@
 		kill, _ = f.startAgent(disk)
 		time.Sleep(30 * time.Second)
 		if len(f.machine.pids()) != 0 {
-			t.Error("the old machine still runs the instance")
+			t.Error("the retired agent still runs the instance after its return")
 		}
 		kill()
 	})
