--- a/internal/fleet/manager/agents.go
+++ b/internal/fleet/manager/agents.go
@@ -14,8 +14,8 @@
 	maxLongPoll  = time.Minute
 )
 
-// Register makes the caller the newest agent of its name, and fences off the others. seenEdition is 0, or the highest
-// edition that the agent followed before it came to this fleet.
+// Register makes the caller the newest agent of its name, and fences off all earlier ones. seenEdition is 0, or the
+// highest edition that the agent has seen from another manager that it followed before.
 func (m *Manager) Register(agent string, seenEdition uint64) (api.Registration, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// Report takes an agent's report. The error is api.ErrEpoch or state.ErrFenced where the agent's session has ended.
+// Report processes an agent's report. It returns api.ErrEpoch or state.ErrFenced if the agent's session has ended.
 func (m *Manager) Report(request *api.ReportRequest) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -67,7 +67,7 @@
 }
 
 // Assignments waits until an agent's assignments differ from the version that it has, or the request's wait has passed,
-// and returns what has changed.
+// and returns the assignments that have changed.
 func (m *Manager) Assignments(ctx context.Context, request *api.AssignmentsRequest) (api.Assignments, error) {
 	wait := time.Duration(min(request.WaitMS, maxLongPoll.Milliseconds())) * time.Millisecond
 	var assignments api.Assignments
@@ -80,7 +80,7 @@
 		}
 		list, version := m.state.Assignments(request.Agent, request.KnownVersion)
 		first := request.KnownVersion == 0
-		if news := version != request.KnownVersion || first && len(list) > 0; !news && !timedOut {
+		if changed := version != request.KnownVersion || first && len(list) > 0; !changed && !timedOut {
 			return false, nil
 		}
 		nodes, _ := m.state.NodeOverrides()
@@ -90,8 +90,8 @@
 	return assignments, err
 }
 
-// poll calls check, with mu held, at once, after each change of the state and, with timedOut set, after the wait; until it
-// returns true or an error, or ctx is done.
+// poll calls check with mu held: immediately, after each change of the state and, with timedOut set, after the wait. It
+// returns when check returns true or an error, or ctx is done.
 func (m *Manager) poll(ctx context.Context, wait time.Duration, check func(timedOut bool) (done bool, err error)) error {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/fleet/manager/commands.go
+++ b/internal/fleet/manager/commands.go
@@ -10,10 +10,12 @@
 
 const maxCommandID = 128 // bytes
 
-// proposal returns the record of a command as of now, nil where the command changes nothing, and the plan for people.
+// proposal returns the record of a command as of now, which is nil if the command changes nothing, and the plan to show
+// to operators.
 type proposal func(now clock.Micros) (*state.Record, *state.Plan, error)
 
-// execute carries out a command once: its id is the idempotency key, under which a repeated command gets the first result.
+// execute carries out a command once. The command's id is its idempotency key: a repeated command gets the result of
+// the first execution.
 func (m *Manager) execute(command *state.Command, propose proposal) (api.Reply, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -65,7 +67,7 @@
 	})
 }
 
-// Retire declares that an agent and its machine are gone for good, so that its instances may start elsewhere.
+// Retire declares that an agent and its machine have failed permanently, so that its instances may start elsewhere.
 func (m *Manager) Retire(request *api.RetireRequest) (api.Reply, error) {
 	return m.execute(&request.Command, func(now clock.Micros) (*state.Record, *state.Plan, error) {
 		record, err := m.state.Retire(&request.Command, request.Agent, now)
--- a/internal/fleet/manager/commit.go
+++ b/internal/fleet/manager/commit.go
@@ -8,8 +8,8 @@
 	"poppyarch/internal/fleet/state"
 )
 
-// commit appends a record to the journal and, only once that is on disk, applies it to the state. The caller holds mu. The
-// error is api.ErrStorage where nothing has changed.
+// commit appends a record to the journal and applies it to the state once it is on disk. The caller holds mu. The error
+// wraps api.ErrStorage if nothing has changed.
 func (m *Manager) commit(r *state.Record) error {
 	encoded, err := r.Encode()
 	if err == nil {
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// fail ends the manager: its state may differ from what is on disk, which the next incarnation reads anew. The caller
-// holds mu.
+// fail ends the manager, whose state may differ from what is on disk. The next incarnation reads the journal again. The
+// caller holds mu.
 func (m *Manager) fail(err error) {
 	if m.failure == nil {
 		m.failure = err
@@ -48,7 +48,8 @@
 	m.changed = make(chan struct{})
 }
 
-// compactIfDue replaces the journal's log by a snapshot once the log is long enough. The caller holds mu.
+// compactIfDue replaces the journal's log with a snapshot once the log exceeds Options.CompactBytes. The caller holds
+// mu.
 func (m *Manager) compactIfDue() {
 	if m.failure != nil || m.journal.Size() <= m.options.CompactBytes {
 		return
@@ -68,7 +69,7 @@
 	m.log.Info("manager: journal compacted", "bytes", len(snapshot))
 }
 
-// logRecovery logs what was wrong with the journal when it was opened.
+// logRecovery logs the faults found in the journal when it was opened.
 func (m *Manager) logRecovery(report *journal.RecoveryReport) {
 	if report.TornBytes > 0 {
 		m.log.Warn("manager: cut off an incomplete last record of the journal", "bytes", report.TornBytes)
--- a/internal/fleet/manager/handler.go
+++ b/internal/fleet/manager/handler.go
@@ -11,10 +11,10 @@
 	"poppyarch/internal/fleet/spec"
 )
 
-// maxRequestBytes bounds a request; a fleet of 100,000 instances fits.
+// maxRequestBytes limits the size of a request. The desired state of 100,000 instances fits.
 const maxRequestBytes = 256 << 20
 
-// Handler serves agents and the command line.
+// Handler returns the HTTP handler for agents and the command line.
 func (m *Manager) Handler() http.Handler {
 	mux := http.NewServeMux()
 	handle(mux, api.PathRegister, func(_ context.Context, in *api.RegisterRequest) (api.Registration, error) {
@@ -49,7 +49,7 @@
 	return func(_ context.Context, in *In) (Out, error) { return call(in) }
 }
 
-// handle serves one call: it decodes the request, and encodes the response or the error.
+// handle registers the handler of one call, which decodes the request and encodes the response or the error.
 func handle[In, Out any](mux *http.ServeMux, path string, call func(context.Context, *In) (Out, error)) {
 	mux.HandleFunc("POST "+api.PathPrefix+path, func(w http.ResponseWriter, r *http.Request) {
 		in, err := decodeRequest[In](w, r)
@@ -84,5 +84,5 @@
 func writeResponse(w http.ResponseWriter, status int, response any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(response) // fails only where the client has gone
+	_ = json.NewEncoder(w).Encode(response) // fails only if the client has disconnected
 }
--- a/internal/fleet/manager/manager.go
+++ b/internal/fleet/manager/manager.go
@@ -1,6 +1,6 @@
-// Package manager runs a fleet's manager: it keeps the fleet's state in a journal, applies what the state says is due, and
-// serves agents and the command line. Every decision is made in package state; this package does the I/O, the waiting and
-// the logging.
+// Package manager runs a fleet's manager: it keeps the fleet's state in a journal, commits the records that the state
+// says are due, and serves agents and the command line. Every decision is made in package state; this package does the
+// I/O, the waiting and the logging.
 package manager
 
 import (
@@ -22,12 +22,12 @@
 	defaultStepInterval = 50 * time.Millisecond
 )
 
-// Options sets a manager up.
+// Options configures a manager.
 type Options struct {
-	Limits       state.Limits  // zero: state.DefaultLimits
-	CompactBytes int64         // size of the log at which it is compacted; 0: 8 MiB
-	StepInterval time.Duration // between two checks for what is due; 0: 50 ms
-	AcceptDamage bool          // start although records of the journal are lost
+	Limits       state.Limits  // zero value means state.DefaultLimits
+	CompactBytes int64         // size of the journal's log above which it is compacted; 0 means 8 MiB
+	StepInterval time.Duration // time between checks for due records; 0 means 50 ms
+	AcceptDamage bool          // start even if records of the journal have been lost
 }
 
 func (o Options) withDefaults() Options {
@@ -48,20 +48,20 @@
 	options Options
 	log     *slog.Logger
 	clock   *clock.Clock
-	epoch   string        // names this incarnation
-	stepNow chan struct{} // has Run step without waiting for the interval
+	epoch   string        // identifies this incarnation of the manager
+	stepNow chan struct{} // makes Run step without waiting for the interval
 	failed  chan struct{} // closed once failure is set
 
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the fields below
 	state        *state.State
 	journal      *journal.Journal
-	journalFault string        // for people; empty: none
-	failure      error         // the journal cannot be written any more, and the manager has to end
+	journalFault string        // fault of the journal to show to operators, empty if there is none
+	failure      error         // why the manager has to end, such as a journal that can no longer be written
 	changed      chan struct{} // closed, and replaced, when the state has changed
 	stats        map[string]brokerStats
 }
 
-// brokerStats are the last statistics of an instance.
+// brokerStats holds the latest statistics of an instance.
 type brokerStats struct {
 	api.BrokerStats
 	measuredAt clock.Micros
--- a/internal/fleet/manager/manager_test.go
+++ b/internal/fleet/manager/manager_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestCallsOfASessionEndWithTheManagersIncarnation(t *testing.T) {
+func TestSessionEndsWithTheManagersIncarnation(t *testing.T) {
 	fs := faultfs.New()
 	m := openManager(t, fs, Options{})
 	session, err := m.Register("a", 0)
@@ -53,11 +53,11 @@
 	m = openManager(t, fs, Options{})
 	report.Seq = 2
 	if err := m.Report(report); !errors.Is(err, api.ErrEpoch) {
-		t.Errorf("a report of an earlier session: %v", err)
+		t.Errorf("report of an earlier session returned %v, want ErrEpoch", err)
 	}
 	poll := &api.AssignmentsRequest{Agent: "a", Token: session.Token, Epoch: session.Epoch}
 	if _, err := m.Assignments(t.Context(), poll); !errors.Is(err, api.ErrEpoch) {
-		t.Errorf("a poll of an earlier session: %v", err)
+		t.Errorf("poll of an earlier session returned %v, want ErrEpoch", err)
 	}
 }
 
@@ -79,21 +79,22 @@
 	}
 	callers.Wait()
 	if history := m.History(10); len(history.Revisions) != 1 {
-		t.Errorf("%d revisions", len(history.Revisions))
+		t.Errorf("%d revisions after eight concurrent calls with one id, want 1", len(history.Revisions))
 	}
 	m.step() // compacts the journal
 	closeManager(t, m)
 	m = openManager(t, fs, Options{})
 	reply, err := m.ChangeNodes(drainNode("same", "s-1"))
 	if err != nil || !reply.Result.Repeated || reply.Result.Revision != 1 {
-		t.Errorf("%+v %v", reply, err)
+		t.Errorf("reply is %+v, error %v; want the repeated result of revision 1", reply, err)
 	}
 	if overview, err := m.Overview(spec.Selector{}); err != nil || overview.Revision != 1 || len(overview.Nodes) != 1 {
-		t.Errorf("%+v %v", overview, err)
+		t.Errorf("overview is %+v, error %v; want revision 1 with one node", overview, err)
 	}
 }
 
-// changeNodesUntilFailure makes eight changes, each of another node, or as many as succeed, and returns their number.
+// changeNodesUntilFailure changes eight nodes, one after the other, until a change fails. It returns the number of
+// confirmed changes.
 func changeNodesUntilFailure(fs *faultfs.FS) (confirmed int) {
 	m, err := Open(fs, Options{CompactBytes: 600}, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -108,8 +109,8 @@
 	return 8
 }
 
-// The manager's machine crashes at every single call to its disk. A command that was confirmed is there afterwards, one
-// that was not is there completely or not at all, and repeated it is executed once.
+// The manager's machine crashes at every single disk call. After that, each confirmed command has been executed, a
+// command that was not confirmed has been executed completely or not at all, and a repeated command is executed once.
 func TestCommandsSurviveACrashAtEveryDiskCall(t *testing.T) {
 	for crashAt := 1; ; crashAt++ {
 		fs := faultfs.New()
@@ -117,14 +118,14 @@
 		confirmed := changeNodesUntilFailure(fs)
 		if !fs.Down() {
 			if crashAt < 20 {
-				t.Fatalf("only %d calls", crashAt)
+				t.Fatalf("%d disk calls without a crash, want at least 20", crashAt)
 			}
 			return
 		}
 		fs.Reboot()
 		m := openManager(t, fs, Options{})
 		if overview, _ := m.Overview(spec.Selector{}); len(overview.Nodes) != confirmed && len(overview.Nodes) != confirmed+1 {
-			t.Fatalf("crash at call %d: %d of %d confirmed commands are there", crashAt, len(overview.Nodes), confirmed)
+			t.Fatalf("crash at disk call %d: %d commands were executed, %d confirmed", crashAt, len(overview.Nodes), confirmed)
 		}
 		for i := range 8 {
 			if _, err := m.ChangeNodes(drainNode(fmt.Sprint("c", i), fmt.Sprint("s-", i))); err != nil {
@@ -132,7 +133,7 @@
 			}
 		}
 		if history := m.History(20); len(history.Revisions) != 8 {
-			t.Fatalf("crash at call %d: %d revisions", crashAt, len(history.Revisions))
+			t.Fatalf("crash at disk call %d: %d revisions after repeating all commands, want 8", crashAt, len(history.Revisions))
 		}
 	}
 }
--- a/internal/fleet/manager/queries.go
+++ b/internal/fleet/manager/queries.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	overviewRollouts = 5    // past rollouts in an overview
-	waitRollouts     = 20   // and in the answer to a wait
-	staleStats       = 1000 // entries of removed instances that are tolerated
+	overviewRollouts = 5    // number of past rollouts in an overview
+	waitRollouts     = 20   // number of past rollouts in the response to a wait
+	maxStaleStats    = 1000 // number of entries of removed instances that are tolerated
 )
 
 // Overview returns the state of the fleet, with the selected instances.
@@ -42,7 +42,7 @@
 	}, nil
 }
 
-// statsOf returns the last statistics of the instances whose broker is known to run. The caller holds mu.
+// statsOf returns the latest statistics of the instances whose broker is known to run. The caller holds mu.
 func (m *Manager) statsOf(instances []state.InstanceStatus) []api.BrokerStats {
 	var list []api.BrokerStats
 	for i := range instances {
@@ -54,21 +54,21 @@
 		current.Age = m.clock.Now() - last.measuredAt
 		list = append(list, current)
 	}
-	if len(m.stats) > 2*len(instances)+staleStats {
+	if len(m.stats) > 2*len(instances)+maxStaleStats {
 		clear(m.stats)
 	}
 	return list
 }
 
-// History returns the newest revisions, up to limit of them.
+// History returns up to limit of the newest revisions.
 func (m *Manager) History(limit int) api.History {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return api.History{Revisions: m.state.History(limit)}
 }
 
-// Wait returns when the rollout of a revision has ended (revision 0: when the fleet has settled), when the active rollout
-// is paused, or when the wait has passed.
+// Wait returns when the rollout of a revision has ended (for revision 0, when the fleet has settled), when a rollout is
+// paused, or when the wait has passed.
 func (m *Manager) Wait(ctx context.Context, revision uint64, wait time.Duration) (api.WaitResponse, error) {
 	var response api.WaitResponse
 	err := m.poll(ctx, min(wait, maxLongPoll), func(timedOut bool) (done bool, err error) {
--- a/internal/fleet/manager/run.go
+++ b/internal/fleet/manager/run.go
@@ -7,8 +7,8 @@
 	"poppyarch/internal/fleet/state"
 )
 
-// Run applies what is due until ctx is done, and then returns nil. It returns an error where the journal cannot be written
-// any more.
+// Run commits the records that are due until ctx is done, and then returns nil. It returns an error if the journal can
+// no longer be written.
 func (m *Manager) Run(ctx context.Context) error {
 	ticker := time.NewTicker(m.options.StepInterval)
 	defer ticker.Stop()
@@ -41,17 +41,17 @@
 				r.At = m.clock.Now()
 			}
 			if m.commit(r) != nil {
-				return // nothing has changed: the record comes up again at the next step
+				return // nothing has changed, and the next step proposes the record again
 			}
 		}
 	}
 	m.compactIfDue()
 }
 
-// requestStep has Run step at once.
+// requestStep makes Run step without waiting for the interval.
 func (m *Manager) requestStep() {
 	select {
 	case m.stepNow <- struct{}{}:
-	default: // it has been requested already
+	default: // a step has already been requested
 	}
 }
--- a/internal/fleet/manager/server.go
+++ b/internal/fleet/manager/server.go
@@ -16,8 +16,8 @@
 	maxHeaderBytes    = 16 << 10
 )
 
-// Serve answers calls on the listener, and runs the manager meanwhile, until ctx is done. It returns early where the journal
-// cannot be written any more or the listener fails.
+// Serve serves calls on the listener and runs the manager until ctx is done. It returns early if the journal can no
+// longer be written or the listener fails.
 func (m *Manager) Serve(ctx context.Context, listener net.Listener) error {
 	server := &http.Server{
 		Handler:           m.Handler(),
@@ -37,7 +37,7 @@
 		stop()
 		return fmt.Errorf("manager: %w", errors.Join(err, <-ran))
 	case err := <-ran:
-		_ = server.Close() // closes connections; the error of the listener comes from Serve
+		_ = server.Close() // closes connections; server.Serve returns the error of the listener
 		if serveErr := <-served; !errors.Is(serveErr, http.ErrServerClosed) && err == nil {
 			err = serveErr
 		}
