--- a/internal/fleet/api/calls.go
+++ b/internal/fleet/api/calls.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Register makes the caller the newest agent of its name. seenEdition is 0, or the highest edition that the agent followed
-// before it came to this fleet.
+// Register makes the caller the newest agent of its name. seenEdition is 0, or the highest edition that the agent has
+// seen from another manager that it followed before.
 func (c *Client) Register(ctx context.Context, agent string, seenEdition uint64) (Registration, error) {
 	var registration Registration
 	err := c.call(ctx, PathRegister, 0, RegisterRequest{Agent: agent, SeenEdition: seenEdition}, &registration)
@@ -18,7 +18,7 @@
 	return c.call(ctx, PathReport, 0, request, &ReportResponse{})
 }
 
-// Assignments waits for new assignments, and returns none once the request's wait has passed.
+// Assignments waits for new assignments, and returns none if the request's wait passes without any.
 func (c *Client) Assignments(ctx context.Context, request *AssignmentsRequest) (Assignments, error) {
 	var assignments Assignments
 	longPoll := time.Duration(request.WaitMS) * time.Millisecond
@@ -48,7 +48,7 @@
 	return c.command(ctx, PathSetRolloutPhase, request)
 }
 
-// Retire declares that an agent and its machine are gone for good.
+// Retire declares that an agent and its machine have failed permanently.
 func (c *Client) Retire(ctx context.Context, request *RetireRequest) (Reply, error) {
 	return c.command(ctx, PathRetire, request)
 }
@@ -71,15 +71,15 @@
 	return overview, err
 }
 
-// History returns the newest revisions, up to limit of them.
+// History returns up to limit of the newest revisions.
 func (c *Client) History(ctx context.Context, limit int) (History, error) {
 	var history History
 	err := c.call(ctx, PathHistory, 0, HistoryRequest{Limit: limit}, &history)
 	return history, err
 }
 
-// Wait returns when the rollout of a revision has ended or is paused (revision 0: when the fleet has settled), or when the
-// wait has passed.
+// Wait returns when the rollout of a revision has ended (for revision 0, when the fleet has settled), when a rollout is
+// paused, or when the wait has passed.
 func (c *Client) Wait(ctx context.Context, revision uint64, wait time.Duration) (WaitResponse, error) {
 	var response WaitResponse
 	err := c.call(ctx, PathWait, wait, WaitRequest{Revision: revision, WaitMS: wait.Milliseconds()}, &response)
--- a/internal/fleet/api/client.go
+++ b/internal/fleet/api/client.go
@@ -20,33 +20,33 @@
 
 const (
 	dialTimeout     = 2 * time.Second
-	attemptTimeout  = 10 * time.Second // of one attempt, besides what the manager may wait
+	attemptTimeout  = 10 * time.Second // of one attempt, added to the time that the manager may wait
 	idleConnTimeout = 20 * time.Second
 	maxIdleConns    = 4
 )
 
-// Retries of a client's calls.
+// Limits of the retries of a client's calls.
 const (
-	maxAttempts       = 4
-	initialRetryDelay = 100 * time.Millisecond
-	maxRetryDelay     = 2 * time.Second
-	budgetCapacity    = 10                     // retries
-	budgetPerCall     = 0.2                    // retries
-	breakerThreshold  = 5                      // failures
-	breakerOpen       = 200 * time.Millisecond // at first
-	maxBreakerOpen    = 5 * time.Second
+	maxAttempts        = 4
+	initialRetryDelay  = 100 * time.Millisecond
+	maxRetryDelay      = 2 * time.Second
+	budgetCapacity     = 10                     // retries
+	budgetPerCall      = 0.2                    // retries earned by each call
+	breakerThreshold   = 5                      // consecutive failures
+	initialBreakerOpen = 200 * time.Millisecond // first open period
+	maxBreakerOpen     = 5 * time.Second
 )
 
-// Client calls a manager. Each attempt has a deadline. An attempt that got no answer is retried within a budget, which is
-// safe as every call either changes nothing or is idempotent; a circuit breaker holds calls back from a manager that does
-// not answer. A Client is safe for concurrent use.
+// Client calls a manager. Each attempt has a deadline. An attempt that got no response is retried within a budget,
+// which is safe because every call is read-only or idempotent. A circuit breaker holds back calls to a manager that
+// does not respond. A Client is safe for concurrent use.
 type Client struct {
 	base   string
 	http   *http.Client
 	policy retry.Policy
-	start  time.Time // zero of the breaker's clock
+	start  time.Time // time zero of the breaker's clock
 
-	mu      sync.Mutex // guards the two below
+	mu      sync.Mutex // guards budget and breaker
 	budget  *retry.Budget
 	breaker retry.Breaker
 }
@@ -78,7 +78,7 @@
 		budget: retry.NewBudget(budgetCapacity, budgetPerCall),
 		breaker: retry.NewBreaker(retry.BreakerConfig{
 			Threshold:   breakerThreshold,
-			InitialOpen: clock.FromDuration(breakerOpen),
+			InitialOpen: clock.FromDuration(initialBreakerOpen),
 			MaxOpen:     clock.FromDuration(maxBreakerOpen),
 		}),
 	}
@@ -89,7 +89,8 @@
 
 func (c *Client) now() clock.Micros { return clock.FromDuration(time.Since(c.start)) }
 
-// call makes a call and retries it where no answer came. The manager may wait for up to longPoll before it answers.
+// call makes a call and retries it if there was no response. The manager may wait for up to longPoll before it
+// responds.
 func (c *Client) call(ctx context.Context, path string, longPoll time.Duration, request, response any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -130,7 +131,7 @@
 	return c.breaker.Allow(c.now())
 }
 
-// recordAttempt counts any answer, an error of the manager included, as a success.
+// recordAttempt counts any response as a success, including an error returned by the manager.
 func (c *Client) recordAttempt(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,7 +144,8 @@
 	return c.budget.TakeRetry()
 }
 
-// attempt makes one attempt of a call. Its error is ErrUnavailable where no answer came, and otherwise the manager's.
+// attempt makes one attempt of a call. The error wraps ErrUnavailable if there was no valid response, and is the
+// manager's error otherwise.
 func (c *Client) attempt(ctx context.Context, path string, longPoll time.Duration, body []byte, response any) error {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout+longPoll)
 	defer cancel()
--- a/internal/fleet/api/client_test.go
+++ b/internal/fleet/api/client_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// newClient returns a client of a server with a handler.
+// newClient returns a client of a server that uses the handler.
 func newClient(t *testing.T, handler http.HandlerFunc) *Client {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -21,7 +21,7 @@
 	return client
 }
 
-// writeError answers with an error as the manager does.
+// writeError writes an error response as the manager does.
 func writeError(t *testing.T, w http.ResponseWriter, err error) {
 	t.Helper()
 	response, status := NewErrorResponse(err)
@@ -38,24 +38,24 @@
 			client := newClient(t, func(rw http.ResponseWriter, _ *http.Request) { writeError(t, rw, sent) })
 			_, err := client.History(t.Context(), 1)
 			if !errors.Is(err, w.err) || err.Error() != sent.Error() {
-				t.Errorf("%q arrives as %q", sent, err)
+				t.Errorf("error %q is received as %q", sent, err)
 			}
 			var remote *RemoteError
 			if !errors.As(err, &remote) || remote.Code != w.code {
-				t.Errorf("%q arrives as %#v", sent, err)
+				t.Errorf("error %q is received as %#v, want a RemoteError with code %s", sent, err, w.code)
 			}
 		})
 	}
 }
 
-func TestErrorWithoutACodeArrivesAsFaultyRequest(t *testing.T) {
+func TestErrorWithoutCodeIsReceivedAsErrRequest(t *testing.T) {
 	client := newClient(t, func(w http.ResponseWriter, _ *http.Request) { writeError(t, w, errors.New("spec: no instances")) })
 	if _, err := client.History(t.Context(), 1); !errors.Is(err, ErrRequest) || err.Error() != "spec: no instances" {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want ErrRequest with the text as sent", err)
 	}
 }
 
-func TestErrorWithAnUnknownCodeArrivesAsFaultyRequest(t *testing.T) {
+func TestErrorWithUnknownCodeIsReceivedAsErrRequest(t *testing.T) {
 	client := newClient(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusTeapot)
 		if _, err := w.Write([]byte(`{"code":"later","error":"not yet"}`)); err != nil {
@@ -63,11 +63,11 @@
 		}
 	})
 	if _, err := client.History(t.Context(), 1); !errors.Is(err, ErrRequest) || err.Error() != "faulty request: not yet" {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want ErrRequest with the text \"faulty request: not yet\"", err)
 	}
 }
 
-func TestAttemptWithoutAnswerIsRetried(t *testing.T) {
+func TestAttemptWithoutResponseIsRetried(t *testing.T) {
 	var attempts atomic.Int32
 	client := newClient(t, func(w http.ResponseWriter, _ *http.Request) {
 		if attempts.Add(1) == 1 {
@@ -78,14 +78,14 @@
 		}
 	})
 	if _, err := client.History(t.Context(), 1); err != nil || attempts.Load() != 2 {
-		t.Errorf("%v after %d attempts", err, attempts.Load())
+		t.Errorf("error %v after %d attempts, want success after 2", err, attempts.Load())
 	}
 }
 
-func TestManagerThatCannotBeReachedIsUnavailable(t *testing.T) {
+func TestUnreachableManagerIsUnavailable(t *testing.T) {
 	client := NewClient("unix:" + t.TempDir() + "/none")
 	defer client.Close()
 	if _, err := client.History(t.Context(), 1); !errors.Is(err, ErrUnavailable) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want ErrUnavailable", err)
 	}
 }
--- a/internal/fleet/api/errors.go
+++ b/internal/fleet/api/errors.go
@@ -7,17 +7,18 @@
 	"poppyarch/internal/fleet/state"
 )
 
-// Errors of the manager, besides those of package state. They cross the wire by their codes.
+// Errors of the manager, in addition to those of package state. Each is sent as a code.
 var (
 	ErrEpoch   = errors.New("the manager has restarted")            // sessions with its earlier incarnation have ended
 	ErrStorage = errors.New("the manager cannot write its journal") // nothing has changed
 	ErrRequest = errors.New("faulty request")                       // a retry would fail again
 )
 
-// ErrUnavailable is the client's error where no answer came. Whether the manager acted is unknown.
+// ErrUnavailable is the client's error if there was no response. Whether the manager has carried out the request is
+// unknown.
 var ErrUnavailable = errors.New("no manager answers")
 
-// wireError is one row of the table of errors on the wire.
+// wireError maps an error to the code and HTTP status that it is sent as.
 type wireError struct {
 	err    error
 	code   string
@@ -35,14 +36,14 @@
 	{state.ErrInvalidState, "state", http.StatusConflict},
 }
 
-// ErrorResponse is an error as it crosses the wire.
+// ErrorResponse is the body of a response that carries an error.
 type ErrorResponse struct {
 	Code  string `json:"code"`
 	Error string `json:"error"`
 }
 
-// NewErrorResponse returns the body and the HTTP status for an error. One that has no code of its own is sent as a faulty
-// request.
+// NewErrorResponse returns the response body and the HTTP status for an error. An error without a code of its own is
+// sent as ErrRequest.
 func NewErrorResponse(err error) (response ErrorResponse, status int) {
 	for _, w := range wireErrors {
 		if errors.Is(err, w.err) {
@@ -52,7 +53,7 @@
 	return ErrorResponse{Code: "request", Error: err.Error()}, http.StatusBadRequest
 }
 
-// RemoteError is an error that the manager answered with. It wraps the error that its code stands for.
+// RemoteError is an error returned by the manager. It wraps the error that its code stands for.
 type RemoteError struct {
 	Code    string
 	Message string
@@ -64,8 +65,8 @@
 // Unwrap returns the error that the code stands for.
 func (e *RemoteError) Unwrap() error { return e.kind }
 
-// asError returns the error that a response stands for. One with a code that this version does not know is taken for a
-// faulty request.
+// asError returns the error that a response stands for. A code that this version does not know is treated as
+// ErrRequest.
 func (r ErrorResponse) asError() error {
 	for _, w := range wireErrors {
 		if w.code == r.Code {
--- a/internal/fleet/api/messages.go
+++ b/internal/fleet/api/messages.go
@@ -1,5 +1,5 @@
-// Package api is the HTTP interface between the manager, its agents and the command line: the paths, the messages, the
-// errors and their codes, and the client.
+// Package api defines the HTTP interface between the manager, its agents and the command line: the paths, the messages,
+// the errors and their codes, and the client.
 package api
 
 import (
@@ -12,7 +12,7 @@
 // PathPrefix precedes every path below.
 const PathPrefix = "/v1/"
 
-// Paths of the calls. Each is a POST of a request in JSON.
+// Paths of the calls. Each call is a POST of a JSON request.
 const (
 	PathRegister        = "agents/register"
 	PathReport          = "agents/report"
@@ -31,25 +31,25 @@
 // RegisterRequest makes the caller the newest agent of its name.
 type RegisterRequest struct {
 	Agent       string `json:"agent"`
-	SeenEdition uint64 `json:"seen"` // 0, or the highest edition that the agent followed before it came to this fleet
+	SeenEdition uint64 `json:"seen"` // 0, or the highest edition seen from another manager before
 }
 
 // Registration answers a RegisterRequest.
 type Registration struct {
-	Token   uint64 `json:"token"` // fencing token: a newer agent of the name has a higher one
-	Epoch   string `json:"epoch"` // names the manager's incarnation
-	FleetID string `json:"fleet"` // names the manager's journal, for good
-	Edition uint64 `json:"edition"`
+	Token   uint64 `json:"token"`   // fencing token; a newer agent of the same name gets a higher one
+	Epoch   string `json:"epoch"`   // identifies the manager's incarnation
+	FleetID string `json:"fleet"`   // identifies the manager's journal permanently
+	Edition uint64 `json:"edition"` // the manager's newest edition
 }
 
-// ReportRequest reports what an agent has seen of its instances.
+// ReportRequest reports what an agent has observed of its instances.
 type ReportRequest struct {
 	Agent              string         `json:"agent"`
 	Token              uint64         `json:"token"`
 	Epoch              string         `json:"epoch"`
 	Seq                uint64         `json:"seq"`
-	AssignmentsVersion uint64         `json:"have"` // of the assignments that the agent follows
-	Full               bool           `json:"full"` // Reports has every instance, and not only those that have changed
+	AssignmentsVersion uint64         `json:"have"` // version of the assignments that the agent follows
+	Full               bool           `json:"full"` // Reports has every instance, not only those that have changed
 	Reports            []state.Report `json:"reports"`
 	Stats              []BrokerStats  `json:"figures,omitempty"`
 }
@@ -57,27 +57,27 @@
 // ReportResponse answers a ReportRequest.
 type ReportResponse struct{}
 
-// BrokerStats are what a broker did lately.
+// BrokerStats holds the recent statistics of a broker.
 type BrokerStats struct {
 	Name     string         `json:"name"`
-	Age      clock.Micros   `json:"age_us"` // since the broker gave them, as of the sending of the message
-	InFlight int64          `json:"open"`   // requests in flight
+	Age      clock.Micros   `json:"age_us"` // time from the measurement to the sending of the message
+	InFlight int64          `json:"open"`   // number of requests in flight
 	Stats    *control.Stats `json:"figures"`
 }
 
-// AssignmentsRequest asks for assignments newer than a version, and waits for some.
+// AssignmentsRequest asks for assignments newer than a version, and waits until there are some.
 type AssignmentsRequest struct {
 	Agent        string `json:"agent"`
 	Token        uint64 `json:"token"`
 	Epoch        string `json:"epoch"`
-	KnownVersion uint64 `json:"have"` // 0: none
+	KnownVersion uint64 `json:"have"` // 0 if the agent has none
 	WaitMS       int64  `json:"wait_ms"`
 }
 
 // Assignments answers an AssignmentsRequest.
 type Assignments struct {
 	Version uint64              `json:"version"`
-	Full    bool                `json:"full"` // List has every instance of the agent, and not only those that have changed
+	Full    bool                `json:"full"` // List has every instance of the agent, not only those that have changed
 	List    []state.Assignment  `json:"list"`
 	Nodes   []spec.NodeOverride `json:"nodes"`
 	Edition uint64              `json:"edition"`
@@ -109,11 +109,11 @@
 // SetPhaseRequest pauses, resumes or aborts a rollout.
 type SetPhaseRequest struct {
 	state.Command
-	Revision uint64      `json:"rev"` // of the rollout; 0: the one under way
+	Revision uint64      `json:"rev"` // revision of the rollout; 0 means the active one
 	To       state.Phase `json:"to"`
 }
 
-// RetireRequest declares that an agent and its machine are gone for good.
+// RetireRequest declares that an agent and its machine have failed permanently.
 type RetireRequest struct {
 	state.Command
 	Agent string `json:"agent"`
@@ -123,7 +123,7 @@
 type RollbackRequest struct {
 	state.Command
 	To        uint64         `json:"to"`
-	WithNodes bool           `json:"with_nodes"` // node overrides too
+	WithNodes bool           `json:"with_nodes"` // restore the node overrides too
 	Strategy  state.Strategy `json:"strategy"`
 }
 
@@ -133,18 +133,18 @@
 	Plan   *state.Plan  `json:"plan,omitempty"`
 }
 
-// OverviewRequest asks for an Overview of the instances with the names or that match the terms; see spec.Selector.
+// OverviewRequest asks for an Overview of the instances that the names and terms select; see spec.Selector.
 type OverviewRequest struct {
 	Names []string `json:"names"`
 	Terms []string `json:"terms"`
 }
 
-// Overview is the state of the fleet for people.
+// Overview is the state of the fleet for operators.
 type Overview struct {
 	FleetID      string                 `json:"fleet"`
 	Revision     uint64                 `json:"rev"`
-	Settled      bool                   `json:"settled"`     // the observed state is the desired one
-	Unavailable  int                    `json:"unavailable"` // of the enabled instances
+	Settled      bool                   `json:"settled"`     // the observed state equals the desired state
+	Unavailable  int                    `json:"unavailable"` // number of enabled instances that are not available
 	Enabled      int                    `json:"enabled"`
 	NotCurrent   int                    `json:"differing"` // instances that are not in their desired state
 	Instances    []state.InstanceStatus `json:"instances"`
@@ -152,7 +152,7 @@
 	Rollouts     []state.RolloutStatus  `json:"rollouts"`
 	Nodes        []spec.NodeOverride    `json:"nodes"`
 	Stats        []BrokerStats          `json:"figures,omitempty"`
-	JournalFault string                 `json:"journal,omitempty"` // empty: none
+	JournalFault string                 `json:"journal,omitempty"` // empty if there is none
 }
 
 // HistoryRequest asks for the newest revisions.
@@ -165,13 +165,13 @@
 	Revisions []state.Revision `json:"revisions"`
 }
 
-// WaitRequest waits until the rollout of a revision has ended or is paused, or until the fleet has settled.
+// WaitRequest waits until the rollout of a revision has ended, a rollout is paused, or the fleet has settled.
 type WaitRequest struct {
-	Revision uint64 `json:"rev"` // 0: until the fleet has settled
+	Revision uint64 `json:"rev"` // 0 means until the fleet has settled
 	WaitMS   int64  `json:"wait_ms"`
 }
 
-// WaitResponse answers a WaitRequest, also where the wait has timed out.
+// WaitResponse answers a WaitRequest, including one whose wait has timed out.
 type WaitResponse struct {
 	Settled  bool                  `json:"settled"`
 	Rollouts []state.RolloutStatus `json:"rollouts"`
