--- a/internal/fleet/api/messages.go
+++ b/internal/fleet/api/messages.go
@@ -144,9 +144,9 @@
 	FleetID      string                 `json:"fleet"`
 	Revision     uint64                 `json:"rev"`
 	Settled      bool                   `json:"settled"`     // the observed state equals the desired state
-	Unavailable  int                    `json:"unavailable"` // number of enabled instances that are not available
-	Enabled      int                    `json:"enabled"`
-	NotCurrent   int                    `json:"differing"` // instances that are not in their desired state
+	Unavailable  int                    `json:"unavailable"` // number of Enabled that are not known to serve or about to stop
+	Enabled      int                    `json:"enabled"`     // enabled instances that have served
+	NotCurrent   int                    `json:"differing"`   // instances that are not in their desired state
 	Instances    []state.InstanceStatus `json:"instances"`
 	Agents       []state.AgentStatus    `json:"agents"`
 	Rollouts     []state.RolloutStatus  `json:"rollouts"`
