--- a/internal/fleet/retry/retry_test.go
+++ b/internal/fleet/retry/retry_test.go
@@ -11,8 +11,8 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
-// breakerTrial drives a breaker through an outage of a peer.
-type breakerTrial struct {
+// outageSimulation simulates calls through a breaker to a peer that is down until it recovers at a random time.
+type outageSimulation struct {
 	t              *rapid.T
 	breaker        Breaker
 	maxOpen        clock.Micros
@@ -23,8 +23,8 @@
 	recovered      bool
 }
 
-// step moves on by some time, in which the peer may recover, and calls it if the breaker allows.
-func (s *breakerTrial) step() {
+// step advances the time, in which the peer may recover, and calls the peer if the breaker allows it.
+func (s *outageSimulation) step() {
 	s.now += clock.Micros(rapid.IntRange(1, 2000).Draw(s.t, "wait"))
 	if !s.recovered && rapid.IntRange(0, 100).Draw(s.t, "recovery") == 0 {
 		s.recovered = true
@@ -32,7 +32,7 @@
 	}
 	allowed, retryAt := s.breaker.Allow(s.now)
 	if !allowed {
-		s.checkRefusal(retryAt)
+		s.checkHeldBack(retryAt)
 		return
 	}
 	if !s.recovered {
@@ -42,33 +42,34 @@
 	s.breaker.Record(s.now, s.recovered, rapid.Float64Range(0, 1).Draw(s.t, "random"))
 	if s.recovered {
 		if allowed, _ := s.breaker.Allow(s.now + 1); !allowed {
-			s.t.Fatal("call held back right after a success")
+			s.t.Fatal("call was held back right after a success")
 		}
 		s.breaker.Record(s.now+1, true, 0)
 	}
 }
 
-func (s *breakerTrial) checkRefusal(retryAt clock.Micros) {
+func (s *outageSimulation) checkHeldBack(retryAt clock.Micros) {
 	if retryAt <= s.now || retryAt > s.now+s.maxOpen {
-		s.t.Fatalf("held back at %d until %d", s.now, retryAt)
+		s.t.Fatalf("call was held back at %d until %d, want at most %d µs", s.now, retryAt, s.maxOpen)
 	}
 	if s.recovered && s.now-s.recoveredAt > s.maxOpen+2000 {
-		s.t.Fatal("held back though the peer answers")
+		s.t.Fatal("call was held back although the peer has recovered")
 	}
 }
 
-// The number of calls to a peer that is down grows with the logarithm of the time only, the peer is found again within
-// the longest open period, and calls are never held back while it answers.
+// The number of calls to a peer that is down grows only logarithmically until the longest open period is reached, the
+// recovery of the peer is noticed within the longest open period, and calls are never held back while the peer
+// responds.
 func TestBreakerBoundsCallsToAPeerThatIsDown(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		threshold := rapid.IntRange(1, 5).Draw(t, "threshold")
 		config := BreakerConfig{Threshold: threshold, InitialOpen: 1000, MaxOpen: 64000}
-		trial := breakerTrial{t: t, breaker: NewBreaker(config), maxOpen: config.MaxOpen}
+		simulation := outageSimulation{t: t, breaker: NewBreaker(config), maxOpen: config.MaxOpen}
 		for range rapid.IntRange(10, 400).Draw(t, "steps") {
-			trial.step()
+			simulation.step()
 		}
-		if limit := threshold + 8 + int(trial.lastCallDown/(config.MaxOpen/2)); trial.callsWhileDown > limit {
-			t.Fatalf("%d calls in %d µs without an answer, more than %d", trial.callsWhileDown, trial.lastCallDown, limit)
+		if limit := threshold + 8 + int(simulation.lastCallDown/(config.MaxOpen/2)); simulation.callsWhileDown > limit {
+			t.Fatalf("%d calls in %d µs of an outage, want at most %d", simulation.callsWhileDown, simulation.lastCallDown, limit)
 		}
 	})
 }
@@ -83,7 +84,7 @@
 		}
 	}
 	if retries > 103 || retries < 100 {
-		t.Errorf("%d retries for 1000 calls that fail", retries)
+		t.Errorf("%d retries for 1000 failed calls, want 100 to 103", retries)
 	}
 }
 
@@ -100,7 +101,7 @@
 	}
 }
 
-func TestBackoffStartsAnewAfterReset(t *testing.T) {
+func TestBackoffRestartsAtInitialAfterReset(t *testing.T) {
 	backoff := Backoff{Initial: 100, Max: 250}
 	for i, want := range []clock.Micros{100, 200, 250, 250} {
 		if got := backoff.Next(); got != want {
