--- a/internal/fleet/settings/settings.go
+++ b/internal/fleet/settings/settings.go
@@ -22,14 +22,14 @@
 // Duration is a duration in TOML, such as "5s" or "100ms".
 type Duration time.Duration
 
-// fromMicros returns a duration given in microseconds.
+// fromMicros converts microseconds to a duration.
 func fromMicros(m clock.Micros) Duration { return Duration(clock.Duration(m)) }
 
-// UnmarshalText reads a duration, which may not be negative.
+// UnmarshalText parses a duration, which must not be negative.
 func (d *Duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	if err != nil {
-		return fmt.Errorf("%q is no duration such as \"5s\"", b)
+		return fmt.Errorf("%q is not a duration such as \"5s\"", b)
 	}
 	if v < 0 {
 		return fmt.Errorf("%q is negative", b)
@@ -41,7 +41,7 @@
 // Micros returns the duration in microseconds.
 func (d Duration) Micros() clock.Micros { return clock.FromDuration(time.Duration(d)) }
 
-// File is the content of a settings file. Every setting has a default, and each command uses some of the parts.
+// File is the content of a settings file. Every setting has a default, and each command uses only some of the sections.
 type File struct {
 	Manager  Manager  `toml:"manager"`
 	Agent    Agent    `toml:"agent"`
@@ -52,20 +52,20 @@
 // Manager has the settings of the manager.
 type Manager struct {
 	Listen       string   `toml:"listen"`        // unix:PATH or HOST:PORT
-	JournalDir   string   `toml:"journal"`       // folder of its journal
-	AgentTimeout Duration `toml:"silence"`       // an agent without a call for so long is silent
-	MaxRevisions int      `toml:"revisions"`     // kept for rollback
-	AcceptDamage bool     `toml:"accept_damage"` // start although records of the journal are lost
+	JournalDir   string   `toml:"journal"`       // folder of the manager's journal
+	AgentTimeout Duration `toml:"silence"`       // time without a call after which an agent counts as silent
+	MaxRevisions int      `toml:"revisions"`     // number of revisions kept for rollback
+	AcceptDamage bool     `toml:"accept_damage"` // start even if records of the journal have been lost
 }
 
 // Agent has the settings of an agent.
 type Agent struct {
 	Name           string   `toml:"name"`
-	Manager        string   `toml:"manager"`   // where the manager listens
-	JournalDir     string   `toml:"journal"`   // folder of its journal
+	Manager        string   `toml:"manager"`   // address that the manager listens on
+	JournalDir     string   `toml:"journal"`   // folder of the agent's journal
 	RunDir         string   `toml:"run_dir"`   // folder of the brokers' configurations, sockets and logs
-	DrainTimeout   Duration `toml:"drain"`     // from SIGTERM to SIGKILL
-	PollInterval   Duration `toml:"look"`      // between two polls of a broker
+	DrainTimeout   Duration `toml:"drain"`     // time between SIGTERM and SIGKILL
+	PollInterval   Duration `toml:"look"`      // time between polls of a broker
 	AcceptNewFleet bool     `toml:"new_fleet"` // accept a manager of another fleet, or one that has lost history
 }
 
@@ -73,10 +73,10 @@
 type Fleet struct {
 	Manager      string `toml:"manager"`
 	Inventory    string `toml:"inventory"`
-	DefaultAgent string `toml:"agent"` // of instances whose inventory names none
+	DefaultAgent string `toml:"agent"` // agent of instances for which the inventory names none
 }
 
-// Strategy says how a rollout brings a revision to the instances; see state.Strategy.
+// Strategy has the settings of rollouts; see state.Strategy.
 type Strategy struct {
 	Canary           int                  `toml:"canary"`
 	Batch            state.CountOrPercent `toml:"batch"`
@@ -89,7 +89,7 @@
 	Overlap          string               `toml:"overlap"`
 }
 
-// RolloutStrategy returns the strategy in the form that the fleet's state uses.
+// RolloutStrategy converts the settings to the strategy that package state uses.
 func (s Strategy) RolloutStrategy() state.Strategy {
 	return state.Strategy{
 		Canary:           s.Canary,
@@ -112,7 +112,7 @@
 	defaultPollInterval = time.Second
 )
 
-// Default returns the settings without a file. Journals and sockets are in dir.
+// Default returns the default settings. Journals and sockets are in dir.
 func Default(dir string) File {
 	limits := state.DefaultLimits()
 	return File{
@@ -153,8 +153,9 @@
 	}
 }
 
-// Load reads a file; what it does not set has its default. Relative paths in it are relative to its folder. Without a path
-// the defaults are returned. For a value that is not valid the error is or wraps a *spec.FieldError.
+// Load reads a settings file. Settings that it does not contain have their defaults, and relative paths in it are
+// relative to its folder. If path is empty, Load returns the defaults. The error for an invalid value is or wraps a
+// *spec.FieldError.
 func Load(path, dir string) (File, error) {
 	f := Default(dir)
 	if path == "" {
@@ -193,13 +194,14 @@
 	}
 	switch {
 	case f.Manager.AgentTimeout <= 0:
-		return fieldErrorf("manager.silence", "must be above 0")
+		return fieldErrorf("manager.silence", "%v is not above 0", time.Duration(f.Manager.AgentTimeout))
 	case f.Manager.MaxRevisions < 2:
-		return fieldErrorf("manager.revisions", "%d is under 2", f.Manager.MaxRevisions)
+		return fieldErrorf("manager.revisions", "%d is less than 2", f.Manager.MaxRevisions)
 	case f.Agent.Name == "":
 		return fieldErrorf("agent.name", "missing")
 	case f.Agent.DrainTimeout <= 0 || f.Agent.PollInterval <= 0:
-		return fieldErrorf("agent.drain and agent.look", "must be above 0")
+		return fieldErrorf("agent.drain and agent.look", "%v and %v must both be above 0",
+			time.Duration(f.Agent.DrainTimeout), time.Duration(f.Agent.PollInterval))
 	}
 	strategy := f.Strategy.RolloutStrategy()
 	if err := strategy.Validate(); err != nil {
--- a/internal/fleet/settings/settings_test.go
+++ b/internal/fleet/settings/settings_test.go
@@ -10,7 +10,7 @@
 func TestLoadReadsFileAndNamesLineAndKeyOfErrors(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "fleet.toml")
-	for _, x := range []struct{ text, want string }{
+	for _, test := range []struct{ text, want string }{
 		{"[strategy]\nsoak = \"2s\"\nbatch = \"10%\"\n[agent]\nrun_dir = \"run\"\n", ""},
 		{"[strategy]\nsoak = \"soon\"\n", "fleet.toml:2: strategy.soak: "},
 		{"[strategy]\n\nspeed = 3\n", "fleet.toml:3: strategy.speed: unknown key"},
@@ -20,19 +20,19 @@
 		{"[manager\n", "fleet.toml:1: "},
 		{"[manager]\nrevisions = \"x\"\n", "fleet.toml:2: manager.revisions"},
 	} {
-		if err := os.WriteFile(path, []byte(x.text), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(test.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		f, err := Load(path, "/base")
-		if x.want == "" {
+		if test.want == "" {
 			if err != nil || f.Strategy.RolloutStrategy().SoakTime != 2_000_000 || f.Strategy.Batch.Of(50) != 5 ||
 				f.Agent.RunDir != filepath.Join(dir, "run") || f.Manager.JournalDir != "/base/manager" {
-				t.Errorf("%v %+v", err, f)
+				t.Errorf("settings are %+v, error %v", f, err)
 			}
 			continue
 		}
-		if err == nil || !strings.Contains(err.Error(), x.want) {
-			t.Errorf("%q: %v, want %s", x.text, err, x.want)
+		if err == nil || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("Load of %q returned error %v, want one with %q", test.text, err, test.want)
 		}
 	}
 }
