--- a/internal/fleet/supervisor/fleet_test.go
+++ b/internal/fleet/supervisor/fleet_test.go
@@ -58,7 +58,7 @@
 	f.manager = m
 	f.cancelManager = cancel
 	f.link.set(m)
-	f.managerDone.Go(func() { _ = m.Run(ctx) }) // fails in tests with a full disk of the manager
+	f.managerDone.Go(func() { _ = m.Run(ctx) }) // may fail in tests with faults of the manager's disk
 }
 
 func (f *fleet) stopManager() {
@@ -92,7 +92,7 @@
 	go func() {
 		defer close(closed)
 		ended <- s.Run(ctx)
-		_ = s.Close() // fails in tests with disk faults
+		_ = s.Close() // may fail in tests with faults of the agent's disk
 	}()
 	return func() { cancel(); <-closed }, ended
 }
