--- a/internal/fleet/state/agent.go
+++ b/internal/fleet/state/agent.go
@@ -11,41 +11,42 @@
 
 // agentRegistry is the set of known agents.
 type agentRegistry struct {
-	lastToken  uint64
+	lastToken  uint64 // highest token issued so far
 	byName     map[string]*agent
-	byLastCall *list.List // of *agent that are not silent, the one with the oldest call first
+	byLastCall *list.List // of *agent: those that are not silent, ordered by their last call, oldest first
 }
 
-// agent is one agent with an index of its instances.
+// agent is one agent and the instances that it holds. It holds an instance until the instance is handed over to another
+// agent or removed.
 type agent struct {
 	name      string
-	token     uint64 // of its registration
+	token     uint64 // of its latest registration or retirement; 0 if it has never registered
 	session   agentSession
-	instances map[string]*instance // that it holds
+	instances map[string]*instance // by name
 	counters  availabilityCounters
 
-	nonconforming map[string]*instance // instances that are not as they should be
+	nonconforming map[string]*instance // instances that do not conform, by name
 	assignments   assignmentVersions
 }
 
-// agentSession is what is known of an agent's calls.
+// agentSession records the calls of an agent to the manager.
 type agentSession struct {
 	silent        bool // no call within Limits.AgentTimeout
-	called        bool // at least once since the manager's start
+	called        bool // has called since the manager's start
 	lastCall      clock.Micros
-	lastSequence  uint64        // since its registration
-	reportedFully bool          // since its registration
-	element       *list.Element // in agentRegistry.byLastCall; nil: silent
+	lastSequence  uint64        // of the last call since its registration
+	reportedFully bool          // has sent a full report since its registration
+	element       *list.Element // in agentRegistry.byLastCall; nil if the agent is silent
 }
 
-// assignmentVersions tracks which changes of its assignments an agent knows of.
+// assignmentVersions numbers the changes of an agent's assignments and tracks which of them the agent knows.
 type assignmentVersions struct {
-	newest         uint64
-	acknowledged   uint64            // the version that the agent works by
-	unacknowledged map[string]uint64 // by instance, the version that changed it last
+	newest         uint64            // version after the latest change
+	acknowledged   uint64            // version that the agent's latest reports were made under
+	unacknowledged map[string]uint64 // by instance name: version of a change that the agent has not acknowledged
 }
 
-// agent returns the named agent. One that is not known yet is created, silent.
+// agent returns the named agent. If it is unknown, it is created as a silent agent.
 func (s *State) agent(name string) *agent {
 	a := s.agents.byName[name]
 	if a == nil {
@@ -61,13 +62,13 @@
 	return a
 }
 
-// assignmentChanged notes that the agent has to be notified of an instance.
+// assignmentChanged records that the agent has to be notified of a change of an instance's assignment.
 func (a *agent) assignmentChanged(instance string) {
 	a.assignments.newest++
 	a.assignments.unacknowledged[instance] = a.assignments.newest
 }
 
-// hasAcknowledged reports whether the agent knows of the last change of an instance's assignment.
+// hasAcknowledged reports whether the agent knows the latest change of an instance's assignment.
 func (a *agent) hasAcknowledged(instance string) bool {
 	return a.assignments.unacknowledged[instance] == 0
 }
@@ -84,8 +85,8 @@
 	return nil
 }
 
-// Register returns the record that makes the caller the only valid agent of its name. knownEdition is the highest edition
-// that it followed before it joined this fleet, 0 for none.
+// Register returns the record that makes the caller the only valid agent of its name. knownEdition is the highest
+// edition that the agent followed before it joined this fleet, or 0 if there is none.
 func (s *State) Register(name string, knownEdition uint64, at clock.Micros) *Record {
 	return &Record{
 		Kind:         RecordAgentRegistered,
@@ -104,7 +105,7 @@
 	a.session.reportedFully = false
 	a.assignments.acknowledged = 0
 	if r.KnownEdition > 0 {
-		// Its brokers may hold editions of another history. The editions assigned to them must count as newer.
+		// The agent's brokers may hold editions from another history. Editions assigned from now on must be higher.
 		s.edition = max(s.edition, r.KnownEdition) + 1
 		for _, i := range a.instances {
 			i.release.edition = s.edition
@@ -113,18 +114,19 @@
 	for name := range a.instances {
 		a.assignmentChanged(name)
 	}
-	// What the agent's previous process reported is not valid for the new one.
+	// The reports of the agent's previous process do not count for the new one.
 	for _, i := range a.instances {
 		i.observed.known = false
 		s.reindex(i)
 	}
 }
 
-// Retire returns the record by which an operator states that an agent and its machine will not come back. The agent's
-// token becomes invalid, and its instances that are desired elsewhere or not at all are free.
+// Retire returns the record by which an operator states that an agent and its machine will not come back. It
+// invalidates the agent's token, hands over its instances that are desired on other agents, and removes those no longer
+// desired.
 //
-// Errors are ErrConflict for an unexpected revision, ErrNotFound for an unknown agent, and ErrInvalidState for one that is
-// not silent.
+// Errors are ErrConflict for an unexpected revision, ErrNotFound for an unknown agent, and ErrInvalidState for one that
+// is not silent.
 func (s *State) Retire(c *Command, name string, at clock.Micros) (*Record, error) {
 	if err := s.checkExpectedRevision(c); err != nil {
 		return nil, err
@@ -150,7 +152,7 @@
 		return recordErrorf(r, "no agent %q", r.Agent)
 	}
 	s.agents.lastToken = max(s.agents.lastToken, r.Token)
-	a.token = r.Token // nobody holds this one
+	a.token = r.Token // no process has this token
 	a.session.reportedFully = false
 	for _, name := range slices.Sorted(maps.Keys(a.instances)) {
 		i := a.instances[name]
@@ -164,7 +166,8 @@
 	return nil
 }
 
-// markSilentAgents marks the agents whose last call is too long ago. Its cost depends on their number only.
+// markSilentAgents marks the agents that have not called within Limits.AgentTimeout. It visits only the agents that
+// become silent and their instances.
 func (s *State) markSilentAgents() {
 	for e := s.agents.byLastCall.Front(); e != nil; e = s.agents.byLastCall.Front() {
 		a := e.Value.(*agent)
--- a/internal/fleet/state/assignment.go
+++ b/internal/fleet/state/assignment.go
@@ -7,18 +7,18 @@
 	"poppyarch/internal/fleet/spec"
 )
 
-// Assignment is what an agent has to do with one instance.
+// Assignment tells an agent what to do with one instance.
 type Assignment struct {
 	Name          string         `json:"name"`
-	Desired       *spec.Instance `json:"want"`           // nil: end it
-	TargetEdition uint64         `json:"target"`         // that its broker should hold
-	Revision      uint64         `json:"rev"`            // that it was released with
-	Release       bool           `json:"drop,omitempty"` // it belongs to another agent or is not desired: end it and forget it
-	Unreleased    bool           `json:"keep,omitempty"` // it will belong to this agent once a rollout releases it: leave it as it is
+	Desired       *spec.Instance `json:"want"`           // nil if the instance has to end
+	TargetEdition uint64         `json:"target"`         // edition that the instance's broker should hold
+	Revision      uint64         `json:"rev"`            // revision whose rollout released the instance
+	Release       bool           `json:"drop,omitempty"` // no longer desired on this agent, which ends and forgets it
+	Unreleased    bool           `json:"keep,omitempty"` // not released to this agent yet: the agent leaves it as it is
 }
 
-// Assignments lists the assignments that have changed for an agent since a version, by name, and returns the version that
-// they lead to. For version 0 the list is complete: the agent has to end every instance that is not in it.
+// Assignments returns the assignments of an agent that have changed since a version, sorted by instance name, and the
+// newest version. For version 0 the list is complete: the agent has to end every instance that is not in it.
 func (s *State) Assignments(agentName string, since uint64) ([]Assignment, uint64) {
 	a := s.agents.byName[agentName]
 	if a == nil {
@@ -39,8 +39,8 @@
 	for _, i := range a.instances {
 		list = append(list, s.assignment(i))
 	}
-	// An agent that comes from another fleet, or whose manager has lost history, may run instances that this fleet desires
-	// but has not released yet. It must not end those.
+	// An agent that comes from another fleet, or whose manager has lost history, may be running instances that this
+	// fleet desires but has not released yet. The agent must not end them.
 	for name, i := range s.desired.instances {
 		if i.Agent == a.name && s.instances[name] == nil {
 			list = append(list, Assignment{Name: name, Unreleased: true})
--- a/internal/fleet/state/availability.go
+++ b/internal/fleet/state/availability.go
@@ -1,22 +1,22 @@
 package state
 
-// availability is an instance's part in the bound on unavailable instances.
+// availability determines how an instance counts towards the limit on unavailable instances.
 type availability struct {
-	hasServed    bool // since it was enabled; from then on it counts
-	restarting   bool // released with a restart, and not seen to serve with its new settings since
-	counted      bool // it is in its agent's counters
-	unavailable  bool // counted, and not serving or about to stop
-	outOfService bool // counted, and known not to serve or to be about to stop
+	hasServed    bool // it has served since it was enabled; an instance counts only from then on
+	restarting   bool // its release requires a restart, and it has not been seen serving with the new settings
+	counted      bool // included in its agent's counters
+	unavailable  bool // counted, and either not known to be serving or about to stop
+	outOfService bool // counted, and known to be either not serving or about to stop
 }
 
-// availabilityCounters sums up the instances of an agent.
+// availabilityCounters counts the instances of one agent.
 type availabilityCounters struct {
 	counted     int
-	unavailable int // while the agent is not silent
+	unavailable int // valid only while the agent is not silent
 }
 
-// Unavailable returns the number of enabled instances that are not known to serve or are about to stop serving, and the
-// number of those that count: enabled ones that have served. It visits each agent once.
+// Unavailable returns the number of instances that are not known to be serving or are about to stop, and the total that
+// it is taken from: the enabled instances that have served since they were enabled. It visits each agent once.
 func (s *State) Unavailable() (unavailable, total int) {
 	for _, a := range s.agents.byName {
 		total += a.counters.counted
@@ -29,19 +29,19 @@
 	return unavailable, total
 }
 
-// isUnavailable reports whether an instance is among the unavailable ones.
+// isUnavailable reports whether Unavailable counts the instance as unavailable.
 func (i *instance) isUnavailable() bool {
 	return i.availability.counted && (i.availability.unavailable || i.agent.session.silent)
 }
 
-// isOutOfService reports whether a restart would take nothing out of service. In contrast to isUnavailable it requires
-// knowledge: an instance of a silent agent may well be serving.
+// isOutOfService reports whether the instance is known to be out of service, so that a restart takes nothing out of
+// service. Unlike isUnavailable it is false for an instance of a silent agent, which may still be serving.
 func (i *instance) isOutOfService() bool {
 	return i.availability.outOfService && !i.agent.session.silent
 }
 
-// reindex brings the counters and sets that an instance is part of up to date. It has to be called after each change of
-// the instance's release, observation or agent.
+// reindex updates the counters and sets that depend on an instance. It must be called after each change of the
+// instance's release, observation or agent.
 func (s *State) reindex(i *instance) {
 	i.removeFromCounters()
 	current := s.isCurrent(i)
@@ -55,7 +55,7 @@
 		i.availability.hasServed = true
 	}
 	if !enabled && current {
-		i.availability.hasServed = false // once it is enabled again, it has to come up first
+		i.availability.hasServed = false // once it is enabled again, it counts only after it has served
 	}
 	restartPending := enabled && i.restartPending()
 	if i.conforming || available && !restartPending && i.agent.hasAcknowledged(i.name) {
@@ -70,13 +70,13 @@
 	}
 }
 
-// restartPending reports whether an instance still has to move to another agent or to restart with other settings.
+// restartPending reports whether the instance still has to move to another agent or to restart with new start settings.
 func (i *instance) restartPending() bool {
 	return i.release.desired.Agent != i.agent.name || i.observed.report.StartDigest != i.release.startDigest
 }
 
-// addToCounters counts an instance. The counters hold while its agent is not silent: Unavailable and isUnavailable take
-// all instances of a silent one as unavailable, without a visit to each.
+// addToCounters adds an instance to the counters of its agent. The counters apply only while the agent is not silent:
+// Unavailable and isUnavailable treat all counted instances of a silent agent as unavailable.
 func (i *instance) addToCounters(restartPending bool) {
 	down := !i.observed.serving()
 	v := &i.availability
@@ -103,7 +103,7 @@
 	v.outOfService = false
 }
 
-// indexInstance puts an instance into, or takes it out of, the sets of nonconforming and of departed instances.
+// indexInstance adds an instance to the sets of nonconforming and departed instances, or removes it from them.
 func (s *State) indexInstance(i *instance) {
 	if i.conforming {
 		delete(i.agent.nonconforming, i.name)
--- a/internal/fleet/state/bench_test.go
+++ b/internal/fleet/state/bench_test.go
@@ -9,16 +9,16 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// benchmarkFleet is a fleet whose agents carry out their assignments at once.
+// benchmarkFleet is a fleet whose agents carry out their assignments immediately.
 type benchmarkFleet struct {
 	tb       testing.TB
 	s        *State
-	agents   []string
-	versions []uint64   // of the assignments that each agent has
-	reports  [][]Report // by agent
+	agents   []string   // names
+	versions []uint64   // by agent: version of the assignments that it has fetched
+	reports  [][]Report // by agent: latest reports of its instances
 }
 
-// newBenchmarkFleet returns a settled fleet of n instances, fifty to an agent.
+// newBenchmarkFleet returns a settled fleet of n instances with 50 instances per agent.
 func newBenchmarkFleet(tb testing.TB, n int) *benchmarkFleet {
 	tb.Helper()
 	const now = 1
@@ -43,7 +43,7 @@
 	const maxRounds = 7
 	for round := uint64(1); round == 1 || !f.s.Settled(); round++ {
 		if round > maxRounds {
-			tb.Fatalf("not settled: %+v", f.s.Rollouts(1))
+			tb.Fatalf("fleet is not settled after %d rounds: %+v", maxRounds, f.s.Rollouts(1))
 		}
 		for a := range f.agents {
 			f.sync(a, round, now)
@@ -64,7 +64,7 @@
 	}
 }
 
-// spec returns a desired state of n instances.
+// spec returns a desired state with n instances.
 func (f *benchmarkFleet) spec(n int) *spec.Spec {
 	const text = "{}"
 	digest := spec.ConfigDigest([]byte(text))
@@ -117,17 +117,17 @@
 	}
 }
 
-// rescan computes without the index what the state keeps in its counters and sets.
+// rescan computes, by visiting every instance, the values that the state keeps in its counters and sets.
 func rescan(s *State) (unavailable, total, notCurrent int, departed []string) {
 	for name, i := range s.instances {
-		cur, up := s.isCurrent(i), i.isAvailable()
+		current, available := s.isCurrent(i), i.isAvailable()
 		if i.release.desired != nil && i.release.desired.Enabled && i.availability.hasServed {
 			total++
-			if !up || i.availability.restarting || i.observed.report.StartDigest != i.release.startDigest {
+			if !available || i.availability.restarting || i.observed.report.StartDigest != i.release.startDigest {
 				unavailable++
 			}
 		}
-		if !cur {
+		if !current {
 			notCurrent++
 		}
 		if i.observed.known && i.observed.report.Process == Absent && i.release.desired == nil {
@@ -137,7 +137,8 @@
 	return unavailable, total, notCurrent, departed
 }
 
-// BenchmarkStep reports changes of ten instances and determines what is due: with the index, and by visiting all instances.
+// BenchmarkStep reports changes of ten instances and determines which records are due: by the counters and sets of the
+// state, and by visiting all instances.
 func BenchmarkStep(b *testing.B) {
 	for _, n := range benchmarkSizes() {
 		var before, after runtime.MemStats
@@ -148,13 +149,13 @@
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		bytes := float64(after.HeapAlloc-before.HeapAlloc) / float64(n)
-		for _, plain := range []bool{false, true} {
+		for _, withoutIndex := range []bool{false, true} {
 			name := "indexed"
-			if plain {
+			if withoutIndex {
 				name = "rescan"
 			}
 			b.Run(fmt.Sprintf("%s/%d", name, n), func(b *testing.B) {
-				seq, now := s.agents.byName["a0000"].session.lastSequence, s.now
+				sequence, now := s.agents.byName["a0000"].session.lastSequence, s.now
 				for k := 0; b.Loop(); k++ {
 					a := k % len(reports)
 					agent := fmt.Sprintf("a%04d", a)
@@ -164,22 +165,22 @@
 						r.Healthy = !r.Healthy
 						changed = append(changed, *r)
 					}
-					seq++
+					sequence++
 					now++
 					call := &AgentSync{
 						Agent:             agent,
 						Token:             s.agents.byName[agent].token,
-						Sequence:          seq,
+						Sequence:          sequence,
 						AssignmentVersion: s.agents.byName[agent].assignments.newest,
 						Reports:           changed,
 					}
 					if err := s.Observe(call, now); err != nil {
 						b.Fatal(err)
 					}
-					if plain {
+					if withoutIndex {
 						rescan(s)
 					} else if list := s.Step(now); len(list) > 0 {
-						b.Fatal(list[0])
+						b.Fatalf("Step returns record %+v, want none", list[0])
 					}
 				}
 				b.ReportMetric(bytes, "B/instance")
@@ -190,7 +191,7 @@
 	}
 }
 
-// benchmarkSizes are numbers of instances; with -short only the smallest.
+// benchmarkSizes returns the numbers of instances to measure, with -short only the smallest.
 func benchmarkSizes() []int {
 	sizes := []int{100, 1_000, 10_000, 100_000}
 	if testing.Short() {
--- a/internal/fleet/state/command.go
+++ b/internal/fleet/state/command.go
@@ -7,25 +7,25 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// Command has the fields that all commands share.
+// Command holds the fields common to all commands.
 type Command struct {
-	ID               string `json:"id"` // idempotency key: a repeated command is carried out once
+	ID               string `json:"id"` // idempotency key: a repeated command is carried out only once
 	Author           string `json:"by,omitempty"`
 	Note             string `json:"note,omitempty"`
-	ExpectedRevision uint64 `json:"expect,omitempty"` // the command is refused unless this is the newest revision; 0: any
+	ExpectedRevision uint64 `json:"expect,omitempty"` // rejected unless this is the newest revision; 0 accepts any
 	DryRun           bool   `json:"dry_run,omitempty"`
 }
 
 // Result is the outcome of a command. A repeated command gets the result of its first execution.
 type Result struct {
 	Revision uint64        `json:"rev,omitempty"`
-	Rollout  uint64        `json:"rollout,omitempty"` // a rollout has the number of its revision
+	Rollout  uint64        `json:"rollout,omitempty"` // a rollout is identified by its revision
 	Changes  []spec.Change `json:"changes,omitempty"`
 	Repeated bool          `json:"repeated,omitempty"`
 	Text     string        `json:"text,omitempty"`
 }
 
-// resultOf returns the result of the command that caused r.
+// resultOf returns the result of the command that caused record r.
 func resultOf(r *Record) Result {
 	result := Result{Revision: r.Revision}
 	if r.Kind != RecordNodeOverridesSet {
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// attribute enters in a record which command caused it.
+// attribute stores in r which command caused it, and returns r.
 func (c *Command) attribute(r *Record, at clock.Micros) *Record {
 	r.CommandID = c.ID
 	r.Author = c.Author
@@ -60,13 +60,13 @@
 	return result, found && commandID != ""
 }
 
-// commandResults keeps the results of the latest commands.
+// commandResults keeps the results of the most recent commands.
 type commandResults struct {
 	byID  map[string]Result
 	order []string // IDs, oldest first
 }
 
-// add keeps the result of a command, and drops the oldest beyond limit.
+// add stores the result of a command, and drops the oldest result if there are more than limit.
 func (c *commandResults) add(id string, result Result, limit int) {
 	if _, known := c.byID[id]; known {
 		return
--- a/internal/fleet/state/errors.go
+++ b/internal/fleet/state/errors.go
@@ -5,16 +5,16 @@
 	"fmt"
 )
 
-// The reasons for which a command or an agent's call is refused.
+// Reasons for rejecting a command or an agent's call.
 var (
 	ErrConflict      = errors.New("the fleet has moved on")       // the expected revision is not the newest
-	ErrRolloutActive = errors.New("a rollout is under way")       // and the caller asked not to be queued behind it
-	ErrNotFound      = errors.New("unknown")                      // a name, revision or rollout that does not exist
+	ErrRolloutActive = errors.New("a rollout is under way")       // the strategy refuses to queue behind it
+	ErrNotFound      = errors.New("unknown")                      // there is no such name, revision or rollout
 	ErrFenced        = errors.New("a newer agent has taken over") // the token is not the newest one
-	ErrInvalidState  = errors.New("not possible now")
+	ErrInvalidState  = errors.New("not possible now")             // the operation does not fit the current state
 )
 
-// RecordError reports a record that does not fit the state that it is applied to.
+// RecordError reports a record that is inconsistent with the state to which it is applied.
 type RecordError struct {
 	Kind    RecordKind
 	Problem string
--- a/internal/fleet/state/fleet_status.go
+++ b/internal/fleet/state/fleet_status.go
@@ -7,7 +7,7 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// maxWaitingNames is how many members RolloutStatus.Waiting names.
+// maxWaitingNames is the maximum length of RolloutStatus.Waiting.
 const maxWaitingNames = 8
 
 // AgentStatus is the status of one agent for operators.
@@ -15,12 +15,12 @@
 	Name       string       `json:"name"`
 	Token      uint64       `json:"token"`
 	Silent     bool         `json:"silent"`
-	Age        clock.Micros `json:"age_us"` // since its last call; AgeUnknown: none since the manager's start
+	Age        clock.Micros `json:"age_us"` // time since its last call; AgeUnknown if none since the manager's start
 	Instances  int          `json:"instances"`
-	NotCurrent int          `json:"differing"`
+	NotCurrent int          `json:"differing"` // instances that do not conform
 }
 
-// Agents lists the status of the agents by name.
+// Agents returns the status of all agents, sorted by name.
 func (s *State) Agents() []AgentStatus {
 	list := []AgentStatus{}
 	for _, name := range slices.Sorted(maps.Keys(s.agents.byName)) {
@@ -41,7 +41,7 @@
 	return list
 }
 
-// NotCurrent counts the instances that are not known to be as they should be. It visits each agent once.
+// NotCurrent counts the instances that are not known to conform to their desired state. It visits each agent once.
 func (s *State) NotCurrent() int {
 	n := 0
 	for _, a := range s.agents.byName {
@@ -54,7 +54,8 @@
 	return n
 }
 
-// Settled reports whether no rollout is active or queued and every instance is known to be as it should be.
+// Settled reports whether no rollout is active or queued and every instance is known to conform to its desired
+// state.
 func (s *State) Settled() bool {
 	return len(s.rollouts.unfinished()) == 0 && len(s.target.unreleased) == 0 && s.NotCurrent() == 0
 }
@@ -63,20 +64,21 @@
 type RolloutStatus struct {
 	Revision  uint64            `json:"rev"`
 	Phase     Phase             `json:"phase"`
-	Reason    string            `json:"reason,omitempty"`  // of the phase
-	Blocked   string            `json:"blocked,omitempty"` // why nothing is released at the moment
-	StartedAt clock.Micros      `json:"at"`                // Unix time of the revision
-	Wave      int               `json:"wave"`              // index of the wave under way
+	Reason    string            `json:"reason,omitempty"`  // why the rollout is in this phase
+	Blocked   string            `json:"blocked,omitempty"` // why no instance is released at the moment
+	StartedAt clock.Micros      `json:"at"`                // time at which the revision was created, Unix time
+	Wave      int               `json:"wave"`              // index of the current wave
 	Waves     int               `json:"waves"`
-	Size      int               `json:"size"`     // instances in all
-	Released  int               `json:"released"` // of these, let change
-	Current   int               `json:"fine"`     // of the released, as they should be
-	Failed    map[string]string `json:"failed,omitempty"`
-	Waiting   []string          `json:"waiting,omitempty"` // the first few that are released and neither current nor failed
-	Soaking   clock.Micros      `json:"soaking_us,omitempty"`
+	Size      int               `json:"size"`                 // number of instances in all waves
+	Released  int               `json:"released"`             // number of instances released so far
+	Current   int               `json:"fine"`                 // released instances that conform
+	Failed    map[string]string `json:"failed,omitempty"`     // reason by instance
+	Waiting   []string          `json:"waiting,omitempty"`    // first few released, neither conforming nor failed
+	Soaking   clock.Micros      `json:"soaking_us,omitempty"` // time for which the current wave has been soaking
 }
 
-// Rollouts lists the active rollout, the queued ones, and the latest finished ones up to a limit, newest first.
+// Rollouts returns the active rollout, then the queued ones, then the most recent finished ones, newest first and at
+// most finishedLimit of them.
 func (s *State) Rollouts(finishedLimit int) []RolloutStatus {
 	list := []RolloutStatus{}
 	if s.rollouts.active != nil {
--- a/internal/fleet/state/instance.go
+++ b/internal/fleet/state/instance.go
@@ -5,39 +5,39 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// instance is one released instance: what it should be, and what its agent reports.
+// instance is one released instance: its desired state, and its observed state as its agent reports it.
 type instance struct {
 	name         string
-	agent        *agent // that holds it
+	agent        *agent // agent that holds it
 	release      release
 	observed     observation
 	availability availability
-	conforming   bool           // it is as it should be and, where it is enabled, available
-	member       *rolloutMember // its part in the active rollout; nil: none
+	conforming   bool           // it is in its desired state and, if it is enabled, available
+	member       *rolloutMember // its entry in the active rollout; nil if there is none
 }
 
-// release is the state that an instance was last let change to.
+// release is the state that a rollout last allowed the instance to change to.
 type release struct {
-	desired     *spec.Instance // nil: it should end
-	previous    *spec.Instance // the desired state before, until the instance conforms
-	startDigest string         // of desired
-	revision    uint64         // of the rollout
-	edition     uint64         // of the record
+	desired     *spec.Instance // nil if the instance should end
+	previous    *spec.Instance // desired state before this release, kept until the instance conforms; otherwise nil
+	startDigest string         // digest of desired.Start
+	revision    uint64         // revision of the rollout that released it
+	edition     uint64         // State.Edition when the release was last changed
 }
 
-// observation is an agent's last report of an instance.
+// observation is the latest report of an instance by its agent.
 type observation struct {
 	report Report
-	at     clock.Micros
-	known  bool // reported since the agent's registration
+	at     clock.Micros // time of the report
+	known  bool         // there is a report since the agent's registration
 }
 
-// serving reports whether the instance served at its last report.
+// serving reports whether the instance was serving according to its latest report.
 func (o *observation) serving() bool {
 	return o.known && o.report.Process == Running && o.report.Healthy
 }
 
-// attach gives an instance to an agent.
+// attach makes the named agent the holder of an instance.
 func (s *State) attach(i *instance, agentName string) {
 	a := s.agent(agentName)
 	i.agent = a
@@ -46,7 +46,7 @@
 	a.assignmentChanged(i.name)
 }
 
-// detach takes an instance from its agent, which learns of it with its next call.
+// detach removes an instance from its agent, which is notified with its next call.
 func (s *State) detach(i *instance) {
 	a := i.agent
 	i.removeFromCounters()
@@ -56,14 +56,14 @@
 	a.assignmentChanged(i.name)
 }
 
-// handOver gives an instance to the agent that it is desired at.
+// handOver moves an instance to the agent on which it is desired.
 func (s *State) handOver(i *instance) {
 	s.detach(i)
 	s.attach(i, i.release.desired.Agent)
 	s.reindex(i)
 }
 
-// removeInstance removes an instance that is not desired any more.
+// removeInstance removes an instance that is no longer desired.
 func (s *State) removeInstance(i *instance) {
 	s.detach(i)
 	if i.member != nil {
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// departedInstance returns the only instance that a record names.
+// departedInstance returns the instance that a record names, which must be the only one.
 func (s *State) departedInstance(r *Record) (*instance, error) {
 	if len(r.Instances) != 1 || s.instances[r.Instances[0]] == nil {
 		return nil, recordErrorf(r, "no such instance %q", r.Instances)
@@ -98,14 +98,14 @@
 	return s.instances[r.Instances[0]], nil
 }
 
-// targetEdition is the edition that an instance's broker should hold: that of the last record which changed its desired
-// state. The number of the revision would not do: a rollout continues after a node override with a higher number has
-// reached all instances, and what it then releases must not look older.
+// targetEdition returns the edition that an instance's broker should hold: that of the last record that changed the
+// instance's release or the node overrides. The revision number cannot serve as the edition: a rollout continues after
+// a node override with a higher revision has reached all instances, and what it releases then must not look older.
 func (s *State) targetEdition(i *instance) uint64 {
 	return max(i.release.edition, s.desired.nodes.edition)
 }
 
-// isCurrent reports whether an instance is known to run, or to have ended, as desired.
+// isCurrent reports whether the instance is known to be running, stopped or absent as desired.
 func (s *State) isCurrent(i *instance) bool {
 	a := i.agent
 	if !i.observed.known || a.session.silent || !a.hasAcknowledged(i.name) {
@@ -127,23 +127,23 @@
 		report.StartDigest == i.release.startDigest
 }
 
-// isAvailable reports whether an instance is known to serve, with whatever settings.
+// isAvailable reports whether the instance is known to be serving, with the desired settings or others.
 func (i *instance) isAvailable() bool {
 	return i.observed.serving() && !i.agent.session.silent
 }
 
-// hasRejected reports whether the broker rejected the edition that it should hold.
+// hasRejected reports whether the instance's broker has rejected its target edition.
 func (s *State) hasRejected(i *instance) bool {
 	rejected := i.observed.report.RejectedEdition
 	return rejected != 0 && rejected == s.targetEdition(i)
 }
 
-// isEnabled reports whether the instance should serve.
+// isEnabled reports whether the instance is desired and should be serving.
 func (i *instance) isEnabled() bool {
 	return i.release.desired != nil && i.release.desired.Enabled
 }
 
-// belongsElsewhere reports whether the instance is not desired, or not at the agent that holds it.
+// belongsElsewhere reports whether the instance is not desired at all or is desired on another agent.
 func (i *instance) belongsElsewhere() bool {
 	return i.release.desired == nil || i.release.desired.Agent != i.agent.name
 }
--- a/internal/fleet/state/instance_status.go
+++ b/internal/fleet/state/instance_status.go
@@ -9,7 +9,7 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// AgeUnknown is the age of an observation that has not been made.
+// AgeUnknown is the age of a report or call that has not been received.
 const AgeUnknown clock.Micros = -1
 
 // InstanceStatus is the status of one instance for operators.
@@ -18,16 +18,16 @@
 	Agent         string       `json:"agent"`
 	Domain        string       `json:"domain"`
 	Enabled       bool         `json:"enabled"`
-	Revision      uint64       `json:"rev"`           // that it was released with
-	TargetEdition uint64       `json:"target"`        // that its broker should hold
-	Current       bool         `json:"current"`       // it is known to run, or to have ended, as desired
-	Available     bool         `json:"available"`     // it is known to serve
+	Revision      uint64       `json:"rev"`           // revision whose rollout released it
+	TargetEdition uint64       `json:"target"`        // edition that its broker should hold
+	Current       bool         `json:"current"`       // it is known to be running, stopped or absent as desired
+	Available     bool         `json:"available"`     // it is known to be serving
 	Reason        string       `json:"why,omitempty"` // why it is not current
-	Age           clock.Micros `json:"age_us"`        // since the report; AgeUnknown: there is none
+	Age           clock.Micros `json:"age_us"`        // of the report, see observationAge; AgeUnknown if there is none
 	Report        Report       `json:"seen"`
 }
 
-// ProcessText returns the state of the process in words.
+// ProcessText returns the state of the process, with "unknown" for Unknown.
 func (s *InstanceStatus) ProcessText() string {
 	if s.Report.Process == Unknown {
 		return "unknown"
@@ -35,7 +35,7 @@
 	return string(s.Report.Process)
 }
 
-// ConfigurationText returns whether the broker holds the desired configuration: current, old, or unknown.
+// ConfigurationText tells whether the broker holds the desired configuration: "current", "old" or "unknown".
 func (s *InstanceStatus) ConfigurationText() string {
 	switch {
 	case s.Current:
@@ -46,7 +46,7 @@
 	return "old"
 }
 
-// Instances lists the status of the selected instances by name.
+// Instances returns the status of the selected instances, sorted by name.
 func (s *State) Instances(selector spec.Selector) []InstanceStatus {
 	list := []InstanceStatus{}
 	for _, name := range slices.Sorted(maps.Keys(s.instances)) {
@@ -81,19 +81,20 @@
 	return status
 }
 
-// observationAge returns the time since an instance was known to be as reported last.
+// observationAge returns how long ago the instance was last known to be as its latest report says.
 func (s *State) observationAge(i *instance) clock.Micros {
 	switch {
 	case !i.observed.known:
 		return AgeUnknown
 	case i.agent.session.reportedFully:
-		// Since a full report the agent reports changes only: what it does not mention is as before.
+		// After a full report the agent reports only changes, so each call confirms what it does not mention.
 		return s.now - i.agent.session.lastCall
 	}
 	return s.now - i.observed.at
 }
 
-// whyNotCurrent says in words why an instance is not current, or returns "" where it is.
+// whyNotCurrent describes what an instance lacks to be current and to serve, or returns "" if it lacks nothing. i is
+// nil if the instance is not released.
 func (s *State) whyNotCurrent(i *instance) string {
 	switch {
 	case i == nil:
@@ -122,7 +123,7 @@
 	return s.whyNotServing(i)
 }
 
-// whyNotServing says in words why an enabled instance does not serve as desired, or returns "" where it does.
+// whyNotServing describes why an enabled instance does not serve as desired, or returns "" if it does.
 func (s *State) whyNotServing(i *instance) string {
 	report := &i.observed.report
 	switch {
--- a/internal/fleet/state/member.go
+++ b/internal/fleet/state/member.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// indexOutOfService fills a rollout's set of members that are out of service.
+// indexOutOfService builds a rollout's set of unreleased members that are out of service.
 func (s *State) indexOutOfService(r *rollout) {
 	r.outOfService = map[string]bool{}
 	for name, m := range r.members {
@@ -12,7 +12,7 @@
 	}
 }
 
-// updateMember brings a rollout's counters and sets up to date with whether a member conforms.
+// updateMember updates a rollout's counters and sets with whether a member conforms.
 func (s *State) updateMember(m *rolloutMember, conforming bool) {
 	if !m.released {
 		s.updateUnreleasedMember(m)
@@ -23,7 +23,7 @@
 		return
 	}
 	if !conforming {
-		s.suspectFailure(m)
+		s.noteReportedFailure(m)
 	}
 	if conforming == m.conforming {
 		return
@@ -31,9 +31,9 @@
 	m.conforming = conforming
 	wave := &m.rollout.wave
 	if conforming {
-		delete(wave.suspects, m.name)
+		delete(wave.unrecordedFailures, m.name)
 	}
-	if m.wave != wave.index { // of an earlier wave, whose counters are not kept
+	if m.wave != wave.index { // it is in an earlier wave; only the current wave has counters
 		return
 	}
 	if conforming {
@@ -47,7 +47,7 @@
 	m.progress = startedAt(s.now)
 }
 
-// updateUnreleasedMember puts a member into, or takes it out of, the set of those that are out of service.
+// updateUnreleasedMember adds a member to the set of those that are out of service, or removes it.
 func (s *State) updateUnreleasedMember(m *rolloutMember) {
 	i := s.instances[m.name]
 	switch {
@@ -59,9 +59,9 @@
 	}
 }
 
-// suspectFailure notes a member's failure, to be recorded with the next step, if its agent reports one of the change that
-// the member was released with.
-func (s *State) suspectFailure(m *rolloutMember) {
+// noteReportedFailure notes that a member has failed if its agent reports a failure of the released change. The next
+// Step returns the record of the failure.
+func (s *State) noteReportedFailure(m *rolloutMember) {
 	i := s.instances[m.name]
 	if i == nil || !i.observed.known || !i.agent.hasAcknowledged(i.name) {
 		return
@@ -69,9 +69,9 @@
 	report := &i.observed.report
 	switch {
 	case i.release.desired != nil && s.hasRejected(i):
-		m.rollout.wave.suspects[m.name] = "turned down by the broker: " + report.Error
+		m.rollout.wave.unrecordedFailures[m.name] = "turned down by the broker: " + report.Error
 	case report.Flapping:
-		m.rollout.wave.suspects[m.name] = fmt.Sprintf("crashed %d times: %s", report.Crashes, report.Error)
+		m.rollout.wave.unrecordedFailures[m.name] = fmt.Sprintf("crashed %d times: %s", report.Crashes, report.Error)
 	}
 }
 
@@ -88,11 +88,11 @@
 	return nil
 }
 
-// failMember marks a member as failed.
+// failMember marks a member as failed and updates the rollout's counters and sets.
 func (r *rollout) failMember(m *rolloutMember, reason string) {
 	m.failure = reason
 	r.failures++
-	delete(r.wave.suspects, m.name)
+	delete(r.wave.unrecordedFailures, m.name)
 	delete(r.wave.nonconforming, m.name)
 	if m.wave != r.wave.index {
 		return
--- a/internal/fleet/state/node_overrides.go
+++ b/internal/fleet/state/node_overrides.go
@@ -13,7 +13,7 @@
 // NodeChange sets or withdraws the override of one storage node.
 type NodeChange struct {
 	ID       string             `json:"id"`
-	Override *spec.NodeOverride `json:"to"` // nil: withdraw it
+	Override *spec.NodeOverride `json:"to"` // nil withdraws it
 }
 
 // NodeOverrides returns the overrides of storage nodes and the revision that set them.
@@ -21,7 +21,7 @@
 	return s.desired.nodes.list, s.desired.nodes.revision
 }
 
-// SetNodes returns the record that changes the overrides of storage nodes, or nil where nothing changes.
+// SetNodes returns the record that changes the overrides of storage nodes, or nil if nothing changes.
 func (s *State) SetNodes(c *Command, changes []NodeChange, at clock.Micros) (*Record, error) {
 	if err := s.checkExpectedRevision(c); err != nil {
 		return nil, err
--- a/internal/fleet/state/observe.go
+++ b/internal/fleet/state/observe.go
@@ -6,12 +6,12 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// Observe applies an agent's reports. An instance whose last change is newer than the reported assignment version is not
-// confirmed by its report, however much it looks as desired. A call whose sequence number is not newer than that of the
-// last one is ignored: it arrived late or twice.
+// Observe applies an agent's reports. If the assignment of an instance has changed since the reported assignment
+// version, the report does not confirm the change, even if the instance looks as desired. A call whose sequence number
+// is not above that of the last call arrived late or twice and is ignored.
 //
 // Errors are ErrNotFound for an agent that is not registered, ErrFenced for a token that is not the newest, and
-// ErrInvalidState for reports of changes before a full report.
+// ErrInvalidState for a partial report before the first full one.
 func (s *State) Observe(c *AgentSync, now clock.Micros) error {
 	if err := s.CheckToken(c.Agent, c.Token); err != nil {
 		return err
@@ -30,7 +30,8 @@
 		a.session.reportedFully = true
 		s.observeAbsent(a, c.Reports)
 	}
-	// After the reports: they say nothing about changes that the agent did not know of.
+	// Acknowledge after the reports are stored: older reports must not confirm changes unknown to the agent at the
+	// time.
 	s.acknowledge(a, c.AssignmentVersion)
 	if a.session.silent {
 		a.session.silent = false
@@ -41,7 +42,7 @@
 	return nil
 }
 
-// recordCall notes that an agent has called.
+// recordCall records the time and the sequence number of an agent's call.
 func (s *State) recordCall(a *agent, sequence uint64) {
 	a.session.called = true
 	a.session.lastCall = s.now
@@ -53,7 +54,7 @@
 	}
 }
 
-// observeReports stores what an agent reports. Reports of instances that it does not hold are ignored.
+// observeReports stores an agent's reports. Reports of instances that the agent does not hold are ignored.
 func (s *State) observeReports(a *agent, reports []Report) {
 	for k := range reports {
 		i := a.instances[reports[k].Name]
@@ -71,7 +72,7 @@
 	}
 }
 
-// observeAbsent stores that an agent has nothing of the instances that its full report does not mention.
+// observeAbsent marks the agent's instances that its full report does not mention as absent.
 func (s *State) observeAbsent(a *agent, reports []Report) {
 	reported := make(map[string]bool, len(reports))
 	for k := range reports {
@@ -85,7 +86,7 @@
 	}
 }
 
-// acknowledge notes the version of its assignments that an agent works by.
+// acknowledge records that an agent knows its assignments up to a version.
 func (s *State) acknowledge(a *agent, version uint64) {
 	version = min(version, a.assignments.newest)
 	if version <= a.assignments.acknowledged {
--- a/internal/fleet/state/property_test.go
+++ b/internal/fleet/state/property_test.go
@@ -14,161 +14,165 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// broker is one process as it really is, which may differ from what the manager knows.
-type broker struct {
-	started     string // digest of what it was started with
-	config      string
-	incarnation string
-	applied     uint64
-	healthy     bool
-	up          bool // it has been reported healthy since it was enabled
-	crashes     int
-	reported    bool // healthy at its agent's last call
-}
-
-// simulatedAgent is one agent as it really is.
+// simulatedBroker is the actual state of one broker process, which may differ from the state known to the manager.
+type simulatedBroker struct {
+	startDigest     string // digest of the start settings of the process
+	config          string
+	incarnation     string
+	appliedEdition  uint64
+	healthy         bool
+	hasServed       bool // has been reported healthy since it was enabled
+	crashes         int
+	reportedHealthy bool // reported healthy in its agent's last call
+}
+
+// simulatedAgent is the actual state of one agent.
 type simulatedAgent struct {
-	name        string
-	token       uint64
-	sequence    uint64 // of its last call
-	version     uint64 // of its assignments
-	alive       bool
-	assignments map[string]Assignment
-	brokers     map[string]*broker
-	lastSent    []Report // the call that may arrive again, late
-}
-
-// world is a fleet whose parts fail when the test says so, and its manager's state.
-type world struct {
-	t               *rapid.T
-	s               *State
-	log             []*Record // the journal
-	snapshot        []byte
-	snapshotRecords int // that the snapshot contains
-	now             clock.Micros
-	agents          map[string]*simulatedAgent
-	incarnations    int
-	commands        int
-	agentNames      []string
-	domains         int
-}
-
-// trace makes a run print every record and call.
+	name              string
+	token             uint64
+	sequence          uint64 // of its last call since its registration
+	assignmentVersion uint64 // of the assignments that it has fetched
+	alive             bool
+	assignments       map[string]Assignment
+	brokers           map[string]*simulatedBroker
+	lastReports       []Report // reports of its last call, which may arrive a second time
+}
+
+// simulatedFleet is a fleet in which the test makes agents, brokers and the manager fail, with the manager's state.
+type simulatedFleet struct {
+	t                *rapid.T
+	s                *State
+	journal          []*Record // all records applied so far
+	snapshot         []byte
+	snapshotRecords  int // number of records that the snapshot covers
+	now              clock.Micros
+	agents           map[string]*simulatedAgent
+	incarnationCount int
+	commandCount     int
+	agentNames       []string
+	domainCount      int
+}
+
+// trace logs every record and call of a run.
 const trace = false
 
 var testLimits = Limits{MaxRevisions: 50, MaxCommands: 50, AgentTimeout: 3_000_000, MaxReleases: 4}
 
-func (w *world) put(r *Record) {
+// apply encodes a record, decodes it as a replay would, applies it and appends it to the journal. It ignores nil.
+func (f *simulatedFleet) apply(r *Record) {
 	if r == nil {
 		return
 	}
 	b, err := r.Encode()
 	if err != nil {
-		w.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	if r, err = DecodeRecord(b); err != nil { // as it comes back from disk
-		w.t.Fatal(err)
+	if r, err = DecodeRecord(b); err != nil {
+		f.t.Fatal(err)
 	}
-	if err := w.s.Apply(r); err != nil {
-		w.t.Fatalf("%s: %v", b, err)
+	if err := f.s.Apply(r); err != nil {
+		f.t.Fatalf("%s: %v", b, err)
 	}
-	w.log = append(w.log, r)
+	f.journal = append(f.journal, r)
 	if trace {
-		w.t.Logf("%d %.300s", w.now, b)
+		f.t.Logf("%d %.300s", f.now, b)
 	}
 }
 
-// exposed counts the instances that have served, should serve, and do not serve or are about to stop. Where among is given,
-// only its instances count.
-func (w *world) exposed(among map[string]bool) (out, of int, all map[string]bool) {
-	all = map[string]bool{}
-	for name, i := range w.s.instances {
+// countUnavailable returns the number of instances that are not serving or are about to stop, the number of instances
+// that it is taken from (the enabled ones that have served), and the set of enabled instances. If among is not nil,
+// instances outside it are left out.
+func (f *simulatedFleet) countUnavailable(among map[string]bool) (unavailable, total int, enabled map[string]bool) {
+	enabled = map[string]bool{}
+	for name, i := range f.s.instances {
 		if i.release.desired == nil || !i.release.desired.Enabled || among != nil && !among[name] {
 			continue
 		}
-		all[name] = true
-		var b *broker
-		up := false
-		for _, sim := range w.agents {
+		enabled[name] = true
+		var b *simulatedBroker
+		hasServed := false
+		for _, sim := range f.agents {
 			if x := sim.brokers[name]; x != nil {
-				b, up = x, up || x.up
+				b, hasServed = x, hasServed || x.hasServed
 			}
 		}
-		if !up {
+		if !hasServed {
 			continue
 		}
-		of++
-		if b == nil || !b.reported || b.started != i.release.desired.Start.Digest() || i.release.desired.Agent != i.agent.name {
-			out++
+		total++
+		if b == nil || !b.reportedHealthy || b.startDigest != i.release.desired.Start.Digest() || i.release.desired.Agent != i.agent.name {
+			unavailable++
 		}
 	}
-	return out, of, all
+	return unavailable, total, enabled
 }
 
-// step applies the records that are due, and checks every release against the bound on unavailable instances.
-func (w *world) step() {
+// applyDueRecords applies the records that are due, and checks every release against the limit on unavailable
+// instances.
+func (f *simulatedFleet) applyDueRecords() {
 	for n := 0; ; n++ {
 		if n > 10000 {
-			w.t.Fatal("the manager always has another record")
+			f.t.Fatal("Step still returns records after 10000 calls")
 		}
-		list := w.s.Step(w.now)
+		list := f.s.Step(f.now)
 		if len(list) == 0 {
 			return
 		}
 		for _, r := range list {
-			before, of, all := w.exposed(nil)
-			var most int
-			if w.s.rollouts.active != nil {
-				most = max(w.s.rollouts.active.strategy.MaxUnavailable.Of(of), 1)
+			before, total, enabled := f.countUnavailable(nil)
+			var limit int
+			if f.s.rollouts.active != nil {
+				limit = max(f.s.rollouts.active.strategy.MaxUnavailable.Of(total), 1)
 			}
-			w.put(r)
-			if after, _, _ := w.exposed(all); r.Kind == RecordInstancesReleased && after > max(before, most) {
-				w.t.Fatalf("release of %v takes %d of %d out of service, %d before, at most %d may", r.Instances, after, of, before, most)
+			f.apply(r)
+			if after, _, _ := f.countUnavailable(enabled); r.Kind == RecordInstancesReleased && after > max(before, limit) {
+				f.t.Fatalf("release of %v makes %d of %d instances unavailable, %d were before, the limit is %d", r.Instances, after, total, before, limit)
 			}
 		}
 	}
 }
 
-// sync lets an agent call the manager.
-func (w *world) sync(sim *simulatedAgent) {
+// sync makes an agent call the manager: it registers if necessary, reports all of its instances and fetches
+// assignments.
+func (f *simulatedFleet) sync(sim *simulatedAgent) {
 	if !sim.alive {
 		return
 	}
 	if sim.token == 0 {
-		r := w.s.Register(sim.name, 0, w.now)
-		w.put(r)
-		sim.token, sim.sequence, sim.version = r.Token, 0, 0
+		r := f.s.Register(sim.name, 0, f.now)
+		f.apply(r)
+		sim.token, sim.sequence, sim.assignmentVersion = r.Token, 0, 0
 	}
 	sim.sequence++
 	var reports []Report
 	for _, name := range slices.Sorted(maps.Keys(sim.assignments)) {
-		reports = append(reports, w.report(sim, name))
+		reports = append(reports, f.report(sim, name))
 	}
-	sim.lastSent = reports
+	sim.lastReports = reports
 	call := &AgentSync{
 		Agent:             sim.name,
 		Token:             sim.token,
 		Sequence:          sim.sequence,
-		AssignmentVersion: sim.version,
+		AssignmentVersion: sim.assignmentVersion,
 		Full:              true,
 		Reports:           reports,
 	}
-	if err := w.s.Observe(call, w.now); err != nil {
+	if err := f.s.Observe(call, f.now); err != nil {
 		if !errors.Is(err, ErrFenced) {
-			w.t.Fatal(err)
+			f.t.Fatal(err)
 		}
-		sim.alive = false // a newer agent has registered: this one ends
+		sim.alive = false // a newer agent of the same name has registered: this one exits
 		return
 	}
 	for _, b := range sim.brokers {
-		b.reported = b.healthy && b.crashes <= 2
-		b.up = b.up || b.reported
+		b.reportedHealthy = b.healthy && b.crashes <= 2
+		b.hasServed = b.hasServed || b.reportedHealthy
 	}
-	list, version := w.s.Assignments(sim.name, sim.version)
+	list, version := f.s.Assignments(sim.name, sim.assignmentVersion)
 	if trace {
-		w.t.Logf("%s token %d seq %d reports %+v gets %+v", sim.name, sim.token, sim.sequence, reports, list)
+		f.t.Logf("%s token %d seq %d reports %+v gets %+v", sim.name, sim.token, sim.sequence, reports, list)
 	}
-	if sim.version == 0 { // the list is complete: what is not in it does not belong to the agent
+	if sim.assignmentVersion == 0 { // the list is complete: the agent has to end the instances that are not in it
 		for name := range sim.assignments {
 			sim.assignments[name] = Assignment{Name: name, Release: true}
 		}
@@ -176,10 +180,10 @@
 	for _, a := range list {
 		sim.assignments[a.Name] = a
 	}
-	sim.version = version
+	sim.assignmentVersion = version
 }
 
-func (w *world) report(sim *simulatedAgent, name string) Report {
+func (f *simulatedFleet) report(sim *simulatedAgent, name string) Report {
 	b := sim.brokers[name]
 	a := sim.assignments[name]
 	r := Report{Name: name, Process: Stopped}
@@ -189,13 +193,13 @@
 	case b != nil && b.crashes > 2:
 		r.Process, r.Flapping, r.Crashes = Backoff, true, b.crashes
 	case b != nil:
-		r.Process, r.Incarnation, r.AppliedEdition, r.StartDigest, r.Healthy = Running, b.incarnation, b.applied, b.started, b.healthy
+		r.Process, r.Incarnation, r.AppliedEdition, r.StartDigest, r.Healthy = Running, b.incarnation, b.appliedEdition, b.startDigest, b.healthy
 	}
 	return r
 }
 
-// work lets an agent do one thing for each of its instances.
-func (w *world) work(sim *simulatedAgent) {
+// carryOutAssignments makes an agent take one step towards the assignment of each of its instances.
+func (f *simulatedFleet) carryOutAssignments(sim *simulatedAgent) {
 	if !sim.alive {
 		return
 	}
@@ -204,112 +208,113 @@
 		switch {
 		case a.Release || a.Desired == nil || !a.Desired.Enabled:
 			delete(sim.brokers, name)
-		case b == nil || b.started != a.Desired.Start.Digest():
-			for _, o := range w.agents {
-				if o != sim && o.brokers[name] != nil {
-					w.t.Fatalf("%s is started at %s and still runs at %s", name, sim.name, o.name)
+		case b == nil || b.startDigest != a.Desired.Start.Digest():
+			for _, other := range f.agents {
+				if other != sim && other.brokers[name] != nil {
+					f.t.Fatalf("%s is started on %s while it still runs on %s", name, sim.name, other.name)
 				}
 			}
-			w.incarnations++
+			f.incarnationCount++
 			old := b
-			b = &broker{started: a.Desired.Start.Digest(), config: a.Desired.Start.Config, incarnation: fmt.Sprint("b", w.incarnations), healthy: a.Desired.Start.Config != badConfig}
+			b = &simulatedBroker{startDigest: a.Desired.Start.Digest(), config: a.Desired.Start.Config, incarnation: fmt.Sprint("b", f.incarnationCount), healthy: a.Desired.Start.Config != crashingConfigDigest}
 			if old != nil {
-				b.up = old.up
+				b.hasServed = old.hasServed
 			}
 			sim.brokers[name] = b
-		case b.config == badConfig:
+		case b.config == crashingConfigDigest:
 			b.crashes++
 		case !b.healthy:
-			w.incarnations++
-			b.incarnation, b.applied, b.healthy = fmt.Sprint("b", w.incarnations), 0, true
-		case b.applied != a.TargetEdition:
-			if a.TargetEdition < b.applied {
-				w.t.Fatalf("%s goes back from revision %d to %d", name, b.applied, a.TargetEdition)
+			f.incarnationCount++
+			b.incarnation, b.appliedEdition, b.healthy = fmt.Sprint("b", f.incarnationCount), 0, true
+		case b.appliedEdition != a.TargetEdition:
+			if a.TargetEdition < b.appliedEdition {
+				f.t.Fatalf("%s goes back from edition %d to %d", name, b.appliedEdition, a.TargetEdition)
 			}
-			b.applied = a.TargetEdition
+			b.appliedEdition = a.TargetEdition
 		}
 	}
 }
 
-var goodText, badText = "good", "bad"
-var badConfig = spec.ConfigDigest([]byte(badText))
+var goodConfigText, crashingConfigText = "good", "bad"
+var crashingConfigDigest = spec.ConfigDigest([]byte(crashingConfigText))
 
-// drawSpec draws a desired state; a good one has no configuration that crashes.
-func (w *world) drawSpec(t *rapid.T, good bool) *spec.Spec {
-	sp := &spec.Spec{Instances: map[string]*spec.Instance{}, Configs: map[string]string{
-		spec.ConfigDigest([]byte(goodText)): goodText, badConfig: badText}}
+// drawSpec draws a desired state. With healthyOnly no instance has the configuration that makes brokers crash.
+func (f *simulatedFleet) drawSpec(t *rapid.T, healthyOnly bool) *spec.Spec {
+	desired := &spec.Spec{Instances: map[string]*spec.Instance{}, Configs: map[string]string{
+		spec.ConfigDigest([]byte(goodConfigText)): goodConfigText, crashingConfigDigest: crashingConfigText}}
 	n := rapid.IntRange(1, 9).Draw(t, "instances")
 	for k := range n {
 		name := fmt.Sprint("n", k)
-		i := &spec.Instance{Name: name, Agent: rapid.SampledFrom(w.agentNames).Draw(t, "agent"), Enabled: rapid.IntRange(0, 9).Draw(t, "on") > 0,
-			Domain: fmt.Sprint("d", k%w.domains),
-			Start: spec.StartSettings{Config: spec.ConfigDigest([]byte(goodText)), Listen: fmt.Sprint("127.0.0.1:", 7000+k),
+		i := &spec.Instance{Name: name, Agent: rapid.SampledFrom(f.agentNames).Draw(t, "agent"), Enabled: rapid.IntRange(0, 9).Draw(t, "on") > 0,
+			Domain: fmt.Sprint("d", k%f.domainCount),
+			Start: spec.StartSettings{Config: spec.ConfigDigest([]byte(goodConfigText)), Listen: fmt.Sprint("127.0.0.1:", 7000+k),
 				MemoryMB: rapid.IntRange(1, 3).Draw(t, "memory")},
 			Live: spec.LiveSettings{LogLevel: rapid.SampledFrom([]string{"", "debug"}).Draw(t, "log")}}
-		if !good && rapid.IntRange(0, 7).Draw(t, "bad") == 0 {
-			i.Start.Config = badConfig
+		if !healthyOnly && rapid.IntRange(0, 7).Draw(t, "bad") == 0 {
+			i.Start.Config = crashingConfigDigest
 		}
-		sp.Instances[name] = i
+		desired.Instances[name] = i
 	}
-	return sp
+	return desired
 }
 
-func (w *world) command() *Command {
-	w.commands++
-	return &Command{ID: fmt.Sprint("c", w.commands), Author: "test"}
+func (f *simulatedFleet) command() *Command {
+	f.commandCount++
+	return &Command{ID: fmt.Sprint("c", f.commandCount), Author: "test"}
 }
 
-func (w *world) drawStrategy(t *rapid.T) Strategy {
-	st := DefaultStrategy()
-	st.Canary = rapid.IntRange(0, 2).Draw(t, "canary")
-	st.Batch = CountOrPercent{Count: rapid.IntRange(1, 5).Draw(t, "batch")}
-	st.MaxUnavailable = CountOrPercent{Count: rapid.IntRange(1, 3).Draw(t, "max")}
-	st.OneDomainPerWave = rapid.Bool().Draw(t, "domains")
-	st.FailureBudget = CountOrPercent{Count: rapid.IntRange(0, 2).Draw(t, "budget")}
-	st.OnFailure = rapid.SampledFrom([]string{"pause", "rollback"}).Draw(t, "on failure")
-	st.SoakTime, st.ProgressDeadline = 1_000_000, 20_000_000
-	return st
+func (f *simulatedFleet) drawStrategy(t *rapid.T) Strategy {
+	strategy := DefaultStrategy()
+	strategy.Canary = rapid.IntRange(0, 2).Draw(t, "canary")
+	strategy.Batch = CountOrPercent{Count: rapid.IntRange(1, 5).Draw(t, "batch")}
+	strategy.MaxUnavailable = CountOrPercent{Count: rapid.IntRange(1, 3).Draw(t, "max")}
+	strategy.OneDomainPerWave = rapid.Bool().Draw(t, "domains")
+	strategy.FailureBudget = CountOrPercent{Count: rapid.IntRange(0, 2).Draw(t, "budget")}
+	strategy.OnFailure = rapid.SampledFrom([]string{"pause", "rollback"}).Draw(t, "on failure")
+	strategy.SoakTime, strategy.ProgressDeadline = 1_000_000, 20_000_000
+	return strategy
 }
 
-// restart lets the manager restart from its journal. The snapshot and the records after it must lead to the same state.
-func (w *world) restart() {
+// restart restarts the manager from its journal. The snapshot with the records after it must lead to the same state as
+// all records.
+func (f *simulatedFleet) restart() {
 	replayed := New(testLimits)
-	for _, r := range w.log {
+	for _, r := range f.journal {
 		if err := replayed.Apply(r); err != nil {
-			w.t.Fatal(err)
+			f.t.Fatal(err)
 		}
 	}
-	if w.snapshot != nil {
-		restored, err := Restore(w.snapshot, testLimits)
+	if f.snapshot != nil {
+		restored, err := Restore(f.snapshot, testLimits)
 		if err != nil {
-			w.t.Fatal(err)
+			f.t.Fatal(err)
 		}
-		for _, r := range w.log[w.snapshotRecords:] {
+		for _, r := range f.journal[f.snapshotRecords:] {
 			if err := restored.Apply(r); err != nil {
-				w.t.Fatalf("after a snapshot: %v", err)
+				f.t.Fatalf("applying a record after the snapshot: %v", err)
 			}
 		}
-		fromJournal, fromSnapshot := w.image(replayed), w.image(restored)
+		fromJournal, fromSnapshot := f.comparableSnapshot(replayed), f.comparableSnapshot(restored)
 		if !bytes.Equal(fromJournal, fromSnapshot) {
-			w.t.Fatalf("a snapshot leads elsewhere:\n%s\n%s", fromJournal, fromSnapshot)
+			f.t.Fatalf("replay of all records gives a state other than the snapshot and the records after it:\n%s\n%s", fromJournal, fromSnapshot)
 		}
 	}
 	replayed.FinishReplay()
-	w.s = replayed
-	for _, sim := range w.agents {
-		sim.version = 0 // the manager's incarnation is a new one: all assignments are fetched again
+	f.s = replayed
+	for _, sim := range f.agents {
+		sim.assignmentVersion = 0 // the manager has a new incarnation: agents fetch all assignments again
 		sim.sequence = 0
 	}
 }
 
-// image returns a state in a form that can be compared. What depends on the observed state is left out.
-func (w *world) image(s *State) []byte {
+// comparableSnapshot returns a snapshot of a state without the parts that depend on the observed state, for comparison.
+func (f *simulatedFleet) comparableSnapshot(s *State) []byte {
 	b, err := s.Snapshot()
 	if err == nil {
 		s, err = Restore(b, testLimits)
 	}
 	if err != nil {
-		w.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	for _, i := range s.instances {
 		i.availability.hasServed, i.availability.restarting, i.release.previous = false, false, nil
@@ -320,146 +325,147 @@
 		}
 	}
 	if b, err = s.Snapshot(); err != nil {
-		w.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	return b
 }
 
-// No sequence of failures and commands lets a release take more out of service than allowed, an instance run twice, a
-// broker return to an older edition, or a snapshot differ from a replay. Once the failures stop the fleet becomes as
-// desired, and is reported as settled exactly then.
+// Under any sequence of failures and commands, a release must not exceed the limit on unavailable instances, no
+// instance may run twice, no broker may return to an older edition, and a snapshot must be equivalent to a replay. Once
+// the failures stop, the fleet must reach the desired state, and be reported as settled only then.
 func TestFleetConvergesAfterAnyFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		f := newSimulatedFleet(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"tick":               func(*rapid.T) { w.tick() },
-			"ticks":              w.someTicks,
-			"apply":              w.applySpec,
-			"rollback":           w.rollBack,
-			"nodes":              w.changeNodeOverride,
-			"phase":              w.changePhase,
-			"agent fails":        func(t *rapid.T) { w.pickAgent(t).alive = false },
-			"agent returns":      w.agentReturns,
-			"fenced agent calls": w.fencedAgentCalls,
-			"call arrives again": w.callArrivesAgain,
-			"broker crashes":     w.brokerCrashes,
-			"machine is lost":    w.machineIsLost,
-			"clock jumps":        w.clockJumps,
-			"manager restarts":   func(*rapid.T) { w.restart() },
-			"snapshot":           w.takeSnapshot,
+			"tick":               func(*rapid.T) { f.tick() },
+			"ticks":              f.severalTicks,
+			"apply":              f.applySpec,
+			"rollback":           f.rollBack,
+			"nodes":              f.changeNodeOverride,
+			"phase":              f.changePhase,
+			"agent fails":        func(t *rapid.T) { f.pickAgent(t).alive = false },
+			"agent returns":      f.agentReturns,
+			"fenced agent calls": f.fencedAgentCalls,
+			"call arrives again": f.callArrivesAgain,
+			"broker crashes":     f.brokerCrashes,
+			"machine is lost":    f.machineIsLost,
+			"clock jumps":        f.clockJumps,
+			"manager restarts":   func(*rapid.T) { f.restart() },
+			"snapshot":           f.takeSnapshot,
 		})
-		w.endFailures()
-		want := w.drawSpec(t, true)
-		w.releaseAndSettle(want)
-		w.checkConverged(want)
+		f.endFailures()
+		want := f.drawSpec(t, true)
+		f.proposeAndSettle(want)
+		f.checkConverged(want)
 	})
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{
-		t:          t,
-		s:          New(testLimits),
-		agents:     map[string]*simulatedAgent{},
-		agentNames: []string{"a1", "a2", "a3"},
-		domains:    2,
-		now:        1,
+func newSimulatedFleet(t *rapid.T) *simulatedFleet {
+	f := &simulatedFleet{
+		t:           t,
+		s:           New(testLimits),
+		agents:      map[string]*simulatedAgent{},
+		agentNames:  []string{"a1", "a2", "a3"},
+		domainCount: 2,
+		now:         1,
 	}
-	for _, name := range w.agentNames {
-		w.agents[name] = &simulatedAgent{name: name, alive: true, assignments: map[string]Assignment{}, brokers: map[string]*broker{}}
+	for _, name := range f.agentNames {
+		f.agents[name] = &simulatedAgent{name: name, alive: true, assignments: map[string]Assignment{}, brokers: map[string]*simulatedBroker{}}
 	}
-	return w
+	return f
 }
 
-func (w *world) pickAgent(t *rapid.T) *simulatedAgent {
-	return w.agents[rapid.SampledFrom(w.agentNames).Draw(t, "agent")]
+func (f *simulatedFleet) pickAgent(t *rapid.T) *simulatedAgent {
+	return f.agents[rapid.SampledFrom(f.agentNames).Draw(t, "agent")]
 }
 
-// tick lets some time pass in which every agent works and calls and the manager acts.
-func (w *world) tick() {
-	w.now += 300_000
-	for _, name := range w.agentNames {
-		w.work(w.agents[name])
-		w.sync(w.agents[name])
+// tick advances the time by 300 ms. Every agent carries out its assignments and calls the manager, which then applies
+// the records that are due.
+func (f *simulatedFleet) tick() {
+	f.now += 300_000
+	for _, name := range f.agentNames {
+		f.carryOutAssignments(f.agents[name])
+		f.sync(f.agents[name])
 	}
-	w.step()
+	f.applyDueRecords()
 }
 
-func (w *world) someTicks(t *rapid.T) {
+func (f *simulatedFleet) severalTicks(t *rapid.T) {
 	for range rapid.IntRange(2, 30).Draw(t, "n") {
-		w.tick()
+		f.tick()
 	}
 }
 
-func (w *world) applySpec(t *rapid.T) {
-	c := w.command()
-	r, _, err := w.s.Propose(c, w.drawSpec(t, false), w.drawStrategy(t), w.now)
+func (f *simulatedFleet) applySpec(t *rapid.T) {
+	c := f.command()
+	r, _, err := f.s.Propose(c, f.drawSpec(t, false), f.drawStrategy(t), f.now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.put(r)
-	if _, seen := w.s.CommandResult(c.ID); r != nil && !seen {
-		t.Fatal("the command's result is not kept")
+	f.apply(r)
+	if _, seen := f.s.CommandResult(c.ID); r != nil && !seen {
+		t.Fatal("the result of the applied command is not kept")
 	}
 }
 
-func (w *world) rollBack(t *rapid.T) {
-	to := uint64(rapid.IntRange(0, int(w.s.desired.revision)).Draw(t, "to"))
-	r, _, err := w.s.Rollback(w.command(), to, w.drawStrategy(t), rapid.Bool().Draw(t, "nodes"), w.now)
+func (f *simulatedFleet) rollBack(t *rapid.T) {
+	to := uint64(rapid.IntRange(0, int(f.s.desired.revision)).Draw(t, "to"))
+	r, _, err := f.s.Rollback(f.command(), to, f.drawStrategy(t), rapid.Bool().Draw(t, "nodes"), f.now)
 	if err != nil && !errors.Is(err, ErrNotFound) {
 		t.Fatal(err)
 	}
-	w.put(r)
+	f.apply(r)
 }
 
-func (w *world) changeNodeOverride(t *rapid.T) {
+func (f *simulatedFleet) changeNodeOverride(t *rapid.T) {
 	states := []spec.NodeOverrideState{spec.NodeDraining, spec.NodeRemoved}
 	change := NodeChange{ID: "s-1", Override: &spec.NodeOverride{ID: "s-1", State: rapid.SampledFrom(states).Draw(t, "state")}}
 	if rapid.Bool().Draw(t, "withdraw") {
 		change.Override = nil
 	}
-	r, err := w.s.SetNodes(w.command(), []NodeChange{change}, w.now)
+	r, err := f.s.SetNodes(f.command(), []NodeChange{change}, f.now)
 	if err != nil && !errors.Is(err, ErrNotFound) {
 		t.Fatal(err)
 	}
-	w.put(r)
+	f.apply(r)
 }
 
-func (w *world) changePhase(t *rapid.T) {
+func (f *simulatedFleet) changePhase(t *rapid.T) {
 	phase := rapid.SampledFrom([]Phase{Paused, Active, Aborted}).Draw(t, "phase")
-	if r, err := w.s.SetRolloutPhase(w.command(), 0, phase, w.now); err == nil {
-		w.put(r)
+	if r, err := f.s.SetRolloutPhase(f.command(), 0, phase, f.now); err == nil {
+		f.apply(r)
 	}
 }
 
-func (w *world) agentReturns(t *rapid.T) {
-	if sim := w.pickAgent(t); !sim.alive {
+func (f *simulatedFleet) agentReturns(t *rapid.T) {
+	if sim := f.pickAgent(t); !sim.alive {
 		sim.alive, sim.token = true, 0
 	}
 }
 
-func (w *world) fencedAgentCalls(t *rapid.T) {
-	sim := w.pickAgent(t)
-	if sim.token <= 1 || w.s.CheckToken(sim.name, sim.token) != nil {
+func (f *simulatedFleet) fencedAgentCalls(t *rapid.T) {
+	sim := f.pickAgent(t)
+	if sim.token <= 1 || f.s.CheckToken(sim.name, sim.token) != nil {
 		return
 	}
-	if err := w.s.Observe(&AgentSync{Agent: sim.name, Token: sim.token - 1, Sequence: 1 << 40, Full: true}, w.now); !errors.Is(err, ErrFenced) {
-		t.Fatalf("an older token: %v", err)
+	if err := f.s.Observe(&AgentSync{Agent: sim.name, Token: sim.token - 1, Sequence: 1 << 40, Full: true}, f.now); !errors.Is(err, ErrFenced) {
+		t.Fatalf("call with an older token returns error %v, want ErrFenced", err)
 	}
 }
 
-func (w *world) callArrivesAgain(t *rapid.T) {
-	sim := w.pickAgent(t)
-	if !sim.alive || sim.sequence == 0 || sim.lastSent == nil {
+func (f *simulatedFleet) callArrivesAgain(t *rapid.T) {
+	sim := f.pickAgent(t)
+	if !sim.alive || sim.sequence == 0 || sim.lastReports == nil {
 		return
 	}
-	err := w.s.Observe(&AgentSync{Agent: sim.name, Token: sim.token, Sequence: sim.sequence, AssignmentVersion: sim.version, Full: true}, w.now)
+	err := f.s.Observe(&AgentSync{Agent: sim.name, Token: sim.token, Sequence: sim.sequence, AssignmentVersion: sim.assignmentVersion, Full: true}, f.now)
 	if err != nil && !errors.Is(err, ErrFenced) { // fenced: a newer agent has registered since
 		t.Fatal(err)
 	}
 }
 
-func (w *world) brokerCrashes(t *rapid.T) {
-	sim := w.pickAgent(t)
+func (f *simulatedFleet) brokerCrashes(t *rapid.T) {
+	sim := f.pickAgent(t)
 	for _, name := range []string{"n0", "n1", "n2", "n3", "n4"} {
 		if b := sim.brokers[name]; b != nil && rapid.Bool().Draw(t, "this") {
 			b.healthy = false
@@ -468,95 +474,95 @@
 	}
 }
 
-// machineIsLost removes all that runs on a silent agent's machine, and retires the agent.
-func (w *world) machineIsLost(t *rapid.T) {
-	sim := w.pickAgent(t)
-	if sim.alive || w.s.agents.byName[sim.name] == nil || !w.s.agents.byName[sim.name].session.silent {
+// machineIsLost ends every process on a silent agent's machine and retires the agent.
+func (f *simulatedFleet) machineIsLost(t *rapid.T) {
+	sim := f.pickAgent(t)
+	if sim.alive || f.s.agents.byName[sim.name] == nil || !f.s.agents.byName[sim.name].session.silent {
 		return
 	}
-	sim.assignments, sim.brokers = map[string]Assignment{}, map[string]*broker{}
-	r, err := w.s.Retire(w.command(), sim.name, w.now)
+	sim.assignments, sim.brokers = map[string]Assignment{}, map[string]*simulatedBroker{}
+	r, err := f.s.Retire(f.command(), sim.name, f.now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.put(r)
+	f.apply(r)
 }
 
-// clockJumps lets an hour pass, or gives a step an earlier time than the one before.
-func (w *world) clockJumps(t *rapid.T) {
+// clockJumps advances the time by an hour, or calls Step with a time before that of the previous call.
+func (f *simulatedFleet) clockJumps(t *rapid.T) {
 	if rapid.Bool().Draw(t, "forward") {
-		w.now += 3600_000_000
+		f.now += 3600_000_000
 		return
 	}
-	if w.now > 1_000_000 {
-		if list := w.s.Step(w.now - 1_000_000); len(list) > 0 {
-			w.put(list[0])
+	if f.now > 1_000_000 {
+		if list := f.s.Step(f.now - 1_000_000); len(list) > 0 {
+			f.apply(list[0])
 		}
 	}
 }
 
-func (w *world) takeSnapshot(t *rapid.T) {
-	b, err := w.s.Snapshot()
+func (f *simulatedFleet) takeSnapshot(t *rapid.T) {
+	b, err := f.s.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.snapshot, w.snapshotRecords = b, len(w.log)
+	f.snapshot, f.snapshotRecords = b, len(f.journal)
 }
 
-// endFailures lets all agents run again and ends all rollouts.
-func (w *world) endFailures() {
-	for _, sim := range w.agents {
+// endFailures restarts all failed agents and aborts all rollouts.
+func (f *simulatedFleet) endFailures() {
+	for _, sim := range f.agents {
 		if !sim.alive {
 			sim.alive, sim.token = true, 0
 		}
 	}
-	for _, revision := range w.s.rollouts.unfinished() {
-		r, err := w.s.SetRolloutPhase(w.command(), revision, Aborted, w.now)
+	for _, revision := range f.s.rollouts.unfinished() {
+		r, err := f.s.SetRolloutPhase(f.command(), revision, Aborted, f.now)
 		if err != nil {
-			w.t.Fatal(err)
+			f.t.Fatal(err)
 		}
-		w.put(r)
+		f.apply(r)
 	}
 }
 
-// releaseAndSettle proposes a desired state and waits until the fleet is settled.
-func (w *world) releaseAndSettle(want *spec.Spec) {
-	strategy := w.drawStrategy(w.t)
+// proposeAndSettle proposes a desired state and advances the time until the fleet is settled.
+func (f *simulatedFleet) proposeAndSettle(want *spec.Spec) {
+	strategy := f.drawStrategy(f.t)
 	strategy.FailureBudget = CountOrPercent{Percent: 100}
-	r, _, err := w.s.Propose(w.command(), want, strategy, w.now)
+	r, _, err := f.s.Propose(f.command(), want, strategy, f.now)
 	if err != nil {
-		w.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	w.put(r)
-	for n := 0; !w.s.Settled(); n++ {
+	f.apply(r)
+	for n := 0; !f.s.Settled(); n++ {
 		if n == 2000 {
-			for _, x := range w.s.Instances(spec.Selector{}) {
-				w.t.Logf("%+v", x)
+			for _, x := range f.s.Instances(spec.Selector{}) {
+				f.t.Logf("%+v", x)
 			}
-			w.t.Fatalf("never settled: %+v", w.s.Rollouts(1))
+			f.t.Fatalf("fleet is not settled after 2000 ticks: %+v", f.s.Rollouts(1))
 		}
-		w.tick()
+		f.tick()
 	}
 }
 
-// checkConverged checks that exactly the desired instances run, each as desired.
-func (w *world) checkConverged(want *spec.Spec) {
+// checkConverged checks that the desired instances, and no others, run with their desired settings.
+func (f *simulatedFleet) checkConverged(want *spec.Spec) {
 	for name, i := range want.Instances {
-		b := w.agents[i.Agent].brokers[name]
+		b := f.agents[i.Agent].brokers[name]
 		if !i.Enabled {
 			if b != nil {
-				w.t.Fatalf("%s runs and should not", name)
+				f.t.Fatalf("%s is disabled but still runs", name)
 			}
 			continue
 		}
-		if b == nil || b.started != i.Start.Digest() || b.applied != w.s.targetEdition(w.s.instances[name]) {
-			w.t.Fatalf("%s is reported current and is %+v", name, b)
+		if b == nil || b.startDigest != i.Start.Digest() || b.appliedEdition != f.s.targetEdition(f.s.instances[name]) {
+			f.t.Fatalf("%s is reported as current, but its broker is %+v", name, b)
 		}
 	}
-	for _, sim := range w.agents {
+	for _, sim := range f.agents {
 		for name := range sim.brokers {
 			if i := want.Instances[name]; i == nil || i.Agent != sim.name {
-				w.t.Fatalf("%s still runs at %s", name, sim.name)
+				f.t.Fatalf("%s still runs on %s, where it is not desired", name, sim.name)
 			}
 		}
 	}
--- a/internal/fleet/state/propose.go
+++ b/internal/fleet/state/propose.go
@@ -8,18 +8,18 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// Plan is what a new revision would lead to.
+// Plan describes what a new revision would change, and in which waves.
 type Plan struct {
 	Revision uint64        `json:"rev"`
 	Changes  []spec.Change `json:"changes"`
 	Waves    [][]string    `json:"waves"`
-	WaitsFor []uint64      `json:"waits_for,omitempty"` // rollouts that are queued before it
+	WaitsFor []uint64      `json:"waits_for,omitempty"` // unfinished rollouts that come before it
 }
 
-// Propose returns the record of a new revision and its plan. Where nothing changes there is no record.
+// Propose returns the record of a new revision and its plan. The record is nil if nothing changes.
 //
-// Errors are ErrConflict for an unexpected revision, ErrRolloutActive for a strategy that does not queue, and those of
-// the validation of want and strategy.
+// Errors are ErrConflict for an unexpected revision, ErrRolloutActive if another rollout is unfinished and the
+// strategy refuses to queue, and those of the validation of want and strategy.
 func (s *State) Propose(c *Command, want *spec.Spec, strategy Strategy, at clock.Micros) (*Record, *Plan, error) {
 	if err := s.checkExpectedRevision(c); err != nil {
 		return nil, nil, err
@@ -52,7 +52,7 @@
 	return c.attribute(r, at), plan, nil
 }
 
-// addMissingConfig adds the configuration text of an instance to a record, unless it is stored already.
+// addMissingConfig adds the configuration text of an instance to a record unless the state already has it.
 func (s *State) addMissingConfig(r *Record, want *spec.Spec, i *spec.Instance) error {
 	if i == nil {
 		return nil
@@ -69,18 +69,18 @@
 	return nil
 }
 
-// planFor returns the plan of a revision record that has not been applied.
+// planFor returns the plan of a revision record that has not been applied yet.
 func (s *State) planFor(r *Record) *Plan {
 	planned := &rollout{revision: r.Revision, strategy: *r.Strategy}
 	for _, c := range r.Changes {
 		planned.changes = append(planned.changes, Step{Name: c.Name, Old: s.desired.instances[c.Name], New: c.Desired})
 	}
 	plan := &Plan{Revision: r.Revision}
-	if !r.IsRollback { // a rollback ends the rollouts before it
+	if !r.IsRollback { // a rollback aborts the unfinished rollouts instead of waiting for them
 		plan.WaitsFor = s.rollouts.unfinished()
 	}
 	if len(plan.WaitsFor) > 0 {
-		// The fleet will be as those rollouts leave it.
+		// By then those rollouts have brought the fleet to the newest desired state.
 		for _, step := range planned.changes {
 			if c := spec.Compare(step.Old, step.New); c != nil {
 				plan.Changes = append(plan.Changes, *c)
@@ -93,8 +93,8 @@
 	return plan
 }
 
-// Rollback returns the record that returns the fleet to an earlier revision, and its plan. It ends the rollouts that are
-// active or queued. Where nothing changes there is no record.
+// Rollback returns the record that takes the fleet back to an earlier revision, and its plan. The record aborts the
+// active and the queued rollouts when it is applied. It is nil if nothing changes.
 //
 // Errors are ErrConflict for an unexpected revision, ErrNotFound for a revision that is not kept, and those of the
 // validation of strategy.
@@ -112,7 +112,7 @@
 	return c.attribute(r, at), s.planFor(r), nil
 }
 
-// rollbackRecord returns the record that returns the fleet to an earlier revision, or nil where nothing changes.
+// rollbackRecord returns the record that takes the fleet back to an earlier revision, or nil if nothing changes.
 func (s *State) rollbackRecord(to uint64, strategy Strategy, withNodes bool) (*Record, error) {
 	instances, nodes, err := s.FleetAt(to)
 	if err != nil {
--- a/internal/fleet/state/record.go
+++ b/internal/fleet/state/record.go
@@ -8,26 +8,26 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// RecordKind says what a Record means.
+// RecordKind is the kind of a Record.
 type RecordKind string
 
-// The kinds of records, with the fields that each uses besides those of its command.
+// The kinds of records. Each comment names the fields that the kind uses, apart from those that every command sets.
 const (
-	RecordFleetCreated       RecordKind = "fleet"    // the first of a journal: it belongs to the fleet FleetID
-	RecordAgentRegistered    RecordKind = "agent"    // Agent registered and got Token; KnownEdition
-	RecordAgentRetired       RecordKind = "retire"   // Agent will not come back: its instances are free; Token
-	RecordRevisionCreated    RecordKind = "revision" // Revision has Changes and queues a rollout with Strategy
-	RecordNodeOverridesSet   RecordKind = "nodes"    // Revision replaces the node overrides by Nodes
-	RecordRolloutStarted     RecordKind = "begin"    // the rollout of Revision is the active one, in Waves
-	RecordInstancesReleased  RecordKind = "release"  // the rollout lets Instances change
-	RecordInstanceFailed     RecordKind = "fail"     // Instances of the rollout failed, for Reason
-	RecordWaveFinished       RecordKind = "wave"     // the rollout turns to its next wave
-	RecordPhaseChanged       RecordKind = "phase"    // the rollout is in Phase, for Reason
-	RecordInstanceHandedOver RecordKind = "handover" // Instances[0] now belongs to the agent that it is desired at
-	RecordInstanceRemoved    RecordKind = "gone"     // Instances[0], which is not desired any more, has ended
+	RecordFleetCreated       RecordKind = "fleet"    // first record of the journal of the fleet FleetID
+	RecordAgentRegistered    RecordKind = "agent"    // Agent registered with KnownEdition and got Token
+	RecordAgentRetired       RecordKind = "retire"   // Agent will not come back; Token replaces its token
+	RecordRevisionCreated    RecordKind = "revision" // Revision makes Changes and queues a rollout with Strategy
+	RecordNodeOverridesSet   RecordKind = "nodes"    // Revision replaces the node overrides with Nodes
+	RecordRolloutStarted     RecordKind = "begin"    // the rollout of Revision becomes the active one, with Waves
+	RecordInstancesReleased  RecordKind = "release"  // the rollout releases Instances: they may change
+	RecordInstanceFailed     RecordKind = "fail"     // Instances failed in the rollout because of Reason
+	RecordWaveFinished       RecordKind = "wave"     // the rollout proceeds to its next wave
+	RecordPhaseChanged       RecordKind = "phase"    // the rollout enters Phase because of Reason
+	RecordInstanceHandedOver RecordKind = "handover" // Instances[0] now belongs to the agent on which it is desired
+	RecordInstanceRemoved    RecordKind = "gone"     // Instances[0], which is no longer desired, has ended
 )
 
-// Record is one change of the state that has to be stored. The records of a journal, applied in order, give the state.
+// Record is one stored change of the state. Applying the records of a journal in order gives the state.
 type Record struct {
 	Kind         RecordKind          `json:"kind"`
 	CommandID    string              `json:"command,omitempty"` // of the command that caused it
@@ -36,12 +36,12 @@
 	Note         string              `json:"note,omitempty"`
 	Revision     uint64              `json:"rev,omitempty"`
 	Changes      []InstanceChange    `json:"set,omitempty"`
-	Configs      map[string]string   `json:"configs,omitempty"` // texts that the changes need and no earlier record has
+	Configs      map[string]string   `json:"configs,omitempty"` // by digest: texts that no earlier record has
 	Nodes        []spec.NodeOverride `json:"nodes,omitempty"`
 	Strategy     *Strategy           `json:"strategy,omitempty"`
 	IsRollback   bool                `json:"back,omitempty"`
-	RollbackTo   uint64              `json:"from,omitempty"`       // revision that a rollback returns to
-	WithNodes    bool                `json:"with_nodes,omitempty"` // a rollback that sets Nodes as well
+	RollbackTo   uint64              `json:"from,omitempty"`       // revision that a rollback goes back to
+	WithNodes    bool                `json:"with_nodes,omitempty"` // a rollback that also replaces the node overrides
 	Waves        [][]string          `json:"waves,omitempty"`
 	Instances    []string            `json:"names,omitempty"`
 	Phase        Phase               `json:"phase,omitempty"`
@@ -49,13 +49,13 @@
 	Agent        string              `json:"agent,omitempty"`
 	FleetID      string              `json:"fleet,omitempty"`
 	Token        uint64              `json:"token,omitempty"`
-	KnownEdition uint64              `json:"seen,omitempty"` // highest edition of another fleet, or of lost history, that the agent followed
+	KnownEdition uint64              `json:"seen,omitempty"` // highest edition in another fleet or lost history
 }
 
 // InstanceChange is the part of a revision that concerns one instance.
 type InstanceChange struct {
 	Name    string         `json:"name"`
-	Desired *spec.Instance `json:"to"` // nil: the instance is removed
+	Desired *spec.Instance `json:"to"` // nil removes the instance
 }
 
 // Encode returns the stored form of a record.
--- a/internal/fleet/state/release.go
+++ b/internal/fleet/state/release.go
@@ -8,15 +8,15 @@
 	"poppyarch/internal/fleet/spec"
 )
 
-// releaseRecord returns the record that lets members of the active wave change, or nil where none may at the moment.
-// Members that are out of service may always change, and others as far as the bound on unavailable instances allows.
-// Where the bound allows none and nothing else is under way, members of later waves that are out of service are released
-// ahead of them: the change may repair them, and without it the rollout could not continue.
+// releaseRecord returns the record that releases members of the current wave, or nil if none may change at the moment.
+// Members that are out of service may always change, the others as far as the limit on unavailable instances allows. If
+// the limit allows none and no released member is still changing, out-of-service members of later waves are released
+// early: the change may repair them, and without it the rollout could not continue.
 func (s *State) releaseRecord() *Record {
 	active := s.rollouts.active
 	active.blocked = ""
 	names, ofLaterWaves := s.outOfServiceMembers(active)
-	names = s.appendWithinBound(active, names)
+	names = s.appendWithinLimit(active, names)
 	stuck := len(names) == 0 && active.blocked != "" && len(active.wave.nonconforming) == 0
 	if stuck {
 		names = ofLaterWaves[:min(len(ofLaterWaves), s.limits.MaxReleases)]
@@ -31,8 +31,8 @@
 	}
 }
 
-// outOfServiceMembers lists the unreleased members that are out of service: those of the wave under way, up to the
-// limit of one record, and those of later waves.
+// outOfServiceMembers lists the unreleased members that are out of service: those of the current wave, up to
+// Limits.MaxReleases, and those of later waves.
 func (s *State) outOfServiceMembers(r *rollout) (ofWave, ofLaterWaves []string) {
 	for _, name := range slices.Sorted(maps.Keys(r.outOfService)) {
 		if r.members[name].wave != r.wave.index {
@@ -44,9 +44,9 @@
 	return ofWave, ofLaterWaves
 }
 
-// appendWithinBound appends unreleased members of the wave that are in service, as far as the bound on unavailable
-// instances allows. It sets r.blocked where that ends the list.
-func (s *State) appendWithinBound(r *rollout, names []string) []string {
+// appendWithinLimit appends unreleased members of the current wave that are in service, as far as the limit on
+// unavailable instances allows. It sets r.blocked if the limit holds members back.
+func (s *State) appendWithinLimit(r *rollout, names []string) []string {
 	unavailable, total := s.Unavailable()
 	limit := max(r.strategy.MaxUnavailable.Of(total), 1)
 	for _, name := range r.wave.unreleased {
@@ -70,7 +70,8 @@
 	return names
 }
 
-// releaseRestarts reports whether the release of an instance restarts a process that counts for the bound.
+// releaseRestarts reports whether releasing an instance restarts a process that counts towards the limit on unavailable
+// instances.
 func (s *State) releaseRestarts(name string) bool {
 	i := s.instances[name]
 	to := s.target.instances[name]
@@ -95,19 +96,19 @@
 	return nil
 }
 
-// releaseMember lets a member change to its state in the target.
+// releaseMember releases a member: it may change to its state in the rollout target.
 func (s *State) releaseMember(m *rolloutMember) {
 	to := s.target.instances[m.name]
 	delete(s.target.unreleased, m.name)
 	delete(m.rollout.outOfService, m.name)
 	m.released = true
-	// No time is known during a replay. The timer then starts with the first step.
+	// During a replay the time is unknown. The timer then starts with the first Step.
 	m.progress = timer{since: s.now, running: s.now > 0}
 	if m.wave == m.rollout.wave.index {
 		m.rollout.wave.nonconforming[m.name] = m
 	}
 	i := s.instances[m.name]
-	if i == nil && to == nil { // it has been removed meanwhile
+	if i == nil && to == nil { // it has been removed in the meantime
 		s.updateMember(m, true)
 		return
 	}
@@ -120,10 +121,10 @@
 	s.setRelease(i, to, m.rollout.revision)
 }
 
-// setRelease changes the state that an instance should have.
+// setRelease sets the state that an instance should change to.
 func (s *State) setRelease(i *instance, to *spec.Instance, revision uint64) {
 	i.removeFromCounters()
-	// An instance that is desired again while it is ending restarts as well, whatever its settings.
+	// An instance that is desired again while it is ending also restarts, whether its settings have changed or not.
 	restarts := to != nil && to.NeedsRestart(i.release.desired)
 	if restarts && i.availability.hasServed {
 		i.availability.restarting = true
--- a/internal/fleet/state/report.go
+++ b/internal/fleet/state/report.go
@@ -1,42 +1,42 @@
 package state
 
-// ProcessState is what an agent knows of an instance's process.
+// ProcessState is the state of an instance's process as its agent knows it.
 type ProcessState string
 
 // The states of a process.
 const (
-	Unknown  ProcessState = ""       // no report
+	Unknown  ProcessState = ""       // there is no report
 	Absent   ProcessState = "absent" // the agent has neither a process nor files of the instance
 	Stopped  ProcessState = "stopped"
 	Starting ProcessState = "starting"
 	Running  ProcessState = "running"
 	Draining ProcessState = "draining"
-	Backoff  ProcessState = "backoff" // crashed, waits for its next start
+	Backoff  ProcessState = "backoff" // crashed and waiting for its next start
 )
 
-// Report is one instance as its agent observed it last.
+// Report is the latest observation of one instance by its agent.
 type Report struct {
 	Name            string       `json:"name"`
 	Process         ProcessState `json:"proc"`
 	PID             int          `json:"pid,omitempty"`
-	Incarnation     string       `json:"boot,omitempty"`    // of the broker, as it reports it
-	AppliedEdition  uint64       `json:"applied,omitempty"` // that this incarnation applied last, as it reports it
-	StartDigest     string       `json:"started,omitempty"` // digest of the start settings of this process
-	ListRevision    int64        `json:"list,omitempty"`    // version of the node list in use
-	NodeCount       int          `json:"nodes,omitempty"`   // entries of the node list
+	Incarnation     string       `json:"boot,omitempty"`    // incarnation that the broker reports
+	AppliedEdition  uint64       `json:"applied,omitempty"` // edition that this incarnation reports as applied last
+	StartDigest     string       `json:"started,omitempty"` // digest of the settings that this process was started with
+	ListRevision    int64        `json:"list,omitempty"`    // revision of the node list in use
+	NodeCount       int          `json:"nodes,omitempty"`   // length of the node list
 	Healthy         bool         `json:"healthy,omitempty"` // its front ends answer
-	RejectedEdition uint64       `json:"refused,omitempty"` // that this incarnation rejected
+	RejectedEdition uint64       `json:"refused,omitempty"` // edition that this incarnation rejected, or 0
 	Crashes         int          `json:"crashes,omitempty"`
-	Flapping        bool         `json:"flapping,omitempty"` // it crashes again and again
+	Flapping        bool         `json:"flapping,omitempty"` // the process crashes repeatedly
 	Error           string       `json:"error,omitempty"`
 }
 
-// AgentSync is one call of an agent to its manager with what it has observed.
+// AgentSync is one call of an agent to its manager with its reports.
 type AgentSync struct {
 	Agent             string
-	Token             uint64 // that it got at its registration
-	Sequence          uint64 // of the call, counted from 1 since the registration
-	AssignmentVersion uint64 // version of its assignments that the reports were made under
-	Full              bool   // Reports has every instance of the agent; otherwise those that have changed
+	Token             uint64 // issued at the agent's registration
+	Sequence          uint64 // number of the call, counted from 1 since the registration
+	AssignmentVersion uint64 // version of the agent's assignments when it made the reports
+	Full              bool   // Reports covers all of the agent's instances, not only the changed ones
 	Reports           []Report
 }
--- a/internal/fleet/state/restore.go
+++ b/internal/fleet/state/restore.go
@@ -45,14 +45,14 @@
 	s.desired.revision = stored.Revision
 	s.desired.nodes = nodeOverrides{
 		list:     stored.Nodes,
-		revision: stored.NodesRev,
+		revision: stored.NodesRevision,
 		edition:  stored.NodesEdition,
 	}
 	if stored.Configs != nil {
 		s.desired.configs = stored.Configs
 	}
-	for name, place := range stored.Desired {
-		s.desired.instances[name] = t.instance(place)
+	for name, index := range stored.Desired {
+		s.desired.instances[name] = t.instance(index)
 	}
 	for _, v := range stored.History {
 		revision := v.Revision
@@ -62,8 +62,8 @@
 }
 
 func (s *State) restoreTarget(stored *snapshot, t *tableReader) {
-	for name, place := range stored.Target {
-		s.target.instances[name] = t.instance(place)
+	for name, index := range stored.Target {
+		s.target.instances[name] = t.instance(index)
 	}
 	for _, name := range stored.Unreleased {
 		s.target.unreleased[name] = true
@@ -100,8 +100,8 @@
 	}
 }
 
-// resumeRollout restores what a snapshot does not hold of the active rollout. The timers of its members start with the
-// first step.
+// resumeRollout rebuilds the parts of the active rollout that a snapshot does not contain. The timers of its members
+// start with the first Step.
 func (s *State) resumeRollout(r *rollout) {
 	for name, m := range r.members {
 		if i := s.instances[name]; i != nil {
@@ -117,23 +117,24 @@
 	}
 }
 
-// tableReader resolves the places of desired states in a snapshot's table. It keeps the first error.
+// tableReader looks up desired states in a snapshot's table by their index, counted from 1; 0 stands for nil. It keeps
+// the first error.
 type tableReader struct {
 	table []*spec.Instance
 	err   error
 }
 
-func (t *tableReader) instance(place int) *spec.Instance {
-	if place == 0 {
+func (t *tableReader) instance(index int) *spec.Instance {
+	if index == 0 {
 		return nil
 	}
-	if place < 0 || place > len(t.table) {
+	if index < 0 || index > len(t.table) {
 		if t.err == nil {
-			t.err = fmt.Errorf("no instance %d of %d", place, len(t.table))
+			t.err = fmt.Errorf("no instance %d of %d", index, len(t.table))
 		}
 		return nil
 	}
-	return t.table[place-1]
+	return t.table[index-1]
 }
 
 func (t *tableReader) steps(stored []storedStep) []Step {
--- a/internal/fleet/state/revision.go
+++ b/internal/fleet/state/revision.go
@@ -9,7 +9,7 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// Revision is one version of the desired state.
+// Revision is one numbered version of the desired state.
 type Revision struct {
 	Number     uint64              `json:"rev"`
 	At         clock.Micros        `json:"at"` // Unix time
@@ -17,16 +17,16 @@
 	Note       string              `json:"note,omitempty"`
 	CommandID  string              `json:"command,omitempty"`
 	IsRollback bool                `json:"back,omitempty"`
-	RollbackTo uint64              `json:"from,omitempty"` // revision that a rollback returns to
+	RollbackTo uint64              `json:"from,omitempty"` // revision that a rollback goes back to
 	Changes    []Step              `json:"changes,omitempty"`
-	Nodes      []spec.NodeOverride `json:"nodes,omitempty"` // all that are in force from this revision on
+	Nodes      []spec.NodeOverride `json:"nodes,omitempty"` // all node overrides in force from this revision on
 }
 
-// Step is the part of a revision that concerns one instance.
+// Step is the change that a revision makes to one instance.
 type Step struct {
 	Name string         `json:"name"`
-	Old  *spec.Instance `json:"old"` // nil: added
-	New  *spec.Instance `json:"new"` // nil: removed
+	Old  *spec.Instance `json:"old"` // nil if the instance was added
+	New  *spec.Instance `json:"new"` // nil if the instance was removed
 }
 
 // newRevision returns the revision that a record creates, without its changes.
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// setOrDelete sets an instance in a map, or deletes it where it is nil.
+// setOrDelete stores an instance under a name, or deletes the name if the instance is nil.
 func setOrDelete(instances map[string]*spec.Instance, name string, i *spec.Instance) {
 	if i == nil {
 		delete(instances, name)
@@ -92,8 +92,8 @@
 	}
 }
 
-// addRevision keeps a revision. Beyond the limit the oldest is dropped, with the configuration texts that nothing refers
-// to any more.
+// addRevision appends a revision to the history. Beyond Limits.MaxRevisions it drops the oldest ones, and the
+// configuration texts that are no longer referred to.
 func (s *State) addRevision(v *Revision) {
 	s.desired.history = append(s.desired.history, v)
 	excess := len(s.desired.history) - s.limits.MaxRevisions
@@ -105,7 +105,7 @@
 	maps.DeleteFunc(s.desired.configs, func(digest, _ string) bool { return !used[digest] })
 }
 
-// usedConfigs returns the digests of the configuration texts that are referred to.
+// usedConfigs returns the digests of the configuration texts that instances or kept revisions refer to.
 func (s *State) usedConfigs() map[string]bool {
 	used := map[string]bool{}
 	add := func(i *spec.Instance) {
@@ -138,7 +138,7 @@
 // NewestRevision returns the number of the newest revision, 0 if there is none.
 func (s *State) NewestRevision() uint64 { return s.desired.revision }
 
-// History lists the kept revisions, newest first, up to a limit.
+// History returns the kept revisions, newest first and at most limit of them.
 func (s *State) History(limit int) []Revision {
 	list := []Revision{}
 	for _, v := range slices.Backward(s.desired.history) {
@@ -150,8 +150,8 @@
 	return list
 }
 
-// FleetAt returns the instances and the node overrides that a revision defined. The error is ErrNotFound for a revision
-// that does not exist or is not kept any more.
+// FleetAt returns the instances and the node overrides as of a revision. The error is ErrNotFound for a revision that
+// does not exist or is no longer kept.
 func (s *State) FleetAt(revision uint64) (map[string]*spec.Instance, []spec.NodeOverride, error) {
 	newest := s.desired.revision
 	oldest := newest + 1
--- a/internal/fleet/state/rollout.go
+++ b/internal/fleet/state/rollout.go
@@ -11,7 +11,7 @@
 // Phase is the phase of a rollout.
 type Phase string
 
-// The phases. Done and Aborted are final.
+// The phases of a rollout. Done and Aborted are final.
 const (
 	Queued  Phase = "queued"
 	Active  Phase = "active"
@@ -25,7 +25,7 @@
 
 // rolloutList holds the rollouts. At most one is active; the others wait for it in the order of their revisions.
 type rolloutList struct {
-	active   *rollout // in phase Active or Paused; nil: none
+	active   *rollout // in phase Active or Paused; nil if there is none
 	queued   []*rollout
 	finished []*rollout // oldest first
 }
@@ -42,57 +42,56 @@
 	return revisions
 }
 
-// rollout brings one revision to the instances, wave by wave.
+// rollout applies one revision to the instances, wave by wave.
 type rollout struct {
 	revision  uint64
 	strategy  Strategy
 	changes   []Step
-	createdAt clock.Micros // Unix time of the revision
+	createdAt clock.Micros // time at which the revision was created, Unix time
 	phase     Phase
-	reason    string // of the phase
+	reason    string // why the rollout is in this phase
 
 	waves        [][]string // names of the members of each wave
 	wave         waveProgress
 	members      map[string]*rolloutMember
-	failures     int             // failed members of all waves, since the last resumption
-	outOfService map[string]bool // unreleased members of all waves whose change takes nothing out of service
-	blocked      string          // why nothing is released at the moment; empty: nothing blocks
+	failures     int             // members of all waves that have failed since the rollout was last resumed
+	outOfService map[string]bool // unreleased members of all waves that are known to be out of service
+	blocked      string          // why no instance is released at the moment; empty if nothing blocks the release
 }
 
-// waveProgress is the progress of the wave under way.
+// waveProgress is the progress of the current wave.
 type waveProgress struct {
-	index         int
-	unreleased    []string                  // in the order of release
-	nonconforming map[string]*rolloutMember // released and not failed
-	suspects      map[string]string         // by member of this or an earlier wave: why it failed, not yet recorded
-	conforming    int                       // members that conform
-	failed        int
-	soak          timer // runs while all members that have not failed conform
+	index              int
+	unreleased         []string                  // in the order of release
+	nonconforming      map[string]*rolloutMember // released members that neither conform nor have failed
+	unrecordedFailures map[string]string         // by member of this or an earlier wave: reported reason
+	conforming         int                       // number of members that conform
+	failed             int
+	soak               timer // runs while all members conform or have failed
 }
 
-// rolloutMember is the part of one instance in a rollout.
+// rolloutMember is the progress of one instance in a rollout.
 type rolloutMember struct {
 	rollout    *rollout
 	name       string
 	wave       int
-	failure    string // why it failed; empty: it has not
-	progress   timer  // since its release, or since it stopped conforming
+	failure    string // why it failed; empty if it has not
+	progress   timer  // runs since its release, or since it stopped conforming
 	released   bool
 	conforming bool
 }
 
-// timer measures a time in which something holds.
+// timer measures how long a condition has held.
 type timer struct {
 	since   clock.Micros
 	running bool
 }
 
-// startedAt returns a timer that runs since a time.
+// startedAt returns a timer that has been running since a time.
 func startedAt(since clock.Micros) timer { return timer{since: since, running: true} }
 
-// SetRolloutPhase returns the record that pauses, resumes or aborts a rollout; revision 0 means the active one. A queued
-// rollout can be aborted only. The error is ErrInvalidState for a rollout that is not under way, or not in a phase that
-// can change to the requested one.
+// SetRolloutPhase returns the record that pauses, resumes or aborts a rollout; revision 0 stands for the active one. A
+// queued rollout can only be aborted. The error is ErrInvalidState if the rollout cannot change to the requested phase.
 func (s *State) SetRolloutPhase(c *Command, revision uint64, to Phase, at clock.Micros) (*Record, error) {
 	active := s.rollouts.active
 	if revision == 0 {
@@ -114,13 +113,13 @@
 	return r, nil
 }
 
-// queuedIndex returns the index of a queued rollout, -1 if there is none of that revision.
+// queuedIndex returns the index of a revision's rollout in the queue, or -1 if it is not queued.
 func (l *rolloutList) queuedIndex(revision uint64) int {
 	return slices.IndexFunc(l.queued, func(q *rollout) bool { return q.revision == revision })
 }
 
-// changesFor lists the changes that a rollout has to make to what is released: its own, and those that aborted rollouts
-// before it have not made. superseded are rollouts that it ends.
+// changesFor returns the changes that a rollout has to make to the released state: its own, and those that earlier,
+// aborted rollouts have left undone. superseded are the queued rollouts that it aborts.
 func (s *State) changesFor(r *rollout, superseded []*rollout) []spec.Change {
 	desired := map[string]*spec.Instance{}
 	for name := range s.target.unreleased {
@@ -144,7 +143,7 @@
 	return changes
 }
 
-// releasedState returns the state that an instance was last let change to, nil for none.
+// releasedState returns the state that an instance was last released to, or nil if there is none.
 func (s *State) releasedState(name string) *spec.Instance {
 	if i := s.instances[name]; i != nil {
 		return i.release.desired
@@ -152,7 +151,7 @@
 	return nil
 }
 
-// retarget makes a rollout's revision the target that the released state is compared with.
+// retarget applies a rollout's changes to the target that the released state is compared with.
 func (s *State) retarget(r *rollout) {
 	for _, step := range r.changes {
 		setOrDelete(s.target.instances, step.Name, step.New)
@@ -208,12 +207,12 @@
 	return nil
 }
 
-// startWave begins a wave. Some of its members may have been released ahead of it, because they were out of service.
+// startWave starts a wave. Members that were out of service may have been released before their wave.
 func (s *State) startWave(r *rollout, index int) {
 	r.wave = waveProgress{
-		index:         index,
-		nonconforming: map[string]*rolloutMember{},
-		suspects:      map[string]string{},
+		index:              index,
+		nonconforming:      map[string]*rolloutMember{},
+		unrecordedFailures: map[string]string{},
 	}
 	if index >= len(r.waves) {
 		return
@@ -229,7 +228,7 @@
 		default:
 			m.progress = startedAt(s.now)
 			r.wave.nonconforming[name] = m
-			s.suspectFailure(m)
+			s.noteReportedFailure(m)
 		}
 	}
 }
@@ -260,7 +259,7 @@
 	return nil
 }
 
-// retryFailed gives the failed members of a resumed rollout another chance.
+// retryFailed clears the failures of a resumed rollout, so that the failed members get the progress deadline once more.
 func (s *State) retryFailed(r *rollout) {
 	for _, m := range r.members {
 		if m.failure == "" {
@@ -281,7 +280,7 @@
 	r.wave.soak = timer{}
 }
 
-// finishActive ends the active rollout.
+// finishActive ends the active rollout in a final phase.
 func (s *State) finishActive(phase Phase, reason string) {
 	active := s.rollouts.active
 	active.phase = phase
@@ -304,8 +303,7 @@
 	}
 }
 
-// abortQueued aborts a queued rollout. Its revision stays part of the newest one, so that the next rollout makes its
-// changes.
+// abortQueued aborts a queued rollout. The newest revision still includes its changes, so the next rollout makes them.
 func (s *State) abortQueued(index int, reason string) {
 	q := s.rollouts.queued[index]
 	s.rollouts.queued = slices.Delete(s.rollouts.queued, index, index+1)
@@ -315,8 +313,8 @@
 	s.rollouts.finished = append(s.rollouts.finished, q)
 }
 
-// abortAllRollouts ends the active and the queued rollouts. The changes of the queued ones become part of the target, so
-// that those of a rollback are compared with what is released.
+// abortAllRollouts aborts the active and the queued rollouts. The changes of the queued ones become part of the target,
+// so that the changes of a rollback are compared with the released state.
 func (s *State) abortAllRollouts(reason string) {
 	if s.rollouts.active != nil {
 		s.finishActive(Aborted, reason)
--- a/internal/fleet/state/snapshot.go
+++ b/internal/fleet/state/snapshot.go
@@ -9,31 +9,31 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// snapshot is the stored form of a State. Desired states of instances are in one table and referred to by their place
-// in it, counted from 1; 0 refers to none. The observed state is not stored: agents report it again.
+// snapshot is the stored form of a State. Table holds the desired states of instances; other fields refer to them by
+// their index, counted from 1, with 0 for nil. The observed state is not stored, because agents report it again.
 type snapshot struct {
-	Revision     uint64              `json:"rev"`
-	FleetID      string              `json:"fleet"`
-	Edition      uint64              `json:"edition"`
-	NodesRev     uint64              `json:"nodes_rev"`
-	NodesEdition uint64              `json:"nodes_edition"`
-	Token        uint64              `json:"token"`
-	Nodes        []spec.NodeOverride `json:"nodes"`
-	Configs      map[string]string   `json:"configs"`
-	Table        []*spec.Instance    `json:"table"`
-	Desired      map[string]int      `json:"head"`
-	Target       map[string]int      `json:"base"`
-	Unreleased   []string            `json:"behind"`
-	History      []storedRevision    `json:"revisions"`
-	AgentTokens  map[string]uint64   `json:"agents"`
-	Instances    []storedInstance    `json:"inst"`
-	Active       *storedRollout      `json:"active"`
-	Queued       []storedRollout     `json:"queue"`
-	Finished     []storedRollout     `json:"past"`
-	Commands     []storedCommand     `json:"commands"`
+	Revision      uint64              `json:"rev"`
+	FleetID       string              `json:"fleet"`
+	Edition       uint64              `json:"edition"`
+	NodesRevision uint64              `json:"nodes_rev"`
+	NodesEdition  uint64              `json:"nodes_edition"`
+	Token         uint64              `json:"token"`
+	Nodes         []spec.NodeOverride `json:"nodes"`
+	Configs       map[string]string   `json:"configs"`
+	Table         []*spec.Instance    `json:"table"`
+	Desired       map[string]int      `json:"head"`
+	Target        map[string]int      `json:"base"`
+	Unreleased    []string            `json:"behind"`
+	History       []storedRevision    `json:"revisions"`
+	AgentTokens   map[string]uint64   `json:"agents"`
+	Instances     []storedInstance    `json:"inst"`
+	Active        *storedRollout      `json:"active"`
+	Queued        []storedRollout     `json:"queue"`
+	Finished      []storedRollout     `json:"past"`
+	Commands      []storedCommand     `json:"commands"`
 }
 
-// storedRevision is a Revision whose changes refer to the table.
+// storedRevision is a Revision whose changes refer to the table. Revision.Changes is nil.
 type storedRevision struct {
 	Revision
 	Changes []storedStep `json:"steps"`
@@ -66,7 +66,7 @@
 	Waves      [][]string        `json:"waves"`
 	Wave       int               `json:"wave"`
 	Released   []string          `json:"released"`
-	Conforming []string          `json:"fine"` // of a finished rollout
+	Conforming []string          `json:"fine"` // only of a finished rollout
 	Failed     map[string]string `json:"failed"`
 	Failures   int               `json:"failures"`
 }
@@ -78,22 +78,22 @@
 
 // Snapshot returns the stored form of the state, which Restore reads.
 func (s *State) Snapshot() ([]byte, error) {
-	t := &tableWriter{place: map[*spec.Instance]int{}}
+	t := &tableWriter{index: map[*spec.Instance]int{}}
 	stored := snapshot{
-		Revision:     s.desired.revision,
-		FleetID:      s.fleetID,
-		Edition:      s.edition,
-		NodesRev:     s.desired.nodes.revision,
-		NodesEdition: s.desired.nodes.edition,
-		Token:        s.agents.lastToken,
-		Nodes:        s.desired.nodes.list,
-		Configs:      s.desired.configs,
-		Desired:      t.instanceMap(s.desired.instances),
-		Target:       t.instanceMap(s.target.instances),
-		Unreleased:   slices.Sorted(maps.Keys(s.target.unreleased)),
-		History:      t.revisions(s.desired.history),
-		AgentTokens:  map[string]uint64{},
-		Instances:    t.releasedInstances(s.instances),
+		Revision:      s.desired.revision,
+		FleetID:       s.fleetID,
+		Edition:       s.edition,
+		NodesRevision: s.desired.nodes.revision,
+		NodesEdition:  s.desired.nodes.edition,
+		Token:         s.agents.lastToken,
+		Nodes:         s.desired.nodes.list,
+		Configs:       s.desired.configs,
+		Desired:       t.instanceMap(s.desired.instances),
+		Target:        t.instanceMap(s.target.instances),
+		Unreleased:    slices.Sorted(maps.Keys(s.target.unreleased)),
+		History:       t.revisions(s.desired.history),
+		AgentTokens:   map[string]uint64{},
+		Instances:     t.releasedInstances(s.instances),
 	}
 	for name, a := range s.agents.byName {
 		stored.AgentTokens[name] = a.token
@@ -111,30 +111,30 @@
 	return json.Marshal(&stored)
 }
 
-// tableWriter collects desired states in a table and returns forms that refer to it.
+// tableWriter collects desired states in a table and converts values to stored forms that refer to it.
 type tableWriter struct {
 	table []*spec.Instance
-	place map[*spec.Instance]int
+	index map[*spec.Instance]int
 }
 
-// instance returns the place of a desired state, which it adds where it is new.
+// instance returns the index of a desired state in the table, to which it adds the state if it is new.
 func (t *tableWriter) instance(i *spec.Instance) int {
 	if i == nil {
 		return 0
 	}
-	if t.place[i] == 0 {
+	if t.index[i] == 0 {
 		t.table = append(t.table, i)
-		t.place[i] = len(t.table)
+		t.index[i] = len(t.table)
 	}
-	return t.place[i]
+	return t.index[i]
 }
 
 func (t *tableWriter) instanceMap(instances map[string]*spec.Instance) map[string]int {
-	places := make(map[string]int, len(instances))
+	indexes := make(map[string]int, len(instances))
 	for _, name := range slices.Sorted(maps.Keys(instances)) {
-		places[name] = t.instance(instances[name])
+		indexes[name] = t.instance(instances[name])
 	}
-	return places
+	return indexes
 }
 
 func (t *tableWriter) steps(list []Step) []storedStep {
--- a/internal/fleet/state/state.go
+++ b/internal/fleet/state/state.go
@@ -1,11 +1,13 @@
 // Package state is the state machine of a fleet's manager. It holds the desired state in numbered revisions, the
-// observed state that agents report, and the rollouts that bring one to the other, and decides what is due next.
+// observed state that agents report, and the rollouts that bring the fleet to the desired state, and decides what the
+// manager does next.
 //
 // The package does no I/O, starts no goroutine and reads no clock. Its inputs are commands (Propose, Rollback, SetNodes
-// and others), agents' calls (Observe) and the time (Step); the time is Unix time in microseconds and never goes back.
-// Its outputs are Records, assignments and statuses. A Record takes effect only when the caller has stored it and calls
-// Apply; where storing fails nothing has happened, and Step returns the same record again. What agents report is not
-// stored: they report it again after a restart of the manager.
+// and others), agents' calls (Observe) and the time (Step); the time is Unix time in microseconds, and an earlier time
+// than the latest one counts as the latest one. Its outputs are Records, assignments and statuses. A Record takes
+// effect only when the caller has stored it and calls Apply. If it cannot be stored, the state is unchanged, and Step
+// returns the same record again. Reports of agents are not stored: agents send them again after a restart of the
+// manager.
 package state
 
 import (
@@ -17,10 +19,10 @@
 
 // Limits bounds the state.
 type Limits struct {
-	MaxRevisions int          // kept for rollback
-	MaxCommands  int          // whose results are kept, to recognize repeated ones
-	AgentTimeout clock.Micros // an agent without a call for so long is silent: the state of its instances is unknown
-	MaxReleases  int          // instances in one record
+	MaxRevisions int          // revisions kept for rollback
+	MaxCommands  int          // commands whose results are kept, to recognize repeated commands
+	AgentTimeout clock.Micros // without a call for this long an agent is silent: its instances' state is unknown
+	MaxReleases  int          // instances released by one record
 }
 
 // DefaultLimits returns limits that suit agents which call at least once a second.
@@ -36,22 +38,22 @@
 // State is the state of one fleet. It is not safe for concurrent use.
 type State struct {
 	limits   Limits
-	now      clock.Micros // the latest time that was passed in
+	now      clock.Micros // latest time passed in
 	fleetID  string
-	edition  uint64 // records applied so far
+	edition  uint64 // number of records applied so far
 	desired  desiredState
 	target   rolloutTarget
 	agents   agentRegistry
 	rollouts rolloutList
 	commands commandResults
 
-	instances map[string]*instance // released, by name
-	departed  map[string]*instance // of these, ended at an agent that they do not belong to any more
+	instances map[string]*instance // released instances, by name
+	departed  map[string]*instance // of these, those that have ended at an agent where they are no longer desired
 }
 
-// desiredState is the fleet as the newest revision defines it, and how it came about.
+// desiredState is the fleet as the newest revision defines it, with the history of revisions.
 type desiredState struct {
-	revision  uint64 // the newest
+	revision  uint64 // number of the newest revision
 	instances map[string]*spec.Instance
 	configs   map[string]string // configuration texts by digest
 	history   []*Revision       // the kept revisions, oldest first
@@ -61,11 +63,11 @@
 // nodeOverrides are the operators' overrides of storage nodes, sorted by ID.
 type nodeOverrides struct {
 	list     []spec.NodeOverride
-	revision uint64 // that set them
-	edition  uint64 // of the record that set them
+	revision uint64 // revision that set them
+	edition  uint64 // edition of the record that set them
 }
 
-// rolloutTarget is the fleet as the rollout that was started last defines it.
+// rolloutTarget is the fleet as defined by the rollouts that have been started, or aborted while they were queued.
 type rolloutTarget struct {
 	instances  map[string]*spec.Instance
 	unreleased map[string]bool // names of instances whose released state differs from the target
@@ -95,14 +97,14 @@
 	}
 }
 
-// FleetID identifies the history that this state is of. It is empty before the first record.
+// FleetID identifies the fleet's history of records. It is empty before the first record.
 func (s *State) FleetID() string { return s.fleetID }
 
-// Edition counts the records applied so far. It only rises as long as no history is lost.
+// Edition returns the number of records applied so far. It never decreases unless history is lost.
 func (s *State) Edition() uint64 { return s.edition }
 
-// Apply applies a stored record. The records of a journal are applied in their order. After an error, which is a
-// *RecordError, the state must not be used any more.
+// Apply applies a stored record. The records of a journal must be applied in order. The error is a *RecordError; after
+// it the state must no longer be used.
 func (s *State) Apply(r *Record) error {
 	s.edition++
 	if err := s.apply(r); err != nil {
@@ -147,8 +149,8 @@
 }
 
 // FinishReplay ends the replay of a journal. No agent has reported yet, so every instance counts as one that has served
-// and is out of service until its agent says otherwise: an instance that served before the manager's restart must not be
-// taken for a new one, even where it is to end since then.
+// and is unavailable until its agent reports otherwise: an instance that served before the manager's restart must not
+// be taken for a new one, even if it has been due to end since then.
 func (s *State) FinishReplay() {
 	for _, i := range s.instances {
 		i.availability.hasServed = true
--- a/internal/fleet/state/state_test.go
+++ b/internal/fleet/state/state_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestApplyReportsRecordsThatDoNotFit(t *testing.T) {
+func TestApplyRejectsInconsistentRecords(t *testing.T) {
 	for _, test := range []struct {
 		record *Record
 		want   string
@@ -20,7 +20,7 @@
 		err := New(testLimits).Apply(test.record)
 		var recordError *RecordError
 		if !errors.As(err, &recordError) || recordError.Kind != test.record.Kind || err.Error() != test.want {
-			t.Errorf("record %s gives %v, want %s", test.record.Kind, err, test.want)
+			t.Errorf("applying record %s returns error %v, want %s", test.record.Kind, err, test.want)
 		}
 	}
 }
@@ -30,7 +30,7 @@
 		_, err := Restore([]byte(encoded), testLimits)
 		var snapshotError *SnapshotError
 		if !errors.As(err, &snapshotError) {
-			t.Errorf("snapshot %q gives %v, want a SnapshotError", encoded, err)
+			t.Errorf("restoring snapshot %q returns error %v, want a *SnapshotError", encoded, err)
 		}
 	}
 }
--- a/internal/fleet/state/step.go
+++ b/internal/fleet/state/step.go
@@ -9,7 +9,8 @@
 )
 
 // Step returns the records that are due at a time. The caller stores and applies them in order, and calls Step again
-// until there are none. Where a record cannot be stored nothing has happened, and the next Step returns it again.
+// until it returns none. If a record cannot be stored, the state is unchanged and the next Step returns the record
+// again.
 func (s *State) Step(now clock.Micros) []*Record {
 	s.now = max(s.now, now)
 	s.markSilentAgents()
@@ -41,7 +42,7 @@
 	return nil
 }
 
-// departureRecords returns a record for each instance that has ended at an agent that it does not belong to any more.
+// departureRecords returns a record for each instance that has ended at an agent where it is no longer desired.
 func (s *State) departureRecords() []*Record {
 	var records []*Record
 	for _, name := range slices.Sorted(maps.Keys(s.departed)) {
@@ -54,7 +55,7 @@
 	return records
 }
 
-// startNextRollout returns the record that starts the first queued rollout.
+// startNextRollout returns the record that starts the first queued rollout, if there is one.
 func (s *State) startNextRollout() []*Record {
 	if len(s.rollouts.queued) == 0 {
 		return nil
@@ -67,7 +68,7 @@
 	}}
 }
 
-// failureRecords returns a record for each member that has failed: those with a reported failure or, where there are
+// failureRecords returns a record for each member that has failed: the members with a reported failure or, if there are
 // none, those that have not conformed within the progress deadline.
 func (s *State) failureRecords(r *rollout) []*Record {
 	var records []*Record
@@ -79,9 +80,9 @@
 			Reason:    reason,
 		})
 	}
-	if len(r.wave.suspects) > 0 {
-		for _, name := range slices.Sorted(maps.Keys(r.wave.suspects)) {
-			add(name, r.wave.suspects[name])
+	if len(r.wave.unrecordedFailures) > 0 {
+		for _, name := range slices.Sorted(maps.Keys(r.wave.unrecordedFailures)) {
+			add(name, r.wave.unrecordedFailures[name])
 		}
 		return records
 	}
@@ -91,11 +92,11 @@
 	return records
 }
 
-// overdueMembers lists the members of the wave that have not conformed within the progress deadline.
+// overdueMembers returns the members of the current wave that have not conformed within the progress deadline.
 func (s *State) overdueMembers(r *rollout) []string {
 	var overdue []string
 	for name, m := range r.wave.nonconforming {
-		if !m.progress.running { // released before the manager's restart
+		if !m.progress.running { // it was released before the manager's restart
 			m.progress = startedAt(s.now)
 		}
 		if s.now-m.progress.since >= r.strategy.ProgressDeadline {
@@ -106,7 +107,8 @@
 	return overdue
 }
 
-// budgetExceeded returns the record that rolls back or pauses a rollout with too many failures, nil for others.
+// budgetExceeded returns the record that rolls back or pauses a rollout whose failures exceed the failure budget, or
+// nil for other rollouts.
 func (s *State) budgetExceeded(r *rollout) *Record {
 	budget := r.strategy.FailureBudget.Of(len(r.members))
 	if r.failures <= budget {
@@ -129,7 +131,7 @@
 	}
 }
 
-// waveHasSoaked reports whether all members of the wave that have not failed have conformed for the soak time.
+// waveHasSoaked reports whether all members of the current wave that have not failed have conformed for the soak time.
 func (s *State) waveHasSoaked(r *rollout) bool {
 	wave := &r.wave
 	if len(wave.unreleased) > 0 || wave.conforming+wave.failed < len(r.waves[wave.index]) {
--- a/internal/fleet/state/strategy.go
+++ b/internal/fleet/state/strategy.go
@@ -13,7 +13,7 @@
 // CountOrPercent is a number of instances or a percentage of a total, written as "3" or "25%".
 type CountOrPercent struct {
 	Count   int
-	Percent float64 // from 0 to 100; where it is above 0, Count has no effect
+	Percent float64 // from 0 to 100; if it is above 0, Count has no effect
 }
 
 // ParseCountOrPercent reads the form "3" or "25%".
@@ -32,10 +32,10 @@
 	return CountOrPercent{Count: n}, nil
 }
 
-// Of returns the number for a total. A percentage is rounded down.
+// Of returns the number of instances out of a total. A percentage is rounded down.
 func (c CountOrPercent) Of(total int) int {
 	if c.Percent > 0 {
-		const roundingError = 1e-9 // a product just short of a whole number counts as that number
+		const roundingError = 1e-9 // the product may fall just short of an integer
 		return int(math.Floor(float64(total)*c.Percent/100 + roundingError))
 	}
 	return c.Count
@@ -70,20 +70,22 @@
 	overlapRefuse     = "refuse"
 )
 
-// Strategy says how a rollout brings a revision to the instances.
+// Strategy defines how a rollout applies a revision to the instances. Percentages are of the instances that change,
+// those of MaxUnavailable are of the enabled instances that have served.
 type Strategy struct {
-	Canary           int            `json:"canary"`          // instances of the first wave; 0: no canary
-	Batch            CountOrPercent `json:"batch"`           // instances of each further wave, of those that change
-	MaxUnavailable   CountOrPercent `json:"max_unavailable"` // of the enabled instances; at least 1
+	Canary           int            `json:"canary"`          // instances in the first wave; 0 for no canary
+	Batch            CountOrPercent `json:"batch"`           // instances in each further wave
+	MaxUnavailable   CountOrPercent `json:"max_unavailable"` // instances; below 1 it counts as 1
 	OneDomainPerWave bool           `json:"by_domain"`       // a wave stays within one failure domain
-	SoakTime         clock.Micros   `json:"soak_us"`         // for which all of a wave must conform before it is finished
-	ProgressDeadline clock.Micros   `json:"deadline_us"`     // an instance that does not conform within it has failed
-	FailureBudget    CountOrPercent `json:"failure_budget"`  // instances that may fail, of those that change
-	OnFailure        string         `json:"on_failure"`      // once the budget is exceeded: "pause" or "rollback"
-	Overlap          string         `json:"overlap"`         // while another rollout is under way: "queue" or "refuse"
+	SoakTime         clock.Micros   `json:"soak_us"`         // time for which a wave must conform before the next
+	ProgressDeadline clock.Micros   `json:"deadline_us"`     // instances that take longer to conform have failed
+	FailureBudget    CountOrPercent `json:"failure_budget"`  // instances that may fail
+	OnFailure        string         `json:"on_failure"`      // when the budget is exceeded: "pause" or "rollback"
+	Overlap          string         `json:"overlap"`         // while another rollout is unfinished: "queue" or "refuse"
 }
 
-// DefaultStrategy begins with one instance, continues with a quarter at a time, and has at most one out of service.
+// DefaultStrategy starts with one instance, continues with a quarter of the instances per wave, and allows one
+// unavailable instance.
 func DefaultStrategy() Strategy {
 	return Strategy{
 		Canary:           1,
--- a/internal/fleet/state/waves.go
+++ b/internal/fleet/state/waves.go
@@ -8,7 +8,7 @@
 )
 
 // Waves divides changes into waves: a canary, then batches. The canary is taken from the failure domain with the most
-// changes, so that it is representative of as many as possible. Where the strategy asks for it, each batch stays within
+// changes, so that it is representative of as many as possible. If the strategy requires it, each batch stays within
 // one failure domain. Changes that take nothing out of service come first in their wave.
 func Waves(changes []spec.Change, strategy *Strategy) [][]string {
 	if len(changes) == 0 {
@@ -32,7 +32,8 @@
 	return waves
 }
 
-// sortedByDomain returns changes grouped by failure domain, that with the most changes first, and by name within each.
+// sortedByDomain returns changes grouped by failure domain, the domain with the most changes first, and sorted by name
+// within each domain.
 func sortedByDomain(changes []spec.Change) []spec.Change {
 	size := map[string]int{}
 	for k := range changes {
@@ -50,7 +51,7 @@
 	return sorted
 }
 
-// firstDomain returns the leading changes that are of one failure domain.
+// firstDomain returns the leading changes that share the failure domain of the first one.
 func firstDomain(changes []spec.Change) []spec.Change {
 	domain := domainOf(&changes[0])
 	for k := range changes {
@@ -81,7 +82,7 @@
 	return append(names, disruptive...)
 }
 
-// isDisruptive reports whether a change takes a serving process down.
+// isDisruptive reports whether a change stops or restarts an enabled instance that stays desired.
 func isDisruptive(c *spec.Change) bool {
 	return c.Old != nil && c.Old.Enabled && c.New != nil && c.New.NeedsRestart(c.Old)
 }
