--- a/internal/fleet/spec/compare.go
+++ b/internal/fleet/spec/compare.go
@@ -6,20 +6,20 @@
 	"strings"
 )
 
-// ChangeKind says what a change does to the instance's process.
+// ChangeKind is the effect of a change on the instance's process.
 type ChangeKind string
 
-// The kinds.
+// The kinds of changes.
 const (
 	Added        ChangeKind = "added"
 	Removed      ChangeKind = "removed"
 	Moved        ChangeKind = "moved" // to another agent
 	Restarted    ChangeKind = "restarted"
 	LiveOnly     ChangeKind = "live"   // applied by the running process
-	MetadataOnly ChangeKind = "marked" // groups, labels or domain: the process is not concerned
+	MetadataOnly ChangeKind = "marked" // groups, labels or domain: no effect on the process
 )
 
-// severity orders the kinds of changes of one instance: a change of several fields has the kind of the highest.
+// severity ranks the kinds of changes. A change of several fields has the kind with the highest rank.
 var severity = map[ChangeKind]int{
 	MetadataOnly: 1,
 	LiveOnly:     2,
@@ -30,13 +30,13 @@
 // Change is the difference between two desired states of one instance.
 type Change struct {
 	Name   string     `json:"name"`
-	Old    *Instance  `json:"-"` // nil: added
-	New    *Instance  `json:"-"` // nil: removed
-	Fields []string   `json:"fields,omitempty"`
+	Old    *Instance  `json:"-"`                // nil if the instance is added
+	New    *Instance  `json:"-"`                // nil if the instance is removed
+	Fields []string   `json:"fields,omitempty"` // names of the fields that differ
 	Kind   ChangeKind `json:"kind"`
 }
 
-// Compare returns the change between two desired states of one instance, or nil where they are the same.
+// Compare returns the change between two desired states of one instance, or nil if they are the same.
 func Compare(from, to *Instance) *Change {
 	switch {
 	case from.Equal(to):
@@ -82,7 +82,7 @@
 	}
 }
 
-// Diff lists the changes between two sets of instances, by name.
+// Diff returns the changes between two sets of instances, sorted by name.
 func Diff(from, to map[string]*Instance) []Change {
 	var changes []Change
 	for name, i := range to {
--- a/internal/fleet/spec/errors.go
+++ b/internal/fleet/spec/errors.go
@@ -2,8 +2,8 @@
 
 // FieldError reports a value that is not allowed in a field.
 type FieldError struct {
-	Field   string // with the instance or node in front of it, such as "broker-1.listen"
-	Problem string // what is wrong, with the value where there is one
+	Field   string // prefixed with the instance or node, such as "broker-1.listen"
+	Problem string // what is wrong, including the value if there is one
 }
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
--- a/internal/fleet/spec/instance.go
+++ b/internal/fleet/spec/instance.go
@@ -14,9 +14,9 @@
 	configDigestBytes = 16
 )
 
-// StartSettings are the settings that an instance's process is started with. A change of them needs a restart.
+// StartSettings are the settings that an instance's process is started with. Changing them requires a restart.
 type StartSettings struct {
-	Config       string  `json:"config"` // digest of the configuration text that the instance's own is made from
+	Config       string  `json:"config"` // digest of the text that the instance's configuration is composed from
 	Listen       string  `json:"listen,omitempty"`
 	ObjectListen string  `json:"object_listen,omitempty"`
 	Cores        float64 `json:"cores,omitempty"`
@@ -26,7 +26,7 @@
 
 // Digest identifies the start settings, so that a process can report which ones it was started with.
 func (s StartSettings) Digest() string {
-	b, _ := json.Marshal(s) // a struct of plain values always marshals
+	b, _ := json.Marshal(s) // cannot fail for a struct of finite numbers and strings
 	sum := sha256.Sum256(b)
 	return hex.EncodeToString(sum[:startDigestBytes])
 }
@@ -37,19 +37,19 @@
 	return hex.EncodeToString(sum[:configDigestBytes])
 }
 
-// LiveSettings are the settings that a running instance applies without a restart. A zero value leaves the value of the
-// configuration in force.
+// LiveSettings are the settings that a running instance applies without a restart. For a zero value the value in the
+// configuration applies.
 type LiveSettings struct {
 	LogLevel    string `json:"log,omitempty"`
 	Discovery   string `json:"discovery,omitempty"`
 	MaxInFlight int    `json:"max_open,omitempty"`
 }
 
-// Instance is the desired state of one broker. It is not modified once it is part of a Spec and may be shared.
+// Instance is the desired state of one broker. Once it is part of a Spec it may be shared and must not be modified.
 type Instance struct {
 	Name    string            `json:"name"`
-	Agent   string            `json:"agent"`            // that runs it
-	Domain  string            `json:"domain,omitempty"` // failure domain; empty: its agent
+	Agent   string            `json:"agent"`            // name of the agent that runs it
+	Domain  string            `json:"domain,omitempty"` // failure domain; if empty, its agent is the failure domain
 	Groups  []string          `json:"groups,omitempty"`
 	Labels  map[string]string `json:"labels,omitempty"`
 	Enabled bool              `json:"enabled"`
@@ -57,7 +57,7 @@
 	Live    LiveSettings      `json:"live"`
 }
 
-// FailureDomain names what the instance shares its failures with.
+// FailureDomain returns the name of the instance's failure domain: instances with the same name may fail together.
 func (i *Instance) FailureDomain() string {
 	if i.Domain != "" {
 		return i.Domain
@@ -65,7 +65,7 @@
 	return i.Agent
 }
 
-// Equal reports whether two desired states are the same. Nil means that the instance is not desired at all.
+// Equal reports whether two desired states are the same. A nil instance is not desired, and equals only nil.
 func (i *Instance) Equal(o *Instance) bool {
 	if i == nil || o == nil {
 		return i == o
--- a/internal/fleet/spec/node.go
+++ b/internal/fleet/spec/node.go
@@ -5,11 +5,11 @@
 // NodeOverrideState is the state that operators set for a storage node, in place of the one that discovery reports.
 type NodeOverrideState string
 
-// The states. A node without an override is used as discovery reports it.
+// The states of an override. A node without an override is used as discovery reports it.
 const (
-	NodeAdded    NodeOverrideState = "added" // discovery does not know it; it has an address and a shard
-	NodeDraining NodeOverrideState = "drain" // gets no new requests; open ones are completed
-	NodeRemoved  NodeOverrideState = "out"   // handled as if discovery had removed it
+	NodeAdded    NodeOverrideState = "added" // unknown to discovery; the override has its address and shard
+	NodeDraining NodeOverrideState = "drain" // gets no new requests, requests in flight are completed
+	NodeRemoved  NodeOverrideState = "out"   // treated as if discovery had removed it
 )
 
 // NodeOverride is an operator's override for one storage node.
--- a/internal/fleet/spec/selector.go
+++ b/internal/fleet/spec/selector.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// labelPrefix begins the key of a term on a label.
+// labelPrefix is the prefix of the key of a term that matches a label.
 const labelPrefix = "label."
 
-// Selector selects instances: those with one of the names that fulfil every term. A term is group=G, agent=A, domain=D,
-// or label.KEY=VALUE. Without names and terms all instances are selected.
+// Selector selects the instances whose name is listed in Names and that match every term. A term is group=G, agent=A,
+// domain=D or label.KEY=VALUE. Empty Names match every name, so that an empty Selector selects all instances.
 type Selector struct {
 	Names []string
 	Terms []string
 }
 
-// Validate reports the first term that has none of the forms.
+// Validate returns an error for the first term that has none of these forms.
 func (s Selector) Validate() error {
 	for _, term := range s.Terms {
 		if !validTerm(term) {
--- a/internal/fleet/spec/spec.go
+++ b/internal/fleet/spec/spec.go
@@ -1,6 +1,6 @@
-// Package spec defines the desired state of a fleet: its instances, the settings that each is started with, the settings
-// that each applies while it runs, and the operators' overrides of the list of storage nodes. It contains values,
-// validation and comparison only.
+// Package spec defines the desired state of a fleet: its instances, the settings that each is started with, the
+// settings that each applies while it runs, and the operators' overrides of the list of storage nodes. It contains
+// values, validation and comparison only.
 package spec
 
 import (
@@ -15,9 +15,10 @@
 	Configs   map[string]string    `json:"configs,omitempty"` // configuration texts by digest
 }
 
-// Validate returns a *FieldError for the first field, in the order of the instances' names, that is not valid, or nil.
+// Validate returns a *FieldError for the first field that is not valid, or nil. It checks instances in the order of
+// their names.
 func (s *Spec) Validate() error {
-	usedBy := map[string]string{} // names of instances by agent and address
+	usedBy := map[string]string{} // instance name by agent and listen address
 	for _, name := range slices.Sorted(maps.Keys(s.Instances)) {
 		i := s.Instances[name]
 		if err := validateInstance(name, i); err != nil {
@@ -49,8 +50,8 @@
 	return nil
 }
 
-// reserveAddress enters an instance's listen address and fails if another one of the same agent has it. The agent counts
-// because machines may use the same loopback addresses.
+// reserveAddress records an instance's listen address, and returns an error if it is already used on the same agent. The
+// same address may be used on different agents, because their machines may use the same loopback addresses.
 func reserveAddress(usedBy map[string]string, i *Instance, field, address string) error {
 	if address == "" {
 		return nil
--- a/internal/fleet/spec/spec_test.go
+++ b/internal/fleet/spec/spec_test.go
@@ -18,18 +18,18 @@
 	}
 }
 
-func TestValidateNamesInstanceAndField(t *testing.T) {
+func TestValidateErrorNamesInstanceAndField(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		change func(*Instance)
-		want   string // error text; empty: none
+		want   string // error text; empty if there is no error
 	}{
 		{"valid", func(*Instance) {}, ""},
 		{"other name", func(i *Instance) { i.Name = "n2" }, "n1.name: does not match its key"},
 		{"no agent", func(i *Instance) { i.Agent = "" }, "n1.agent: missing"},
 		{"no address", func(i *Instance) { i.Start.Listen = "" }, "n1.listen: missing (and so is object_listen)"},
 		{"no configuration", func(i *Instance) { i.Start.Config = "" }, "n1.config: missing"},
-		{"negative bound", func(i *Instance) { i.Live.MaxInFlight = -2 }, "n1.max_open: -2 is negative"},
+		{"negative max_open", func(i *Instance) { i.Live.MaxInFlight = -2 }, "n1.max_open: -2 is negative"},
 		{"address used twice", func(i *Instance) { i.Start.ObjectListen = i.Start.Listen }, "n1.object_listen: 127.0.0.1:7000 is also n1's"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -90,7 +90,7 @@
 		{"metadata", func(i *Instance) { i.Domain, i.Labels = "d2", nil }, []string{"domain", "labels"}, MetadataOnly},
 		{"live", func(i *Instance) { i.Live.LogLevel, i.Groups = "debug", nil }, []string{"log", "groups"}, LiveOnly},
 		{"restart", func(i *Instance) { i.Start.Cores, i.Live.MaxInFlight = 2, 9 }, []string{"cores", "max_open"}, Restarted},
-		{"disabled", func(i *Instance) { i.Enabled = false }, []string{"enabled"}, Restarted},
+		{"disable", func(i *Instance) { i.Enabled = false }, []string{"enabled"}, Restarted},
 		{"move", func(i *Instance) { i.Agent, i.Start.Sockets = "a2", 2 }, []string{"agent", "sockets"}, Moved},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -98,7 +98,7 @@
 			test.change(to)
 			c := Compare(from, to)
 			if c == nil || c.Name != "n1" || c.Old != from || c.New != to || c.Kind != test.kind || !slices.Equal(c.Fields, test.fields) {
-				t.Errorf("change is %+v", c)
+				t.Errorf("change is %+v, want kind %s and fields %v", c, test.kind, test.fields)
 			}
 		})
 	}
@@ -142,10 +142,10 @@
 	}
 }
 
-func TestSelectorValidateRefusesUnknownTerms(t *testing.T) {
+func TestSelectorValidateRejectsInvalidTerms(t *testing.T) {
 	for _, term := range []string{"", "group", "zone=a", "label.=x", "=x"} {
 		if err := (Selector{Terms: []string{term}}).Validate(); err == nil {
-			t.Errorf("term %q is accepted", term)
+			t.Errorf("term %q is valid, want an error", term)
 		}
 	}
 }
