--- a/internal/fleet/desired/desired.go
+++ b/internal/fleet/desired/desired.go
@@ -1,5 +1,5 @@
-// Package desired derives the desired state of a fleet from an inventory. It includes the texts of the configurations
-// that the inventory refers to, so that a revision holds all that a rollback to it needs.
+// Package desired derives the desired state of a fleet from an inventory. The desired state includes the texts of the
+// configurations that the inventory refers to, so that a revision contains everything that a rollback to it needs.
 package desired
 
 import (
@@ -16,8 +16,8 @@
 // ReadFile returns the content of a file, as os.ReadFile does.
 type ReadFile func(path string) ([]byte, error)
 
-// Load derives the desired state from an inventory file. Instances that name no agent belong to defaultAgent. Errors name
-// the file, the instance and the field.
+// Load derives the desired state from an inventory file. Instances without an agent are assigned to defaultAgent.
+// Errors name the file, the instance and the field.
 func Load(path, defaultAgent string) (*spec.Spec, error) {
 	list, err := inventory.Load(path)
 	if err != nil {
@@ -30,8 +30,8 @@
 	return s, nil
 }
 
-// FromInventory derives the desired state from the instances of an inventory. Configurations are read with read, each once.
-// Errors name the instance and the field; those of spec.Spec.Validate are returned with the state.
+// FromInventory derives the desired state from the instances of an inventory. It reads each configuration once, with
+// read. Errors name the instance and the field. An error of spec.Spec.Validate is returned together with the state.
 func FromInventory(list []inventory.Instance, defaultAgent string, read ReadFile) (*spec.Spec, error) {
 	s := &spec.Spec{
 		Instances: map[string]*spec.Instance{},
@@ -61,7 +61,7 @@
 	return s, s.Validate()
 }
 
-// newInstance returns the desired state of an instance of the inventory.
+// newInstance returns the desired state of an instance in the inventory.
 func newInstance(in *inventory.Instance, configDigest string, labels map[string]string) *spec.Instance {
 	i := &spec.Instance{
 		Name:    in.Name,
@@ -91,10 +91,10 @@
 	return i
 }
 
-// configReader reads configuration files, each once.
+// configReader reads each configuration file once.
 type configReader struct {
 	read  ReadFile
-	texts map[string][]byte // by path, normalized
+	texts map[string][]byte // normalized texts by path
 }
 
 func (c *configReader) load(path string) ([]byte, error) {
@@ -112,8 +112,8 @@
 	return text, nil
 }
 
-// normalize returns a configuration text in a form that does not depend on its layout, so that another layout is not a
-// change of the desired state.
+// normalize returns a configuration text in a form that does not depend on its formatting, so that reformatting does
+// not change the desired state.
 func normalize(text []byte) ([]byte, error) {
 	var document map[string]any
 	if err := json.Unmarshal(text, &document); err != nil {
--- a/internal/fleet/desired/desired_test.go
+++ b/internal/fleet/desired/desired_test.go
@@ -13,8 +13,8 @@
 	"poppyarch/internal/host/inventory"
 )
 
-// files returns a ReadFile of fixed contents that counts how often each file is read.
-func files(contents map[string]string, reads map[string]int) ReadFile {
+// countingReadFile returns a ReadFile that serves the given contents and counts the reads of each file.
+func countingReadFile(contents map[string]string, reads map[string]int) ReadFile {
 	return func(path string) ([]byte, error) {
 		reads[path]++
 		text, exists := contents[path]
@@ -25,7 +25,7 @@
 	}
 }
 
-// exampleConfig returns a valid configuration in two layouts.
+// exampleConfig returns a valid configuration, indented and compact.
 func exampleConfig(t *testing.T) (indented, compact string) {
 	t.Helper()
 	text, err := os.ReadFile("../../../examples/config.json")
@@ -42,7 +42,7 @@
 func TestFromInventoryReadsEachConfigurationOnceAndFillsInDefaults(t *testing.T) {
 	reads := map[string]int{}
 	indented, compact := exampleConfig(t)
-	read := files(map[string]string{"a.json": indented, "b.json": compact}, reads)
+	read := countingReadFile(map[string]string{"a.json": indented, "b.json": compact}, reads)
 	list := []inventory.Instance{
 		{Name: "n1", Config: "a.json", Listen: "127.0.0.1:7001", Groups: "g1,g2", Labels: "tier=gold", Enabled: true},
 		{Name: "n2", Config: "a.json", Listen: "127.0.0.1:7002", Agent: "a2"},
@@ -56,31 +56,31 @@
 		t.Errorf("files were read %v times, want once each", reads)
 	}
 	if len(s.Configs) != 1 || s.Instances["n1"].Start.Config != s.Instances["n3"].Start.Config {
-		t.Errorf("two layouts of one configuration are kept as %v", s.Configs)
+		t.Errorf("one configuration in two layouts gives %d texts, want 1: %v", len(s.Configs), s.Configs)
 	}
 	n1 := s.Instances["n1"]
 	if n1.Agent != "a1" || !n1.Enabled || len(n1.Groups) != 2 || n1.Labels["tier"] != "gold" {
-		t.Errorf("n1 is %+v", n1)
+		t.Errorf("n1 is %+v, want it enabled on agent a1 with two groups and tier=gold", n1)
 	}
 	if n2 := s.Instances["n2"]; n2.Agent != "a2" || n2.Groups != nil || n2.Labels != nil {
-		t.Errorf("n2 is %+v", n2)
+		t.Errorf("n2 is %+v, want it on agent a2 without groups and labels", n2)
 	}
 }
 
-func TestFromInventoryNamesInstanceAndField(t *testing.T) {
+func TestFromInventoryErrorNamesInstanceAndField(t *testing.T) {
 	valid, _ := exampleConfig(t)
-	read := files(map[string]string{"a.json": valid, "bad.json": "[]"}, map[string]int{})
+	read := countingReadFile(map[string]string{"a.json": valid, "bad.json": "[]"}, map[string]int{})
 	_, err := FromInventory([]inventory.Instance{{Name: "n1", Config: "none.json"}}, "a1", read)
 	if !errors.Is(err, fs.ErrNotExist) || !strings.HasPrefix(err.Error(), "n1.config: ") {
-		t.Errorf("a missing file gives %v", err)
+		t.Errorf("missing configuration file gives error %v, want n1.config: ... file does not exist", err)
 	}
 	_, err = FromInventory([]inventory.Instance{{Name: "n1", Config: "bad.json"}}, "a1", read)
 	if err == nil || !strings.HasPrefix(err.Error(), "n1.config: bad.json: ") {
-		t.Errorf("a configuration that is no object gives %v", err)
+		t.Errorf("configuration that is not a JSON object gives error %v, want n1.config: bad.json: ...", err)
 	}
 	_, err = FromInventory([]inventory.Instance{{Name: "n1", Config: "a.json", Listen: "127.0.0.1:7001"}}, "", read)
 	var fieldError *spec.FieldError
 	if !errors.As(err, &fieldError) || fieldError.Field != "n1.agent" {
-		t.Errorf("an instance without an agent gives %v", err)
+		t.Errorf("instance without an agent gives error %v, want a *spec.FieldError for n1.agent", err)
 	}
 }
