--- a/internal/fleet/journal/compact.go
+++ b/internal/fleet/journal/compact.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Compact replaces all stored records by a snapshot of what they amount to. After an error the journal continues as
-// before, unless Err returns an error.
+// Compact replaces all stored records with a snapshot of the state that they result in. After an error the journal
+// remains usable as before, unless Err returns an error.
 func (j *Journal) Compact(snapshot []byte) error {
 	if j.broken != nil {
 		return j.broken
@@ -14,21 +14,22 @@
 		j.generation = previous.generation
 		j.log = previous.log
 		j.logSize = previous.logSize
-		_ = j.fs.Remove(logName(generation)) // otherwise the next Open removes it
+		_ = j.fs.Remove(logName(generation)) // if it cannot be removed now, the next Open removes it
 		return err
 	}
 	if err := j.installSnapshot(generation, snapshot, j.sequence); err != nil {
-		// Whether the rename took effect is unknown. If so, records belong to the new log, otherwise to the old one.
+		// It is unknown whether the rename took effect, and thus whether further records belong to the new or the old
+		// log.
 		j.broken = fmt.Errorf("%w: %w", ErrBroken, err)
 		return err
 	}
-	_ = previous.log.Close() // all of it is stored
+	_ = previous.log.Close() // all records in it are already stored
 	j.removeOldGenerations()
 	return nil
 }
 
-// removeOldGenerations removes all generations but the current one and the one before. What cannot be removed is left to
-// the next compaction.
+// removeOldGenerations removes all generations except the current and the previous one. The next compaction retries
+// what cannot be removed.
 func (j *Journal) removeOldGenerations() {
 	names, err := j.fs.List()
 	if err != nil {
@@ -36,12 +37,12 @@
 	}
 	for _, generation := range generations(names, snapshotPrefix) {
 		if generation+1 < j.generation {
-			_ = j.fs.Remove(snapshotName(generation)) // see above
+			_ = j.fs.Remove(snapshotName(generation)) // the next compaction retries
 		}
 	}
 	for _, generation := range generations(names, logPrefix) {
 		if generation+1 < j.generation {
-			_ = j.fs.Remove(logName(generation)) // see above
+			_ = j.fs.Remove(logName(generation)) // the next compaction retries
 		}
 	}
 }
@@ -61,7 +62,7 @@
 		err = j.fs.SyncDir()
 	}
 	if err != nil {
-		_ = log.Close() // the error before it counts
+		_ = log.Close() // the earlier error is returned
 		return fmt.Errorf("journal: %w", err)
 	}
 	j.generation = generation
--- a/internal/fleet/journal/format.go
+++ b/internal/fleet/journal/format.go
@@ -11,7 +11,7 @@
 	"strings"
 )
 
-// Names of the files. Those of a generation end with its number.
+// Names of the files. The names of logs and snapshots end with the number of their generation.
 const (
 	logPrefix         = "log-"
 	snapshotPrefix    = "snap-"
@@ -19,7 +19,7 @@
 	temporarySnapshot = "new-snap"
 )
 
-// The first bytes of the files.
+// Magic values at the start of the files.
 const (
 	logMagic      = "PALOG\x00\x00\x01"
 	snapshotMagic = "PASNAP\x00\x01"
@@ -33,8 +33,8 @@
 	defaultMaxRecordSize = 64 << 20
 )
 
-// maxSequenceJump bounds the sequence numbers that are taken for those of a later record when a damaged log is searched
-// for one. It keeps random bytes from being taken for a record's header.
+// maxSequenceJump is the largest distance in sequence numbers at which the search of a damaged log accepts a later
+// record. It keeps random bytes from being taken for the header of a record.
 const maxSequenceJump = 1 << 20
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -47,7 +47,7 @@
 	return snapshotPrefix + strconv.FormatUint(generation, 10)
 }
 
-// generations returns the generations of the files whose names begin with a prefix, in ascending order.
+// generations returns, in ascending order, the generations of the files whose names have a prefix.
 func generations(names []string, prefix string) []uint64 {
 	var list []uint64
 	for _, name := range names {
@@ -63,7 +63,7 @@
 	return list
 }
 
-// encodeFile returns a file's header followed by its body. The header of a log has no body.
+// encodeFile returns a file's header followed by a body. For a log the body is nil: its records are appended later.
 func encodeFile(magic string, sequence uint64, body []byte) []byte {
 	b := make([]byte, fileHeaderSize, fileHeaderSize+len(body))
 	copy(b, magic)
@@ -72,25 +72,26 @@
 	return append(b, body...)
 }
 
-// fileChecksum returns the checksum of an encoded sequence number and a body.
+// fileChecksum returns the checksum in a file's header, which covers the encoded sequence number and the body.
 func fileChecksum(sequence, body []byte) uint32 {
 	return crc32.Checksum(body, castagnoli) ^ crc32.Checksum(sequence, castagnoli)
 }
 
-// decodeSnapshot returns a snapshot and the sequence number of the last record in it.
+// decodeSnapshot returns the content of a snapshot and the sequence number of the last record that it covers.
 func decodeSnapshot(b []byte) (body []byte, sequence uint64, err error) {
 	if len(b) < fileHeaderSize || string(b[:magicSize]) != snapshotMagic {
-		return nil, 0, errors.New("not a snapshot")
+		return nil, 0, errors.New("snapshot header is incomplete or has a wrong magic value")
 	}
 	encodedSequence := b[magicSize : magicSize+8]
 	body = b[fileHeaderSize:]
-	if fileChecksum(encodedSequence, body) != binary.LittleEndian.Uint32(b[magicSize+8:]) {
-		return nil, 0, errors.New("its sum is wrong")
+	stored, computed := binary.LittleEndian.Uint32(b[magicSize+8:]), fileChecksum(encodedSequence, body)
+	if stored != computed {
+		return nil, 0, fmt.Errorf("snapshot checksum is %08x, content gives %08x", stored, computed)
 	}
 	return body, binary.LittleEndian.Uint64(encodedSequence), nil
 }
 
-// appendRecord appends the encoded form of a record.
+// appendRecord appends the encoded form of a record to b.
 func appendRecord(b []byte, sequence uint64, body []byte) []byte {
 	var header [recordHeaderSize]byte
 	binary.LittleEndian.PutUint32(header[:], uint32(len(body)))
@@ -100,33 +101,33 @@
 	return append(b, body...)
 }
 
-// recordChecksum returns the checksum of an encoded sequence number followed by a body.
+// recordChecksum returns the checksum in a record's header, which covers the encoded sequence number and the body.
 func recordChecksum(sequence, body []byte) uint32 {
 	return crc32.Update(crc32.Checksum(sequence, castagnoli), castagnoli, body)
 }
 
-// decodedLog is what can be read of a log.
+// decodedLog is the readable part of a log.
 type decodedLog struct {
-	records      [][]byte // parts of the file's bytes
-	size         int64    // of the readable part
-	lastSequence uint64
-	err          error // why the rest cannot be read; nil: there is no rest
+	records      [][]byte // contents of the records, which are slices of the file's bytes
+	size         int64    // size of the readable part in bytes
+	lastSequence uint64   // sequence number of the last readable record
+	err          error    // why the rest cannot be read; nil if all of the file was read
 }
 
-// decodeLog reads a log whose first record has to follow that of a sequence number.
+// decodeLog reads a log whose first record must follow the one with sequence number lastSequence.
 func decodeLog(b []byte, lastSequence uint64, maxRecordSize int) decodedLog {
 	log := decodedLog{lastSequence: lastSequence}
 	if len(b) < fileHeaderSize {
-		log.err = errors.New("no head")
+		log.err = fmt.Errorf("log header is incomplete: got %d of %d bytes", len(b), fileHeaderSize)
 		return log
 	}
 	first := binary.LittleEndian.Uint64(b[magicSize:])
 	if !bytes.Equal(b[:fileHeaderSize], encodeFile(logMagic, first, nil)) {
-		log.err = errors.New("no head")
+		log.err = errors.New("log header has a wrong magic value or checksum")
 		return log
 	}
 	if first != lastSequence+1 {
-		log.err = fmt.Errorf("begins with record %d, %d expected", first, lastSequence+1)
+		log.err = fmt.Errorf("log starts with record %d, expected record %d", first, lastSequence+1)
 		return log
 	}
 	rest := b[fileHeaderSize:]
@@ -134,7 +135,7 @@
 	for len(rest) > 0 {
 		sequence, body, err := decodeRecord(rest, maxRecordSize)
 		if err == nil && sequence != log.lastSequence+1 {
-			err = fmt.Errorf("record %d, %d expected", sequence, log.lastSequence+1)
+			err = fmt.Errorf("found record %d, expected record %d", sequence, log.lastSequence+1)
 		}
 		if err != nil {
 			log.err = err
@@ -152,18 +153,19 @@
 // decodeRecord reads the record at the start of b.
 func decodeRecord(b []byte, maxSize int) (sequence uint64, body []byte, err error) {
 	if len(b) < recordHeaderSize {
-		return 0, nil, errors.New("ends within a record's head")
+		return 0, nil, fmt.Errorf("record header is incomplete: got %d of %d bytes", len(b), recordHeaderSize)
 	}
 	size := int(binary.LittleEndian.Uint32(b))
 	if size == 0 || size > maxSize {
-		return 0, nil, errors.New("length out of bounds")
+		return 0, nil, fmt.Errorf("record length is %d, expected 1 to %d", size, maxSize)
 	}
 	if len(b)-recordHeaderSize < size {
-		return 0, nil, errors.New("ends within a record")
+		return 0, nil, fmt.Errorf("record is incomplete: got %d of %d bytes", len(b)-recordHeaderSize, size)
 	}
 	body = b[recordHeaderSize : recordHeaderSize+size]
-	if binary.LittleEndian.Uint32(b[4:]) != recordChecksum(b[8:recordHeaderSize], body) {
-		return 0, nil, errors.New("its sum is wrong")
+	stored, computed := binary.LittleEndian.Uint32(b[4:]), recordChecksum(b[8:recordHeaderSize], body)
+	if stored != computed {
+		return 0, nil, fmt.Errorf("record checksum is %08x, content gives %08x", stored, computed)
 	}
 	return binary.LittleEndian.Uint64(b[8:]), body, nil
 }
--- a/internal/fleet/journal/journal.go
+++ b/internal/fleet/journal/journal.go
@@ -1,23 +1,25 @@
-// Package journal stores records on disk so that they survive the end of their process at any point. A record is stored
-// once Append has returned. Open returns the stored records in order, and reports what it could not read.
+// Package journal stores records on disk so that they survive a crash at any point. A record is stored once Append has
+// returned without an error. Open returns the stored records in order, and reports what it could not read.
 //
 // # Files
 //
-// A generation G consists of the snapshot snap-G and the log log-G with the records after it. Generation 0 has no
-// snapshot. Compact writes a new log beside the current one and then renames the new snapshot into place, which makes its
-// generation the current one. The generation before is kept, so that a damaged snapshot can be replaced by the one
-// before and both logs. Files that Open could not read are kept as damaged-NAME where it was asked to accept the damage.
+// Generation G consists of the snapshot snap-G and the log log-G, which holds the records after the snapshot.
+// Generation 0 has no snapshot. Compact writes a new log next to the current one and then renames the new snapshot into
+// place, which makes its generation the current one. The previous generation is kept, so that a damaged snapshot can be
+// replaced by the previous snapshot and both logs. If Open is told to accept damage, it renames unreadable files to
+// damaged-NAME.
 //
-// A file begins with a header: a magic value of 8 bytes, a sequence number of 8 bytes, and a checksum of 4 bytes. The
-// sequence number is that of the last record in a snapshot, and that of the first record in a log. The header of a
-// snapshot is followed by its content. That of a log is followed by records: the length of 4 bytes, a checksum of 4
-// bytes, the sequence number of 8 bytes, and the content. Numbers are little-endian, checksums are CRC-32C and cover the
-// sequence number and the content.
+// A file starts with a header: a magic value of 8 bytes, a sequence number of 8 bytes, and a checksum of 4 bytes. The
+// sequence number is that of the last record covered by a snapshot, or of the first record in a log. In a snapshot the
+// header is followed by the content. In a log it is followed by records, each consisting of its length (4 bytes), a
+// checksum (4 bytes), its sequence number (8 bytes) and its content. Numbers are little-endian. Checksums are CRC-32C
+// and cover the sequence number and the content.
 //
 // # Recovery
 //
-// An incomplete last record of the newest log is the trace of a process that ended while it wrote: it was not stored, and
-// Open cuts it off. Anything else that cannot be read is damage, and Open refuses it unless Options.AcceptDamage is set.
+// An incomplete last record of the newest log results from a crash during a write. Append had not returned, so the
+// record was not stored, and Open cuts it off. Anything else that cannot be read is damage, for which Open returns an
+// error unless Options.AcceptDamage is set.
 package journal
 
 import (
@@ -33,21 +35,21 @@
 	Close() error
 }
 
-// FS is the folder of a journal. Names are plain file names.
+// FS is the folder of a journal. Names are file names without a path.
 type FS interface {
-	Create(name string) (File, error) // an empty file
-	Append(name string) (File, error) // an existing file, written at its end
+	Create(name string) (File, error) // creates an empty file
+	Append(name string) (File, error) // opens an existing file for writing at its end
 	ReadFile(name string) ([]byte, error)
 	Rename(from, to string) error
 	Remove(name string) error
 	List() ([]string, error)
-	SyncDir() error // stores created names and renames on disk
+	SyncDir() error // makes created and renamed files survive a crash
 }
 
-// Options sets a journal up.
+// Options configures a journal.
 type Options struct {
-	MaxRecordBytes int  // size of one record; 0: 64 MiB
-	AcceptDamage   bool // open although records are lost
+	MaxRecordBytes int  // maximum size of one record; 0 means 64 MiB
+	AcceptDamage   bool // open the journal although records are lost
 }
 
 // Journal is an open journal. It is not safe for concurrent use.
@@ -56,10 +58,10 @@
 	options    Options
 	generation uint64
 	log        File
-	logSize    int64  // up to the end of the last stored record
+	logSize    int64  // in bytes, up to the end of the last stored record
 	sequence   uint64 // of the last stored record
-	broken     error  // why nothing more can be written; nil: it can
-	buffer     []byte // of Append, kept to save allocations
+	broken     error  // why the journal rejects writes; nil if it accepts them
+	buffer     []byte // encoded records in Append, kept to save allocations
 }
 
 // Append writes records and returns when they are stored on disk. After an error none of them is stored. IsRetryable
@@ -71,7 +73,7 @@
 	j.buffer = j.buffer[:0]
 	for k, record := range records {
 		if len(record) == 0 || len(record) > j.options.MaxRecordBytes {
-			return fmt.Errorf("%w: %d bytes", ErrRecordSize, len(record))
+			return fmt.Errorf("%w: got %d bytes, expected 1 to %d", ErrRecordSize, len(record), j.options.MaxRecordBytes)
 		}
 		j.buffer = appendRecord(j.buffer, j.sequence+uint64(k)+1, record)
 	}
@@ -80,14 +82,15 @@
 		err = io.ErrShortWrite
 	}
 	if err != nil {
-		// Nothing of it may stay: later records would follow an incomplete one.
+		// Remove what was written: later records must not follow an incomplete one.
 		if truncateErr := j.log.Truncate(j.logSize); truncateErr != nil {
-			j.broken = fmt.Errorf("%w: %w, and then: %w", ErrBroken, err, truncateErr)
+			j.broken = fmt.Errorf("%w: write: %w; truncate: %w", ErrBroken, err, truncateErr)
 		}
 		return fmt.Errorf("journal: %w", err)
 	}
 	if err := j.log.Sync(); err != nil {
-		// What is on disk is unknown, and another Sync would not show it: the kernel may have dropped the pages.
+		// It is unknown what is on disk, and a second Sync would not tell: the kernel may have dropped the written
+		// pages.
 		j.broken = fmt.Errorf("%w: %w", ErrBroken, err)
 		return fmt.Errorf("journal: %w", err)
 	}
@@ -96,11 +99,11 @@
 	return nil
 }
 
-// Size returns the size of the current log in bytes. Compaction makes it small.
+// Size returns the size of the current log in bytes. Compact replaces the log with an empty one.
 func (j *Journal) Size() int64 { return j.logSize }
 
-// Err returns why nothing more can be written, or nil. The error matches ErrBroken.
+// Err returns why the journal rejects writes, or nil if it accepts them. The error matches ErrBroken.
 func (j *Journal) Err() error { return j.broken }
 
-// Close closes the log. All stored records are on disk already.
+// Close closes the log. All stored records are already on disk.
 func (j *Journal) Close() error { return j.log.Close() }
--- a/internal/fleet/journal/journal_test.go
+++ b/internal/fleet/journal/journal_test.go
@@ -11,8 +11,8 @@
 	"poppyarch/internal/testkit/faultfs"
 )
 
-// appendAndCompact appends numbered records and compacts now and then, until the folder fails. It returns the number of
-// records that are stored.
+// appendAndCompact appends 40 batches of one to three numbered records and compacts the journal before every seventh.
+// It stops at the first error of the folder, and returns the number of stored records.
 func appendAndCompact(t *testing.T, fs journal.FS) (stored int, err error) {
 	t.Helper()
 	j, contents, err := journal.Open(fs, journal.Options{})
@@ -60,48 +60,49 @@
 	return all
 }
 
-// The machine fails in every single call, in two ways, and again in the first calls of the recovery. Stored records are
-// kept, in order and once; of a batch that was not stored, a prefix or nothing is kept.
+// The machine crashes in each call to the file system, with and without a partial write, and again in the first calls
+// of the recovery. Every stored record must be kept once and in order; of a batch that was not stored, only a prefix
+// may be kept.
 func TestStoredRecordsSurviveCrashInEveryCall(t *testing.T) {
 	intact := faultfs.New()
 	if _, err := appendAndCompact(t, intact); err != nil {
 		t.Fatal(err)
 	}
-	_, o, err := journal.Open(intact, journal.Options{})
+	_, contents, err := journal.Open(intact, journal.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := recordsOf(t, o)
-	for at := 1; at <= intact.Calls(); at++ {
-		for _, half := range []bool{false, true} {
-			for again := range 4 {
+	want := recordsOf(t, contents)
+	for crashCall := 1; crashCall <= intact.Calls(); crashCall++ {
+		for _, partialWrite := range []bool{false, true} {
+			for recoveryCrashCall := range 4 {
 				fs := faultfs.New()
-				fs.CrashAt(at, half)
+				fs.CrashAt(crashCall, partialWrite)
 				stored, err := appendAndCompact(t, fs)
 				if err == nil {
 					continue
 				}
 				fs.Reboot()
-				if again > 0 { // and once more while it is being opened
-					fs.CrashAt(again, half)
-					_, _, _ = journal.Open(fs, journal.Options{}) // fails or not, depending on the call
+				if recoveryCrashCall > 0 { // crash a second time, during recovery
+					fs.CrashAt(recoveryCrashCall, partialWrite)
+					_, _, _ = journal.Open(fs, journal.Options{}) // may succeed, depending on the call
 					fs.Reboot()
 				}
-				_, o, err := journal.Open(fs, journal.Options{})
+				_, contents, err := journal.Open(fs, journal.Options{})
 				if err != nil {
-					t.Fatalf("down at call %d (%v, %d): %v", at, half, again, err)
+					t.Fatalf("crash at call %d (partial write %v, recovery call %d): open: %v", crashCall, partialWrite, recoveryCrashCall, err)
 				}
-				got := recordsOf(t, o)
+				got := recordsOf(t, contents)
 				if len(got) < stored || len(got) > stored+3 || !slices.Equal(got, want[:len(got)]) {
-					t.Fatalf("down at call %d (%v, %d): %d records, %d stored: %q", at, half, again, len(got), stored, got)
+					t.Fatalf("crash at call %d (partial write %v, recovery call %d): got %d records, %d were stored: %q", crashCall, partialWrite, recoveryCrashCall, len(got), stored, got)
 				}
 			}
 		}
 	}
 }
 
-func TestAppendToFullDiskStoresNothingAndSucceedsOnceThereIsSpace(t *testing.T) {
-	for room := range 60 {
+func TestAppendToFullDiskStoresNothingAndSucceedsOnceSpaceIsFree(t *testing.T) {
+	for space := range 60 {
 		fs := faultfs.New()
 		j, _, err := journal.Open(fs, journal.Options{})
 		if err != nil {
@@ -110,13 +111,13 @@
 		if err := j.Append([]byte("before")); err != nil {
 			t.Fatal(err)
 		}
-		fs.SetRoom(room)
+		fs.SetRoom(space)
 		err = j.Append([]byte("0123456789012345678901234567890123456789012345678901234567890123456789"))
 		if !journal.IsRetryable(err) {
-			t.Fatalf("room for %d: %v", room, err)
+			t.Fatalf("append with %d bytes of space returns %v, want a retryable error", space, err)
 		}
 		if err := j.Compact([]byte("a snapshot that has no room either, since it is rather longer than that")); err == nil {
-			t.Fatal("a snapshot without room")
+			t.Fatal("compact without space for the snapshot succeeds")
 		}
 		fs.SetRoom(-1)
 		want := []string{"before"}
@@ -125,9 +126,9 @@
 		} else if !errors.Is(err, journal.ErrBroken) {
 			t.Fatal(err)
 		}
-		_, o, err := journal.Open(fs, journal.Options{})
-		if got := recordsOf(t, o); err != nil || !slices.Equal(got, want) {
-			t.Fatalf("room for %d: %v %q", room, err, got)
+		_, contents, err := journal.Open(fs, journal.Options{})
+		if got := recordsOf(t, contents); err != nil || !slices.Equal(got, want) {
+			t.Fatalf("after an append with %d bytes of space the journal contains %q, want %q (error %v)", space, got, want, err)
 		}
 	}
 }
@@ -140,16 +141,17 @@
 	}
 	fs.FailSync(errors.New("i/o error"))
 	if err := j.Append([]byte("x")); err == nil {
-		t.Fatal("no error")
+		t.Fatal("append with a failing sync succeeds")
 	}
 	fs.FailSync(nil)
 	if err := j.Append([]byte("y")); !errors.Is(err, journal.ErrBroken) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("append after a failed sync returns %v, want ErrBroken", err)
 	}
 }
 
-// A byte is changed at every place. Before the last record it is reported as damage; in the last record it is the same as
-// an incomplete write. Records after damage are never joined to those before it.
+// Each byte of a log is changed in turn. A change before the last record must be reported as damage, a change in the
+// last record cannot be told from an incomplete write. Records after the damage must never be joined to those before
+// it.
 func TestChangedByteIsReportedAsDamageOrTornRecord(t *testing.T) {
 	fs := faultfs.New()
 	j, _, err := journal.Open(fs, journal.Options{})
@@ -164,54 +166,54 @@
 			t.Fatal(err)
 		}
 	}
-	text, _ := fs.ReadFile("log-0")
-	for at := range text {
+	log, _ := fs.ReadFile("log-0")
+	for offset := range log {
 		fs := faultfs.New()
 		f, _ := fs.Create("log-0")
-		if _, err := f.Write(text); err != nil {
+		if _, err := f.Write(log); err != nil {
 			t.Fatal(err)
 		}
-		fs.Edit("log-0", func(b []byte) []byte { b[at] ^= 0x10; return b })
-		_, o, err := journal.Open(fs, journal.Options{})
-		got := recordsOf(t, o)
+		fs.Edit("log-0", func(b []byte) []byte { b[offset] ^= 0x10; return b })
+		_, contents, err := journal.Open(fs, journal.Options{})
+		got := recordsOf(t, contents)
 		if len(got) == len(want) || !slices.Equal(got, want[:len(got)]) {
-			t.Fatalf("byte %d: %q", at, got)
+			t.Fatalf("byte %d changed: records are %q, want a proper prefix of %q", offset, got, want)
 		}
-		last := len(got) == len(want)-1
-		if last != (err == nil) || last != (o.Report.TornBytes > 0) || last == (len(o.Report.Damaged) > 0) {
-			t.Fatalf("byte %d, %d records: %v %+v", at, len(got), err, o.Report)
+		inLastRecord := len(got) == len(want)-1
+		if inLastRecord != (err == nil) || inLastRecord != (contents.Report.TornBytes > 0) || inLastRecord == (len(contents.Report.Damaged) > 0) {
+			t.Fatalf("byte %d changed, %d records read: error %v does not fit report %+v", offset, len(got), err, contents.Report)
 		}
-		if last {
+		if inLastRecord {
 			continue
 		}
 		if damage := new(journal.DamageError); !errors.Is(err, journal.ErrDamaged) || !errors.As(err, &damage) || damage.Damaged[0].File != "log-0" {
-			t.Fatalf("byte %d: error %v names no damage of log-0", at, err)
+			t.Fatalf("byte %d changed: error %v does not report damage of log-0", offset, err)
 		}
-		// With the damage accepted it continues in new files, and the damaged ones are kept.
-		j, o, err := journal.Open(fs, journal.Options{AcceptDamage: true})
-		if err != nil || o.Report.Damaged[0].KeptAs == "" {
-			t.Fatalf("byte %d: %v %+v", at, err, o.Report)
+		// If the damage is accepted, the journal continues in new files and keeps the damaged ones.
+		j, contents, err := journal.Open(fs, journal.Options{AcceptDamage: true})
+		if err != nil || contents.Report.Damaged[0].KeptAs == "" {
+			t.Fatalf("byte %d changed: open with AcceptDamage returns error %v, report %+v", offset, err, contents.Report)
 		}
 		if err := j.Append([]byte("more")); err != nil {
 			t.Fatal(err)
 		}
-		_, o, err = journal.Open(fs, journal.Options{})
-		if now := recordsOf(t, o); err != nil || !slices.Equal(now, append(slices.Clone(got), "more")) {
-			t.Fatalf("byte %d: %v %q", at, err, now)
+		_, contents, err = journal.Open(fs, journal.Options{})
+		if now := recordsOf(t, contents); err != nil || !slices.Equal(now, append(slices.Clone(got), "more")) {
+			t.Fatalf("byte %d changed: after another append the records are %q (error %v)", offset, now, err)
 		}
 	}
 }
 
-func TestDamagedSnapshotIsReplacedByTheGenerationBefore(t *testing.T) {
+func TestDamagedSnapshotIsReplacedByPreviousGeneration(t *testing.T) {
 	fs := faultfs.New()
 	if _, err := appendAndCompact(t, fs); err != nil {
 		t.Fatal(err)
 	}
-	_, o, err := journal.Open(fs, journal.Options{})
+	_, contents, err := journal.Open(fs, journal.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := recordsOf(t, o)
+	want := recordsOf(t, contents)
 	names, _ := fs.List()
 	newest := ""
 	for _, n := range names {
@@ -220,26 +222,26 @@
 		}
 	}
 	fs.Edit(newest, func(b []byte) []byte { b[len(b)/2] ^= 1; return b })
-	j, o, err := journal.Open(fs, journal.Options{})
-	if err != nil || len(o.Report.Damaged) != 1 || !slices.Equal(recordsOf(t, o), want) {
-		t.Fatalf("%v %+v", err, o.Report)
+	j, contents, err := journal.Open(fs, journal.Options{})
+	if err != nil || len(contents.Report.Damaged) != 1 || !slices.Equal(recordsOf(t, contents), want) {
+		t.Fatalf("open with a damaged snapshot returns error %v, report %+v", err, contents.Report)
 	}
 	if err := j.Append([]byte("more")); err != nil {
 		t.Fatal(err)
 	}
-	if _, o, err = journal.Open(fs, journal.Options{}); err != nil || !slices.Equal(recordsOf(t, o), append(want, "more")) {
-		t.Fatalf("%v %q", err, recordsOf(t, o))
+	if _, contents, err = journal.Open(fs, journal.Options{}); err != nil || !slices.Equal(recordsOf(t, contents), append(want, "more")) {
+		t.Fatalf("records are %q (error %v), want %q and \"more\"", recordsOf(t, contents), err, want)
 	}
 }
 
-func TestFolderIsLockedForOneProcess(t *testing.T) {
+func TestOpenDirLocksFolder(t *testing.T) {
 	path := t.TempDir()
 	d, err := journal.OpenDir(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := journal.OpenDir(path); !errors.Is(err, journal.ErrLocked) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("opening a locked folder returns %v, want ErrLocked", err)
 	}
 	if _, err := appendAndCompact(t, d); err != nil {
 		t.Fatal(err)
@@ -256,7 +258,7 @@
 			t.Error(err)
 		}
 	}()
-	if _, o, err := journal.Open(d, journal.Options{}); err != nil || len(recordsOf(t, o)) != 79 {
-		t.Fatalf("%v %d", err, len(recordsOf(t, o)))
+	if _, contents, err := journal.Open(d, journal.Options{}); err != nil || len(recordsOf(t, contents)) != 79 {
+		t.Fatalf("reopened journal has %d records (error %v), want 79", len(recordsOf(t, contents)), err)
 	}
 }
--- a/internal/fleet/journal/open.go
+++ b/internal/fleet/journal/open.go
@@ -7,21 +7,21 @@
 
 // Contents is what a journal contained when it was opened.
 type Contents struct {
-	Snapshot []byte   // nil: none
+	Snapshot []byte   // nil if there is none
 	Records  [][]byte // after the snapshot, in order
 	Report   RecoveryReport
 }
 
-// RecoveryReport says what Open found.
+// RecoveryReport describes what Open found.
 type RecoveryReport struct {
 	Generation uint64   `json:"generation"`
-	Records    int      `json:"records"`        // after the snapshot
-	TornBytes  int      `json:"torn,omitempty"` // of an incomplete last record, which was cut off
+	Records    int      `json:"records"`        // number of records after the snapshot
+	TornBytes  int      `json:"torn,omitempty"` // size of the incomplete last record that was cut off
 	Damaged    []Damage `json:"damaged,omitempty"`
 }
 
-// Open reads a journal and prepares it for appending. For damage that is not accepted the error matches ErrDamaged, and
-// the contents are returned with it as far as they can be read.
+// Open reads a journal and prepares it for appending. If there is damage that is not accepted, the error matches
+// ErrDamaged, and the readable contents are returned with it.
 func Open(fs FS, options Options) (*Journal, *Contents, error) {
 	if options.MaxRecordBytes == 0 {
 		options.MaxRecordBytes = defaultMaxRecordSize
@@ -38,21 +38,21 @@
 	}
 	if err := r.run(); err != nil {
 		if r.journal.log != nil {
-			_ = r.journal.log.Close() // the error before it counts
+			_ = r.journal.log.Close() // the earlier error is returned
 		}
 		return nil, r.contents, err
 	}
 	return r.journal, r.contents, nil
 }
 
-// recovery is the state of Open.
+// recovery is the state of a call of Open.
 type recovery struct {
-	journal   *Journal
-	snapshots []uint64 // generations, ascending
-	logs      []uint64 // generations, ascending
-	contents  *Contents
-	first     uint64 // generation of the snapshot that was read; 0: none
-	gap       bool   // a log could not be read to its end
+	journal            *Journal
+	snapshots          []uint64 // generations, ascending
+	logs               []uint64 // generations, ascending
+	contents           *Contents
+	snapshotGeneration uint64 // generation of the snapshot that was read; 0 if there is none
+	logDamaged         bool   // a log could not be read to its end; logs after it are not read
 }
 
 func (r *recovery) run() error {
@@ -65,7 +65,7 @@
 	}
 	report := &r.contents.Report
 	report.Records = len(r.contents.Records)
-	if r.gap && !r.journal.options.AcceptDamage {
+	if r.logDamaged && !r.journal.options.AcceptDamage {
 		return &DamageError{Damaged: report.Damaged}
 	}
 	if len(report.Damaged) > 0 {
@@ -89,16 +89,16 @@
 	if n := len(r.snapshots); n > 0 {
 		return r.snapshots[n-1]
 	}
-	return r.first
+	return r.snapshotGeneration
 }
 
-// readSnapshot reads the newest snapshot that can be read. Without one the logs must begin with generation 0.
+// readSnapshot reads the newest readable snapshot. If there is none, the logs must start with generation 0.
 func (r *recovery) readSnapshot() error {
 	for k := len(r.snapshots) - 1; k >= 0; k-- {
 		name := snapshotName(r.snapshots[k])
 		snapshot, sequence, err := r.readSnapshotFile(name)
 		if err == nil {
-			r.first = r.snapshots[k]
+			r.snapshotGeneration = r.snapshots[k]
 			r.journal.sequence = sequence
 			if len(snapshot) > 0 {
 				r.contents.Snapshot = snapshot
@@ -129,13 +129,13 @@
 func (r *recovery) readLogs(newest uint64) error {
 	for _, generation := range r.logs {
 		switch {
-		case generation < r.first:
-		case generation > newest: // of a compaction that was not completed
+		case generation < r.snapshotGeneration:
+		case generation > newest: // left by an incomplete compaction
 			if err := r.journal.fs.Remove(logName(generation)); err != nil {
 				return fmt.Errorf("journal: %w", err)
 			}
-		case r.gap:
-			r.addDamage(Damage{File: logName(generation), Reason: "stands behind damage"})
+		case r.logDamaged:
+			r.addDamage(Damage{File: logName(generation), Reason: "not read, follows a damaged log"})
 		default:
 			if err := r.readLog(generation, generation == newest); err != nil {
 				return err
@@ -167,7 +167,7 @@
 			Bytes:  int64(len(rest)),
 			Reason: log.err.Error(),
 		})
-		r.gap = true
+		r.logDamaged = true
 		return nil
 	}
 	if !isNewest {
@@ -180,7 +180,7 @@
 	return r.openLog(name, log.size, len(rest) > 0)
 }
 
-// isTorn reports whether the unreadable end of the newest log is that of an incomplete write.
+// isTorn reports whether the unreadable end of the newest log results from an incomplete write.
 func (r *recovery) isTorn(log *decodedLog, b []byte) bool {
 	if log.err == nil {
 		return false
@@ -205,7 +205,7 @@
 		return nil
 	}
 	if err := log.Truncate(size); err != nil {
-		return fmt.Errorf("journal: cut %s at %d: %w", name, size, err)
+		return fmt.Errorf("journal: truncate %s to %d bytes: %w", name, size, err)
 	}
 	if err := log.Sync(); err != nil {
 		return fmt.Errorf("journal: %w", err)
@@ -213,8 +213,8 @@
 	return nil
 }
 
-// rewrite renames the damaged files and writes what could be read as a new generation, so that nothing is appended to
-// files in doubt.
+// rewrite renames the damaged files and writes the readable contents as a new generation, so that nothing is appended
+// to files that may be damaged.
 func (r *recovery) rewrite(generation uint64) error {
 	j := r.journal
 	for k := range r.contents.Report.Damaged {
@@ -225,7 +225,7 @@
 		}
 	}
 	last := j.sequence
-	base := last - uint64(len(r.contents.Records)) // of the snapshot
+	base := last - uint64(len(r.contents.Records)) // sequence number of the snapshot
 	j.sequence = base
 	if err := j.createLog(generation); err != nil {
 		return err
@@ -236,8 +236,8 @@
 		}
 	}
 	if j.sequence != last {
-		return fmt.Errorf("journal: %d records written, %d expected", j.sequence, last)
+		return fmt.Errorf("journal: rewritten log ends with record %d, expected record %d", j.sequence, last)
 	}
-	// An empty snapshot is installed as well: a log without one is taken for that of an incomplete compaction.
+	// An empty snapshot is installed too: Open takes a log without one for a leftover of an incomplete compaction.
 	return j.installSnapshot(generation, r.contents.Snapshot, base)
 }
