--- a/internal/fleet/state/strategy.go
+++ b/internal/fleet/state/strategy.go
@@ -84,8 +84,8 @@
 	Overlap          string         `json:"overlap"`         // while another rollout is unfinished: "queue" or "refuse"
 }
 
-// DefaultStrategy starts with one instance, continues with a quarter of the instances per wave, and allows one
-// unavailable instance.
+// DefaultStrategy starts with one instance, continues with a quarter of the changing instances per wave, and allows
+// one unavailable instance.
 func DefaultStrategy() Strategy {
 	return Strategy{
 		Canary:           1,
