--- a/policy/asfq.go
+++ b/policy/asfq.go
@@ -8,29 +8,31 @@
 )
 
 const (
-	// compensationPeriod is the period after which the compensation of flows is set anew.
+	// compensationPeriod is the interval at which the compensation of flows is updated.
 	compensationPeriod = 100 * time.Millisecond
-	// unfairnessTolerance is the permitted gap in service between flows, in mean requests (units over weight).
+	// unfairnessTolerance is the permitted gap between flows in served units over weight, in mean requests.
 	unfairnessTolerance = 2.0
-	// maxLookahead is how many requests of a flow are considered, so that a blocked one does not delay the
-	// rest.
+	// maxLookahead is how many requests at the head of a flow are considered for sending, so that one that
+	// may not be sent yet does not delay those behind it.
 	maxLookahead = 8
-	// minTrialSuccess: where a lower part of the trials at suspect nodes is served, pauses bind reserves too.
-	minTrialSuccess = 0.35
-	// reservedDepthFactor is how much more often than other work the reserve is sent where pauses bind it.
+	// minSuspectSuccessRatio is the success ratio at suspect nodes below which the pauses between sends apply
+	// to reserved requests too.
+	minSuspectSuccessRatio = 0.35
+	// reservedDepthFactor multiplies the depth for reserved requests, so that their pauses are shorter.
 	reservedDepthFactor = 10
 )
 
 // flow is one volume's queue at one node.
 type flow struct {
 	volume        *volume
-	queue         []*request // by start tag
+	queue         []*request // sorted by start tag
 	lastFinishTag float64
-	servedUnits   float64 // in this period, over all brokers as far as known
+	servedUnits   float64 // units served in this period through all brokers, as far as known
 	compensation  float64 // added to start tags when flows are compared
 }
 
-// enqueue gives a request its tags and puts it in its volume's flow at n.
+// enqueue assigns a request its tags and adds it to its volume's flow at n. A retry at the same node keeps
+// its tags.
 func (s *Scheduler) enqueue(r *request, n *node) {
 	f := n.flowOf[r.volume]
 	if f == nil {
@@ -54,7 +56,8 @@
 	r.volume.queuedUnits += r.arrival.Units
 }
 
-// virtualTime is the highest start tag sent while the node is busy, else the highest finish tag.
+// virtualTime returns the highest start tag sent while requests are in flight, else the highest finish tag
+// sent.
 func (n *node) virtualTime() float64 {
 	if len(n.inFlight) > 0 {
 		return n.maxStartTag
@@ -62,10 +65,11 @@
 	return n.maxFinishTag
 }
 
-// compensatedTag is the start tag by which flows are compared.
+// compensatedTag returns the start tag plus the flow's compensation, by which flows are compared.
 func (r *request) compensatedTag() float64 { return r.startTag + r.flow.compensation }
 
-// dequeue takes a request out of its flow, if it is queued. The last one of a flow gives its tag back.
+// dequeue removes a request from its flow's queue, if it is queued. If it was the last one tagged in its flow
+// and has not been sent, its tags become available to the next request.
 func (s *Scheduler) dequeue(r *request) {
 	if !r.queued {
 		return
@@ -81,7 +85,8 @@
 	}
 }
 
-// dispatch sends while fewer requests than the depth are in flight: the lowest compensated start tag first.
+// dispatch sends requests queued for n in order of their compensated start tags, while fewer than the
+// concurrency limit are in flight.
 func (s *Scheduler) dispatch(n *node) {
 	for n.queuedUnits > 0 && len(n.inFlight) < n.concurrencyLimit() && s.now >= n.pausedUntil {
 		var best *request
@@ -98,8 +103,8 @@
 	}
 }
 
-// concurrencyLimit is how many requests may be in flight: the depth, but one while a time-out is
-// unconfirmed.
+// concurrencyLimit returns how many requests may be in flight: the depth rounded down and at least 1, or 1
+// while a time-out is unconfirmed.
 func (n *node) concurrencyLimit() int {
 	if n.health.unconfirmedTimeout > 0 {
 		return 1
@@ -107,7 +112,7 @@
 	return int(max(n.depth, 1))
 }
 
-// firstSendable is the first request of a flow that may be sent now, or nil.
+// firstSendable returns the first request of a flow that may be sent now, or nil if there is none.
 func (s *Scheduler) firstSendable(f *flow, n *node) *request {
 	for i := 0; i < len(f.queue) && i < maxLookahead; i++ {
 		if r := f.queue[i]; s.maySend(r, n) && s.sendPause(r, n) <= 0 {
@@ -117,26 +122,28 @@
 	return nil
 }
 
-// sendPause is how long the pause between sends still lasts: at a depth under 1, one request is sent in
-// each mean latency over depth. Work inside a reserve does not wait, unless trials at suspect nodes are
-// hardly ever served, as when nodes are dead or go on with what timed out.
+// sendPause returns how long r must still wait before it may be sent to n. At a depth below 1, requests are
+// sent one at a time, at intervals of the mean latency divided by the depth. Reserved requests do not wait,
+// unless attempts at suspect nodes rarely succeed, as when nodes are down or keep executing requests that
+// have timed out.
 func (s *Scheduler) sendPause(r *request, n *node) time.Duration {
 	depth := n.depth
 	if r.reserved {
 		depth *= reservedDepthFactor
 	}
-	if depth >= 1 || len(n.inFlight) > 0 || r.reserved && s.fleet.trialSuccess >= minTrialSuccess {
+	if depth >= 1 || len(n.inFlight) > 0 ||
+		r.reserved && s.overall.suspectSuccessRatio >= minSuspectSuccessRatio {
 		return 0
 	}
 	return n.lastSendAt + seconds(n.latency/depth) - s.now
 }
 
-// endPeriod updates the estimates and the compensation of every node at the end of a compensation period.
+// endPeriod updates the estimates and compensations of every node at the end of a compensation period.
 func (s *Scheduler) endPeriod() {
 	for _, n := range s.nodes.list {
 		s.recentUnits(n)
 		s.countSlowInFlight(n)
-		if s.fleet.latency > 0 {
+		if s.overall.latency > 0 {
 			s.decayEstimates(n)
 		}
 		s.compensate(n)
@@ -144,7 +151,8 @@
 	}
 }
 
-// compensate compares the units served of the flows with queued requests and sets their compensation.
+// compensate sets the compensation of the flows at n from their served units over weight, relative to the
+// least served flow that has queued requests.
 func (s *Scheduler) compensate(n *node) {
 	least := math.Inf(1)
 	for _, f := range n.flows {
@@ -156,7 +164,7 @@
 		weight := f.volume.plan.Weight
 		gap := f.servedUnits/weight - least
 		if len(f.queue) == 0 {
-			f.compensation = 0 // nothing is queued that could be held back
+			f.compensation = 0 // there is no queued request to delay
 		} else if gap > unfairnessTolerance*s.cfg.MeanUnits {
 			f.compensation = gap * weight
 		}
@@ -164,7 +172,7 @@
 	}
 }
 
-// dropIdleFlows forgets the flows without queued requests whose tags the virtual time has passed.
+// dropIdleFlows removes the flows without queued requests whose last finish tag the virtual time has reached.
 func (n *node) dropIdleFlows() {
 	n.flows = slices.DeleteFunc(n.flows, func(f *flow) bool {
 		idle := len(f.queue) == 0 && f.lastFinishTag <= n.virtualTime()
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -8,31 +8,32 @@
 	"poppyarch/internal/broker/decision"
 )
 
-// The benchmarks measure a request and a timer by the number of listed nodes: docs/measurements/full-fleet.md.
+// The benchmarks measure the cost of a request and of a timer step for several numbers of listed nodes. Results
+// are in docs/measurements/full-fleet.md.
 
-func benchRig(b *testing.B, nodes int) *rig {
+func benchHarness(b *testing.B, nodes int) *harness {
 	s, err := New(testConfig())
 	if err != nil {
 		b.Fatal(err)
 	}
-	r := &rig{scheduler: s, now: time.Hour}
-	r.step(decision.Event{Kind: decision.EndpointsReplaced, Endpoints: fleetOf(nodes)})
-	return r
+	h := &harness{scheduler: s, now: time.Hour}
+	h.step(decision.Event{Kind: decision.EndpointsReplaced, Endpoints: nodeList(nodes)})
+	return h
 }
 
 func benchRequests(b *testing.B, shard func(i, nodes int) int) {
 	for _, nodes := range []int{16, 128, 1024} {
 		b.Run(fmt.Sprint("nodes=", nodes), func(b *testing.B) {
-			r := benchRig(b, nodes)
+			h := benchHarness(b, nodes)
 			id := uint64(0)
 			for i := 0; b.Loop(); i++ {
 				id++
-				r.now += time.Millisecond
-				ev := r.arrive(id, 0, 0, fmt.Sprint("v", i%64), "", 2)
+				h.now += time.Millisecond
+				ev := h.arrival(id, 0, 0, fmt.Sprint("v", i%64), "", 2)
 				ev.Arrival.Shard = shard(i, nodes)
-				for _, a := range r.step(ev) {
+				for _, a := range h.step(ev) {
 					if a.Kind == decision.Forward {
-						r.step(answered(a.ID, a.Node, decision.Served))
+						h.step(attemptEnded(a.ID, a.Node, decision.Served))
 					}
 				}
 			}
@@ -46,22 +47,22 @@
 func BenchmarkTimerTurn(b *testing.B) {
 	for _, nodes := range []int{16, 128, 1024} {
 		b.Run(fmt.Sprint("nodes=", nodes), func(b *testing.B) {
-			r := benchRig(b, nodes)
+			h := benchHarness(b, nodes)
 			for b.Loop() {
-				r.after(compensationPeriod)
+				h.stepAfter(compensationPeriod)
 			}
 		})
 	}
 }
 
-// BenchmarkStep is one arrival and its answer at a broker before 50 nodes.
+// BenchmarkStep measures the arrival and the response of one request at a broker with 50 nodes.
 func BenchmarkStep(b *testing.B) {
 	s, err := New(testConfig())
 	if err != nil {
 		b.Fatal(err)
 	}
 	now := time.Hour
-	s.Step(now, []decision.Event{{Kind: decision.EndpointsReplaced, Endpoints: fleetStartedAt(50, 0)}}, nil)
+	s.Step(now, []decision.Event{{Kind: decision.EndpointsReplaced, Endpoints: nodeListStartedAt(50, 0)}}, nil)
 	acts := make([]decision.Action, 0, 16)
 	for id := uint64(1); b.Loop(); id++ {
 		now += 5 * ms
@@ -69,7 +70,7 @@
 			Shard: int(id % 50), Brokers: 2, Deadline: now + 4*time.Second}}}, acts[:0])
 		for _, a := range acts {
 			if a.Kind == decision.Forward {
-				s.Step(now+2*ms, []decision.Event{answered(a.ID, a.Node, decision.Served)}, nil)
+				s.Step(now+2*ms, []decision.Event{attemptEnded(a.ID, a.Node, decision.Served)}, nil)
 			}
 		}
 	}
--- a/policy/deployfile_test.go
+++ b/policy/deployfile_test.go
@@ -10,8 +10,9 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// TestDeployFileNamesEveryFile holds the module to the deploy file's list of it, and its lines to a readable width. The
-// operators' limit on the module's lines was withdrawn; the linter bounds the length and the complexity of each function.
+// TestDeployFileNamesEveryFile checks that the deploy file lists exactly the files of this package, and that their lines
+// are at most 110 characters long. The number of lines is not limited; the linter bounds the length and the complexity
+// of each function.
 func TestDeployFileNamesEveryFile(t *testing.T) {
 	text, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -37,12 +38,12 @@
 		}
 		for i, line := range strings.Split(string(text), "\n") {
 			if len(line) > 110 {
-				t.Errorf("%s:%d has %d characters, want at most 110", file, i+1, len(line))
+				t.Errorf("%s:%d is %d characters long, want at most 110", file, i+1, len(line))
 			}
 		}
 	}
 	slices.Sort(deploy.Policy)
 	if !slices.Equal(deploy.Policy, named) {
-		t.Errorf("deploy/balancer.toml names %v, the module is %v", deploy.Policy, named)
+		t.Errorf("deploy/balancer.toml lists %v, the package has %v", deploy.Policy, named)
 	}
 }
--- a/policy/depth.go
+++ b/policy/depth.go
@@ -8,34 +8,37 @@
 	"poppyarch/internal/timing/rate"
 )
 
-// The depth is how many requests of this broker may be in flight at a node. Under 1 it is a pause between
-// sends.
+// The depth is how many requests of this broker may be in flight at a node. A depth below 1 means a pause
+// between sends.
 const (
-	initialDepth  = 3.0 // of a usual node that is not yet measured
-	minDepth      = 0.02
-	maxDepth      = 16.0
-	minFleetDepth = 0.05
-	depthIncrease = 0.5  // growth over as many answers as the depth is, while requests are queued
-	depthDecrease = 0.10 // part cut by one answer when the latency is too high
+	initialDepth    = 3.0 // of a node of capacity 1 without measurements
+	minDepth        = 0.02
+	maxDepth        = 16.0
+	minOverallDepth = 0.05
+	depthDecrease   = 0.10 // fraction by which one response lowers the depth when the latency is too high
+
+	// depthIncrease is by how much the depth grows over as many responses as the depth is, while requests are
+	// queued. Below a depth of 1 it is the relative growth for each response.
+	depthIncrease = 0.5
 )
 
-// Bounds on the latency at a node, as parts of the latency objective.
+// Bounds on the latency at a node, as fractions of the latency objective.
 const (
-	targetLatencyRatio   = 0.17 // above it the depth falls, down to 1
-	overloadLatencyRatio = 0.3  // above it the depth falls under 1
+	targetLatencyRatio   = 0.17 // above this the depth falls, but not below 1
+	overloadLatencyRatio = 0.3  // above this the depth falls below 1
 )
 
-// How estimates follow measurements.
+// Weights and time constants of the estimates.
 const (
-	latencyGain       = 0.12            // weight of one answer in a node's mean latency
-	fleetTimeConstant = 0.25            // latency objectives within which the fleet's estimates follow
-	estimateLifetime  = 3 * time.Second // in which a node's estimates approach the fleet's without answers
+	latencyGain         = 0.12            // weight of one response in a node's mean latency
+	overallTimeConstant = 0.25            // time constant of the overall estimates, in latency objectives
+	estimateLifetime    = 3 * time.Second // time constant of a node's decay to the overall estimates
 )
 
-// estimate is what outcomes say of latency, in seconds, and the depth that follows.
+// estimate holds latency estimates from attempt outcomes, in seconds, and the depth that follows from them.
 type estimate struct {
-	latency         float64 // 0: not measured
-	meanSizeLatency float64 // of a request of mean size
+	latency         float64 // mean latency; 0 if not measured
+	meanSizeLatency float64 // latency of a request of mean size
 	depth           float64
 }
 
@@ -43,11 +46,11 @@
 type sample struct {
 	latency    float64 // seconds
 	objective  float64 // seconds
-	timedOut   bool    // the answer would have taken longer than latency
-	backlogged bool    // more requests are queued, so that a higher depth would be used
+	timedOut   bool    // the attempt timed out; latency is a lower bound
+	backlogged bool    // requests are queued, so that a higher depth would have an effect
 }
 
-// add applies a sample to the latency and the depth.
+// add updates the latency and the depth with a sample.
 func (e *estimate) add(x sample) {
 	if e.latency == 0 {
 		e.latency = x.latency
@@ -68,73 +71,73 @@
 	}
 }
 
-// fleetEstimate is what is known of all nodes and requests together.
-type fleetEstimate struct {
+// overallEstimate holds the estimates over all nodes and requests of this broker.
+type overallEstimate struct {
 	estimate
-	trialSuccess float64             // part of the attempts at suspect nodes that were served
-	demand       rate.Meter          // units of all requests
-	shardDemand  map[int]*rate.Meter // units by shard, for every shard that was ever listed
-	outcomes     rate.Meter          // outcomes that say something of latency
+	suspectSuccessRatio float64             // fraction of the attempts at suspect nodes that were served
+	demand              rate.Meter          // units of all arriving requests
+	shardDemand         map[int]*rate.Meter // arriving units by shard, for every shard that has ever been listed
+	outcomes            rate.Meter          // outcomes from which a latency was measured
 }
 
-func newFleetEstimate() fleetEstimate {
-	return fleetEstimate{
-		estimate:     estimate{depth: 1},
-		trialSuccess: 0.5,
-		shardDemand:  map[int]*rate.Meter{},
+func newOverallEstimate() overallEstimate {
+	return overallEstimate{
+		estimate:            estimate{depth: 1},
+		suspectSuccessRatio: 0.5,
+		shardDemand:         map[int]*rate.Meter{},
 	}
 }
 
-// addDemand counts an arriving request.
-func (f *fleetEstimate) addDemand(now time.Duration, a *decision.Arrival) {
+// addDemand adds an arriving request to the demand meters.
+func (f *overallEstimate) addDemand(now time.Duration, a *decision.Arrival) {
 	f.demand.Add(now, a.Units)
 	if m := f.shardDemand[a.Shard]; m != nil {
 		m.Add(now, a.Units)
 	}
 }
 
-// gain is the weight of one latency in the fleet's estimates: rare ones move them as quickly as frequent
-// ones.
-func (f *fleetEstimate) gain(now time.Duration, objective float64) float64 {
-	return 1 / (1 + fleetTimeConstant*objective*f.outcomes.Rate(now))
+// gain returns the weight of one latency in the overall estimates. It is higher at a lower rate of outcomes,
+// so that the estimates adapt equally fast at any rate.
+func (f *overallEstimate) gain(now time.Duration, objective float64) float64 {
+	return 1 / (1 + overallTimeConstant*objective*f.outcomes.Rate(now))
 }
 
-// adjustDepth moves the fleet's depth by one latency, up (direction 1) or down (-1).
-func (f *fleetEstimate) adjustDepth(now time.Duration, objective, direction float64) {
-	f.depth = max(minFleetDepth, min(1, f.depth*(1+direction*f.gain(now, objective))))
+// adjustDepth raises (direction 1) or lowers (direction -1) the overall depth for one measured latency.
+func (f *overallEstimate) adjustDepth(now time.Duration, objective, direction float64) {
+	f.depth = max(minOverallDepth, min(1, f.depth*(1+direction*f.gain(now, objective))))
 }
 
-// moveLatency moves the fleet's latency towards a measured one by a bounded step. It so follows the median,
-// and a few bad nodes do not speak for the rest.
-func (f *fleetEstimate) moveLatency(now time.Duration, objective, latency float64) {
+// moveLatency moves the overall latency towards a measured one by a bounded step. It therefore follows the
+// median, on which a few slow nodes have little effect.
+func (f *overallEstimate) moveLatency(now time.Duration, objective, latency float64) {
 	step := min(f.gain(now, objective)*objective, math.Abs(latency-f.latency))
 	f.latency += math.Copysign(step, latency-f.latency)
 }
 
-// decayEstimates moves a node's estimates towards the fleet's. Without this a pause would outlast its cause
-// by minutes at a broker that seldom sends there. At a suspect node it depends on how often such nodes
-// answer.
+// decayEstimates moves a node's estimates towards the overall ones. Without this, at a broker that rarely
+// sends to the node, a pause would outlast its cause by minutes. At a suspect node with a depth below 1 the
+// decay slows down with a lower success ratio at suspect nodes.
 func (s *Scheduler) decayEstimates(n *node) {
-	part := compensationPeriod.Seconds() / estimateLifetime.Seconds()
+	fraction := compensationPeriod.Seconds() / estimateLifetime.Seconds()
 	if n.depth < 1 && n.health.suspect {
-		part *= s.fleet.trialSuccess * s.fleet.trialSuccess
+		fraction *= s.overall.suspectSuccessRatio * s.overall.suspectSuccessRatio
 	}
 	capacity := n.RelativeCapacity()
-	n.latency += part * (s.fleet.latency/capacity - n.latency)
-	n.meanSizeLatency += part * (s.fleet.meanSizeLatency/capacity - n.meanSizeLatency)
-	depth := s.fleet.depth
+	n.latency += fraction * (s.overall.latency/capacity - n.latency)
+	n.meanSizeLatency += fraction * (s.overall.meanSizeLatency/capacity - n.meanSizeLatency)
+	depth := s.overall.depth
 	if depth < n.depth && depth < 1 || n.depth < depth {
-		n.depth += part * (depth - n.depth)
+		n.depth += fraction * (depth - n.depth)
 	}
 }
 
-// countSlowInFlight lowers the fleet's depth for attempts that are in flight for too long, before their
-// outcome shows it.
+// countSlowInFlight lowers the overall depth for attempts that have been in flight for too long, without
+// waiting for their outcomes.
 func (s *Scheduler) countSlowInFlight(n *node) {
 	for _, r := range n.inFlight {
 		if !r.countedSlow && (s.now-r.sentAt).Seconds() > overloadLatencyRatio*n.objective {
 			r.countedSlow = true
-			s.fleet.adjustDepth(s.now, n.objective, -1)
+			s.overall.adjustDepth(s.now, n.objective, -1)
 		}
 	}
 }
--- a/policy/depth_test.go
+++ b/policy/depth_test.go
@@ -8,9 +8,10 @@
 	"poppyarch/internal/broker/decision"
 )
 
-// sparseLoad drives a broker for span with six requests a second, each to another node, answered after latency
-// or timed out. Requests with odd ids are beyond the reserve. It returns the parts of both kinds that were sent.
-func sparseLoad(r *rig, id *uint64, span, latency time.Duration) (inside, beyond float64) {
+// sparseLoad sends six requests a second to a broker for the duration span, spread over all nodes. Attempts are
+// served after latency or time out. Requests with odd ids are beyond their volume's reserve. It returns which
+// fractions of the reserved requests and of the others were sent.
+func sparseLoad(h *harness, id *uint64, span, latency time.Duration) (inside, beyond float64) {
 	type attempt struct {
 		id   uint64
 		node string
@@ -21,12 +22,12 @@
 	var sent, all [2]float64
 	const perSecond = 6
 	gap := time.Second / perSecond
-	next, end := r.now, r.now+span
-	for r.now < end {
+	next, end := h.now, h.now+span
+	for h.now < end {
 		var evs []decision.Event
 		inFlight = func() (keep []attempt) {
 			for _, d := range inFlight {
-				if d.at > r.now {
+				if d.at > h.now {
 					keep = append(keep, d)
 					continue
 				}
@@ -34,96 +35,97 @@
 			}
 			return keep
 		}()
-		if r.now >= next {
+		if h.now >= next {
 			next += gap
 			*id++
-			ev := r.arrive(*id, 0, 0, fmt.Sprint("v", *id%2), fmt.Sprint(*id), 2)
-			ev.Arrival.Shard = int(*id*7) % len(r.scheduler.nodes.list)
-			r.scheduler.volumeOf(&decision.Arrival{Volume: "v1"}).reserveCredit = -1e9
-			r.scheduler.volumeOf(&decision.Arrival{Volume: "v0"}).reserveCredit = 8
+			ev := h.arrival(*id, 0, 0, fmt.Sprint("v", *id%2), fmt.Sprint(*id), 2)
+			ev.Arrival.Shard = int(*id*7) % len(h.scheduler.nodes.list)
+			h.scheduler.volumeOf(&decision.Arrival{Volume: "v1"}).reserveCredit = -1e9
+			h.scheduler.volumeOf(&decision.Arrival{Volume: "v0"}).reserveCredit = 8
 			evs = append(evs, ev)
 			all[*id%2]++
 		}
-		for _, a := range r.after(10*ms, evs...) {
+		for _, a := range h.stepAfter(10*ms, evs...) {
 			if a.Kind != decision.Forward {
 				continue
 			}
 			sent[a.ID%2]++
-			d := attempt{a.ID, a.Node, r.now + latency, decision.Served}
+			d := attempt{a.ID, a.Node, h.now + latency, decision.Served}
 			if latency > a.After {
-				d.at, d.out = r.now+a.After, decision.TimedOut
+				d.at, d.out = h.now+a.After, decision.TimedOut
 			}
 			inFlight = append(inFlight, d)
 		}
 	}
 	for _, d := range inFlight {
-		r.step(finalOutcome(d.id, d.node, d.out))
+		h.step(finalOutcome(d.id, d.node, d.out))
 	}
 	return sent[0] / all[0], sent[1] / all[1]
 }
 
-// When every node is slow, each of many brokers sees it at another node each time. The estimate of the fleet has
-// to hold back work beyond the reserves.
-func TestSlowFleetHoldsBackWorkBeyondTheReserve(t *testing.T) {
-	r := newRig(t, testConfig(), fleetOf(150)...)
+// If all nodes are slow, each of many brokers rarely sends twice to the same node. The overall estimate must
+// reject requests beyond the reserves.
+func TestSlowNodesReduceRequestsBeyondTheReserve(t *testing.T) {
+	h := newHarness(t, testConfig(), nodeList(150)...)
 	id := uint64(0)
-	if in, out := sparseLoad(r, &id, 5*time.Second, 100*ms); in < 0.95 || out < 0.95 {
-		t.Errorf("low latencies: sent %.2f of the reserve's work and %.2f of the rest", in, out)
+	if in, out := sparseLoad(h, &id, 5*time.Second, 100*ms); in < 0.95 || out < 0.95 {
+		t.Errorf("low latencies: sent %.2f of the reserved requests and %.2f of the others", in, out)
 	}
-	sparseLoad(r, &id, 2*time.Second, 900*ms) // one latency passes before anything is measured
-	if in, out := sparseLoad(r, &id, 5*time.Second, 900*ms); out > 0.2 || in < 0.4 {
-		t.Errorf("high latencies: sent %.2f of the reserve's work and %.2f of the rest", in, out)
+	sparseLoad(h, &id, 2*time.Second, 900*ms) // the first latency is measured only after 900 ms
+	if in, out := sparseLoad(h, &id, 5*time.Second, 900*ms); out > 0.2 || in < 0.4 {
+		t.Errorf("high latencies: sent %.2f of the reserved requests and %.2f of the others", in, out)
 	}
 }
 
-// Once latencies are low again, a broker that seldom sends to a node must not spare it for what it saw there
-// last.
-func TestPausesEndWhenTheFleetRecovers(t *testing.T) {
-	r := newRig(t, testConfig(), fleetOf(12)...)
+// Once latencies are low again, a broker that rarely sends to a node must not keep pausing because of the node's
+// last high latency.
+func TestPausesEndWhenTheNodesRecover(t *testing.T) {
+	h := newHarness(t, testConfig(), nodeList(12)...)
 	id := uint64(0)
-	sparseLoad(r, &id, 5*time.Second, 100*ms)
-	sparseLoad(r, &id, 15*time.Second, 3*time.Second) // all time out
+	sparseLoad(h, &id, 5*time.Second, 100*ms)
+	sparseLoad(h, &id, 15*time.Second, 3*time.Second) // all attempts time out
 	paused := 0
-	for _, n := range r.scheduler.nodes.list {
+	for _, n := range h.scheduler.nodes.list {
 		if n.depth < 1 {
 			paused++
 		}
 	}
 	if paused < 9 {
-		t.Fatalf("only %d nodes are spared after 10 s of time-outs", paused)
+		t.Fatalf("only %d nodes have a depth below 1 after 15 s of time-outs", paused)
 	}
-	sparseLoad(r, &id, 6*time.Second, 100*ms)
-	if in, out := sparseLoad(r, &id, 10*time.Second, 100*ms); in < 0.9 || out < 0.8 {
-		t.Errorf("6 s after the end: sent %.2f of the reserve's work and %.2f of the rest", in, out)
+	sparseLoad(h, &id, 6*time.Second, 100*ms)
+	if in, out := sparseLoad(h, &id, 10*time.Second, 100*ms); in < 0.9 || out < 0.8 {
+		t.Errorf("from 6 s after the recovery: sent %.2f of the reserved requests and %.2f of the others", in, out)
 	}
 }
 
-// A node that answers nothing stays paused while the others are well, as long as such nodes do not recover.
-func TestSilentNodeStaysPaused(t *testing.T) {
-	r := newRig(t, testConfig(), fleetOf(2)...)
-	n := r.scheduler.nodes.byName["n0"]
-	r.scheduler.fleet.estimate, r.scheduler.fleet.trialSuccess = estimate{latency: 0.1, depth: 1}, 0.1
+// An unresponsive node stays paused while the other nodes are healthy, if attempts at suspect nodes rarely
+// succeed.
+func TestUnresponsiveNodeStaysPaused(t *testing.T) {
+	h := newHarness(t, testConfig(), nodeList(2)...)
+	n := h.scheduler.nodes.byName["n0"]
+	h.scheduler.overall.estimate, h.scheduler.overall.suspectSuccessRatio = estimate{latency: 0.1, depth: 1}, 0.1
 	n.health.suspect, n.latency, n.depth = true, 1.5, 0.05
 	for range 50 {
-		r.after(compensationPeriod)
+		h.stepAfter(compensationPeriod)
 	}
 	if n.depth > 0.2 {
-		t.Errorf("D of a silent node is %v after 5 s", n.depth)
+		t.Errorf("the depth of an unresponsive node is %v after 5 s, want at most 0.2", n.depth)
 	}
 }
 
-// Classes with different objectives share a node's queue. The depth has to follow the shortest.
+// Requests of classes with different objectives share a node's queue. The depth must follow the shortest one.
 func TestShortestObjectiveBoundsTheDepth(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[1].LatencyObjective = 4 * time.Second
-	r := newRig(t, cfg, fleetOf(1)...)
+	h := newHarness(t, cfg, nodeList(1)...)
 	for i := uint64(1); i <= 40; i++ {
-		ev := r.arrive(i, int(min(i%4, 1)), 0, "v", fmt.Sprint(i), 2)
+		ev := h.arrival(i, int(min(i%4, 1)), 0, "v", fmt.Sprint(i), 2)
 		ev.Arrival.Shard = 0
-		r.step(ev)
-		r.after(100*ms, answered(i, "n0", decision.Served))
+		h.step(ev)
+		h.stepAfter(100*ms, attemptEnded(i, "n0", decision.Served))
 	}
-	if objective := r.scheduler.nodes.byName["n0"].objective; objective > 2 {
-		t.Errorf("a node that serves objectives of 1 s and 4 s is held to %.1f s", objective)
+	if objective := h.scheduler.nodes.byName["n0"].objective; objective > 2 {
+		t.Errorf("a node that serves objectives of 1 s and 4 s has the objective %.1f s, want at most 2 s", objective)
 	}
 }
--- a/policy/rig_test.go
+++ b/policy/harness_test.go
@@ -10,14 +10,15 @@
 
 const ms = time.Millisecond
 
-// rig drives one scheduler with a fake clock.
-type rig struct {
+// harness drives a scheduler with a fake clock.
+type harness struct {
 	t         *testing.T
 	scheduler *Scheduler
 	now       time.Duration
 }
 
-// testConfig has a class of each idempotency and an ordered one, and plans with and without a rate limit.
+// testConfig returns settings with a class of each idempotency, an ordered class, and plans with and without a rate
+// limit.
 func testConfig() decision.Config {
 	class := func(name string, weight float64, idempotency decision.Idempotency) decision.Class {
 		return decision.Class{
@@ -50,55 +51,57 @@
 	}
 }
 
-func newRig(t *testing.T, cfg decision.Config, members ...decision.Endpoint) *rig {
+func newHarness(t *testing.T, cfg decision.Config, members ...decision.Endpoint) *harness {
 	t.Helper()
 	s, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, scheduler: s, now: time.Hour}
+	h := &harness{t: t, scheduler: s, now: time.Hour}
 	if members == nil {
 		members = []decision.Endpoint{{Node: "a"}}
 	}
-	r.step(decision.Event{Kind: decision.EndpointsReplaced, Endpoints: members})
-	return r
+	h.step(decision.Event{Kind: decision.EndpointsReplaced, Endpoints: members})
+	return h
 }
 
-func (r *rig) step(evs ...decision.Event) []decision.Action { return r.scheduler.Step(r.now, evs, nil) }
+func (h *harness) step(evs ...decision.Event) []decision.Action {
+	return h.scheduler.Step(h.now, evs, nil)
+}
 
-// after advances the clock, then fires the timer and applies the events in one step.
-func (r *rig) after(d time.Duration, evs ...decision.Event) []decision.Action {
-	r.now += d
-	return r.step(append([]decision.Event{{Kind: decision.TimerFired, Token: 1}}, evs...)...)
+// stepAfter advances the clock, then makes one step with the timer and the events.
+func (h *harness) stepAfter(d time.Duration, evs ...decision.Event) []decision.Action {
+	h.now += d
+	return h.step(append([]decision.Event{{Kind: decision.TimerFired, Token: 1}}, evs...)...)
 }
 
-// pass lets time go by in steps short enough that the scheduler sees no stall.
-func (r *rig) pass(d time.Duration) {
+// advance advances the clock by d, in steps short enough that the scheduler does not detect a stall.
+func (h *harness) advance(d time.Duration) {
 	for ; d > compensationPeriod; d -= compensationPeriod {
-		r.after(compensationPeriod)
+		h.stepAfter(compensationPeriod)
 	}
-	r.after(d)
+	h.stepAfter(d)
 }
 
-// arrive is the arrival of a request through one broker, with the deadline of its class.
-func (r *rig) arrive(id uint64, class, plan int, vol, key string, units float64) decision.Event {
+// arrival returns the arrival of a request with the deadline of its class, on a volume that uses one broker.
+func (h *harness) arrival(id uint64, class, plan int, vol, key string, units float64) decision.Event {
 	return decision.Event{Kind: decision.RequestArrived, ID: id, Arrival: decision.Arrival{Class: class, Plan: plan, Volume: vol, Key: key, Units: units,
-		Brokers: 1, Deadline: r.now + r.scheduler.cfg.Classes[class].Deadline}}
+		Brokers: 1, Deadline: h.now + h.scheduler.cfg.Classes[class].Deadline}}
 }
 
-// answered is the outcome of a request's first attempt.
-func answered(id uint64, node string, o decision.Outcome) decision.Event {
+// attemptEnded returns the outcome of a request's first attempt. It is final if the attempt was served.
+func attemptEnded(id uint64, node string, o decision.Outcome) decision.Event {
 	return decision.Event{Kind: decision.AttemptEnded, ID: id, Node: node, Outcome: o, Final: o == decision.Served}
 }
 
-// outcomeOf is the outcome of a request's first attempt, after which another may follow.
-func outcomeOf(id uint64, node string, o decision.Outcome) decision.Event {
+// nonFinalOutcome returns the outcome of a request's first attempt, after which the request may be retried.
+func nonFinalOutcome(id uint64, node string, o decision.Outcome) decision.Event {
 	return decision.Event{Kind: decision.AttemptEnded, ID: id, Node: node, Outcome: o}
 }
 
-// finalOutcome is the outcome of a request's first attempt, after which no other may follow.
+// finalOutcome returns the outcome of a request's first attempt, after which the request must not be retried.
 func finalOutcome(id uint64, node string, o decision.Outcome) decision.Event {
-	ev := outcomeOf(id, node, o)
+	ev := nonFinalOutcome(id, node, o)
 	ev.Final = true
 	return ev
 }
@@ -111,16 +114,16 @@
 	return decision.Event{Kind: decision.EndpointsChanged, Endpoints: endpoints}
 }
 
-// pick is the node for a small request of the first class.
-func (r *rig) pick(shard int) *node {
-	return r.scheduler.pickNode(&request{
-		class:   &r.scheduler.cfg.Classes[0],
+// pickNode returns the node that is picked for a request of one unit and of the first class.
+func (h *harness) pickNode(shard int) *node {
+	return h.scheduler.pickNode(&request{
+		class:   &h.scheduler.cfg.Classes[0],
 		arrival: decision.Arrival{Shard: shard, Units: 1},
 	})
 }
 
-// of lists the request ids of one kind of action, in order.
-func of(acts []decision.Action, k decision.ActionKind) (ids []uint64) {
+// requestIDs returns the request ids of the actions of one kind, in order.
+func requestIDs(acts []decision.Action, k decision.ActionKind) (ids []uint64) {
 	for _, a := range acts {
 		if a.Kind == k {
 			ids = append(ids, a.ID)
@@ -129,8 +132,8 @@
 	return ids
 }
 
-// want fails the test unless got has exactly these ids.
-func want(t *testing.T, what string, got []uint64, ids ...uint64) {
+// wantIDs fails the test unless got has exactly the given ids, in order.
+func wantIDs(t *testing.T, what string, got []uint64, ids ...uint64) {
 	t.Helper()
 	if len(got) != len(ids) {
 		t.Fatalf("%s: got %v, want %v", what, got, ids)
@@ -142,11 +145,11 @@
 	}
 }
 
-// fleetOf lists n nodes, each with a shard of its own.
-func fleetOf(n int) []decision.Endpoint { return fleetStartedAt(n, 0) }
+// nodeList returns an endpoint list of n nodes, each with its own shard.
+func nodeList(n int) []decision.Endpoint { return nodeListStartedAt(n, 0) }
 
-// fleetStartedAt lists n nodes with a shard each, all started at the given time.
-func fleetStartedAt(n int, started time.Duration) (list []decision.Endpoint) {
+// nodeListStartedAt is nodeList for nodes that all started at the given time.
+func nodeListStartedAt(n int, started time.Duration) (list []decision.Endpoint) {
 	for i := range n {
 		list = append(list, decision.Endpoint{Node: fmt.Sprint("n", i), Shard: i, StartedAt: started})
 	}
--- a/policy/keyorder.go
+++ b/policy/keyorder.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// keyQueue orders the requests of one key in classes that ask for order.
+// keyQueue holds the open requests of ordered classes on one key, in order of arrival.
 type keyQueue struct {
 	requests   []*request
-	quietUntil time.Duration // no first attempt before: an earlier one may still be executed
+	quietUntil time.Duration // no first attempt before this time, as an earlier attempt may still be executed
 }
 
-// joinKeyQueue puts a request of an ordered class at the end of its key's queue, once.
+// joinKeyQueue appends a request of an ordered class to its key's queue, unless it is queued there already.
 func (s *Scheduler) joinKeyQueue(r *request) {
 	if !r.class.Ordered || r.arrival.Key == "" || r.keyQueue != nil {
 		return
@@ -22,8 +22,8 @@
 	r.keyQueue = q
 }
 
-// isNextForKey reports whether the key's earlier requests are closed with known outcomes and its quiet
-// period is over.
+// isNextForKey reports whether r is not ordered by a key, or is the first open request on its key and, for a
+// first attempt, the key's quiet period is over.
 func (s *Scheduler) isNextForKey(r *request) bool {
 	if r.keyQueue == nil {
 		return true
--- a/policy/nodes.go
+++ b/policy/nodes.go
@@ -7,12 +7,12 @@
 	"poppyarch/internal/timing/rate"
 )
 
-// nodeTable holds the known nodes.
+// nodeTable holds the nodes that are listed or were removed recently.
 type nodeTable struct {
 	byName     map[string]*node
 	list       []*node
-	byShard    map[int][]*node // decision.AnyShard: all nodes
-	backlogged []*node         // those with queued requests
+	byShard    map[int][]*node // all nodes under decision.AnyShard
+	backlogged []*node         // nodes with queued requests
 }
 
 func newNodeTable() nodeTable {
@@ -23,34 +23,34 @@
 type node struct {
 	decision.Endpoint
 	listed    bool
-	removedAt time.Duration // when it left the list
+	removedAt time.Duration // when it was removed from the endpoint list, if it is not listed
 
 	flows        []*flow
 	flowOf       map[*volume]*flow
 	maxStartTag  float64    // highest start tag sent
 	maxFinishTag float64    // highest finish tag sent
-	inFlight     []*request // sent, no outcome yet
+	inFlight     []*request // sent requests without an outcome
 	queuedUnits  float64
-	recentSends  rate.SlidingWindow // within the overload window
+	recentSends  rate.SlidingWindow // units sent within the overload window
 	lastSendAt   time.Duration      // time of the last send
-	pausedUntil  time.Duration      // nothing is sent before
+	pausedUntil  time.Duration      // no request is sent before this time
 
 	estimate
-	objective float64 // mean latency objective of what was sent
+	objective float64 // follows those of sent requests: a shorter one applies at once, a longer one gradually
 	health    nodeHealth
 }
 
-// nodeHealth is what outcomes say of a node's faults.
+// nodeHealth holds signs of faults of a node, from the outcomes of attempts.
 type nodeHealth struct {
-	errorRatio         float64 // part of its recent answers that were errors
-	suspect            bool    // an attempt timed out and none has been served since
-	unconfirmedTimeout float64 // latency in seconds of a time-out not yet confirmed as load; 0: none
-	connectFailures    int     // connections that could not be made since it last served
-	respondedAt        time.Duration
-	presumedStartAt    time.Duration // sign of a restart that the list does not show yet; 0: none
+	errorRatio         float64       // fraction of its recent responses that were errors
+	suspect            bool          // an attempt timed out and none has been served since
+	unconfirmedTimeout float64       // latency in seconds of a time-out not yet confirmed as overload; 0 if none
+	connectFailures    int           // failed connections since it last served a request
+	respondedAt        time.Duration // time of its last response
+	presumedStartAt    time.Duration // last sign of a restart that the endpoint list may not show yet; 0 if none
 }
 
-// updateEndpoints applies a new endpoint list or changed entries of it.
+// updateEndpoints applies a new endpoint list, or the changed entries of the current one.
 func (s *Scheduler) updateEndpoints(ev *decision.Event) {
 	s.watch.failures = 0
 	if ev.Kind == decision.EndpointsReplaced {
@@ -65,8 +65,8 @@
 	s.nodes.byShard = map[int][]*node{decision.AnyShard: s.nodes.list}
 	for _, n := range s.nodes.list {
 		s.nodes.byShard[n.Shard] = append(s.nodes.byShard[n.Shard], n)
-		if s.fleet.shardDemand[n.Shard] == nil {
-			s.fleet.shardDemand[n.Shard] = &rate.Meter{}
+		if s.overall.shardDemand[n.Shard] == nil {
+			s.overall.shardDemand[n.Shard] = &rate.Meter{}
 		}
 	}
 	for _, n := range s.nodes.list {
@@ -74,7 +74,7 @@
 	}
 }
 
-// updateEndpoint applies one entry of the list.
+// updateEndpoint applies one entry of the endpoint list.
 func (s *Scheduler) updateEndpoint(e *decision.Endpoint) {
 	n := s.nodes.byName[e.Node]
 	if n == nil {
@@ -89,7 +89,7 @@
 	n.removedAt = s.now
 }
 
-// newNode returns a node with the estimates that its capacity suggests until it is measured.
+// newNode returns a node whose initial estimates follow from its capacity and the overall estimates.
 func (s *Scheduler) newNode(e *decision.Endpoint) *node {
 	capacity := e.RelativeCapacity()
 	return &node{
@@ -97,16 +97,17 @@
 		objective: s.cfg.Classes[0].LatencyObjective.Seconds(),
 		estimate: estimate{
 			depth:           min(maxDepth, initialDepth*capacity),
-			latency:         s.fleet.latency / capacity,
-			meanSizeLatency: s.fleet.meanSizeLatency / capacity,
+			latency:         s.overall.latency / capacity,
+			meanSizeLatency: s.overall.meanSizeLatency / capacity,
 		},
 	}
 }
 
-// acceptsNew reports whether new work may be sent to the node.
+// acceptsNew reports whether requests may be sent to the node: it is listed and not draining.
 func (n *node) acceptsNew() bool { return n.listed && n.State == decision.Ready }
 
-// migrateQueue places the requests queued for a node that accepts no new work elsewhere, or rejects them.
+// migrateQueue moves the requests queued for a node that no longer accepts any to other nodes, or rejects
+// them.
 func (s *Scheduler) migrateQueue(n *node) {
 	for _, f := range n.flows {
 		for !n.acceptsNew() && len(f.queue) > 0 {
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -7,34 +7,34 @@
 	"poppyarch/internal/broker/decision"
 )
 
-// How outcomes of attempts are judged.
+// Weights and thresholds for attempt outcomes.
 const (
-	trialGain            = 0.1 // weight of one trial in the success at suspect nodes
-	errorGain            = 0.1 // weight of one answer in a node's ratio of errors
-	timeoutLatencyFactor = 1.5 // an attempt that timed out counts as so many times its time in flight
+	suspectSuccessGain   = 0.1 // weight of one attempt in the success ratio at suspect nodes
+	errorGain            = 0.1 // weight of one response in a node's error ratio
+	timeoutLatencyFactor = 1.5 // factor on the time in flight of an attempt that timed out
 
-	restartConnectFailures = 2           // failed connections in a row that mean a restart
-	restartSilence         = time.Second // a connection lost after so long without an answer means a restart
+	restartConnectFailures = 2           // consecutive failed connections that indicate a restart
+	restartSilence         = time.Second // time without responses after which a single fault suffices
 
-	rejectionPause = timerSlack      // between a node's rejection and the next send to it
-	restartPause   = shortRetryAfter // between a sign of a restart and the next send
+	rejectionPause = timerSlack      // pause in sends to a node after it rejected a request
+	restartPause   = shortRetryAfter // pause in sends to a node after a sign of a restart
 )
 
-// observeOutcome applies what an outcome says of its node and its volume.
+// observeOutcome updates the state of the node and the volume with the outcome of an attempt.
 func (s *Scheduler) observeOutcome(n *node, r *request, ev *decision.Event) {
-	// A malformed response comes from good nodes as well: it is no sign of load, a restart or silence.
+	// Healthy nodes send malformed responses too: one is no sign of overload, a restart or unresponsiveness.
 	if n.health.suspect && ev.Outcome != decision.Served && ev.Outcome != decision.MalformedResponse {
-		s.fleet.trialSuccess -= trialGain * s.fleet.trialSuccess
+		s.overall.suspectSuccessRatio -= suspectSuccessGain * s.overall.suspectSuccessRatio
 	}
 	if ev.Outcome.IsResponse() {
 		n.health.respondedAt = s.now
 	}
 	switch ev.Outcome {
-	case decision.NodeError: // how fast it fails says nothing of how fast it serves
+	case decision.NodeError: // the latency of an error tells nothing about the latency of served requests
 		n.health.errorRatio += errorGain * (1 - n.health.errorRatio)
 	case decision.Served, decision.TimedOut:
 		s.observeLatency(n, r, ev.Outcome)
-	case decision.Rejected: // its queue is full
+	case decision.Rejected: // the node's queue is full
 		n.depth = max(minDepth, n.depth/2)
 		n.pausedUntil = s.now + rejectionPause
 	case decision.ConnectFailed, decision.ConnectionLost:
@@ -46,17 +46,17 @@
 	}
 }
 
-// observeLatency applies the latency of an attempt that was served or timed out.
+// observeLatency updates the estimates with the latency of an attempt that was served or timed out.
 func (s *Scheduler) observeLatency(n *node, r *request, outcome decision.Outcome) {
 	if s.stalledFor > 0 || r.streamed {
-		return // this process or the client was slow, not the node
+		return // the latency includes delays of this process or of the client
 	}
 	timedOut := outcome == decision.TimedOut
 	latency := (s.now - r.sentAt).Seconds()
 	size := r.arrival.Units / s.cfg.MeanUnits
 	if timedOut {
 		latency *= timeoutLatencyFactor
-		size = max(size, 1) // the time-out of a small request says something of the queue, not of its work
+		size = max(size, 1) // the time-out of a small request is due to queueing, not to its own work
 		if s.suspectAfterTimeout(n, latency) {
 			return
 		}
@@ -68,18 +68,18 @@
 	n.add(sample{latency: latency, objective: n.objective, timedOut: timedOut, backlogged: n.queuedUnits > 0})
 	n.meanSizeLatency += latencyGain * (latency/size - n.meanSizeLatency)
 
-	s.fleet.meanSizeLatency += latencyGain * (latency/size - s.fleet.meanSizeLatency)
-	s.fleet.outcomes.Add(s.now, 1)
-	s.fleet.moveLatency(s.now, n.objective, latency)
+	s.overall.meanSizeLatency += latencyGain * (latency/size - s.overall.meanSizeLatency)
+	s.overall.outcomes.Add(s.now, 1)
+	s.overall.moveLatency(s.now, n.objective, latency)
 	direction := math.Copysign(1, overloadLatencyRatio*n.objective-latency)
 	if !r.countedSlow && (direction < 0 || !timedOut) {
-		s.fleet.adjustDepth(s.now, n.objective, direction)
+		s.overall.adjustDepth(s.now, n.objective, direction)
 	}
 }
 
-// suspectAfterTimeout makes a node suspect after an attempt that had enough time. It reports whether the
-// time-out is to count only once the next outcome confirms it: at a node that was fast until now, a single
-// connection may have lost the attempt.
+// suspectAfterTimeout marks a node as suspect if the attempt that timed out had enough time. It reports
+// whether the time-out is unconfirmed, that is, counts only if the next outcome confirms it: at a node that
+// has been fast, the attempt may only have been lost with its connection.
 func (s *Scheduler) suspectAfterTimeout(n *node, latency float64) (unconfirmed bool) {
 	if n.health.suspect || latency <= overloadLatencyRatio*n.objective {
 		return false
@@ -93,8 +93,9 @@
 	return false
 }
 
-// observeConnectionFault treats a node as restarted before the list says so, if connections cannot be made
-// or one is lost after a silence. A single connection may be lost for reasons of its own.
+// observeConnectionFault treats a node as restarted, before the endpoint list shows it, if consecutive
+// connections fail or a connection fault follows a time without responses. The loss of a single connection
+// is not enough, since it may have other causes.
 func (s *Scheduler) observeConnectionFault(n *node, outcome decision.Outcome) {
 	if outcome == decision.ConnectFailed {
 		n.health.connectFailures++
@@ -111,7 +112,7 @@
 	n.pausedUntil = s.now + restartPause
 }
 
-// observeService applies that a request was served.
+// observeService updates the state of the node after it has served a request.
 func (s *Scheduler) observeService(n *node, r *request, unitsElsewhere float64) {
 	n.health.connectFailures = 0
 	n.health.errorRatio -= errorGain * n.health.errorRatio
@@ -120,7 +121,7 @@
 	}
 	if n.health.suspect {
 		n.health.suspect = false
-		s.fleet.trialSuccess += trialGain * (1 - s.fleet.trialSuccess)
+		s.overall.suspectSuccessRatio += suspectSuccessGain * (1 - s.overall.suspectSuccessRatio)
 		s.logf("node %s answers again", n.Node)
 	}
 }
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -10,29 +10,34 @@
 	"poppyarch/internal/broker/decision"
 )
 
-// The cost of a node for a new object is its expected wait in seconds and these penalties.
+// A node's cost for a new object is its latency and expected queueing time, in seconds, plus these penalties.
 const (
-	suspectPenalty   = 10.0  // seconds
-	slowStartPenalty = 5.0   // seconds
-	errorPenalty     = 5.0   // latency objectives at a node that only fails
-	minNodeCost      = 0.001 // seconds; else brokers that measured nothing yet would all choose the first node
-	costJitter       = 0.2   // part of the cost that is drawn at random
+	suspectPenalty   = 10.0 // seconds
+	slowStartPenalty = 5.0  // seconds
+	errorPenalty     = 5.0  // in latency objectives, at an error ratio of 1
+	costJitter       = 0.2  // range of the random increase, as a fraction of the cost
+
+	// minNodeCost is in seconds. At a cost of 0 the jitter would have no effect, and all brokers without
+	// measurements would choose the first node.
+	minNodeCost = 0.001
 )
 
 const (
-	// requiredTimeRatio is the part of the expected latency that must be left of the objective at a send.
+	// requiredTimeRatio is the fraction of the expected latency that must be left until the objective when a
+	// request is sent.
 	requiredTimeRatio = 0.6
-	// minQuotaWeight is the lowest weight by which the required time of work beyond the reserve is divided.
+	// minQuotaWeight is the lower bound of the weight that divides the required time of requests beyond their
+	// volume's reserve.
 	minQuotaWeight = 0.25
-	// deadlineMargin is how long before its client's deadline a queued request is answered.
+	// deadlineMargin is how long before its client's deadline a queued request is rejected.
 	deadlineMargin = 30 * time.Millisecond
-	// backlogLatencyRatio is the part of the objective that queueing may take before requests are shed.
+	// backlogLatencyRatio is the fraction of the objective that queueing may take before requests are shed.
 	backlogLatencyRatio = 0.60
-	// minAdmissionBrokers: requests inside a reserve are admitted as if there were at least so many brokers.
+	// minAdmissionBrokers is the lower bound of the broker count in the admission ratio of reserved requests.
 	minAdmissionBrokers = 10
 )
 
-// placeRequest picks the request's node and queues it there, or rejects it.
+// placeRequest picks a node for the request and queues it there, or rejects it.
 func (s *Scheduler) placeRequest(r *request) {
 	n := s.pickNode(r)
 	if n == nil {
@@ -51,7 +56,7 @@
 	s.shedBacklog(n)
 }
 
-// insertExpiry adds a queued request to the ordered list of expiries.
+// insertExpiry inserts a queued request into the sorted list queueExpiry.
 func (t *requestTable) insertExpiry(r *request) {
 	i := sort.Search(len(t.queueExpiry), func(i int) bool {
 		x := t.queueExpiry[i]
@@ -60,8 +65,9 @@
 	t.queueExpiry = slices.Insert(t.queueExpiry, i, r)
 }
 
-// queueDeadline is when a request queued for n is rejected: sent later it is not likely to be served within
-// its objective. Large requests take longer, and work of a lower weight needs a better chance.
+// queueDeadline returns the time at which a request queued for n is rejected, since it would probably miss
+// its objective if sent later. Large requests need more time, and requests beyond their volume's reserve
+// must have more time left.
 func (s *Scheduler) queueDeadline(r *request, n *node) time.Duration {
 	required := requiredTimeRatio * n.meanSizeLatency * r.arrival.Units / s.cfg.MeanUnits
 	if !r.reserved && r.volume.plan.ReservedRate > 0 {
@@ -70,18 +76,19 @@
 	return min(r.objectiveAt-seconds(required), r.arrival.Deadline-deadlineMargin, r.maxQueueUntil)
 }
 
-// admissionRatio is the part of new requests that is admitted where the depth of the fleet is under 1.
-// Pauses between sends to one node hold little back where each of many brokers sends there seldom anyway.
-// Work inside a reserve is admitted until the rest has nearly stopped, as one of many brokers sees little
-// of the fleet.
+// admissionRatio returns the fraction of new requests that is admitted when the overall depth is below 1.
+// Pauses between sends to single nodes reduce the load little if each of many brokers rarely sends to a node.
+// Reserved requests are admitted until almost no others are, since each of many brokers sees only a small
+// sample of the nodes' latencies.
 func (s *Scheduler) admissionRatio(r *request) float64 {
 	if r.reserved {
-		return float64(max(minAdmissionBrokers, s.cfg.Brokers)) * s.fleet.depth
+		return float64(max(minAdmissionBrokers, s.cfg.Brokers)) * s.overall.depth
 	}
-	return s.fleet.depth * s.fleet.depth
+	return s.overall.depth * s.overall.depth
 }
 
-// pickNode finds the node of a request's shard, or for a new object the one with the lowest cost.
+// pickNode returns the node with the lowest cost, with jitter, among those of the request's shard, or among
+// all nodes for a new object. It returns nil if none accepts requests.
 func (s *Scheduler) pickNode(r *request) *node {
 	var best *node
 	lowest := math.Inf(1)
@@ -98,31 +105,30 @@
 	return best
 }
 
-// nodeCost is what sending a new object to n is expected to cost, in seconds.
+// nodeCost returns the expected cost of sending a new object to n, in seconds.
 func (s *Scheduler) nodeCost(n *node, r *request) float64 {
 	cost := n.latency + s.expectedWait(n, n.queuedUnits+r.arrival.Units*float64(len(n.inFlight)))
 	if n.health.suspect {
 		cost += suspectPenalty
 	}
-	if _, warming := s.slowStartSince(n); warming {
+	if _, inSlowStart := s.slowStartSince(n); inSlowStart {
 		cost += slowStartPenalty
 	}
 	cost += s.cfg.ZonePenalty(n.Zone).Seconds()
-	// A new connection never costs as much as the latency at which a node's depth is cut.
+	// The cost of a new connection is bounded by the latency above which a node's depth is lowered.
 	if s.cfg.ConnectionReuseWindow > 0 && s.now > n.health.respondedAt+s.cfg.ConnectionReuseWindow {
 		cost += min(s.cfg.HandshakeCost, targetLatencyRatio) * r.class.LatencyObjective.Seconds()
 	}
-	// A node that fails fast looks like a fast one by its latency alone.
+	// Without a penalty, a node that fails quickly would look like a fast one.
 	return cost + errorPenalty*n.health.errorRatio*n.objective
 }
 
-// expectedWait is how long the given units queued for n are likely to take until sent, in seconds.
+// expectedWait estimates the time until the given units queued for n have been sent, in seconds.
 func (s *Scheduler) expectedWait(n *node, units float64) float64 {
 	return units / s.cfg.MeanUnits * n.latency / max(n.depth, 1)
 }
 
-// shedBacklog rejects requests, the least valuable first, until the rest of n's queue can be served in
-// time.
+// shedBacklog rejects requests queued for n, the least valuable first, until the rest can be served in time.
 func (s *Scheduler) shedBacklog(n *node) {
 	for {
 		victim, units := s.shedCandidate(n)
@@ -133,8 +139,8 @@
 	}
 }
 
-// shedCandidate is the request of n's queue to reject first, nil if there is none, and the units queued.
-// Requests that their volume's rate limit holds back delay nobody and are not counted.
+// shedCandidate returns the request queued for n that is rejected first, or nil if there is none, and the
+// units queued for n. Flows that their volume's rate limit blocks do not delay others and are not counted.
 func (s *Scheduler) shedCandidate(n *node) (victim *request, units float64) {
 	for _, f := range n.flows {
 		if len(f.queue) == 0 || !s.withinRateLimit(f.queue[0]) {
@@ -150,8 +156,7 @@
 	return victim, units
 }
 
-// shedBefore reports whether a is shed before b: the lower value per unit, then the later place in the
-// queue.
+// shedBefore reports whether a is shed before b: lower values per unit first, then later compensated tags.
 func (s *Scheduler) shedBefore(a, b *request) bool {
 	if x, y := s.unitValue(a), s.unitValue(b); x != y {
 		return x < y
@@ -159,7 +164,8 @@
 	return a.compensatedTag() > b.compensatedTag()
 }
 
-// unitValue is the weight of a unit of a request: in full inside the reserve, else as part of the quota.
+// unitValue returns the value of one unit of a request. QuotaPriorityWeight scales it for requests beyond
+// their volume's reserve.
 func (s *Scheduler) unitValue(r *request) float64 {
 	v := r.class.PriorityWeight * r.volume.plan.PriceFactor
 	if !r.reserved {
--- a/policy/randomized_test.go
+++ b/policy/randomized_test.go
@@ -10,8 +10,8 @@
 	"poppyarch/internal/broker/decision"
 )
 
-// simulation plays clients, nodes and the endpoint list at random, and checks every action against the rules on
-// sends with records of its own. It uses nothing of the scheduler but Step.
+// simulation generates random events of clients, nodes and the endpoint list, and checks every action against the
+// rules on sends. It keeps its own records and, until drain, uses only the Step method of the scheduler.
 type simulation struct {
 	t         *testing.T
 	cfg       decision.Config
@@ -22,19 +22,19 @@
 	requests  map[uint64]*simRequest
 	order     []*simRequest // by arrival
 	nodes     map[string]*simNode
-	timers    map[time.Duration]bool
+	timers    map[time.Duration]bool // times at which requested timers are due
 	arrivals  []time.Duration
 	retries   []time.Duration
-	charged   map[string][]simSend // first sends by volume
+	charged   map[string][]simSend // first attempts by volume
 	lastID    uint64
-	quiet     bool // nothing new happens
+	draining  bool // no new requests, disconnects or endpoint changes are generated
 }
 
-// simRequest is a request as the clients and the nodes know it.
+// simRequest is a request from the point of view of its client and the nodes.
 type simRequest struct {
 	id       uint64
 	arrival  decision.Arrival
-	done     bool // the scheduler knows the answer
+	done     bool // answered, or abandoned by its client
 	attempts int
 
 	inFlight  bool
@@ -46,8 +46,8 @@
 	mayHaveRun    bool
 	mayHaveRunOn  string
 	mayHaveRunAt  time.Duration
-	mayStillRunAt time.Duration // end of the last attempt that may still be running; 0: none
-	firstSendAt   time.Duration // of the attempts since which it may have run
+	mayStillRunAt time.Duration // end of the last attempt that may still be running; 0 if there is none
+	firstSendAt   time.Duration // send time of the first attempt that may have run, or else of the last one
 }
 
 type simNode struct {
@@ -94,14 +94,14 @@
 	w.t.Fatalf("at %v: %s", w.now-w.startedAt, fmt.Sprintf(format, args...))
 }
 
-// step makes one step with what happens at this instant and checks the actions.
+// step makes one step with the events at the current time and checks the actions.
 func (w *simulation) step() {
 	for _, a := range w.scheduler.Step(w.now, w.events(), nil) {
 		w.check(a)
 	}
 }
 
-// events draws what happens at this instant.
+// events generates the events at the current time.
 func (w *simulation) events() (events []decision.Event) {
 	for at := range w.timers {
 		if at <= w.now {
@@ -112,7 +112,7 @@
 	for _, r := range w.order {
 		events = w.requestEvents(r, events)
 	}
-	if w.quiet {
+	if w.draining {
 		return events
 	}
 	for w.random.IntN(3) > 0 {
@@ -123,7 +123,7 @@
 		events = append(events, w.endpointChange())
 	case 1:
 		events = append(events, decision.Event{Kind: decision.EndpointWatchFailed})
-	case 2: // of requests and attempts that do not exist
+	case 2: // events of requests and attempts that do not exist
 		events = append(events,
 			decision.Event{Kind: decision.AttemptEnded, ID: 1 << 40, Node: "nowhere"},
 			decision.Event{Kind: decision.ClientDisconnected, ID: 1 << 41},
@@ -132,7 +132,7 @@
 	return events
 }
 
-// requestEvents adds what happens to one request: its attempt ends, or its client disconnects.
+// requestEvents appends the events of one request: its attempt ends, or its client disconnects.
 func (w *simulation) requestEvents(r *simRequest, events []decision.Event) []decision.Event {
 	if r.inFlight && r.endsAt <= w.now {
 		events = append(events, w.endAttempt(r))
@@ -141,7 +141,7 @@
 		}
 	}
 	if !r.done && w.now > r.arrival.Deadline+8*ms {
-		w.fail("request %d has no answer after its deadline", r.id)
+		w.fail("request %d has no response after its deadline", r.id)
 	}
 	if !r.done && w.random.IntN(4000) == 0 {
 		r.done = true
@@ -160,7 +160,7 @@
 	if !outcome.NotExecuted() {
 		r.mayStillRunAt = w.now
 		switch outcome {
-		case decision.NodeError, decision.Served, decision.MalformedResponse: // it has ended for certain
+		case decision.NodeError, decision.Served, decision.MalformedResponse: // execution is known to have ended
 			r.mayStillRunAt = 0
 		}
 		if !r.mayHaveRun {
@@ -181,7 +181,7 @@
 	}
 }
 
-// arrival draws a new request, some of them with an unusual field.
+// arrival generates a new request. Some have unusual values in a field.
 func (w *simulation) arrival() decision.Event {
 	w.lastID++
 	v := w.random.IntN(8)
@@ -208,7 +208,7 @@
 	return decision.Event{Kind: decision.RequestArrived, ID: r.id, Arrival: a}
 }
 
-// endpointChange drains, removes or restarts a node, or brings it back.
+// endpointChange drains, removes or restarts a node, or lists a removed one again.
 func (w *simulation) endpointChange() decision.Event {
 	n := w.nodes[fmt.Sprint("n", w.random.IntN(5))]
 	switch w.random.IntN(4) {
@@ -223,45 +223,45 @@
 	return decision.Event{Kind: decision.EndpointsChanged, Endpoints: []decision.Endpoint{n.endpoint}}
 }
 
-// check checks one action and records it.
+// check checks an action and records it.
 func (w *simulation) check(a decision.Action) {
 	r := w.requests[a.ID]
 	switch a.Kind {
 	case decision.SetTimer:
 		w.timers[w.now+a.After] = true
 		if len(w.timers) > 5 {
-			w.fail("%d timers pending", len(w.timers))
+			w.fail("%d timers are pending, want at most 5", len(w.timers))
 		}
 	case decision.Forward:
 		w.checkForward(r, a)
 		w.forward(r, a)
 	case decision.Shed, decision.Fail:
 		if r == nil || r.done {
-			w.fail("request %d is answered twice or unknown", a.ID)
+			w.fail("request %d is unknown or answered twice", a.ID)
 		}
 		c := w.cfg.Classes[r.arrival.Class]
 		if a.Kind == decision.Shed && (r.inFlight || r.mayHaveRun) && (c.Idempotency == decision.NotIdempotent ||
 			c.Idempotency == decision.IdempotentByKey && c.DedupScope != decision.DedupEverywhere) {
-			w.fail("request %d of class %s is rejected though it may have run", a.ID, c.Name)
+			w.fail("request %d of class %s is rejected although it may have been executed", a.ID, c.Name)
 		}
 		r.done = true
 	}
 }
 
-// checkForward checks a send against the rules on single requests.
+// checkForward checks a send against the rules that concern single requests.
 func (w *simulation) checkForward(r *simRequest, a decision.Action) {
 	n := w.nodes[a.Node]
 	if r == nil || r.done || r.inFlight || r.attempts >= w.cfg.MaxAttempts || n == nil {
-		w.fail("request %d is sent though it is done, in flight, out of attempts or its node unknown", a.ID)
+		w.fail("request %d is sent although it is unknown, done, in flight or out of attempts, or its node is unknown", a.ID)
 	}
 	c := w.cfg.Classes[r.arrival.Class]
 	if n.endpoint.State != decision.Ready {
-		w.fail("send to %s, which drains or is removed", a.Node)
+		w.fail("request %d is sent to %s, which is draining or removed", a.ID, a.Node)
 	}
 	if r.mayHaveRun && c.Idempotency != decision.Idempotent {
 		if c.Idempotency == decision.NotIdempotent || w.now > r.mayHaveRunAt+c.DedupWindow ||
 			c.DedupScope == decision.DedupShard && r.mayHaveRunOn != a.Node {
-			w.fail("request %d of class %s is repeated", a.ID, c.Name)
+			w.fail("request %d of class %s is repeated against its idempotency", a.ID, c.Name)
 		}
 	}
 	if c.Ordered && r.arrival.Key != "" {
@@ -280,12 +280,12 @@
 		}
 		mayRun := q.mayStillRunAt > 0 && w.now < q.mayStillRunAt+w.cfg.OrderedKeyQuietPeriod && r.attempts == 0
 		if !q.done || q.inFlight || mayRun {
-			w.fail("request %d is sent before %d of its key", r.id, q.id)
+			w.fail("request %d is sent before %d on the same key has ended", r.id, q.id)
 		}
 	}
 }
 
-// forward records a send, checks the rules on sums of sends, and draws how the attempt ends.
+// forward records a send, checks the rules that concern several sends, and chooses the outcome of the attempt.
 func (w *simulation) forward(r *simRequest, a decision.Action) {
 	n := w.nodes[a.Node]
 	if r.attempts > 0 {
@@ -320,7 +320,7 @@
 	from := w.now - w.cfg.RetryBudgetWindow
 	retries, arrivals := countAfter(w.retries, from), countAfter(w.arrivals, from)
 	if w.cfg.HasRetryBudget && float64(retries) > w.cfg.RetryBudgetBase+w.cfg.RetryBudgetRatio*float64(arrivals) {
-		w.fail("%d retries with %d arrivals", retries, arrivals)
+		w.fail("%d retries with %d arrivals exceed the retry budget", retries, arrivals)
 	}
 }
 
@@ -333,7 +333,7 @@
 	return n
 }
 
-// checkRateLimit fails if any span holds more than this broker's part of burst, tolerance and rate.
+// checkRateLimit fails if the sends since any earlier one exceed this broker's share of burst, tolerance and rate.
 func (w *simulation) checkRateLimit(r *simRequest) {
 	p := w.cfg.Plans[r.arrival.Plan]
 	if p.RateLimit <= 0 {
@@ -346,13 +346,13 @@
 		sum += sends[i].units
 		allowed := p.RateLimitBurst + p.RateLimitTolerance + p.RateLimit*(w.now-sends[i].at).Seconds()
 		if sum > allowed/brokers+1e-6 {
-			w.fail("volume %s was sent %v units since %v ago", r.arrival.Volume, sum, w.now-sends[i].at)
+			w.fail("volume %s: %v units sent in the last %v exceed the rate limit", r.arrival.Volume, sum, w.now-sends[i].at)
 		}
 	}
 }
 
-// checkSlowStart fails if the window that ends now holds more than this broker's part of what a warming node can
-// bear at the start of the window.
+// checkSlowStart fails if the sends in the window that ends now exceed this broker's share of the node's slow-start
+// capacity at the start of the window.
 func (w *simulation) checkSlowStart(n *simNode) {
 	at := n.endpoint.StartedAt
 	if at == 0 || w.now >= at+w.cfg.SlowStartDuration {
@@ -367,13 +367,13 @@
 	age := math.Max(0, (w.now-w.cfg.OverloadWindow-at).Seconds()) / w.cfg.SlowStartDuration.Seconds()
 	ramp := (w.cfg.SlowStartFraction + (1-w.cfg.SlowStartFraction)*age) / w.cfg.SlowStartFraction
 	capacity := w.cfg.SlowStartCapacityUnits * ramp
-	part, last := capacity/float64(w.cfg.Brokers), n.sends[len(n.sends)-1].units
-	if sum > part+1e-6 && (sum > last || last <= part) { // a request beyond the whole part may be sent alone, by lot
-		w.fail("%v units in a window to a node that bears %v from %d brokers", sum, capacity, w.cfg.Brokers)
+	share, last := capacity/float64(w.cfg.Brokers), n.sends[len(n.sends)-1].units
+	if sum > share+1e-6 && (sum > last || last <= share) { // a request larger than the share may be admitted alone, at random
+		w.fail("%v units sent in a window to a node with a slow-start capacity of %v for %d brokers", sum, capacity, w.cfg.Brokers)
 	}
 }
 
-// prune forgets requests that can no longer matter.
+// prune removes the requests that no longer affect any check.
 func (w *simulation) prune() {
 	kept := w.order[:0]
 	for _, r := range w.order {
@@ -384,21 +384,21 @@
 	w.order = kept
 }
 
-// drain lets everything end, with nothing new, and fails if anything is left behind.
+// drain runs without new events until all requests have ended, and fails if the scheduler keeps any state of them.
 func (w *simulation) drain() {
-	w.quiet = true
+	w.draining = true
 	for range 1500 {
 		w.step()
 		w.now += 4 * ms
 	}
 	for _, r := range w.order {
 		if !r.done {
-			w.fail("request %d is left without an answer", r.id)
+			w.fail("request %d was never answered", r.id)
 		}
 	}
 	left := &w.scheduler.requests
 	if len(left.open) > 0 || len(left.queueExpiry) > 0 || len(left.unserved) > 0 || len(left.keyQueues) > 0 {
-		w.fail("left behind: %d requests, %d queued, %d retry keys, %d key queues", len(left.open),
+		w.fail("state left after the drain: %d requests, %d queued, %d retry keys, %d key queues", len(left.open),
 			len(left.queueExpiry), len(left.unserved), len(left.keyQueues))
 	}
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -7,8 +7,9 @@
 	"poppyarch/internal/broker/decision"
 )
 
-// reservedDrawRange bounds the random slowStartDraw of requests inside their volume's reserve. That of
-// others is higher by what is left to 1, so that at a node in slow start the reserve is served first too.
+// reservedDrawRange is the upper bound of slowStartDraw for requests inside their volume's reserve. Other
+// requests have 1-reservedDrawRange added to their draw, so that a node in slow start also serves reserved
+// requests first.
 const reservedDrawRange = 0.8
 
 // request is one client request from its arrival until it is closed and all its attempts have outcomes.
@@ -18,15 +19,15 @@
 	class   *decision.Class
 	volume  *volume
 
-	clientStartedAt time.Duration // first attempt of the client
-	objectiveAt     time.Duration // end of the latency objective
-	queueUntil      time.Duration // it is rejected if still queued then
-	maxQueueUntil   time.Duration // bound on queueUntil from the client's deadline
+	clientStartedAt time.Duration // time of the client's first try, before any retries of its own
+	objectiveAt     time.Duration // time by which the latency objective wants a response
+	queueUntil      time.Duration // a request still queued at this time is rejected
+	maxQueueUntil   time.Duration // upper bound of queueUntil that follows from the client's deadline
 
-	slowStartDraw float64 // 0 to 1; the lowest may be sent to a node in slow start
-	admissionDraw float64 // 0 to 1; the lowest are admitted where few are
+	slowStartDraw float64 // random, 0 to 1; low values are preferred at a node in slow start
+	admissionDraw float64 // random, 0 to 1; admitted if it does not exceed the admission ratio
 
-	node      *node // where it is queued or was last sent
+	node      *node // node that it is queued for or was last sent to
 	flow      *flow
 	startTag  float64
 	finishTag float64
@@ -34,38 +35,38 @@
 
 	attempts     int
 	sentAt       time.Duration
-	mayHaveRunOn *node         // node of the earliest attempt that may have been executed; nil: none
+	mayHaveRunOn *node         // node of the earliest attempt that may have been executed; nil if there is none
 	mayHaveRunAt time.Duration // send time of that attempt
 
 	requestState
 }
 
-// requestState holds what has happened to a request so far.
+// requestState holds the flags that change as a request is processed.
 type requestState struct {
 	reserved    bool // counted inside its volume's reserve
 	rateCharged bool // charged to its volume's rate limit
-	queued      bool // in its flow
+	queued      bool // waiting in its flow's queue
 	inFlight    bool // its last attempt has no outcome yet
-	countedSlow bool // its attempt in flight has been counted as too slow
-	streamed    bool // its answer started early: the client sets the pace
+	countedSlow bool // its attempt in flight has already lowered the overall depth for being slow
+	streamed    bool // the client is reading the response, so its duration depends on the client
 	served      bool
 	closed      bool
 }
 
-// retryKey identifies a client request over its retries.
+// retryKey identifies a client request across the client's retries.
 type retryKey struct {
 	volume string
 	key    string
 	class  int
 }
 
-// requestTable holds the open requests and what is known of closed ones.
+// requestTable holds the open requests, and the closed ones that their clients may retry.
 type requestTable struct {
 	open        map[uint64]*request
 	undecided   []*request // to be decided on once the batch is applied
-	queueExpiry []*request // the queued ones, by queueUntil and id
+	queueExpiry []*request // queued requests, sorted by queueUntil and id
 	keyQueues   map[string]*keyQueue
-	unserved    map[retryKey]time.Duration // rejected or failed; until when the client may retry
+	unserved    map[retryKey]time.Duration // rejected and failed requests, with the end of the client's retries
 }
 
 func newRequestTable() requestTable {
@@ -76,7 +77,7 @@
 	}
 }
 
-// acceptRequest classifies an arriving request, to be placed once the batch is applied.
+// acceptRequest registers and classifies an arriving request. It is placed once the batch is applied.
 func (s *Scheduler) acceptRequest(ev *decision.Event) {
 	if s.requests.open[ev.ID] != nil {
 		return
@@ -98,19 +99,20 @@
 	r.volume = s.volumeOf(&r.arrival)
 	r.clientStartedAt = s.clientStart(r)
 	r.objectiveAt = r.clientStartedAt + r.class.LatencyObjective
-	// Queued for longer than half of the client's wait, it costs more than a rejection.
+	// Queueing for more than half of the time left to the deadline costs the client more than a rejection.
 	r.maxQueueUntil = s.now + (r.arrival.Deadline-s.now)/2 - timerSlack
 	s.chargeReserve(r)
-	s.fleet.addDemand(s.now, &r.arrival)
+	s.overall.addDemand(s.now, &r.arrival)
 	s.requests.undecided = append(s.requests.undecided, r)
 }
 
-// clientStart is when the client made its first attempt. That is now, unless the request is a retry of one
-// that this broker could not serve: it names the same key and ends no later than that one's client would
-// wait.
+// clientStart returns the time at which the client first sent the request. It is the current time unless
+// the request counts as a retry of one that this broker did not serve: it has the same volume, key and
+// class, and a deadline no later than that of the original.
 //
-// The deadline alone shows a retry only after this process stalled, since some clients simply wait less. A
-// sequence of requests on one key may be taken for retries.
+// After a stall of this process the deadline alone gives the time of arrival. At other times it does not,
+// since some clients use deadlines shorter than their class's. Separate requests on one key may be mistaken
+// for retries.
 func (s *Scheduler) clientStart(r *request) time.Duration {
 	arrivedAt := r.arrival.Deadline - r.class.Deadline
 	if s.stalledFor > 0 && arrivedAt < s.now && arrivedAt >= s.now-s.stalledFor {
@@ -127,8 +129,7 @@
 	return retryKey{volume: r.arrival.Volume, key: r.arrival.Key, class: r.arrival.Class}
 }
 
-// endAttempt applies the outcome of an attempt. Outcomes of other attempts than the one in flight are
-// ignored.
+// endAttempt applies the outcome of an attempt. It ignores outcomes of attempts that are not in flight.
 func (s *Scheduler) endAttempt(ev *decision.Event) {
 	n := s.nodes.byName[ev.Node]
 	r := s.requests.open[ev.ID]
@@ -155,7 +156,7 @@
 	s.requests.undecided = append(s.requests.undecided, r)
 }
 
-// decide places a new request, retries one whose attempt ended, or rejects it.
+// decide places a new request, and retries or rejects one whose attempt ended without success.
 func (s *Scheduler) decide(r *request) {
 	if r.closed || r.queued || r.inFlight {
 		return
@@ -167,14 +168,14 @@
 	s.reject(r, shortRetryAfter)
 }
 
-// shouldRetry reports whether another attempt is allowed and has a chance. After a time-out it would only
-// add to the node's queue.
+// shouldRetry reports whether another attempt is allowed and may succeed in time. A node that timed out is
+// suspect and is not retried, since that would only lengthen its queue.
 func (s *Scheduler) shouldRetry(r *request) bool {
 	return r.attempts < s.cfg.MaxAttempts && s.mayRetry(r, r.node) &&
 		s.now+timerSlack < r.queueUntil && !r.node.health.suspect
 }
 
-// reject answers the client at once: with a rejection where the client may retry safely, else with a
+// reject ends a request that is not served: with a rejection if the client may safely retry, else with a
 // failure.
 func (s *Scheduler) reject(r *request, retryAfter time.Duration) {
 	s.dequeue(r)
@@ -189,8 +190,8 @@
 	s.closeRequest(r)
 }
 
-// closeRequest ends a request; it stays known until its attempt has an outcome. Its client may retry if it
-// was not served.
+// closeRequest closes a request. It stays in the table while its attempt has no outcome. A request that was
+// not served is remembered, so that a retry by its client can be recognized.
 func (s *Scheduler) closeRequest(r *request) {
 	if !r.closed && !r.served && r.arrival.Key != "" && r.class != nil {
 		s.requests.unserved[r.retryKey()] = r.clientStartedAt + r.class.Deadline
@@ -205,7 +206,7 @@
 	}
 }
 
-// removeRequest removes r from a list.
+// removeRequest returns the list without r. It reuses the list's array.
 func removeRequest(list []*request, r *request) []*request {
 	return slices.DeleteFunc(list, func(x *request) bool { return x == r })
 }
--- a/policy/retention_test.go
+++ b/policy/retention_test.go
@@ -6,26 +6,26 @@
 	"poppyarch/internal/broker/decision"
 )
 
-// A removed node is forgotten, but not while its slow start, a recent send or an attempt may still count.
-func TestRemovedNodesAreForgottenWhenNothingCounts(t *testing.T) {
-	r := newRig(t, testConfig(), decision.Endpoint{Node: "a"}, decision.Endpoint{Node: "b", Shard: 1})
-	r.step(r.arrive(1, 0, 0, "v", "k", 2))
-	r.step(endpointsChanged(decision.Endpoint{Node: "a", State: decision.Removed}, decision.Endpoint{Node: "b", Shard: 1, State: decision.Removed}))
+// The state of a removed node is deleted, but not while its slow start, a recent send or an attempt may matter.
+func TestRemovedNodesAreDeletedOnceTheirStateIsObsolete(t *testing.T) {
+	h := newHarness(t, testConfig(), decision.Endpoint{Node: "a"}, decision.Endpoint{Node: "b", Shard: 1})
+	h.step(h.arrival(1, 0, 0, "v", "k", 2))
+	h.step(endpointsChanged(decision.Endpoint{Node: "a", State: decision.Removed}, decision.Endpoint{Node: "b", Shard: 1, State: decision.Removed}))
 	for range 600 {
-		r.after(compensationPeriod)
+		h.stepAfter(compensationPeriod)
 	}
-	if r.scheduler.nodes.byName["b"] == nil {
-		t.Error("b is forgotten in its slow start")
+	if h.scheduler.nodes.byName["b"] == nil {
+		t.Error("b was deleted while a slow start was possible")
 	}
 	for range 200 {
-		r.after(compensationPeriod)
+		h.stepAfter(compensationPeriod)
 	}
-	if r.scheduler.nodes.byName["b"] != nil || r.scheduler.nodes.byName["a"] == nil || len(r.scheduler.nodes.list) != 1 {
-		t.Errorf("b known: %v; a, with an attempt in flight: %v", r.scheduler.nodes.byName["b"] != nil, r.scheduler.nodes.byName["a"] != nil)
+	if h.scheduler.nodes.byName["b"] != nil || h.scheduler.nodes.byName["a"] == nil || len(h.scheduler.nodes.list) != 1 {
+		t.Errorf("kept b: %v, want false; kept a, which has an attempt in flight: %v, want true", h.scheduler.nodes.byName["b"] != nil, h.scheduler.nodes.byName["a"] != nil)
 	}
-	r.after(compensationPeriod, finalOutcome(1, "a", decision.Served))
-	r.after(compensationPeriod)
-	if len(r.scheduler.nodes.byName)+len(r.scheduler.nodes.list) != 0 {
-		t.Error("a is still known")
+	h.stepAfter(compensationPeriod, finalOutcome(1, "a", decision.Served))
+	h.stepAfter(compensationPeriod)
+	if len(h.scheduler.nodes.byName)+len(h.scheduler.nodes.list) != 0 {
+		t.Error("a was not deleted after its attempt ended")
 	}
 }
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -1,5 +1,6 @@
-// Package policy decides when the requests of many volumes leave one broker for shared storage nodes, to
-// which node each goes, whether it is retried and whether it is rejected. It does no I/O and has no clock.
+// Package policy schedules the requests that one broker receives for many volumes onto shared storage nodes.
+// It decides to which node each request is sent and when, whether it is retried and whether it is rejected.
+// It does no I/O and reads no clock.
 //
 // It is a state machine: Step applies a batch of events and returns the actions that follow. An arriving
 // request is classified (acceptRequest), queued for a node (placeRequest), sent when its node has capacity
@@ -7,8 +8,8 @@
 // known (endAttempt).
 //
 // Fairness between volumes follows ASFQ, start-time fair queueing with an adaptive depth: start tags,
-// finish tags and virtual time are kept per node, and a compensation corrects what volumes were served
-// elsewhere.
+// finish tags and virtual time are kept per node, and a compensation accounts for the service that volumes
+// received through other brokers.
 package policy
 
 import (
@@ -21,32 +22,32 @@
 	"poppyarch/internal/timing/rate"
 )
 
-// Timing of steps, and limits on what one step writes.
+// Timer resolution and log rate limit.
 const (
-	// timerSlack is how late the expiry of a queued request may be noticed.
+	// timerSlack is the longest delay with which the expiry of a queued request is noticed.
 	timerSlack = 20 * time.Millisecond
-	// maxLogLinesPerMinute bounds the log lines of one scheduler.
+	// maxLogLinesPerMinute limits the log lines of one scheduler.
 	maxLogLinesPerMinute = 60
 )
 
-// Retry-After of rejections, before the limit of the settings on it.
+// Retry-After values of rejections. The settings may lower them or disable Retry-After.
 const (
-	shortRetryAfter  = 200 * time.Millisecond // the obstacle may be brief
+	shortRetryAfter  = 200 * time.Millisecond // for causes that may pass quickly
 	longRetryAfter   = 2 * time.Second        // the node's queue is too long
-	noNodeRetryAfter = 2 * shortRetryAfter    // no node serves the shard
+	noNodeRetryAfter = 2 * shortRetryAfter    // no node accepts requests for the shard
 )
 
-// Scheduler decides for one broker. It is not safe for concurrent use: one goroutine owns it.
+// Scheduler makes the decisions of one broker. It is not safe for concurrent use.
 type Scheduler struct {
 	cfg    decision.Config
 	random *rand.Rand
 
-	started    bool // a step has been made
-	startedAt  time.Duration
-	now        time.Duration // of the step being made
-	stalledFor time.Duration // how long this process was stalled before this step
+	started    bool          // whether Step has been called
+	startedAt  time.Duration // time of the first step
+	now        time.Duration // time of the current step
+	stalledFor time.Duration // how long this process was stalled before the current step; 0 if it was not
 
-	actions    []decision.Action // of the step being made
+	actions    []decision.Action // actions of the current step
 	logLimiter rate.FixedWindow
 
 	timers      timers
@@ -55,17 +56,17 @@
 	requests    requestTable
 	volumes     map[string]*volume
 	retryBudget retryBudget
-	fleet       fleetEstimate
+	overall     overallEstimate
 }
 
 // timers holds the scheduler's timer and the end of the compensation period.
 type timers struct {
 	armed        bool
 	at           time.Duration // when the timer is due, if armed
-	periodEndsAt time.Duration
+	periodEndsAt time.Duration // end of the current compensation period
 }
 
-// New checks the settings and returns a scheduler that knows nothing else. The error is a
+// New returns a scheduler with the given settings and without nodes. Invalid settings are reported as a
 // *decision.SettingError.
 func New(cfg decision.Config) (*Scheduler, error) {
 	if err := cfg.Check(); err != nil {
@@ -79,17 +80,18 @@
 		nodes:    newNodeTable(),
 		requests: newRequestTable(),
 		volumes:  map[string]*volume{},
-		fleet:    newFleetEstimate(),
+		overall:  newOverallEstimate(),
 	}, nil
 }
 
-// NextTimer is when the timer that the scheduler asked for is due; ok is false before its first step.
+// NextTimer returns the time at which the scheduler's timer is due. ok is false before the first step.
 func (s *Scheduler) NextTimer() (at time.Duration, ok bool) { return s.timers.at, s.started }
 
-// OpenRequests counts the requests that are not closed or have an attempt without an outcome.
+// OpenRequests returns the number of requests that are not closed or have an attempt in flight.
 func (s *Scheduler) OpenRequests() int { return len(s.requests.open) }
 
-// Step applies every event of the batch, then decides once. The actions are appended to actions.
+// Step applies every event of the batch and then decides once. It appends the resulting actions to actions
+// and returns the extended slice.
 func (s *Scheduler) Step(now time.Duration, events []decision.Event,
 	actions []decision.Action) []decision.Action {
 	s.beginStep(now, actions)
@@ -100,7 +102,7 @@
 	s.rejectExpired()
 	if now >= s.timers.periodEndsAt {
 		s.timers.periodEndsAt = now + compensationPeriod
-		s.forgetIdle()
+		s.evictIdle()
 		s.endPeriod()
 	}
 	s.dispatchBacklog()
@@ -109,10 +111,10 @@
 	return s.actions
 }
 
-// beginStep sets the time of the step.
+// beginStep sets the time of the step and detects whether this process was stalled before it.
 func (s *Scheduler) beginStep(now time.Duration, actions []decision.Action) {
 	s.stalledFor = 0
-	// The timer is never further off than a period: a larger jump of the clock means that the process stalled.
+	// The timer is due within a period, so a much larger gap between steps means that the process stalled.
 	if s.started && now > s.now+2*compensationPeriod {
 		s.stalledFor = now - s.now
 	}
@@ -127,7 +129,7 @@
 	s.watch.start(now)
 }
 
-// applyEvent handles one event; what it makes possible is decided later in the step.
+// applyEvent updates the state for one event. The decisions that follow are made later in the step.
 func (s *Scheduler) applyEvent(ev *decision.Event) {
 	switch ev.Kind {
 	case decision.RequestArrived:
@@ -151,7 +153,7 @@
 	}
 }
 
-// decideOpen decides on the requests that this batch brought something new for.
+// decideOpen decides on the requests that arrived or whose attempts ended in this batch.
 func (s *Scheduler) decideOpen() {
 	for _, r := range s.requests.undecided {
 		s.decide(r)
@@ -160,14 +162,14 @@
 	s.requests.undecided = s.requests.undecided[:0]
 }
 
-// rejectExpired rejects the requests that have been queued for as long as they may be.
+// rejectExpired rejects the queued requests whose queueUntil has passed.
 func (s *Scheduler) rejectExpired() {
 	for len(s.requests.queueExpiry) > 0 && s.requests.queueExpiry[0].queueUntil <= s.now {
 		s.reject(s.requests.queueExpiry[0], shortRetryAfter)
 	}
 }
 
-// dispatchBacklog sends what the nodes with queued requests have capacity for.
+// dispatchBacklog sends queued requests as far as the depth of their nodes allows.
 func (s *Scheduler) dispatchBacklog() {
 	s.nodes.backlogged = slices.DeleteFunc(s.nodes.backlogged, func(n *node) bool {
 		s.dispatch(n)
@@ -175,8 +177,7 @@
 	})
 }
 
-// armTimer keeps one timer running, at the latest until the period's end or the next check of queued
-// requests.
+// armTimer keeps one timer armed. It is due within a period, or within timerSlack while requests are queued.
 func (s *Scheduler) armTimer() {
 	in := compensationPeriod
 	if len(s.requests.queueExpiry) > 0 {
@@ -189,15 +190,15 @@
 	}
 }
 
-// act adds an action to the step.
+// act appends an action to those of the current step.
 func (s *Scheduler) act(a decision.Action) { s.actions = append(s.actions, a) }
 
-// logf writes a line on a change of state, within the limit on log lines.
+// logf writes a log line, unless the limit on log lines is reached.
 func (s *Scheduler) logf(format string, args ...any) {
 	if s.logLimiter.Allow(s.now, time.Minute, maxLogLinesPerMinute) {
 		s.act(decision.Action{Kind: decision.WriteLog, Text: fmt.Sprintf(format, args...)})
 	}
 }
 
-// seconds converts seconds to a duration.
+// seconds converts a number of seconds to a duration.
 func seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
--- a/policy/scheduler_test.go
+++ b/policy/scheduler_test.go
@@ -13,100 +13,101 @@
 	for what, invalidate := range map[string]func(*decision.Config){
 		"no class":             func(c *decision.Config) { c.Classes = nil },
 		"negative rate":        func(c *decision.Config) { c.Plans[0].UsualRate = -1 },
-		"unknown kind":         func(c *decision.Config) { c.Classes[1].Idempotency = 9 },
+		"unknown idempotency":  func(c *decision.Config) { c.Classes[1].Idempotency = 9 },
 		"no latency objective": func(c *decision.Config) { c.Classes[0].LatencyObjective = 0 },
 		"negative time":        func(c *decision.Config) { c.OrderedKeyQuietPeriod = -1 },
 	} {
 		cfg := testConfig()
 		invalidate(&cfg)
 		if _, err := New(cfg); err == nil {
-			t.Errorf("%s: no error", what)
+			t.Errorf("%s: New returned no error", what)
 		}
 	}
 }
 
-// A process that stalled for 1.5 s learns nothing of the node from that batch, counts the objective of what came
-// meanwhile from its arrival, and rejects at once what is too late.
-func TestStalledProcessLearnsNothingFromTheBatch(t *testing.T) {
-	r := newRig(t, testConfig())
-	n := r.scheduler.nodes.byName["a"]
+// After a stall of the process for 1.5 s, the next batch does not change the node's estimates, the objectives of
+// requests that arrived during the stall start at their arrival, and requests that are too late are rejected.
+func TestStallIsNotCountedAsLatencyOfTheNode(t *testing.T) {
+	h := newHarness(t, testConfig())
+	n := h.scheduler.nodes.byName["a"]
 	n.latency, n.depth = 0.05, 4
-	r.step(r.arrive(1, 0, 0, "x", "", 1))
-	tooLate, late := r.arrive(2, 0, 0, "x", "p", 1), r.arrive(3, 0, 0, "x", "q", 1)
+	h.step(h.arrival(1, 0, 0, "x", "", 1))
+	tooLate, late := h.arrival(2, 0, 0, "x", "p", 1), h.arrival(3, 0, 0, "x", "q", 1)
 	late.Arrival.Deadline += 1200 * ms // arrived 1.2 s into the stall
-	acts := r.after(1500*ms, answered(1, "a", decision.Served), tooLate, late)
+	acts := h.stepAfter(1500*ms, attemptEnded(1, "a", decision.Served), tooLate, late)
 	if n.latency != 0.05 || n.depth != 4 {
-		t.Errorf("learned latency %v and depth %v from its own stall", n.latency, n.depth)
+		t.Errorf("the stall changed the latency to %v and the depth to %v, want 0.05 and 4", n.latency, n.depth)
 	}
-	want(t, "rejected at once", of(acts, decision.Shed), 2)
-	want(t, "sent", of(acts, decision.Forward), 3)
-	if q := r.scheduler.requests.open[3]; q.objectiveAt != r.now+700*ms {
-		t.Errorf("the objective ends %v from now, want 700 ms", q.objectiveAt-r.now)
+	wantIDs(t, "rejected in the same step", requestIDs(acts, decision.Shed), 2)
+	wantIDs(t, "sent", requestIDs(acts, decision.Forward), 3)
+	if q := h.scheduler.requests.open[3]; q.objectiveAt != h.now+700*ms {
+		t.Errorf("the objective ends in %v, want 700 ms", q.objectiveAt-h.now)
 	}
 }
 
-func TestShortDeadlineIsNotTakenForARetry(t *testing.T) {
-	r := newRig(t, testConfig())
-	ev := r.arrive(1, 0, 0, "x", "k", 1)
-	ev.Arrival.Deadline = r.now + 600*ms // the class's deadline is 4 s, its objective 1 s
-	want(t, "sent", of(r.step(ev), decision.Forward), 1)
+func TestShortDeadlineDoesNotIndicateARetry(t *testing.T) {
+	h := newHarness(t, testConfig())
+	ev := h.arrival(1, 0, 0, "x", "k", 1)
+	ev.Arrival.Deadline = h.now + 600*ms // the class's deadline is 4 s, its objective 1 s
+	wantIDs(t, "sent", requestIDs(h.step(ev), decision.Forward), 1)
 }
 
-// Each of 10,000 arrivals in one batch is sent or answered in time.
+// Each of 10,000 requests that arrive in one batch is sent or rejected in time.
 func TestTenThousandArrivalsInOneBatch(t *testing.T) {
-	r := newRig(t, testConfig(), fleetStartedAt(10, 0)...)
+	h := newHarness(t, testConfig(), nodeListStartedAt(10, 0)...)
 	var evs []decision.Event
 	for id := uint64(1); id <= 10000; id++ {
-		a := r.arrive(id, 0, int(id%2), fmt.Sprint("v", id%50), "", 1)
+		a := h.arrival(id, 0, int(id%2), fmt.Sprint("v", id%50), "", 1)
 		a.Arrival.Shard = int(id % 10)
 		evs = append(evs, a)
 	}
-	acts := r.step(evs...)
-	open := 10000 - len(of(acts, decision.Shed))
+	acts := h.step(evs...)
+	open := 10000 - len(requestIDs(acts, decision.Shed))
 	for i := 0; i < 20; i++ {
-		acts = r.after(100 * ms)
-		open -= len(of(acts, decision.Shed))
+		acts = h.stepAfter(100 * ms)
+		open -= len(requestIDs(acts, decision.Shed))
 	}
-	if out := len(r.scheduler.requests.open); open != out || len(r.scheduler.requests.queueExpiry) > 0 {
-		t.Fatalf("%d neither answered nor in flight, %d still queued", open-out, len(r.scheduler.requests.queueExpiry))
+	if out := len(h.scheduler.requests.open); open != out || len(h.scheduler.requests.queueExpiry) > 0 {
+		t.Fatalf("%d requests are neither answered nor in flight, %d are still queued", open-out, len(h.scheduler.requests.queueExpiry))
 	}
 }
 
-// The clock jumps by seconds with requests queued and in flight: all end, and none is sent after its deadline.
-func TestClockJumpsEndEveryRequest(t *testing.T) {
-	r := newRig(t, testConfig())
+// When the clock jumps by seconds while requests are queued and in flight, all requests end and none is sent after
+// its deadline.
+func TestEveryRequestEndsDespiteClockJumps(t *testing.T) {
+	h := newHarness(t, testConfig())
 	rng := rand.New(rand.NewPCG(3, 3))
 	for id := uint64(1); id <= 400; id++ {
 		jump := time.Duration(rng.IntN(30)) * ms
 		if id%20 == 0 {
 			jump = time.Duration(rng.IntN(6000)) * ms
 		}
-		acts := r.after(jump, r.arrive(id, int(id%3), 0, "x", fmt.Sprint(id%4), 1))
+		acts := h.stepAfter(jump, h.arrival(id, int(id%3), 0, "x", fmt.Sprint(id%4), 1))
 		for ; len(acts) > 0; acts = acts[1:] {
 			a := acts[0]
 			if a.Kind != decision.Forward {
 				continue
 			}
-			if r.now >= r.scheduler.requests.open[a.ID].arrival.Deadline {
-				t.Fatalf("request %d is sent after its deadline", a.ID)
+			if h.now >= h.scheduler.requests.open[a.ID].arrival.Deadline {
+				t.Fatalf("request %d was sent after its deadline", a.ID)
 			}
-			ev := answered(a.ID, "a", decision.Served)
-			if ev.Attempt = r.scheduler.requests.open[a.ID].attempts - 1; rng.IntN(3) == 0 {
+			ev := attemptEnded(a.ID, "a", decision.Served)
+			if ev.Attempt = h.scheduler.requests.open[a.ID].attempts - 1; rng.IntN(3) == 0 {
 				ev.Outcome, ev.Final = decision.TimedOut, false
 			}
-			acts = append(acts, r.step(ev)...)
+			acts = append(acts, h.step(ev)...)
 		}
 	}
 	for i := 0; i < 100; i++ {
-		for acts := r.after(50 * ms); len(acts) > 0; acts = acts[1:] {
+		for acts := h.stepAfter(50 * ms); len(acts) > 0; acts = acts[1:] {
 			if a := acts[0]; a.Kind == decision.Forward {
-				ev := answered(a.ID, "a", decision.Served)
-				ev.Attempt = r.scheduler.requests.open[a.ID].attempts - 1
-				acts = append(acts, r.step(ev)...)
+				ev := attemptEnded(a.ID, "a", decision.Served)
+				ev.Attempt = h.scheduler.requests.open[a.ID].attempts - 1
+				acts = append(acts, h.step(ev)...)
 			}
 		}
 	}
-	if len(r.scheduler.requests.open) > 0 {
-		t.Fatalf("%d requests left", len(r.scheduler.requests.open))
+	if len(h.scheduler.requests.open) > 0 {
+		t.Fatalf("%d requests are still open", len(h.scheduler.requests.open))
 	}
 }
--- a/policy/sendrules.go
+++ b/policy/sendrules.go
@@ -5,21 +5,21 @@
 	"poppyarch/internal/timing/rate"
 )
 
-// retryBudget counts what the budget for retries is measured by.
+// retryBudget counts the arrivals and retries that the retry budget compares.
 type retryBudget struct {
 	arrivals rate.SlidingWindow
 	retries  rate.SlidingWindow
 }
 
-// maySend reports whether every rule on sends allows to send r to n now.
+// maySend reports whether all rules allow r to be sent to n now.
 func (s *Scheduler) maySend(r *request, n *node) bool {
 	return !r.closed && !r.inFlight && r.attempts < s.cfg.MaxAttempts && s.now < r.arrival.Deadline &&
 		n.acceptsNew() && s.mayRetry(r, n) && s.isNextForKey(r) && s.withinRetryBudget(r) &&
 		s.withinRateLimit(r) && s.withinSlowStart(r, n)
 }
 
-// mayRetry reports whether r may be sent to n as far as idempotency goes: no attempt may have been
-// executed, or the class allows a repeat there and now.
+// mayRetry reports whether idempotency allows r to be sent to n: either no earlier attempt can have been
+// executed, or the class allows r to be repeated at n at this time.
 func (s *Scheduler) mayRetry(r *request, n *node) bool {
 	if r.mayHaveRunOn == nil || r.class.Idempotency == decision.Idempotent {
 		return true
@@ -30,7 +30,7 @@
 	return r.class.DedupScope.Covers(&n.Endpoint, &r.mayHaveRunOn.Endpoint)
 }
 
-// withinRetryBudget reports whether the retries in the window, this one included, fit the budget.
+// withinRetryBudget reports whether the retry budget allows r to be sent. First attempts are not limited.
 func (s *Scheduler) withinRetryBudget(r *request) bool {
 	if !s.cfg.HasRetryBudget || r.attempts == 0 {
 		return true
@@ -41,12 +41,13 @@
 	return retries+1 <= s.cfg.RetryBudgetBase+s.cfg.RetryBudgetRatio*arrivals
 }
 
-// withinRateLimit reports whether this broker's even part of the volume's rate limit has the units.
+// withinRateLimit reports whether the token bucket with this broker's equal share of the volume's rate limit
+// covers r.
 func (s *Scheduler) withinRateLimit(r *request) bool {
 	return r.volume.plan.RateLimit <= 0 || r.rateCharged || r.volume.rateLimit.Refill(s.now) >= r.arrival.Units
 }
 
-// send starts an attempt and charges it to every rule that counts sends.
+// send starts an attempt and charges it to the retry budget, the rate limit and the node.
 func (s *Scheduler) send(r *request, n *node) {
 	s.dequeue(r)
 	if r.attempts > 0 && s.cfg.HasRetryBudget {
@@ -65,9 +66,9 @@
 	r.countedSlow = false
 	r.maxQueueUntil = r.arrival.Deadline
 
-	// The attempt times out when its answer would be late. Where nodes drop what timed out, their queues
-	// cannot grow beyond the objective however many brokers send, and hung, dead and lossy nodes are found
-	// too.
+	// The attempt times out at the latency objective. If nodes drop requests that have timed out, their
+	// queues cannot grow beyond the objective, however many brokers send. It also detects nodes that hang,
+	// are down or lose requests.
 	a := decision.Action{
 		Kind:  decision.Forward,
 		ID:    r.id,
@@ -75,13 +76,13 @@
 		After: max(min(r.objectiveAt, r.arrival.Deadline)-s.now, timerSlack),
 	}
 	if r.mayHaveRunOn != nil && r.class.Idempotency == decision.IdempotentByKey {
-		// Making a connection may take long, and a repeat is dropped as such within the window only.
+		// Connecting may take long, and nodes detect duplicates only within the deduplication window.
 		a.NotAfter = r.mayHaveRunAt + r.class.DedupWindow
 	}
 	s.act(a)
 }
 
-// addSend counts a send at its node.
+// addSend records at the node that r is sent to it.
 func (n *node) addSend(s *Scheduler, r *request) {
 	objective := r.class.LatencyObjective.Seconds()
 	n.recentSends.Add(s.now, r.arrival.Units)
--- a/policy/volume.go
+++ b/policy/volume.go
@@ -8,22 +8,22 @@
 	"poppyarch/internal/timing/rate"
 )
 
-// volume is what this broker knows of a tenant's volume over all nodes.
+// volume holds this broker's state for a tenant's volume, over all nodes.
 type volume struct {
 	plan          *decision.Plan
 	rateLimit     rate.TokenBucket
 	reserveCredit float64 // units that may be counted inside the reserve
-	queuedUnits   float64 // for all nodes
+	queuedUnits   float64 // queued for all nodes together
 	lastSeenAt    time.Duration
 
-	demand          rate.Meter    // units asked of this broker
+	demand          rate.Meter    // units requested from this broker, without retries by clients
 	served          rate.Meter    // units served through this broker
-	servedElsewhere rate.Meter    // units served through other brokers, as answers say
-	usage           float64       // units a second over all brokers, as the nodes' meter says
-	usageAt         time.Duration // of the last word on usage
+	servedElsewhere rate.Meter    // units served through other brokers, as nodes report with responses
+	usage           float64       // units per second over all brokers, as the nodes' usage meter reports
+	usageAt         time.Duration // time of the last report of usage
 }
 
-// volumeOf finds or makes the record of a request's volume.
+// volumeOf returns the state of a request's volume and creates it if needed.
 func (s *Scheduler) volumeOf(a *decision.Arrival) *volume {
 	if v := s.volumes[a.Volume]; v != nil {
 		v.lastSeenAt = s.now
@@ -35,8 +35,8 @@
 		plan:          plan,
 		lastSeenAt:    s.now,
 		reserveCredit: plan.ReservedRate + max(s.cfg.MaxUnits, 1),
-		// Before a restart this broker may have spent its part of the limit. So the bucket does not start full,
-		// but with the broker's part of the tolerance, at the time of the broker's start.
+		// This broker may have used its share of the limit before a restart. Therefore the bucket is not full
+		// initially: at the broker's start it holds the broker's share of the tolerance.
 		rateLimit: rate.TokenBucket{
 			RefillRate: plan.RateLimit / brokers,
 			Burst:      plan.RateLimitBurst / brokers,
@@ -48,9 +48,10 @@
 	return v
 }
 
-// chargeReserve counts a request inside its volume's reserve or not. Each broker counts the part of the
-// volume's demand over all brokers that the reserve covers, so that all brokers together come to the
-// reserve. Without word of the other brokers, this one may be the only one that the volume uses.
+// chargeReserve decides whether a request counts as inside its volume's reserve. Each broker counts the
+// fraction of its requests that the reserve covers of the volume's demand over all brokers, so that all
+// brokers together use the reserve once. Without reports of service through other brokers, this one is taken
+// for the only broker of the volume.
 func (s *Scheduler) chargeReserve(r *request) {
 	v := r.volume
 	if r.clientStartedAt == s.now {
@@ -66,7 +67,7 @@
 	}
 }
 
-// totalDemand is the volume's demand over all brokers, in units a second.
+// totalDemand estimates the volume's demand over all brokers, in units per second.
 func (s *Scheduler) totalDemand(v *volume) float64 {
 	demand := v.demand.Rate(s.now)
 	served := v.served.Rate(s.now)
@@ -80,7 +81,7 @@
 	return demand
 }
 
-// observe records what an attempt's outcome says of the volume.
+// observe records the volume's usage and service that an attempt's outcome reports.
 func (v *volume) observe(now time.Duration, units float64, ev *decision.Event) {
 	if ev.Usage.Known {
 		v.usage = float64(ev.Usage.Percent) / 100 * v.plan.UsualRate
--- a/policy/watch.go
+++ b/policy/watch.go
@@ -8,11 +8,11 @@
 	"poppyarch/internal/timing/backoff"
 )
 
-// endpointWatch says when the endpoint list is to be watched again after a failure.
+// endpointWatch schedules watches of the endpoint list, with a backoff after failures.
 type endpointWatch struct {
-	active   bool          // a watch has been asked for and has not failed
-	nextAt   time.Duration // earliest next watch
-	failures int           // in a row
+	active   bool          // a watch has been requested and has not failed
+	nextAt   time.Duration // earliest time of the next watch
+	failures int           // consecutive failures
 	backoff  backoff.Backoff
 	random   *rand.Rand
 }
@@ -29,15 +29,15 @@
 	w.nextAt = now + w.backoff.InitialDelay(w.random.Float64())
 }
 
-// fail sets the time of the next watch. It comes no later than bound from now, where bound is above 0.
-// Without a backoff a discovery service that is slow once would never work off the calls of many brokers.
+// fail schedules the next watch after a failure, within bound from now if bound is above 0. Without the
+// backoff, a discovery service that was slow once could never catch up with the calls of many brokers.
 func (w *endpointWatch) fail(now, bound time.Duration) {
 	w.nextAt = now + w.backoff.RetryDelay(w.failures, bound, w.random.Float64())
 	w.active = false
 	w.failures++
 }
 
-// pollEndpoints asks for a watch at the start and after failures.
+// pollEndpoints requests a watch of the endpoint list at the start and after failures.
 func (s *Scheduler) pollEndpoints() {
 	if s.cfg.PollsEndpoints && !s.watch.active && s.now >= s.watch.nextAt {
 		s.watch.active = true
--- a/policy/watch_test.go
+++ b/policy/watch_test.go
@@ -8,7 +8,8 @@
 	"poppyarch/internal/broker/decision"
 )
 
-// A failed watch is retried soon, and brokers that failed together do not retry together.
+// A failed watch is retried within its bound, and brokers whose watches failed at the same time do not retry at the
+// same time.
 func TestFailedWatchIsRetriedWithJitterWithinItsBound(t *testing.T) {
 	cfg := testConfig()
 	cfg.PollsEndpoints = true
@@ -19,104 +20,104 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := &rig{t: t, scheduler: s, now: time.Hour}
+		h := &harness{t: t, scheduler: s, now: time.Hour}
 		polledAt := []time.Duration{}
 		for range 1500 {
-			for _, a := range r.step(decision.Event{Kind: decision.TimerFired, Token: 1}) {
+			for _, a := range h.step(decision.Event{Kind: decision.TimerFired, Token: 1}) {
 				if a.Kind == decision.WatchEndpoints {
-					polledAt = append(polledAt, r.now)
+					polledAt = append(polledAt, h.now)
 					within := 1500 * ms
 					if len(polledAt) == 1 {
 						within = 750 * ms
 					}
-					r.step(decision.Event{Kind: decision.EndpointWatchFailed, RetryWithin: within})
+					h.step(decision.Event{Kind: decision.EndpointWatchFailed, RetryWithin: within})
 				}
 			}
-			r.now += 20 * ms
+			h.now += 20 * ms
 		}
 		if len(polledAt) < 20 || len(polledAt) > 45 {
-			t.Fatalf("polled %d times in 30 s of failures", len(polledAt))
+			t.Fatalf("polled %d times in 30 s of failures, want 20 to 45", len(polledAt))
 		}
 		for i := 1; i < len(polledAt); i++ {
 			if gap := polledAt[i] - polledAt[i-1]; gap < 240*ms || gap > 1540*ms {
-				t.Fatalf("%v between two calls", gap)
+				t.Fatalf("%v between two polls, want 240 ms to 1.54 s", gap)
 			}
 		}
 		retriedAt[polledAt[1]]++
 	}
 	for at, n := range retriedAt {
 		if n > 20 {
-			t.Errorf("%d of 100 brokers retry %v after a failure that all had", n, at-time.Hour)
+			t.Errorf("%d of 100 brokers retry %v after a common failure, want at most 20", n, at-time.Hour)
 		}
 	}
 }
 
-// slowDiscovery answers so many calls a second, one by one. A call that has waited for too long fails and costs
-// as much as one that was answered. An open watch costs nothing.
+// slowDiscovery simulates a discovery service that handles calls one after the other. A call that has waited for too
+// long fails but takes as much time as one that was answered. An open watch takes none.
 type slowDiscovery struct {
-	perCall time.Duration // time that a call takes
-	timeout time.Duration // a call waits no longer
-	freeAt  time.Duration // when the calls so far are done
+	callTime time.Duration // service time of a call
+	timeout  time.Duration // longest wait of a call
+	idleAt   time.Duration // when all calls so far have been handled
 }
 
-// call is the outcome of a call made now: when it ends, and whether with an answer.
+// call returns when a call made at now ends and whether it is answered.
 func (d *slowDiscovery) call(now time.Duration) (end time.Duration, ok bool) {
-	d.freeAt = max(d.freeAt, now) + d.perCall
-	if d.freeAt > now+d.timeout {
+	d.idleAt = max(d.idleAt, now) + d.callTime
+	if d.idleAt > now+d.timeout {
 		return now + d.timeout, false
 	}
-	return d.freeAt, true
+	return d.idleAt, true
 }
 
-// Eighty brokers start at once and discovery answers fifteen calls a second. Without a backoff the queue of
-// failed calls never empties.
+// 80 brokers start at the same time and discovery handles 15 calls per second. Without a backoff the queue of failed
+// calls would never empty.
 func TestAllBrokersGetAListFromSlowDiscovery(t *testing.T) {
 	const brokers = 80
-	disc := &slowDiscovery{perCall: time.Second / 15, timeout: 2 * time.Second}
+	disc := &slowDiscovery{callTime: time.Second / 15, timeout: 2 * time.Second}
 	type pending struct {
 		end time.Duration
 		ok  bool
 	}
-	rigs, calls, listedAt := make([]*rig, brokers), make([]*pending, brokers), make([]time.Duration, brokers)
-	for i := range rigs {
+	harnesses, calls, listedAt := make([]*harness, brokers), make([]*pending, brokers), make([]time.Duration, brokers)
+	for i := range harnesses {
 		cfg := testConfig()
 		cfg.PollsEndpoints, cfg.Brokers, cfg.Seed = true, brokers, uint64(i)
 		s, err := New(cfg)
 		if err != nil {
 			t.Fatal(err)
 		}
-		rigs[i] = &rig{t: t, scheduler: s, now: time.Hour}
+		harnesses[i] = &harness{t: t, scheduler: s, now: time.Hour}
 	}
-	for range 1000 { // twenty seconds
-		for i, r := range rigs {
+	for range 1000 { // 20 s
+		for i, h := range harnesses {
 			evs := []decision.Event{{Kind: decision.TimerFired, Token: 1}}
-			if c := calls[i]; c != nil && c.end <= r.now {
+			if c := calls[i]; c != nil && c.end <= h.now {
 				if calls[i] = nil; !c.ok {
 					evs = append(evs, decision.Event{Kind: decision.EndpointWatchFailed})
-				} else if listedAt[i] = r.now - time.Hour; true {
+				} else if listedAt[i] = h.now - time.Hour; true {
 					evs = append(evs, endpointsChanged(decision.Endpoint{Node: "a"}))
 				}
 			}
-			for _, a := range r.step(evs...) {
+			for _, a := range h.step(evs...) {
 				if a.Kind == decision.WatchEndpoints {
-					end, ok := disc.call(r.now)
+					end, ok := disc.call(h.now)
 					calls[i] = &pending{end, ok}
 				}
 			}
-			r.now += 20 * ms
+			h.now += 20 * ms
 		}
 	}
 	slices.Sort(listedAt)
 	if without := slices.IndexFunc(listedAt, func(at time.Duration) bool { return at > 0 }); without != 0 {
-		t.Errorf("%d of %d brokers have had no list in 20 s (-1: none has)", without, brokers)
+		t.Errorf("%d of %d brokers got no endpoint list in 20 s (-1 if none got one)", without, brokers)
 	}
 	if middle := listedAt[brokers/2]; middle > 6*time.Second {
-		t.Errorf("half of the brokers wait more than %v", middle)
+		t.Errorf("half of the brokers got their first endpoint list after more than %v, want at most 6 s", middle)
 	}
 }
 
-// While discovery fails, each broker of a large fleet retries less often, but never less often than
-// MaxPollInterval allows.
+// While discovery fails, the brokers of a larger fleet wait longer between retries, but not longer than MaxPollInterval
+// allows.
 func TestWatchBackoffGrowsWithTheFleet(t *testing.T) {
 	for brokers, bound := range map[int][2]time.Duration{4: {250 * ms, 1500 * ms}, 80: {800 * ms, 7500 * ms}, 1024: {time.Second, 7500 * ms}} {
 		cfg := testConfig()
@@ -125,14 +126,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r, last, calls := &rig{t: t, scheduler: s, now: time.Hour}, time.Duration(0), 0
-		for range 6000 { // two minutes
+		r, last, calls := &harness{t: t, scheduler: s, now: time.Hour}, time.Duration(0), 0
+		for range 6000 { // 2 min
 			for _, a := range r.step(decision.Event{Kind: decision.TimerFired, Token: 1}) {
 				if a.Kind != decision.WatchEndpoints {
 					continue
 				}
 				if gap := r.now - last; last > 0 && (gap < bound[0]-20*ms || gap > bound[1]+40*ms) {
-					t.Errorf("%d brokers: %v between two calls", brokers, gap)
+					t.Errorf("%d brokers: %v between two polls, want %v to %v", brokers, gap, bound[0], bound[1])
 				}
 				last, calls = r.now, calls+1
 				r.step(decision.Event{Kind: decision.EndpointWatchFailed})
@@ -140,7 +141,7 @@
 			r.now += 20 * ms
 		}
 		if calls < 15 {
-			t.Errorf("%d brokers: %d calls in two minutes", brokers, calls)
+			t.Errorf("%d brokers: %d polls in two minutes, want at least 15", brokers, calls)
 		}
 	}
 }
