--- a/internal/broker/decision/check.go
+++ b/internal/broker/decision/check.go
@@ -4,9 +4,9 @@
 	"fmt"
 )
 
-// SettingError is a setting with an invalid value.
+// SettingError reports a setting with an invalid value.
 type SettingError struct {
-	Setting string // its path, such as "classes[0].aim"
+	Setting string // path of the setting, such as "classes[0].aim"
 	Value   any    // nil if the setting is missing
 	Problem string // such as "is negative"
 }
@@ -18,7 +18,7 @@
 	return fmt.Sprintf("%s: %v %s", e.Setting, e.Value, e.Problem)
 }
 
-// nonNegative is a setting that must not be negative, by its name.
+// nonNegative is the name and the value of a setting that must not be negative.
 type nonNegative struct {
 	setting string
 	value   float64
@@ -27,7 +27,7 @@
 // Check reports the first invalid setting as a *SettingError.
 func (c *Config) Check() error {
 	if len(c.Classes) == 0 {
-		return &SettingError{Setting: "classes", Problem: "none given"}
+		return &SettingError{Setting: "classes", Problem: "at least one class is required"}
 	}
 	for i := range c.Classes {
 		if err := c.Classes[i].check(fmt.Sprintf("classes[%d].", i)); err != nil {
@@ -40,12 +40,13 @@
 		}
 	}
 	if inRange := c.SlowStartFraction >= 0 && c.SlowStartFraction <= 1; !inRange {
-		return &SettingError{Setting: "cold from", Value: c.SlowStartFraction, Problem: "is not 0 to 1"}
+		return &SettingError{Setting: "cold from", Value: c.SlowStartFraction, Problem: "is not between 0 and 1"}
 	}
 	return nil
 }
 
-// check reports the first invalid field of the class, apart from those of nonNegatives.
+// check reports the first invalid field of the class, apart from those that nonNegatives lists. path is the prefix of
+// their setting names.
 func (c *Class) check(path string) error {
 	switch {
 	case c.LatencyObjective <= 0:
--- a/internal/broker/decision/check_test.go
+++ b/internal/broker/decision/check_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestCheckNamesTheInvalidSetting(t *testing.T) {
+func TestCheckReportsTheInvalidSetting(t *testing.T) {
 	valid := func() Config {
 		return Config{
 			Classes: []Class{{Name: "c", LatencyObjective: time.Second, Deadline: time.Second}},
@@ -36,25 +36,25 @@
 		invalidate(&c)
 		err := c.Check()
 		if err == nil || !strings.HasPrefix(err.Error(), name+":") {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v", name, err)
 		}
 		var setting *SettingError
 		if !errors.As(err, &setting) || setting.Setting != name {
-			t.Errorf("%s: %#v is no SettingError of that setting", name, err)
+			t.Errorf("%s: got %#v, want a SettingError for that setting", name, err)
 		}
 	}
 }
 
-func TestSettingErrorHasSettingValueAndProblem(t *testing.T) {
+func TestSettingErrorTextHasSettingValueAndProblem(t *testing.T) {
 	for want, err := range map[string]error{
-		"classes: none given":                (&Config{}).Check(),
-		"classes[0].aim: -1s is not above 0": (&Config{Classes: []Class{{LatencyObjective: -time.Second}}}).Check(),
-		"classes[0].repeat: 9 is unknown":    (&Config{Classes: []Class{{LatencyObjective: 1, Deadline: 1, Idempotency: 9}}}).Check(),
+		"classes: at least one class is required": (&Config{}).Check(),
+		"classes[0].aim: -1s is not above 0":      (&Config{Classes: []Class{{LatencyObjective: -time.Second}}}).Check(),
+		"classes[0].repeat: 9 is unknown":         (&Config{Classes: []Class{{LatencyObjective: 1, Deadline: 1, Idempotency: 9}}}).Check(),
 		"classes[0].dedup window: -1.5 is negative": (&Config{Classes: []Class{{LatencyObjective: 1, Deadline: 1,
 			DedupWindow: -1500 * time.Millisecond}}}).Check(),
 	} {
 		if err == nil || err.Error() != want {
-			t.Errorf("got %v, want %s", err, want)
+			t.Errorf("got error %v, want %s", err, want)
 		}
 	}
 }
--- a/internal/broker/decision/class_test.go
+++ b/internal/broker/decision/class_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestDedupScopeCoversNodesOfOneGroup(t *testing.T) {
+func TestDedupScopeCoversNodes(t *testing.T) {
 	a := &Endpoint{Zone: 1, Shard: 1}
 	sameZone := &Endpoint{Zone: 1, Shard: 2}
 	sameShard := &Endpoint{Zone: 2, Shard: 1}
@@ -19,7 +19,7 @@
 		{DedupShard, sameZone, false},
 	} {
 		if got := x.scope.Covers(a, x.node); got != x.want {
-			t.Errorf("scope %d covers %+v: %v", x.scope, *x.node, got)
+			t.Errorf("scope %d covers %+v: got %v, want %v", x.scope, *x.node, got, x.want)
 		}
 	}
 }
@@ -36,7 +36,7 @@
 		{Class{Idempotency: NotIdempotent}, false},
 	} {
 		if got := x.class.MayShed(); got != x.want {
-			t.Errorf("%+v: %v", x.class, got)
+			t.Errorf("%+v: got %v, want %v", x.class, got, x.want)
 		}
 	}
 }
--- a/internal/broker/decision/config.go
+++ b/internal/broker/decision/config.go
@@ -6,52 +6,52 @@
 	"time"
 )
 
-// Config holds the settings of one broker's decisions. Check reports what is invalid.
+// Config holds the settings for the decisions of one broker. Check reports invalid ones.
 type Config struct {
 	Seed    uint64
-	Brokers int // in the fleet
+	Brokers int // number of brokers in the fleet
 	Classes []Class
 	Plans   []Plan
 
 	// Sizes and weights of requests.
 	MeanUnits           float64
 	MaxUnits            float64
-	QuotaPriorityWeight float64 // factor on the priority weight of work beyond a reserve
+	QuotaPriorityWeight float64 // factor on the priority weight of requests beyond their volume's reserve
 
 	// Attempts and retries.
 	MaxAttempts       int
-	HasRetryBudget    bool    // the three fields below apply
+	HasRetryBudget    bool    // whether the three fields below apply
 	RetryBudgetBase   float64 // retries that are always allowed within the window
-	RetryBudgetRatio  float64 // and so many for each request that arrived in it
+	RetryBudgetRatio  float64 // additional retries per request that arrived within the window
 	RetryBudgetWindow time.Duration
 
 	// Ordered classes.
-	OrderedKeyQuietPeriod time.Duration // after an attempt that may still be executed
+	OrderedKeyQuietPeriod time.Duration // pause in the requests of a key after an attempt that may still be executed
 
-	// What a rejected client is told.
-	SendsRetryAfter bool
+	// Rejections.
+	SendsRetryAfter bool // whether rejections carry a Retry-After
 	MaxRetryAfter   time.Duration
 
 	// Discovery.
-	PollsEndpoints      bool          // the endpoint list has to be asked for
-	LocalDiscoveryAgent bool          // it is asked of an agent that serves this broker alone
+	PollsEndpoints      bool          // the endpoint list must be requested
+	LocalDiscoveryAgent bool          // it is requested from an agent that serves only this broker
 	MaxPollInterval     time.Duration // longest time between two polls
 
 	// Nodes that have just started.
-	SlowStartFraction      float64       // part of its capacity that a node has at its start
+	SlowStartFraction      float64       // fraction of its capacity that a node has at its start
 	SlowStartDuration      time.Duration // from the start of a node to its full capacity
-	SlowStartCapacityUnits float64       // what a node bears at its start within OverloadWindow, from all brokers
+	SlowStartCapacityUnits float64       // units within OverloadWindow, from all brokers, that a node can serve at its start
 	OverloadWindow         time.Duration
 
 	// Placement of new objects.
-	LocalZone             int           // zone of this broker, counted from 1; 0: new objects go to any zone alike
-	RemoteZonePenalty     time.Duration // by how much a node of another zone has to be better
+	LocalZone             int           // zone of this broker, counted from 1; 0 for no preference
+	RemoteZonePenalty     time.Duration // cost of nodes in other zones
 	HandshakeCost         float64       // cost of a new connection, in latency objectives
-	ConnectionReuseWindow time.Duration // how long after an answer its connection can be used again
+	ConnectionReuseWindow time.Duration // how long after a response its connection can be reused
 }
 
-// WithDefaults returns the settings with 1 in place of weights and counts that are not above 0. The caller's slices
-// are not changed.
+// WithDefaults returns the settings with 1 in place of plan weights, counts and mean units that are not above 0. The
+// caller's slices are not changed.
 func (c Config) WithDefaults() Config {
 	c.Plans = slices.Clone(c.Plans)
 	for i := range c.Plans {
@@ -63,10 +63,10 @@
 	return c
 }
 
-// oneIfUnset is v, or 1 where v is not above 0.
+// oneIfUnset returns v, or 1 if v is not above 0.
 func oneIfUnset(v float64) float64 { return cmp.Or(max(v, 0), 1) }
 
-// Plan returns the plan of a number; an unknown one has neither a reserve nor a rate limit.
+// Plan returns the plan with the given index. For an unknown index the plan has no reserve and no rate limit.
 func (c *Config) Plan(number int) *Plan {
 	if number < 0 || number >= len(c.Plans) {
 		return &Plan{Weight: 1, PriceFactor: 1}
@@ -74,7 +74,7 @@
 	return &c.Plans[number]
 }
 
-// RetryAfter is what a rejected client is told to wait: at most MaxRetryAfter, or 0 where clients are told nothing.
+// RetryAfter returns the Retry-After of a rejection: wait bounded by MaxRetryAfter, or 0 if SendsRetryAfter is false.
 func (c *Config) RetryAfter(wait time.Duration) time.Duration {
 	if !c.SendsRetryAfter {
 		return 0
@@ -82,8 +82,8 @@
 	return min(wait, c.MaxRetryAfter)
 }
 
-// ZonePenalty is by how much a node in the given zone, counted from 0, has to be better than one in the local zone
-// to get a new object.
+// ZonePenalty returns the cost added to nodes of the given zone, counted from 0, when the node for a new object is
+// chosen.
 func (c *Config) ZonePenalty(zone int) time.Duration {
 	if c.LocalZone == 0 || zone+1 == c.LocalZone {
 		return 0
@@ -91,7 +91,7 @@
 	return c.RemoteZonePenalty
 }
 
-// SlowStartCapacity is how many units, from all brokers within OverloadWindow, a node bears at the given age.
+// SlowStartCapacity returns how many units within OverloadWindow, from all brokers, a node of the given age can serve.
 func (c *Config) SlowStartCapacity(age time.Duration) float64 {
 	if c.SlowStartFraction <= 0 {
 		return c.SlowStartCapacityUnits
@@ -100,7 +100,7 @@
 	return c.SlowStartCapacityUnits * (1 + growth*max(0, age.Seconds())/c.SlowStartDuration.Seconds())
 }
 
-// DiscoveryClients is how many brokers share the discovery service that this one polls.
+// DiscoveryClients returns how many brokers poll the same discovery service as this one.
 func (c *Config) DiscoveryClients() int {
 	if c.LocalDiscoveryAgent {
 		return 1
--- a/internal/broker/decision/decision.go
+++ b/internal/broker/decision/decision.go
@@ -1,5 +1,5 @@
-// Package decision holds the types through which package policy is driven: the settings of one broker, the events
-// that it is told of and the actions that it asks for. It decides nothing.
+// Package decision defines the input and output types of package policy: the settings of one broker, the events that
+// are passed to the policy and the actions that it returns.
 //
 // Times are durations on the clock of policy.Scheduler.Step, which only advances.
 package decision
--- a/internal/broker/limits/limits_test.go
+++ b/internal/broker/limits/limits_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A limit without a JSON name, or with that of another, could not be tuned.
-func TestEveryLimitHasItsOwnJSONName(t *testing.T) {
+// A limit without a JSON name, or with the name of another limit, could not be configured.
+func TestEveryLimitHasAUniqueJSONName(t *testing.T) {
 	fields := map[string]string{}
 	for _, f := range reflect.VisibleFields(reflect.TypeFor[Limits]()) {
 		name := f.Tag.Get("json")
@@ -14,7 +14,7 @@
 			t.Errorf("%s has no JSON name", f.Name)
 		}
 		if other, taken := fields[name]; taken {
-			t.Errorf("%s and %s have the JSON name %q", other, f.Name, name)
+			t.Errorf("%s and %s both have the JSON name %q", other, f.Name, name)
 		}
 		fields[name] = f.Name
 	}
--- a/policy/deployfile_test.go
+++ b/policy/deployfile_test.go
@@ -10,9 +10,9 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// TestDeployFileNamesEveryFile checks that the deploy file lists exactly the files of this package, and that their lines
-// are at most 110 characters long. The number of lines is not limited; the linter bounds the length and the complexity
-// of each function.
+// TestDeployFileNamesEveryFile checks that the deploy file lists exactly the files of this package, and that their
+// lines are at most 110 characters long. The number of lines is not limited; the linter bounds the length and the
+// complexity of each function.
 func TestDeployFileNamesEveryFile(t *testing.T) {
 	text, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
