--- a/internal/broker/core/attempt_test.go
+++ b/internal/broker/core/attempt_test.go
@@ -10,10 +10,10 @@
 	"poppyarch/internal/broker/decision"
 )
 
-// connectingBackend takes a while to connect and then asks whether its attempt may start, as real backends do.
+// connectingBackend takes some time to connect and then calls MayStart, as real backends do.
 type connectingBackend struct {
-	connect  []time.Duration // by attempt; the last one is repeated
-	outcomes []Outcome       // of attempts that start, likewise
+	connect  []time.Duration // time to connect, by attempt; the last one is repeated
+	outcomes []Outcome       // outcomes of attempts that start, by attempt; the last one is repeated
 	attempts int
 	started  int
 }
@@ -29,13 +29,13 @@
 	return "v", b.outcomes[min(n, len(b.outcomes)-1)]
 }
 
-// keyedClass is a class whose duplicates are dropped for a second.
+// keyedClass returns a class whose duplicates are dropped for 1 s.
 func keyedClass(scope decision.DedupScope) decision.Class {
 	return decision.Class{Idempotency: decision.IdempotentByKey, DedupScope: scope, DedupWindow: time.Second}
 }
 
-// A retry is decided on within the class's deduplication window. If its connection is established after that it must not
-// be sent; the response then depends on which nodes drop duplicates.
+// A retry is decided on within the class's deduplication window. If its connection is established after the window, it
+// must not be sent. The response then depends on which nodes drop duplicates.
 func TestRetryDoesNotStartAfterTheDedupWindow(t *testing.T) {
 	for _, x := range []struct {
 		scope   decision.DedupScope
@@ -52,8 +52,8 @@
 				connect:  []time.Duration{0, x.connect},
 				outcomes: []Outcome{ConnectionLost, Served},
 			}
-			r := newRig(ctx, t, b, keyedClass(x.scope))
-			resp := r.broker.Handle(ctx, r.request())
+			h := newHarness(ctx, t, b, keyedClass(x.scope))
+			resp := h.broker.Handle(ctx, h.request())
 			if resp.Status != x.status || b.started != x.started {
 				t.Errorf("connected after %v: status %d and %d attempts started, want %d and %d",
 					x.connect, resp.Status, b.started, x.status, x.started)
@@ -62,33 +62,34 @@
 	}
 }
 
-// A client that has disconnected without its frontend having noticed gets no attempt, neither a first one nor a retry.
+// No attempt, neither the first nor a retry, is made for a client that has disconnected, even if its frontend has not
+// detected that.
 func TestNoAttemptStartsForADisconnectedClient(t *testing.T) {
 	for wantStarted := range 2 {
 		inBubble(t, func(ctx context.Context, t *testing.T) {
 			b := &connectingBackend{connect: []time.Duration{0}, outcomes: []Outcome{ConnectionLost}}
-			r := newRig(ctx, t, b, keyedClass(decision.DedupEverywhere))
-			req := r.request()
+			h := newHarness(ctx, t, b, keyedClass(decision.DedupEverywhere))
+			req := h.request()
 			var checks atomic.Int32
 			req.ClientGone = func() bool { return int(checks.Add(1)) > wantStarted }
-			resp := r.broker.Handle(ctx, req)
+			resp := h.broker.Handle(ctx, req)
 			if b.started != wantStarted || checks.Load() != int32(wantStarted+1) || resp.Status != Failure {
 				t.Errorf("%d attempts started after %d checks, want %d; status %d", b.started, checks.Load(), wantStarted, resp.Status)
 			}
-			if n := r.broker.limiter.InFlight(); n != 0 {
-				t.Errorf("%d still in flight", n)
+			if n := h.broker.limiter.InFlight(); n != 0 {
+				t.Errorf("%d requests are still in flight, want 0", n)
 			}
 		})
 	}
 }
 
-// At a drain's deadline a node that has not answered has timed out, as at the client's.
-func TestAttemptThatEndsWithADrainHasTimedOut(t *testing.T) {
+// An attempt that is cancelled at the drain deadline has timed out, as at the client's deadline.
+func TestAttemptCancelledAtTheDrainDeadlineHasTimedOut(t *testing.T) {
 	drain, expire := context.WithCancelCause(context.Background())
 	expire(ErrDeadlineExceeded)
 	ctx, cancel := context.WithCancelCause(drain)
 	defer cancel(errors.New("another cause"))
 	if out := OutcomeOf(ctx); out != TimedOut {
-		t.Errorf("outcome %d", out)
+		t.Errorf("outcome %d, want TimedOut", out)
 	}
 }
--- a/internal/broker/core/broker.go
+++ b/internal/broker/core/broker.go
@@ -1,5 +1,5 @@
-// Package core carries a request from its arrival to its one final response. It is independent of protocols: frontends
-// hand it requests, backends make attempts, and the decision module says what to do next.
+// Package core processes requests from their arrival to their one final response. It is independent of protocols:
+// frontends submit requests, backends make attempts, and the decision module decides what to do next.
 package core
 
 import (
@@ -21,10 +21,10 @@
 	backend    Backend[W, V]
 	clock      *clock.Clock
 	lim        *limits.Limits
-	recorder   *record.Recorder // nil: requests are not recorded
+	recorder   *record.Recorder // nil if requests are not recorded
 }
 
-// NewBroker returns a broker. Several may share a dispatcher, an endpoint table and a limiter.
+// NewBroker returns a broker. Several brokers may share a dispatcher, an endpoint table and a limiter.
 func NewBroker[W, V any](d *dispatcher.Dispatcher, endpoints *EndpointTable, limiter *ConcurrencyLimiter, backend Backend[W, V],
 	c *clock.Clock, lim *limits.Limits) *Broker[W, V] {
 	return &Broker[W, V]{
@@ -37,22 +37,22 @@
 	}
 }
 
-// SetRecorder has every request recorded by r. It must be called before the first Handle.
+// SetRecorder makes the broker record every request with r. It must be called before Handle.
 func (b *Broker[W, V]) SetRecorder(r *record.Recorder) { b.recorder = r }
 
-// Handle carries a request out and returns its final response before its deadline. If ctx is done earlier the client
-// has disconnected, and nobody gets the response.
+// Handle processes a request and returns its final response before its deadline. If ctx is done earlier, the client has
+// disconnected and the response is not sent.
 func (b *Broker[W, V]) Handle(ctx context.Context, r Request[W]) Response[V] {
 	if b.recorder == nil {
 		return b.handle(ctx, r, nil)
 	}
 	t := newTrace(b.clock, &r.RequestInfo)
 	resp := b.handle(ctx, r, t)
-	t.finish(b.recorder, traceAnswer(ctx, resp.Status, resp.DeadlineExceeded), resp.RetryAfter)
+	t.finish(b.recorder, recordedResult(ctx, resp.Status, resp.DeadlineExceeded), resp.RetryAfter)
 	return resp
 }
 
-// handle is Handle. The request's attempts are added to t, unless it is nil.
+// handle is Handle without recording. It adds the request's attempts to t, unless t is nil.
 func (b *Broker[W, V]) handle(ctx context.Context, r Request[W], t *trace) Response[V] {
 	if !b.limiter.Acquire() {
 		return Response[V]{Status: Rejection, RetryAfter: b.lim.BusyRetryAfter}
@@ -82,14 +82,14 @@
 			return Response[V]{Status: Success, Value: value}
 		}
 		if d.Verdict == dispatcher.NoFurtherAction {
-			// A response that had begun has a value: it tells the frontend that nothing more can be sent.
+			// If the response had started, its value tells the frontend that nothing more can be sent.
 			return Response[V]{Status: Failure, Value: value, DeadlineExceeded: ctx.Err() != nil}
 		}
 	}
 	return b.responseWithoutAttempt(ctx, d)
 }
 
-// responseWithoutAttempt is the response to a request for which no further attempt is made.
+// responseWithoutAttempt returns the response to a request for which no further attempt is made.
 func (b *Broker[W, V]) responseWithoutAttempt(ctx context.Context, d dispatcher.Decision) Response[V] {
 	switch d.Verdict {
 	case dispatcher.Rejected:
@@ -103,17 +103,17 @@
 	return Response[V]{Status: Failure}
 }
 
-// execution is one request while attempts are made.
+// execution is a request while its attempts are made.
 type execution[W, V any] struct {
 	broker   *Broker[W, V]
 	request  Request[W]
-	id       uint64 // of the dispatcher
+	id       uint64 // id of the request at the dispatcher
 	deadline clock.Micros
 	expiry   *time.Timer // cancels the request at its deadline
 	cancel   context.CancelCauseFunc
 }
 
-// attempt makes one attempt as the dispatcher has decided. A node that has left the endpoint list meanwhile gets none.
+// attempt makes one attempt as the dispatcher has decided, unless the node has been removed from the endpoint list.
 func (e *execution[W, V]) attempt(ctx context.Context, d dispatcher.Decision, number int) (value V, outcome Outcome) {
 	node, ok := e.broker.endpoints.Get(d.Node)
 	if !ok {
@@ -130,8 +130,8 @@
 	})
 }
 
-// mayStart reports whether an attempt may start now. notAfter is the latest time for it; 0: there is none. If the client
-// has disconnected the request is cancelled.
+// mayStart reports whether an attempt may start now. notAfter is the latest time for that, or 0 for no limit. If the
+// client has disconnected, mayStart cancels the request.
 func (e *execution[W, V]) mayStart(node Node, notAfter clock.Micros) bool {
 	if !e.broker.endpoints.Accepts(node) {
 		return false
@@ -146,7 +146,8 @@
 	return true
 }
 
-// responseStarted ends the request for the dispatcher: a response that has begun has no deadline.
+// responseStarted reports the start of the response to the dispatcher and stops the timer of the request's deadline,
+// which does not apply to a response that has started.
 func (e *execution[W, V]) responseStarted() {
 	e.expiry.Stop()
 	e.broker.dispatcher.ResponseStarted(e.id)
--- a/internal/broker/core/decisions.go
+++ b/internal/broker/core/decisions.go
@@ -8,8 +8,8 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// RunDecisions runs the decision module until ctx is done. The calling goroutine owns the module: in each turn it reads
-// the clock once, lets the module decide, and waits for the next event or for the time that the module has named.
+// RunDecisions runs the decision module until ctx is done. It must be the only caller of d.Tick. In each iteration it
+// reads the clock once, calls Tick, and waits for the next event or for the time that Tick returned.
 func RunDecisions(ctx context.Context, d *dispatcher.Dispatcher, c *clock.Clock) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
--- a/internal/broker/core/endpoints.go
+++ b/internal/broker/core/endpoints.go
@@ -15,12 +15,12 @@
 	Shard      int
 	Zone       int
 	State      decision.EndpointState
-	StartedAt  clock.Micros // 0: unknown, long ago
-	Capacity   float64      // of its kind, relative to the usual node; 0: unknown
+	StartedAt  clock.Micros // 0 if unknown or long ago
+	Capacity   float64      // relative to a node of usual capacity; 0 if unknown
 }
 
-// EndpointTable is the endpoint list as discovery last reported it. Nodes that have left the list are forgotten: an
-// attempt that was decided on before finds no node and is not made.
+// EndpointTable holds the endpoint list as discovery last reported it. Removed nodes are deleted: an attempt at such a
+// node that had already been decided on is not made.
 type EndpointTable struct {
 	mu   sync.RWMutex
 	byID map[string]Node
@@ -29,7 +29,7 @@
 // NewEndpointTable returns an empty table.
 func NewEndpointTable() *EndpointTable { return &EndpointTable{byID: map[string]Node{}} }
 
-// Update applies changed entries; a full list replaces all others.
+// Update applies changed entries of the list, or replaces the list if full is true.
 func (t *EndpointTable) Update(list []Node, full bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -46,21 +46,21 @@
 	}
 }
 
-// Get returns a node by its id.
-func (t *EndpointTable) Get(id string) (Node, bool) {
+// Get returns the node with the given id. ok is false if it is not listed.
+func (t *EndpointTable) Get(id string) (node Node, ok bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	n, ok := t.byID[id]
-	return n, ok
+	node, ok = t.byID[id]
+	return node, ok
 }
 
 // Accepts reports whether a node is still listed with the same addresses and accepts new requests.
 func (t *EndpointTable) Accepts(n Node) bool {
-	now, ok := t.Get(n.ID)
-	return ok && now.State == decision.Ready && now.Addr == n.Addr && now.ObjectAddr == n.ObjectAddr
+	current, ok := t.Get(n.ID)
+	return ok && current.State == decision.Ready && current.Addr == n.Addr && current.ObjectAddr == n.ObjectAddr
 }
 
-// Len is the number of nodes.
+// Len returns the number of nodes.
 func (t *EndpointTable) Len() int {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
--- a/internal/broker/core/rig_test.go
+++ b/internal/broker/core/harness_test.go
@@ -13,17 +13,17 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// testNode is the id of the one node of every rig.
+// testNode is the id of the only node of every harness.
 const testNode = "a"
 
-// rig is a broker over the decision module, one node and a fake backend.
-type rig struct {
+// harness is a broker with a decision module, one node and a test backend.
+type harness struct {
 	broker    *Broker[string, string]
 	clock     *clock.Clock
 	endpoints *EndpointTable
 }
 
-// inBubble runs a test in a synctest bubble, whose goroutines end with ctx.
+// inBubble runs a test in a synctest bubble. ctx is cancelled at the end of the test, so that its goroutines end.
 func inBubble(t *testing.T, test func(ctx context.Context, t *testing.T)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -33,8 +33,8 @@
 	})
 }
 
-// newRig starts a rig whose one class has the given properties.
-func newRig(ctx context.Context, t *testing.T, b Backend[string, string], class decision.Class) *rig {
+// newHarness starts a harness whose only class has the given properties.
+func newHarness(ctx context.Context, t *testing.T, b Backend[string, string], class decision.Class) *harness {
 	t.Helper()
 	class.Name = "c"
 	class.LatencyObjective = 4 * time.Second
@@ -51,28 +51,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{clock: clock.New(), endpoints: NewEndpointTable()}
-	r.endpoints.Update([]Node{{ID: testNode, Addr: "x"}}, true)
+	h := &harness{clock: clock.New(), endpoints: NewEndpointTable()}
+	h.endpoints.Update([]Node{{ID: testNode, Addr: "x"}}, true)
 	d.UpdateEndpoints([]decision.Endpoint{{Node: testNode, Shard: 0}}, true)
-	go RunDecisions(ctx, d, r.clock)
-	r.broker = NewBroker(d, r.endpoints, NewConcurrencyLimiter(2), b, r.clock, &limits.Limits{AnswerMargin: 5000})
-	return r
+	go RunDecisions(ctx, d, h.clock)
+	h.broker = NewBroker(d, h.endpoints, NewConcurrencyLimiter(2), b, h.clock, &limits.Limits{AnswerMargin: 5000})
+	return h
 }
 
-// request is one that its client waits 4 s for.
-func (r *rig) request() Request[string] {
+// request returns a request with a deadline in 4 s.
+func (h *harness) request() Request[string] {
 	return Request[string]{
 		Work: "w",
 		RequestInfo: dispatcher.RequestInfo{
 			Volume:   "v",
 			Key:      "k",
 			Units:    1,
-			Deadline: r.clock.Now() + 4_000_000,
+			Deadline: h.clock.Now() + 4_000_000,
 		},
 	}
 }
 
-// fakeBackend takes a while for each attempt, which then has the next outcome of a list.
+// fakeBackend ends each attempt after a fixed duration, with the next outcome of a list.
 type fakeBackend struct {
 	outcomes []Outcome // the last one is repeated
 	duration time.Duration
@@ -80,7 +80,7 @@
 	mu       sync.Mutex
 	attempts int
 	last     Attempt[string]
-	aborted  Outcome // of the attempt that ended with its context
+	aborted  Outcome // outcome of the attempt that ended because its context was done
 }
 
 func (b *fakeBackend) Attempt(ctx context.Context, a Attempt[string]) (string, Outcome) {
--- a/internal/broker/core/limiter.go
+++ b/internal/broker/core/limiter.go
@@ -8,7 +8,7 @@
 	limit    atomic.Int64
 }
 
-// NewConcurrencyLimiter returns a limiter for so many requests.
+// NewConcurrencyLimiter returns a limiter that allows up to limit requests in flight.
 func NewConcurrencyLimiter(limit int) *ConcurrencyLimiter {
 	l := &ConcurrencyLimiter{}
 	l.SetLimit(limit)
@@ -21,7 +21,7 @@
 // Limit returns the limit.
 func (l *ConcurrencyLimiter) Limit() int { return int(l.limit.Load()) }
 
-// Acquire counts a request in, or reports that the limit is reached.
+// Acquire counts a new request and reports true, or reports false if the limit is reached.
 func (l *ConcurrencyLimiter) Acquire() bool {
 	if l.inFlight.Add(1) > l.limit.Load() {
 		l.inFlight.Add(-1)
@@ -30,8 +30,8 @@
 	return true
 }
 
-// Release counts a request out that Acquire has counted in.
+// Release ends a request for which Acquire reported true.
 func (l *ConcurrencyLimiter) Release() { l.inFlight.Add(-1) }
 
-// InFlight is how many requests are counted in.
+// InFlight returns the number of requests in flight.
 func (l *ConcurrencyLimiter) InFlight() int64 { return l.inFlight.Load() }
--- a/internal/broker/core/request.go
+++ b/internal/broker/core/request.go
@@ -9,7 +9,7 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// Outcome is how an attempt ended.
+// Outcome is the result of an attempt.
 type Outcome = decision.Outcome
 
 // The outcomes that a backend may report.
@@ -29,11 +29,11 @@
 // ErrClientDisconnected is the cause with which a frontend cancels a request whose client has disconnected.
 var ErrClientDisconnected = errors.New("client disconnected")
 
-// ErrDeadlineExceeded is the cause with which a request is cancelled at its client's deadline or at that of a drain.
+// ErrDeadlineExceeded is the cause with which a request is cancelled at its client's deadline or at the drain deadline.
 var ErrDeadlineExceeded = errors.New("request deadline exceeded")
 
-// OutcomeOf returns the outcome of an attempt that ended because its ctx was done: TimedOut if the node did not answer
-// by the deadline, which counts against the node, or else Cancelled, which does not.
+// OutcomeOf returns the outcome of an attempt that ended because its ctx was done: TimedOut if the node did not respond
+// by the deadline, which counts as a fault of the node, or else Cancelled, which does not.
 func OutcomeOf(ctx context.Context) Outcome {
 	if errors.Is(context.Cause(ctx), ErrDeadlineExceeded) {
 		return TimedOut
@@ -41,13 +41,13 @@
 	return Cancelled
 }
 
-// Request is a request of a frontend. Work is for its backend; this package passes it on unchanged.
+// Request is a request of a frontend. Work is passed to the backend unchanged.
 type Request[W any] struct {
 	dispatcher.RequestInfo
-	NotIdempotent bool // must not be executed twice
+	NotIdempotent bool // whether the request must not be executed twice
 	Work          W
-	// ClientGone reports whether the client has disconnected, also if its frontend has not noticed yet. It is called
-	// right before each attempt, which is not made then. It may be nil.
+	// ClientGone reports whether the client has disconnected, even if its frontend has not detected that yet. It is
+	// called right before each attempt, which is not made if it reports true. It may be nil.
 	ClientGone func() bool
 }
 
@@ -56,13 +56,13 @@
 	Node          Node
 	Work          W
 	NotIdempotent bool
-	Number        int // of the request's attempts, from 0 on
+	Number        int // index among the request's attempts, from 0
 	Deadline      clock.Micros
-	// MayStart reports whether the attempt may still start. The backend calls it once it is connected, before it sends
-	// anything: meanwhile the node may have begun to drain, the client may have disconnected, and the time for a retry
-	// may have passed.
+	// MayStart reports whether the attempt may still start. The backend calls it when it is connected, before it sends
+	// anything: in the meantime the node may have started to drain, the client may have disconnected, and the time
+	// for a retry may have passed.
 	MayStart func() bool
-	// ResponseStarted is called when the response begins to be sent to the client, after which no other attempt is made.
+	// ResponseStarted is called when sending the response to the client starts. After that no other attempt is made.
 	ResponseStarted func()
 }
 
@@ -77,14 +77,14 @@
 // The kinds of responses.
 const (
 	Success   Status = iota
-	Rejection        // nothing was executed; a retry is harmless
+	Rejection        // not executed, or safe to retry
 	Failure          // it may have been executed
 )
 
 // Response is the one final response to a request.
 type Response[V any] struct {
 	Status           Status
-	Value            V            // of a Success, or of a Failure whose response had begun
-	RetryAfter       clock.Micros // of a Rejection: when to retry; 0: no advice
-	DeadlineExceeded bool         // of a Failure or a Rejection: the request's deadline passed
+	Value            V            // of a Success, or of a Failure whose response had started
+	RetryAfter       clock.Micros // of a Rejection: wait before a retry; 0 if not given
+	DeadlineExceeded bool         // of a Failure or a Rejection: whether the request's deadline passed
 }
--- a/internal/broker/core/trace.go
+++ b/internal/broker/core/trace.go
@@ -10,19 +10,19 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// trace collects what is recorded of one request. All methods but finish may be called on nil and do nothing then.
+// trace collects the data that is recorded of one request. On a nil trace, all methods but finish do nothing.
 type trace struct {
 	clock     *clock.Clock
 	startedAt clock.Micros
 	request   record.Request
 }
 
-// traces are reused, since there is one for each request.
-var traces = sync.Pool{New: func() any { return &trace{} }}
+// tracePool reuses traces, since every recorded request needs one.
+var tracePool = sync.Pool{New: func() any { return &trace{} }}
 
 // newTrace returns the trace of a request that has just arrived.
 func newTrace(c *clock.Clock, r *dispatcher.RequestInfo) *trace {
-	t := traces.Get().(*trace)
+	t := tracePool.Get().(*trace)
 	t.clock = c
 	t.startedAt = c.Now()
 	t.request = record.Request{
@@ -36,7 +36,7 @@
 	return t
 }
 
-// now is the present time; 0 without a trace.
+// now returns the current time, or 0 on a nil trace.
 func (t *trace) now() clock.Micros {
 	if t == nil {
 		return 0
@@ -57,17 +57,17 @@
 	})
 }
 
-// finish records the request. The trace must not be used afterwards.
-func (t *trace) finish(r *record.Recorder, answer record.Result, retryAfter clock.Micros) {
-	t.request.Result = answer
+// finish records the request with r. The trace must not be used afterwards.
+func (t *trace) finish(r *record.Recorder, result record.Result, retryAfter clock.Micros) {
+	t.request.Result = result
 	t.request.Duration = t.clock.Now() - t.startedAt
 	t.request.RetryAfter = retryAfter
 	r.Request(t.startedAt, &t.request)
-	traces.Put(t)
+	tracePool.Put(t)
 }
 
-// traceAnswer is how a response is recorded. ctx is the client's.
-func traceAnswer(ctx context.Context, status Status, deadlineExceeded bool) record.Result {
+// recordedResult returns the result under which a response is recorded. ctx is the one passed to Handle.
+func recordedResult(ctx context.Context, status Status, deadlineExceeded bool) record.Result {
 	switch {
 	case status == Success:
 		return record.Served
--- a/internal/broker/core/trace_test.go
+++ b/internal/broker/core/trace_test.go
@@ -7,7 +7,7 @@
 	"poppyarch/internal/observability/record"
 )
 
-func TestRecordedAnswerFollowsTheResponse(t *testing.T) {
+func TestRecordedResultFollowsTheResponse(t *testing.T) {
 	connected := context.Background()
 	disconnected, cancel := context.WithCancelCause(connected)
 	cancel(ErrClientDisconnected)
@@ -26,7 +26,7 @@
 		{"failure", connected, Failure, false, record.Failed},
 		{"failure at the deadline", connected, Failure, true, record.DeadlineExceeded},
 	} {
-		if got := traceAnswer(x.ctx, x.status, x.deadlineExceeded); got != x.want {
+		if got := recordedResult(x.ctx, x.status, x.deadlineExceeded); got != x.want {
 			t.Errorf("%s: recorded as %d, want %d", x.name, got, x.want)
 		}
 	}
@@ -36,6 +36,6 @@
 	var tr *trace
 	tr.addAttempt(testNode, 0, Served)
 	if now := tr.now(); now != 0 {
-		t.Errorf("time %d, want none", now)
+		t.Errorf("time %d, want 0", now)
 	}
 }
--- a/internal/broker/dispatcher/dispatcher.go
+++ b/internal/broker/dispatcher/dispatcher.go
@@ -1,8 +1,8 @@
-// Package dispatcher gives the decision module a blocking interface: callers submit requests, report outcomes and
-// never see the module's events and actions.
+// Package dispatcher provides a blocking interface to the decision module (package policy). Callers submit requests
+// and report outcomes, and do not handle the module's events and actions.
 //
-// A Dispatcher is shared by any number of goroutines that call Submit, Report and ResponseStarted. One goroutine
-// calls Tick and so owns the scheduler; it is the only one that steps it.
+// Any number of goroutines may call the methods of a Dispatcher other than Tick. Only one goroutine may call Tick, and
+// only Tick uses the scheduler.
 package dispatcher
 
 import (
@@ -14,15 +14,15 @@
 	"poppyarch/policy"
 )
 
-// Verdict is what is to be done next with a request.
+// Verdict determines what the caller must do next with a request.
 type Verdict uint8
 
 // The verdicts.
 const (
 	Forward         Verdict = iota // make an attempt at Node, for at most Timeout
-	Rejected                       // tell the client that a retry is harmless, after RetryAfter if it is not 0
+	Rejected                       // tell the client that it may safely retry, after RetryAfter if that is not 0
 	Failed                         // tell the client that the request failed
-	NoFurtherAction                // it was served, or its caller stopped waiting
+	NoFurtherAction                // the request was served, or its caller stopped waiting
 )
 
 // Decision is a verdict and its parameters.
@@ -30,11 +30,11 @@
 	Verdict    Verdict
 	Node       string
 	Timeout    clock.Micros // duration
-	NotAfter   clock.Micros // the attempt must not begin later than this time; 0: no bound
-	RetryAfter clock.Micros // duration; 0: none
+	NotAfter   clock.Micros // the attempt must not start later than this time; 0 for no limit
+	RetryAfter clock.Micros // duration; 0 if there is none
 }
 
-// RequestInfo is a request as its caller describes it.
+// RequestInfo holds the properties of a request by which the module decides.
 type RequestInfo struct {
 	Class    int // index into the settings' classes
 	Plan     int // index into the settings' plans
@@ -42,38 +42,38 @@
 	Key      string // idempotency and ordering key; may be empty
 	Units    float64
 	Shard    int          // decision.AnyShard for a new object
-	Brokers  int          // brokers that the volume uses
-	Deadline clock.Micros // on the clock that Tick is given
+	Brokers  int          // number of brokers that the volume uses
+	Deadline clock.Micros // on the clock whose time is passed to Tick
 }
 
 // Dispatcher runs the decision module for concurrent callers.
 type Dispatcher struct {
 	scheduler      *policy.Scheduler // owned by the goroutine that calls Tick
 	log            func(string)
-	tickDue        chan struct{} // holds one: events are waiting for the next Tick
-	watchRequested chan struct{} // holds one: the module wants the endpoint list watched
+	tickDue        chan struct{} // capacity 1; signals that events are waiting for the next Tick
+	watchRequested chan struct{} // capacity 1; signals that the module requested a watch
 
-	mu     sync.Mutex // guards the fields below
-	lastID uint64
-	inbox  []decision.Event // for the next Tick
-	calls  map[uint64]*call
+	mu            sync.Mutex // guards the fields below
+	lastID        uint64
+	pendingEvents []decision.Event // processed by the next Tick
+	calls         map[uint64]*call
 
-	// Buffers of the goroutine that calls Tick.
+	// Buffers that only Tick uses.
 	events  []decision.Event
 	actions []decision.Action
 }
 
-// call is one request from its Submit to its end.
+// call is a request from Submit until its last decision.
 type call struct {
-	decision        chan Decision // holds one
+	decision        chan Decision // capacity 1
 	abandoned       bool          // its caller has stopped waiting
-	responseStarted bool          // the client has got the start of a response
+	responseStarted bool          // part of a response has been sent to the client
 	attempts        int
 	node            string // of the last attempt
 }
 
-// New returns a dispatcher whose module knows nothing but its settings. The module's log lines go to log, which is
-// called by the goroutine that calls Tick. The error is a *decision.SettingError.
+// New returns a dispatcher over a new module with the given settings. Tick calls log with the module's log lines.
+// Invalid settings are reported as a *decision.SettingError.
 func New(cfg decision.Config, log func(string)) (*Dispatcher, error) {
 	scheduler, err := policy.New(cfg)
 	if err != nil {
@@ -88,14 +88,14 @@
 	}, nil
 }
 
-// TickDue signals that a Tick is due before the time that the last one returned.
+// TickDue signals that Tick must be called now, before the time that its last call returned.
 func (d *Dispatcher) TickDue() <-chan struct{} { return d.tickDue }
 
-// WatchRequested signals that the module wants the endpoint list watched, for the first time or again.
+// WatchRequested signals that the module requested a watch of the endpoint list, for the first time or after a failure.
 func (d *Dispatcher) WatchRequested() <-chan struct{} { return d.watchRequested }
 
-// Submit hands in a request and blocks until the module has decided on it or ctx is done. The id names the request
-// in Report and ResponseStarted.
+// Submit submits a request and blocks until the module has decided on it or ctx is done. The id identifies the request
+// in calls of Report and ResponseStarted.
 func (d *Dispatcher) Submit(ctx context.Context, r RequestInfo) (id uint64, next Decision) {
 	c := &call{decision: make(chan Decision, 1)}
 	d.mu.Lock()
@@ -116,8 +116,8 @@
 	return id, d.await(ctx, id, c)
 }
 
-// Report hands in the outcome of the request's last attempt and blocks until the module has decided what follows.
-// It must be called even if ctx is done; then, and after decision.Served, nothing follows.
+// Report reports the outcome of the request's last attempt and blocks until the module has decided what to do next.
+// It must be called even if ctx is done. In that case, and after decision.Served, the verdict is NoFurtherAction.
 func (d *Dispatcher) Report(ctx context.Context, id uint64, outcome decision.Outcome) Decision {
 	d.mu.Lock()
 	c := d.calls[id]
@@ -131,7 +131,7 @@
 		c.abandoned = true
 		delete(d.calls, id)
 		if !served && !c.responseStarted {
-			// Before the outcome, so that the module does not decide on another attempt.
+			// This event precedes the outcome, so that the module does not decide on another attempt.
 			d.push(decision.Event{Kind: decision.ClientDisconnected, ID: id})
 		}
 	}
@@ -143,7 +143,7 @@
 	return d.await(ctx, id, c)
 }
 
-// attemptEnded is the event that the call's last attempt has ended.
+// attemptEnded returns the event for the end of the call's last attempt.
 func (c *call) attemptEnded(id uint64, outcome decision.Outcome, final bool) decision.Event {
 	return decision.Event{
 		Kind:    decision.AttemptEnded,
@@ -155,7 +155,8 @@
 	}
 }
 
-// ResponseStarted says that the client gets the response of the request's attempt, so that no other may follow.
+// ResponseStarted reports that the response of the current attempt is being sent to the client. The request is not
+// retried after that.
 func (d *Dispatcher) ResponseStarted(id uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -165,7 +166,7 @@
 	}
 }
 
-// UpdateEndpoints hands in the whole endpoint list, or its changed entries if full is false.
+// UpdateEndpoints passes the whole endpoint list to the module, or only its changed entries if full is false.
 func (d *Dispatcher) UpdateEndpoints(endpoints []decision.Endpoint, full bool) {
 	ev := decision.Event{Kind: decision.EndpointsChanged, Endpoints: endpoints}
 	if full {
@@ -176,8 +177,8 @@
 	d.push(ev)
 }
 
-// EndpointWatchFailed says that a poll of the endpoint list failed or its watch ended. The module asks for the next
-// one within retryWithin; 0 sets no bound.
+// EndpointWatchFailed reports that a poll of the endpoint list failed or its watch ended. The module requests the next
+// one within retryWithin, or without a limit if that is 0.
 func (d *Dispatcher) EndpointWatchFailed(retryWithin clock.Micros) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -194,7 +195,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	select {
-	case next := <-c.decision: // decided in the meantime: the caller follows it or reports that it did not
+	case next := <-c.decision: // decided in the meantime; the caller must follow it or report that it did not
 		return next
 	default:
 	}
@@ -205,11 +206,11 @@
 
 // push adds an event for the next Tick. The caller holds mu.
 func (d *Dispatcher) push(ev decision.Event) {
-	d.inbox = append(d.inbox, ev)
+	d.pendingEvents = append(d.pendingEvents, ev)
 	signal(d.tickDue)
 }
 
-// signal sends to a channel that holds one, unless it is full.
+// signal sends to a channel of capacity 1, unless the channel is full.
 func signal(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
--- a/internal/broker/dispatcher/dispatcher_test.go
+++ b/internal/broker/dispatcher/dispatcher_test.go
@@ -12,8 +12,7 @@
 
 const second clock.Micros = 1_000_000
 
-// newDispatcher starts a dispatcher that knows one node, ticked by a goroutine of the synctest bubble until ctx is
-// done.
+// newDispatcher returns a dispatcher with one node. A goroutine of the synctest bubble calls Tick until ctx is done.
 func newDispatcher(ctx context.Context, t *testing.T, idempotency decision.Idempotency) *Dispatcher {
 	t.Helper()
 	class := decision.Class{
@@ -51,7 +50,7 @@
 	return RequestInfo{Volume: "v", Key: "k", Units: 1, Shard: 0, Brokers: 1, Deadline: 1004 * second}
 }
 
-func TestServedRequestLeavesNothingBehind(t *testing.T) {
+func TestServedRequestIsRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -59,7 +58,7 @@
 		select {
 		case <-dispatcher.WatchRequested():
 		default:
-			t.Error("the module did not ask for the endpoint list")
+			t.Error("the module did not request a watch of the endpoint list")
 		}
 		id, d := dispatcher.Submit(ctx, testRequest())
 		if d.Verdict != Forward || d.Node != "a" || d.Timeout != 2*second {
@@ -75,8 +74,8 @@
 	})
 }
 
-// A request that is not idempotent fails if its attempt may have run, and is retried if it did not.
-func TestNonIdempotentRequestIsRetriedOnlyIfItDidNotRun(t *testing.T) {
+// A request that is not idempotent fails if its attempt may have been executed, and else is retried.
+func TestNonIdempotentRequestIsRetriedOnlyIfNotExecuted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -84,16 +83,16 @@
 		id, _ := dispatcher.Submit(ctx, testRequest())
 		d := dispatcher.Report(ctx, id, decision.Rejected)
 		if d.Verdict != Forward {
-			t.Fatalf("after an attempt that never ran: %+v", d)
+			t.Fatalf("after an attempt that was not executed: got %+v, want the verdict Forward", d)
 		}
 		if d = dispatcher.Report(ctx, id, decision.ConnectionLost); d.Verdict != Failed {
-			t.Fatalf("after an attempt that may have run: %+v", d)
+			t.Fatalf("after an attempt that may have been executed: got %+v, want the verdict Failed", d)
 		}
 	})
 }
 
-// A caller that stops waiting leaves nothing behind, whether the module had decided or not.
-func TestCallerThatStopsWaitingLeavesNothingBehind(t *testing.T) {
+// The request of a caller that stops waiting is removed, whether or not the module had decided on it.
+func TestRequestOfACallerThatStopsWaitingIsRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -108,26 +107,26 @@
 			}
 			ids = append(ids, id)
 		}
-		leavingCtx, leave := context.WithCancel(ctx)
+		waitingCtx, cancelWaiting := context.WithCancel(ctx)
 		done := make(chan Decision)
 		go func() {
-			_, d := dispatcher.Submit(leavingCtx, request)
+			_, d := dispatcher.Submit(waitingCtx, request)
 			done <- d
 		}()
 		synctest.Wait()
-		leave()
+		cancelWaiting()
 		if d := <-done; d.Verdict != NoFurtherAction {
-			t.Errorf("the caller that left got %+v", d)
+			t.Errorf("the caller that stopped waiting got %+v", d)
 		}
-		doneCtx, cancelDone := context.WithCancel(ctx)
+		cancelledCtx, cancelDone := context.WithCancel(ctx)
 		cancelDone()
 		for _, id := range ids {
-			if d := dispatcher.Report(doneCtx, id, decision.Cancelled); d.Verdict != NoFurtherAction {
+			if d := dispatcher.Report(cancelledCtx, id, decision.Cancelled); d.Verdict != NoFurtherAction {
 				t.Errorf("got %+v", d)
 			}
 		}
-		// A caller that stops waiting before the module decides: an attempt sent for it is reported as not made.
-		if _, d := dispatcher.Submit(doneCtx, request); d.Verdict == Forward {
+		// If the caller stops waiting before the module decides, the attempt is reported as not made.
+		if _, d := dispatcher.Submit(cancelledCtx, request); d.Verdict == Forward {
 			t.Errorf("got %+v", d)
 		}
 		synctest.Wait()
@@ -138,8 +137,8 @@
 	})
 }
 
-// A response that started and broke ends its request: it is not retried and nobody waits.
-func TestBrokenResponseEndsItsRequest(t *testing.T) {
+// A request whose response is interrupted after its start is not retried, and Report does not block.
+func TestInterruptedResponseEndsItsRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -152,7 +151,7 @@
 		}
 		synctest.Wait()
 		if requests := dispatcher.scheduler.OpenRequests(); requests > 0 {
-			t.Errorf("%d requests are left, or attempts of them", requests)
+			t.Errorf("%d requests are still open or have attempts in flight", requests)
 		}
 	})
 }
--- a/internal/broker/dispatcher/tick.go
+++ b/internal/broker/dispatcher/tick.go
@@ -5,14 +5,14 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// Tick steps the module with the events that have come and carries out what it decides. It returns the time at
-// which the next Tick is due at the latest. Only one goroutine may call it. now is a time of a monotonic clock that
-// starts before any node.
+// Tick steps the module with the pending events and carries out its actions. It returns the time by which the next
+// Tick is due. Only one goroutine may call it. now is the time of a monotonic clock whose zero lies before the start
+// of every node.
 func (d *Dispatcher) Tick(now clock.Micros) (next clock.Micros) {
 	d.mu.Lock()
-	d.events, d.inbox = d.inbox, d.events[:0]
+	d.events, d.pendingEvents = d.pendingEvents, d.events[:0]
 	d.mu.Unlock()
-	// The module keeps one timer armed and ignores one that fires early.
+	// The module keeps one timer armed and ignores a timer event that comes early.
 	at := clock.Duration(now)
 	if timerAt, started := d.scheduler.NextTimer(); started && at >= timerAt {
 		d.events = append(d.events, decision.Event{Kind: decision.TimerFired})
@@ -26,15 +26,15 @@
 	}
 	for i := range d.events {
 		if ev := &d.events[i]; ev.Kind == decision.ClientDisconnected {
-			delete(d.calls, ev.ID) // not before, since this step may have sent an attempt of it
+			delete(d.calls, ev.ID) // only now, since this step may have started an attempt of it
 		}
 	}
-	clear(d.events) // else the buffer keeps their lists and texts alive
+	clear(d.events) // so that the buffer does not retain their lists and strings
 	timerAt, _ := d.scheduler.NextTimer()
 	return clock.FromDuration(timerAt)
 }
 
-// carryOut passes one action on to whom it concerns. The caller holds mu.
+// carryOut carries out one action. The caller holds mu.
 func (d *Dispatcher) carryOut(a *decision.Action) {
 	switch a.Kind {
 	case decision.Forward:
@@ -50,14 +50,14 @@
 	}
 }
 
-// forward passes an attempt on to the request's caller.
+// forward passes the decision to make an attempt to the request's caller.
 func (d *Dispatcher) forward(a *decision.Action) {
 	c := d.calls[a.ID]
 	c.attempts++
 	c.node = a.Node
 	if c.abandoned {
-		// The caller stopped waiting after this step took its events: the attempt is never made, and without
-		// an outcome the module would wait for it forever.
+		// The caller stopped waiting after this step took its events. The attempt is not made, but the module
+		// needs an outcome, or it would keep the request forever.
 		d.push(c.attemptEnded(a.ID, decision.NotAttempted, true))
 		return
 	}
@@ -69,7 +69,7 @@
 	}
 }
 
-// finish passes the last decision on a request on to its caller, if it still waits.
+// finish passes the last decision on a request to its caller, if it is still waiting.
 func (d *Dispatcher) finish(id uint64, last Decision) {
 	c := d.calls[id]
 	if c.abandoned {
