--- a/policy/asfq.go
+++ b/policy/asfq.go
@@ -152,7 +152,7 @@
 }
 
 // compensate sets the compensation of the flows at n from their served units over weight, relative to the
-// least served flow that has queued requests.
+// least served flow that has queued requests. Gaps within unfairnessTolerance leave it unchanged.
 func (s *Scheduler) compensate(n *node) {
 	least := math.Inf(1)
 	for _, f := range n.flows {
--- a/policy/depth.go
+++ b/policy/depth.go
@@ -30,9 +30,12 @@
 
 // Weights and time constants of the estimates.
 const (
-	latencyGain         = 0.12            // weight of one response in a node's mean latency
-	overallTimeConstant = 0.25            // time constant of the overall estimates, in latency objectives
-	estimateLifetime    = 3 * time.Second // time constant of a node's decay to the overall estimates
+	latencyGain         = 0.12 // weight of one response in a node's mean latency
+	overallTimeConstant = 0.25 // time constant of the overall estimates, in latency objectives
+
+	// estimateLifetime is the time constant with which a node's estimates approach the overall ones while no
+	// responses arrive.
+	estimateLifetime = 3 * time.Second
 )
 
 // estimate holds latency estimates from attempt outcomes, in seconds, and the depth that follows from them.
@@ -46,7 +49,7 @@
 type sample struct {
 	latency    float64 // seconds
 	objective  float64 // seconds
-	timedOut   bool    // the attempt timed out; latency is a lower bound
+	timedOut   bool    // the attempt timed out, so its latency would have been higher
 	backlogged bool    // requests are queued, so that a higher depth would have an effect
 }
 
--- a/policy/nodes.go
+++ b/policy/nodes.go
@@ -36,7 +36,7 @@
 	pausedUntil  time.Duration      // no request is sent before this time
 
 	estimate
-	objective float64 // follows those of sent requests: a shorter one applies at once, a longer one gradually
+	objective float64 // follows those of sent requests: a shorter one immediately, a longer one gradually
 	health    nodeHealth
 }
 
--- a/policy/outcomes_test.go
+++ b/policy/outcomes_test.go
@@ -56,7 +56,7 @@
 }
 
 // A lost connection alone does not indicate a restart. Consecutive failed connections do, and a connection fault
-// after a time without responses.
+// after a time without responses does.
 func TestConnectionFaultsThatIndicateARestart(t *testing.T) {
 	for _, x := range []struct {
 		outcomes    []decision.Outcome
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -144,8 +144,8 @@
 	}
 }
 
-// A node that fails quickly is not taken for the fastest. It is still used for its own shard, and gets new objects
-// again once it serves requests.
+// A node that fails quickly must not be taken for the fastest because of its low latency. It is still used for its own
+// shard, and gets new objects again once it serves requests.
 func TestFastErrorsAttractNoNewObjects(t *testing.T) {
 	h := newHarness(t, testConfig(), decision.Endpoint{Node: "bad"}, decision.Endpoint{Node: "good", Shard: 1})
 	bad := h.scheduler.nodes.byName["bad"]
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -12,7 +12,7 @@
 const slowStartShare = 0.5
 
 // slowStartSince returns the start of the node, as listed or presumed from connection faults, whichever is
-// later. warming reports whether the node is in slow start.
+// later. inSlowStart reports whether the node is in slow start.
 func (s *Scheduler) slowStartSince(n *node) (at time.Duration, inSlowStart bool) {
 	at = max(n.StartedAt, n.health.presumedStartAt)
 	return at, at > 0 && s.cfg.OverloadWindow > 0 && s.now < at+s.cfg.SlowStartDuration
@@ -40,7 +40,7 @@
 }
 
 // admitsAtRandom reports whether r is among the requests that are sent to a node in slow start at random. It
-// decides where this broker's share is smaller than a mean request, or than the only request in the window.
+// decides if this broker's share is smaller than a mean request, or than the only request in the window.
 // The probability is such that all brokers together use slowStartShare of the capacity on average. Their
 // demand is estimated from this broker's demand over all nodes, and from its demand for this shard times the
 // number of the volume's brokers, as only those see a surge of the volume. Small requests are admitted more
--- a/policy/slowstartfleet_test.go
+++ b/policy/slowstartfleet_test.go
@@ -59,7 +59,7 @@
 		}
 		for i, h := range f.brokers {
 			h.now = f.now
-			f.answerSends(h, h.step(f.events(i, perSecond, surge)...))
+			f.serveSends(h, h.step(f.events(i, perSecond, surge)...))
 		}
 	}
 }
@@ -91,10 +91,10 @@
 
 func (f *slowStartFleet) units() float64 { return float64(1 + f.random.IntN(3)*f.random.IntN(3)) }
 
-// answerSends serves every sent request immediately, until the broker sends no more.
-func (f *slowStartFleet) answerSends(h *harness, actions []decision.Action) {
+// serveSends serves every sent request immediately, until the broker sends no more.
+func (f *slowStartFleet) serveSends(h *harness, actions []decision.Action) {
 	for len(actions) > 0 {
-		var answers []decision.Event
+		var outcomes []decision.Event
 		for _, a := range actions {
 			if a.Kind != decision.Forward {
 				continue
@@ -102,12 +102,12 @@
 			if a.Node == "cold" && f.now >= f.startedAt {
 				f.sends = append(f.sends, simSend{f.now, h.scheduler.requests.open[a.ID].arrival.Units})
 			}
-			answers = append(answers, attemptEnded(a.ID, a.Node, decision.Served))
+			outcomes = append(outcomes, attemptEnded(a.ID, a.Node, decision.Served))
 		}
-		if answers == nil {
+		if outcomes == nil {
 			return
 		}
-		actions = h.step(answers...)
+		actions = h.step(outcomes...)
 	}
 }
 
--- a/policy/surge_test.go
+++ b/policy/surge_test.go
@@ -83,7 +83,7 @@
 		for _, ev := range events[broker] {
 			units[ev.ID] = ev.Arrival.Units
 		}
-		var answers []decision.Event
+		var outcomes []decision.Event
 		for _, a := range h.stepAfter(tick, events[broker]...) {
 			if a.Kind != decision.Forward {
 				continue
@@ -95,9 +95,9 @@
 			if a.Node == "n0" {
 				f.sent = append(f.sent, simSend{h.now, u})
 			}
-			answers = append(answers, attemptEnded(a.ID, a.Node, decision.Served))
+			outcomes = append(outcomes, attemptEnded(a.ID, a.Node, decision.Served))
 		}
-		h.step(answers...)
+		h.step(outcomes...)
 	}
 }
 
@@ -129,7 +129,7 @@
 
 // A node restarts with 20 to 30 brokers, while the load of one volume of its shard rises to 18 times or that of
 // every volume to three times its rate. In every window, all brokers together keep to the node's slow-start capacity.
-func TestBrokersTogetherDoNotOverloadANodeInSlowStartInASurge(t *testing.T) {
+func TestBrokersTogetherDoNotOverloadANodeInSlowStartDuringASurge(t *testing.T) {
 	for _, brokers := range []int{20, 25, 30} {
 		for seed := range uint64(8) {
 			f := newSurgeLoad(t, brokers, seed, 20)
