--- a/internal/nodes/membership/explain.go
+++ b/internal/nodes/membership/explain.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Phase is a node's place in its life cycle.
+// Phase is a stage in the life cycle of a node.
 type Phase string
 
 // The phases.
@@ -11,22 +11,22 @@
 	PhaseWarming  Phase = "warming"
 	PhaseWarm     Phase = "warm"
 	PhaseDraining Phase = "draining"
-	PhaseOut      Phase = "out"  // known, and not in use
+	PhaseOut      Phase = "out"  // known, but not in use
 	PhaseGone     Phase = "gone" // unknown, or never in use
 )
 
-// coldFraction is the inverse of the part of a slow start in which a node is cold.
-const coldFraction = 5
+// coldDivisor sets how long a node is cold: for the first 1/coldDivisor of its slow start.
+const coldDivisor = 5
 
 // Fact is what one source states about a node.
 type Fact struct {
 	Source    string `json:"source"`
 	Statement string `json:"says"`
 	Origin    string `json:"where,omitempty"`
-	HeldBack  bool   `json:"held,omitempty"` // the source omits the node; its last statement holds while the removal is held back
+	HeldBack  bool   `json:"held,omitempty"` // omitted by the source, but its removal is held back
 }
 
-// Explanation says why a node is used as it is.
+// Explanation describes how a node is used, and why.
 type Explanation struct {
 	ID    string   `json:"id"`
 	Phase Phase    `json:"phase"`
@@ -38,9 +38,9 @@
 // Explain returns the origin of each fact about a node.
 func (s *Set) Explain(id string) Explanation {
 	m, known := s.merge(id)
-	x := Explanation{ID: id, Phase: PhaseGone, State: m.State.String(), Facts: []Fact{}}
+	explanation := Explanation{ID: id, Phase: PhaseGone, State: m.State.String(), Facts: []Fact{}}
 	if !known {
-		x.State = "unknown"
+		explanation.State = "unknown"
 	}
 	for i := range s.sources {
 		source := &s.sources[i]
@@ -49,26 +49,26 @@
 			continue
 		}
 		held := source.entries[id] == nil
-		x.Facts = append(x.Facts, Fact{
+		explanation.Facts = append(explanation.Facts, Fact{
 			Source:    Source(i).String(),
 			Statement: e.statement(),
 			Origin:    e.Origin,
 			HeldBack:  held,
 		})
 		if held {
-			x.Notes = append(x.Notes, source.removal.reason)
+			explanation.Notes = append(explanation.Notes, source.removal.reason)
 		}
 	}
 	if known && s.excludedByFiles(id) {
-		x.Notes = append(x.Notes, "no file has it, and only what a file has is used")
+		explanation.Notes = append(explanation.Notes, "excluded: no file names this node, and only nodes named in files are used")
 	}
 	if n := s.nodes[id]; n != nil {
 		if n.note != "" {
-			x.Notes = append(x.Notes, n.note)
+			explanation.Notes = append(explanation.Notes, n.note)
 		}
-		x.Phase = s.phase(n, known)
+		explanation.Phase = s.phase(n, known)
 	}
-	return x
+	return explanation
 }
 
 func (e *Entry) statement() string {
@@ -93,7 +93,7 @@
 		return PhaseDraining
 	case n.member.StartedAt == 0 || age >= s.options.SlowStart:
 		return PhaseWarm
-	case age < s.options.SlowStart/coldFraction:
+	case age < s.options.SlowStart/coldDivisor:
 		return PhaseCold
 	default:
 		return PhaseWarming
--- a/internal/nodes/membership/membership.go
+++ b/internal/nodes/membership/membership.go
@@ -1,15 +1,15 @@
-// Package membership merges the storage nodes that discovery, files and operators name into one view. It does no I/O and
+// Package membership merges the storage nodes named by discovery, files and operators into one view. It does no I/O and
 // reads no clock: the caller passes the time. The view depends only on the latest state of each source, so updates may
-// arrive in any order, repeat, or be skipped where a later one of the same source follows.
+// arrive in any order, repeat, or be skipped if a later one from the same source follows.
 //
-// Three mechanisms protect the view. The strictest state that any source gives a node is in force. A source that omits many
-// nodes at once is taken to be faulty, and the removals are held back for a time. A node that leaves and returns again and
-// again is suppressed, as by route flap damping, until its penalty has decayed.
+// Three mechanisms protect the view. The strictest state that any source gives a node takes effect. A source that omits
+// many nodes simultaneously is assumed to be faulty, and the removals are held back for a time. A node that leaves and
+// returns repeatedly is suppressed, as in route flap damping, until its penalty has decayed.
 package membership
 
 import "poppyarch/internal/timing/clock"
 
-// Source is an origin of facts about nodes.
+// Source identifies where facts about nodes come from.
 type Source uint8
 
 // The sources, in the order of precedence of their facts.
@@ -22,7 +22,7 @@
 
 func (s Source) String() string { return [...]string{"discovery", "files", "operators"}[s] }
 
-// State says what a node may be used for.
+// State determines which requests a node may receive.
 type State uint8
 
 // The states, from the most permissive to the strictest.
@@ -38,17 +38,17 @@
 type Entry struct {
 	ID         string
 	State      State
-	Addr       string // empty: the source only restricts a node that others know
-	ObjectAddr string // empty: as Addr
+	Addr       string // empty if the source only restricts a node whose address another source gives
+	ObjectAddr string // defaults to Addr
 	Shard      int
 	Zone       int
-	StartedAt  clock.Micros // of its process; 0: unknown or long ago
-	Kind       string       // of machine, for an estimate of its capacity
-	Capacity   float64      // in the units of the source; 0: unknown
-	Origin     string       // file, line and column, or the like
+	StartedAt  clock.Micros // when the node's process started; 0 if unknown or long ago
+	Kind       string       // type of machine, used to estimate the node's capacity
+	Capacity   float64      // in the units of the source; 0 if unknown
+	Origin     string       // where the entry was read, such as file, line and column
 }
 
-// Member is a node as the view has it.
+// Member is a node in the merged view.
 type Member struct {
 	ID         string
 	State      State
--- a/internal/nodes/membership/membership_test.go
+++ b/internal/nodes/membership/membership_test.go
@@ -16,12 +16,12 @@
 func drawEntries(t *rapid.T) []Entry {
 	var out []Entry
 	for k := range 6 {
-		if rapid.IntRange(0, 3).Draw(t, "there") == 0 {
+		if rapid.IntRange(0, 3).Draw(t, "listed") == 0 {
 			continue
 		}
 		e := Entry{ID: fmt.Sprint("s", k), State: State(rapid.IntRange(0, 2).Draw(t, "state"))}
-		if rapid.IntRange(0, 4).Draw(t, "addr") > 0 {
-			e.Addr = fmt.Sprint("10.0.0.", rapid.IntRange(1, 3).Draw(t, "at"))
+		if rapid.IntRange(0, 4).Draw(t, "has addr") > 0 {
+			e.Addr = fmt.Sprint("10.0.0.", rapid.IntRange(1, 3).Draw(t, "last byte"))
 			e.Shard = rapid.IntRange(0, 2).Draw(t, "shard")
 		}
 		out = append(out, e)
@@ -29,33 +29,33 @@
 	return out
 }
 
-// withoutTimes is the view without what depends on when updates arrived.
-func withoutTimes(s *Set) (out []string) {
+// viewWithoutTimes returns the view without the fields that depend on when updates arrived.
+func viewWithoutTimes(s *Set) (out []string) {
 	for _, m := range s.Members() {
 		out = append(out, fmt.Sprint(m.ID, m.State, m.Addr, m.Shard))
 	}
 	return out
 }
 
-// history is the versions of each source, the oldest first.
+// history holds the successive states of each source, oldest first.
 type history [sourceCount][][]Entry
 
-// replay gives a new set the history in a drawn order: the sources are interleaved, versions that are not the last may be
-// lost, and outdated ones may arrive again.
+// replay applies the history to a new set in a random order: the sources are interleaved, versions other than the last
+// may be lost, and outdated ones may arrive again.
 func (h *history) replay(t *rapid.T, o Options, label string) *Set {
 	s := New(o, 1)
 	var next [sourceCount]int
 	for now := clock.Micros(2); ; now++ {
-		var open []int
+		var pending []int
 		for k := range h {
 			if next[k] < len(h[k]) {
-				open = append(open, k)
+				pending = append(pending, k)
 			}
 		}
-		if len(open) == 0 {
+		if len(pending) == 0 {
 			return s
 		}
-		k := rapid.SampledFrom(open).Draw(t, label)
+		k := rapid.SampledFrom(pending).Draw(t, label)
 		v := next[k]
 		next[k]++
 		if v < len(h[k])-1 && rapid.IntRange(0, 2).Draw(t, label+" lost") == 0 {
@@ -70,29 +70,29 @@
 
 func TestViewDoesNotDependOnArrivalOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := Options{FilesAreAllowList: rapid.Bool().Draw(t, "limit"), SlowStart: second, HistoryRetention: second}
+		o := Options{FilesAreAllowList: rapid.Bool().Draw(t, "allow list"), SlowStart: second, HistoryRetention: second}
 		var h history
 		for k := range h {
-			for range rapid.IntRange(0, 4).Draw(t, "words") {
+			for range rapid.IntRange(0, 4).Draw(t, "versions") {
 				h[k] = append(h[k], drawEntries(t))
 			}
 		}
-		a := withoutTimes(h.replay(t, o, "one"))
-		b := withoutTimes(h.replay(t, o, "other"))
+		a := viewWithoutTimes(h.replay(t, o, "first"))
+		b := viewWithoutTimes(h.replay(t, o, "second"))
 		if !slices.Equal(a, b) {
-			t.Fatalf("%v\n%v", a, b)
+			t.Fatalf("two orders give different views:\n%v\n%v", a, b)
 		}
 	})
 }
 
-// setModel drives a set with all protections on, and keeps what the set must agree with.
+// setModel drives a set with all protections on, and records the state that the set must match.
 type setModel struct {
 	set       *Set
 	now       clock.Micros
 	version   int64
-	returned  map[string]Member             // the view, as the returned changes add up to it
+	returned  map[string]Member             // the view, accumulated from the returned changes
 	newest    [sourceCount]map[string]Entry // the latest state of each source
-	removedAt map[string]clock.Micros       // nodes that are out of use
+	removedAt map[string]clock.Micros       // when each node out of use was removed
 }
 
 func newSetModel(o Options) *setModel {
@@ -158,7 +158,7 @@
 func (m *setModel) check(t *rapid.T) {
 	members := m.set.Members()
 	if len(members) != len(m.returned) {
-		t.Fatalf("%v\n%v", members, m.returned)
+		t.Fatalf("members %v, accumulated from changes %v", members, m.returned)
 	}
 	for _, member := range members {
 		m.checkMember(t, member)
@@ -177,29 +177,29 @@
 
 func (m *setModel) checkMember(t *rapid.T, member Member) {
 	if m.returned[member.ID] != member {
-		t.Fatalf("%+v is shown as %+v", member, m.returned[member.ID])
+		t.Fatalf("member %+v was last returned as %+v", member, m.returned[member.ID])
 	}
 	known := false
 	for k := range m.newest {
 		e, ok := m.newest[k][member.ID]
 		known = known || ok && e.Addr != ""
 		if ok && e.State > member.State {
-			t.Fatalf("%s is %s, though %s has it %s", member.ID, member.State, Source(k), e.State)
+			t.Fatalf("%s is %s, but %s says %s", member.ID, member.State, Source(k), e.State)
 		}
 	}
 	heldFromFiles, _ := m.set.HeldRemovals(Files)
 	heldFromDiscovery, _ := m.set.HeldRemovals(Discovery)
 	if !known && !slices.Contains(append(heldFromFiles, heldFromDiscovery...), member.ID) {
-		t.Fatalf("%s is used and nobody knows it", member.ID)
+		t.Fatalf("%s is used though no source gives its address", member.ID)
 	}
 	byDiscovery := m.newest[Discovery][member.ID].ID != "" || slices.Contains(heldFromDiscovery, member.ID)
 	if at, ok := m.removedAt[member.ID]; ok && member.StartedAt < at && !byDiscovery {
-		t.Fatalf("%s was out at %d and is back as if it had started at %d", member.ID, at, member.StartedAt)
+		t.Fatalf("%s was removed at %d and has returned with start time %d", member.ID, at, member.StartedAt)
 	}
 }
 
-// With all protections on, the returned changes add up to the view, a node that any source has draining or out of service is
-// never up, and a node that returns is cold.
+// With all protections on, the returned changes add up to the view, a node that any source marks as draining or out of
+// service is never up, and a node that returns is cold.
 func TestStrictestStateIsInForceUnderGuardAndDamping(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := DefaultOptions()
@@ -207,20 +207,20 @@
 		o.RemovalHold = 20 * second
 		o.PenaltyHalfLife = 3 * second
 		o.HistoryRetention = 30 * second
-		o.GuardDiscovery = rapid.Bool().Draw(t, "discovery too")
+		o.GuardDiscovery = rapid.Bool().Draw(t, "guard discovery")
 		m := newSetModel(o)
 		t.Repeat(map[string]func(*rapid.T){
-			"tell":   m.replace,
-			"change": m.update,
-			"accept": m.accept,
-			"wait":   m.wait,
-			"begun":  m.endInitialSync,
-			"":       m.check,
+			"replace":        m.replace,
+			"update":         m.update,
+			"accept":         m.accept,
+			"wait":           m.wait,
+			"endInitialSync": m.endInitialSync,
+			"":               m.check,
 		})
 	})
 }
 
-// entriesInState returns n entries of one file, each of a node on a shard of its own.
+// entriesInState returns n entries of one file, each for a node with a different shard.
 func entriesInState(n int, state State) (out []Entry) {
 	for k := range n {
 		out = append(out, Entry{
@@ -234,45 +234,46 @@
 	return out
 }
 
-// Many removals at once are held back, with a reason, until an operator accepts them or the hold ends. A single removal and
-// an explicit state take effect at once.
+// A large number of simultaneous removals is held back, with a reason, until an operator accepts them or the hold ends.
+// A single removal and an explicit state take effect immediately.
 func TestMassRemovalIsHeldBackUntilAccepted(t *testing.T) {
 	s := New(DefaultOptions(), 1)
 	s.Replace(Files, 1, entriesInState(20, Up), 2)
 	s.EndInitialSync()
 	if got := s.Replace(Files, 2, entriesInState(19, Up), 3); len(got) != 1 || got[0].State != OutOfService {
-		t.Fatalf("one row: %+v", got)
+		t.Fatalf("removal of one node: %+v", got)
 	}
 	if got := s.Replace(Files, 3, entriesInState(5, Up), 4); len(got) != 0 {
-		t.Fatalf("a lost group went through: %+v", got)
+		t.Fatalf("removal of 14 nodes was not held back: %+v", got)
 	}
-	held, why := s.HeldRemovals(Files)
-	if len(held) != 14 || why == "" || len(s.Members()) != 19 {
-		t.Fatalf("%v %q", held, why)
+	held, reason := s.HeldRemovals(Files)
+	if len(held) != 14 || reason == "" || len(s.Members()) != 19 {
+		t.Fatalf("held removals %v, reason %q, %d members", held, reason, len(s.Members()))
 	}
-	// An explicit state of any source is in force for a node that is held back.
+	// An explicit state from any source applies to a node whose removal is held back.
 	if got := s.Replace(Operators, 1, []Entry{{ID: "s10", State: Draining}}, 5); len(got) != 1 || got[0].State != Draining {
-		t.Fatalf("a drain of a held node: %+v", got)
+		t.Fatalf("drain of a node whose removal is held back: %+v", got)
 	}
 	if x := s.Explain("s10"); x.Phase != PhaseDraining || len(x.Facts) != 2 || !x.Facts[0].HeldBack || len(x.Notes) == 0 {
 		t.Errorf("%+v", x)
 	}
 	if got := s.AcceptRemovals(Files, 6); len(got) != 14 {
-		t.Fatalf("accepted: %+v", got)
+		t.Fatalf("accepted removals: %+v", got)
 	}
 	s.Replace(Files, 4, entriesInState(20, Up), 7)
 	s.Replace(Files, 5, entriesInState(5, Up), 8)
 	if got := s.Tick(8 + DefaultOptions().RemovalHold + second); len(got) == 0 || len(s.Members()) != 5 {
-		t.Fatalf("after the hold: %+v, %d left", got, len(s.Members()))
+		t.Fatalf("after the hold: %+v, %d members, want 5", got, len(s.Members()))
 	}
-	// Explicit states are not guarded, however many change at once.
+	// Explicit states are not guarded, however many change simultaneously.
 	s.Replace(Files, 6, entriesInState(20, Up), 700*second)
 	if got := s.Replace(Files, 7, entriesInState(20, OutOfService), 800*second); len(got) != 20 {
-		t.Fatalf("all out: %d", len(got))
+		t.Fatalf("%d nodes taken out of service, want 20", len(got))
 	}
 }
 
-// A node that leaves and returns again and again is kept out of use until its penalty has decayed, and is cold at each return.
+// A node that leaves and returns repeatedly is kept out of use until its penalty has decayed, and is cold at each
+// return.
 func TestFlappingNodeIsSuppressed(t *testing.T) {
 	o := DefaultOptions()
 	s := New(o, 1)
@@ -280,25 +281,25 @@
 	s.EndInitialSync()
 	now := second
 	version := int64(1)
-	flip := func(state State) []Member {
+	setState := func(state State) []Member {
 		version++
 		now += second
 		return s.Replace(Files, version, entriesInState(1, state), now)
 	}
-	back := 0
+	returns := 0
 	for range 6 {
-		if got := flip(OutOfService); len(got) > 0 && got[0].State != OutOfService {
+		if got := setState(OutOfService); len(got) > 0 && got[0].State != OutOfService {
 			t.Fatal(got)
 		}
-		if got := flip(Up); len(got) > 0 {
-			back++
+		if got := setState(Up); len(got) > 0 {
+			returns++
 			if got[0].StartedAt != now {
-				t.Errorf("back at %d as if started at %d", now, got[0].StartedAt)
+				t.Errorf("returned at %d with start time %d", now, got[0].StartedAt)
 			}
 		}
 	}
-	if back < 2 || back > 4 || len(s.Members()) != 0 {
-		t.Fatalf("came back %d times, %d in use; %+v", back, len(s.Members()), s.Explain("s0"))
+	if returns < 2 || returns > 4 || len(s.Members()) != 0 {
+		t.Fatalf("returned %d times, %d in use; %+v", returns, len(s.Members()), s.Explain("s0"))
 	}
 	if x := s.Explain("s0"); x.Phase != PhaseOut || len(x.Notes) == 0 {
 		t.Errorf("%+v", x)
@@ -312,7 +313,7 @@
 		s.Tick(now)
 	}
 	if len(s.Members()) != 1 || now > 300*second {
-		t.Errorf("not back by %d: %+v", now, s.Explain("s0"))
+		t.Errorf("not used again by %d: %+v", now, s.Explain("s0"))
 	}
 	if x := s.Explain("s0"); x.Phase != PhaseCold {
 		t.Errorf("%+v", x)
@@ -342,12 +343,12 @@
 	}
 }
 
-// A node that a file puts at another address or on another shard is another process under the same ID, and so cold. Of a node
-// that discovery knows, discovery gives the time of the start.
+// A node whose address or shard changes in a file is a different process under the same ID, and so cold. For a node
+// that discovery lists, the start time given by discovery applies.
 func TestNodeAtNewAddressIsCold(t *testing.T) {
-	for _, known := range []bool{false, true} {
+	for _, inDiscovery := range []bool{false, true} {
 		s := New(DefaultOptions(), 1)
-		if known {
+		if inDiscovery {
 			s.Replace(Discovery, 1, entriesInState(1, Up), 2)
 		}
 		s.Replace(Files, 1, entriesInState(1, Up), 2)
@@ -358,11 +359,11 @@
 			now := clock.Micros(k+1) * 100 * second
 			got := s.Replace(Files, int64(k+2), list, now)
 			switch {
-			case known && len(got) > 0:
-				t.Errorf("discovery knows it, and it is %+v", got)
-			case !known && (len(got) != 1 || got[0].StartedAt != now):
+			case inDiscovery && len(got) > 0:
+				t.Errorf("a node listed by discovery changed: %+v", got)
+			case !inDiscovery && (len(got) != 1 || got[0].StartedAt != now):
 				t.Errorf("change %d: %+v", k, got)
-			case !known && s.Explain("s0").Phase != PhaseCold:
+			case !inDiscovery && s.Explain("s0").Phase != PhaseCold:
 				t.Errorf("change %d: %+v", k, s.Explain("s0"))
 			}
 		}
--- a/internal/nodes/membership/node.go
+++ b/internal/nodes/membership/node.go
@@ -9,27 +9,27 @@
 	"poppyarch/internal/timing/timerwheel"
 )
 
-// node is the history of one ID.
+// node is the current state and history of one node ID.
 type node struct {
 	id      string
 	inUse   bool         // part of the view
-	member  Member       // as last returned
-	upSince clock.Micros // its process has not started before; 0: unknown
+	member  Member       // as last returned to the caller
+	upSince clock.Micros // the node's process did not start before this time; 0 if unknown
 
-	removed   bool // it was in use and is not any more
+	removed   bool // was in use and no longer is
 	removedAt clock.Micros
 
 	penalty    penalty
 	suppressed bool   // kept out of use until the penalty has decayed
-	note       string // on the suppression, for Explain
+	note       string // describes the suppression, for Explain
 
-	timer timerwheel.Timer // merges the node again
+	timer timerwheel.Timer // marks the node to be merged again
 }
 
 // penalty grows with each return of a node and decays exponentially.
 type penalty struct {
 	value float64
-	at    clock.Micros // when value was right
+	at    clock.Micros // time to which value refers
 }
 
 func (p penalty) decayed(now, halfLife clock.Micros) float64 {
@@ -39,7 +39,7 @@
 	return p.value * math.Exp2(-float64(now-p.at)/float64(halfLife))
 }
 
-// merge combines what all sources state about a node; known is false where none gives its address.
+// merge combines the entries of all sources for a node; known is false if no source gives its address.
 func (s *Set) merge(id string) (m Member, known bool) {
 	m = Member{ID: id}
 	for i := range s.sources {
@@ -48,7 +48,7 @@
 			continue
 		}
 		m.State = max(m.State, e.State)
-		if e.Addr != "" && !known { // the place comes from the first source that knows it
+		if e.Addr != "" && !known { // addresses, shard and zone come from the first source that gives an address
 			m.Addr = e.Addr
 			m.ObjectAddr = cmp.Or(e.ObjectAddr, e.Addr)
 			m.Shard = e.Shard
@@ -65,13 +65,13 @@
 	return m, known
 }
 
-// excludedByFiles reports whether the files are an allow list without the node.
+// excludedByFiles reports whether the files act as an allow list that does not name the node.
 func (s *Set) excludedByFiles(id string) bool {
 	files := &s.sources[Files]
 	return s.options.FilesAreAllowList && files.known && files.entry(id) == nil
 }
 
-// refresh merges a node again and brings the view up to date. It returns the member where its use changes.
+// refresh merges a node again and updates the view. It returns the member, and true if the view has changed.
 func (s *Set) refresh(id string) (Member, bool) {
 	m, known := s.merge(id)
 	usable := known && m.State != OutOfService
@@ -102,7 +102,8 @@
 	return n
 }
 
-// withdraw takes a node out of use, which is never delayed, or forgets one that has been out of use for long enough.
+// withdraw takes a node out of use, which is never delayed. The history of a node that is already out of use is deleted
+// after Options.HistoryRetention, unless the node is suppressed.
 func (s *Set) withdraw(n *node, known bool) (Member, bool) {
 	if n.inUse {
 		n.inUse = false
@@ -122,8 +123,8 @@
 	return n.member, false
 }
 
-// suppressReturn counts the return of a removed node and reports whether it stays out of use. A suppressed node is tried
-// again when its penalty has decayed.
+// suppressReturn adds the return of a removed node to its penalty and reports whether the node stays out of use. A
+// suppressed node is checked again when its penalty has decayed.
 func (s *Set) suppressReturn(n *node) bool {
 	current := s.penaltyOf(n)
 	threshold := s.options.ReuseThreshold
@@ -138,7 +139,8 @@
 		n.upSince = s.now
 		return false
 	}
-	n.note = fmt.Sprintf("came back too often: penalty %.1f, stays out until %.1f", current, s.options.ReuseThreshold)
+	n.note = fmt.Sprintf("suppressed after repeated returns: penalty %.1f, used again at %.1f or below",
+		current, s.options.ReuseThreshold)
 	halfLives := math.Log2(current / s.options.ReuseThreshold)
 	wait := clock.Micros(float64(s.options.PenaltyHalfLife) * halfLives)
 	s.wheel.Set(&n.timer, s.now+wait+2*tick)
@@ -147,8 +149,8 @@
 
 func (s *Set) penaltyOf(n *node) float64 { return n.penalty.decayed(s.now, s.options.PenaltyHalfLife) }
 
-// publish puts a usable node into the view. Discovery knows when the process of a node started; of any other node it is
-// assumed that it started when it became usable, or when it moved.
+// publish puts a usable node into the view. Discovery reports when a node's process started. A node that discovery does
+// not list is assumed to have started when it became usable, or when its address or shard changed.
 func (s *Set) publish(n *node, m Member) (Member, bool) {
 	byDiscovery := s.sources[Discovery].entry(n.id) != nil
 	if !byDiscovery {
@@ -159,7 +161,7 @@
 	}
 	moved := n.inUse && (n.member.Addr != m.Addr || n.member.Shard != m.Shard)
 	if moved && s.initialized && !byDiscovery && m.StartedAt < s.now && n.member.StartedAt == m.StartedAt {
-		n.upSince = s.now // at another place runs another process
+		n.upSince = s.now // a different address or shard means a different process
 		m.StartedAt = s.now
 	}
 	n.inUse = true
--- a/internal/nodes/membership/options.go
+++ b/internal/nodes/membership/options.go
@@ -4,16 +4,16 @@
 
 // Options configures a Set.
 type Options struct {
-	FilesAreAllowList bool         // a node is only used while a file names it
+	FilesAreAllowList bool         // only nodes that a file names are used
 	SlowStart         clock.Micros // a node is warm this long after its start, and cold for the first fifth of that
 
-	MaxRemovalFraction float64      // omissions of more than this fraction of a source's nodes at once are held back; 0: none are
+	MaxRemovalFraction float64      // removals are held back if a source omits more than this fraction; 0 disables this
 	MinGuardedRemovals int          // up to this many omissions are never held back
-	RemovalHold        clock.Micros // how long they are held back
-	GuardDiscovery     bool         // discovery's omissions are guarded as well
+	RemovalHold        clock.Micros // how long removals are held back
+	GuardDiscovery     bool         // nodes that discovery omits are guarded as well
 
-	PenaltyHalfLife   clock.Micros // of the penalty for returning
-	SuppressThreshold float64      // a node whose penalty is above it is suppressed; 0: no node ever is
+	PenaltyHalfLife   clock.Micros // half-life of the penalty that each return of a node adds
+	SuppressThreshold float64      // a node whose penalty is above it is suppressed; 0 disables suppression
 	ReuseThreshold    float64      // a suppressed node is used again once its penalty is at or below it
 	HistoryRetention  clock.Micros // how long the history of a removed node is kept
 }
@@ -25,7 +25,8 @@
 	tick = clock.Micros(1000)
 )
 
-// DefaultOptions guard files against the loss of a fifth of their nodes, and suppress a node after its fourth quick return.
+// DefaultOptions returns options that hold back removals when files omit more than a fifth of their nodes, and that
+// suppress a node after its fourth quick return.
 func DefaultOptions() Options {
 	return Options{
 		SlowStart:          15 * second,
--- a/internal/nodes/membership/set.go
+++ b/internal/nodes/membership/set.go
@@ -11,12 +11,12 @@
 
 // Set is the merged view. It is not safe for concurrent use.
 //
-// The methods that change it return the members whose use changes, sorted by ID; one that must not be used any more has the
+// The methods that change it return the changed members, sorted by ID. A member that must no longer be used has the
 // state OutOfService.
 type Set struct {
 	options     Options
 	now         clock.Micros
-	initialized bool // the initial sync is over
+	initialized bool // the initial sync has ended
 	sources     [sourceCount]sourceState
 	nodes       map[string]*node
 	wheel       *timerwheel.Wheel
@@ -39,24 +39,25 @@
 	return s
 }
 
-// EndInitialSync ends the start: nodes that become known from now on have just started, and so are cold.
+// EndInitialSync marks the end of the initial sync. Nodes that become known later are assumed to have just started, and
+// so are cold.
 func (s *Set) EndInitialSync() { s.initialized = true }
 
-// Replace sets the whole state of a source. The source numbers its versions; one that is not newer than the last known
-// changes nothing.
+// Replace sets the complete state of a source. The source numbers its versions; a version that is not newer than the
+// last one is ignored.
 func (s *Set) Replace(from Source, version int64, entries []Entry, now clock.Micros) []Member {
 	s.advance(now)
-	x := &s.sources[from]
-	if x.known && version <= x.version {
+	source := &s.sources[from]
+	if source.known && version <= source.version {
 		return s.changes()
 	}
-	x.version = version
+	source.version = version
 	next := make(map[string]*Entry, len(entries))
 	for _, e := range entries {
 		next[e.ID] = &e
 	}
 	var omitted []string
-	for id, old := range x.entries {
+	for id, old := range source.entries {
 		switch e := next[id]; {
 		case e == nil:
 			omitted = append(omitted, id)
@@ -66,69 +67,69 @@
 		}
 	}
 	for id := range next {
-		if x.entries[id] == nil {
+		if source.entries[id] == nil {
 			s.dirty[id] = true
 		}
-		if x.removal.entries[id] != nil { // it has returned
-			delete(x.removal.entries, id)
+		if source.removal.entries[id] != nil { // the source lists the node again
+			delete(source.removal.entries, id)
 			s.dirty[id] = true
 		}
 	}
 	s.guardRemovals(from, omitted)
-	x.entries = next
+	source.entries = next
 	s.markKnown(from)
 	return s.changes()
 }
 
-// Update sets some entries of a source and deletes those of the removed nodes. These removals are explicit and so are never
-// held back. version is that of the whole state that results.
+// Update sets some entries of a source and deletes those of the removed nodes. These removals are explicit, so they are
+// never held back. version is the version of the resulting complete state.
 func (s *Set) Update(from Source, version int64, entries []Entry, removed []string, now clock.Micros) []Member {
 	s.advance(now)
-	x := &s.sources[from]
-	if !x.known || version > x.version {
-		x.version = version
+	source := &s.sources[from]
+	if !source.known || version > source.version {
+		source.version = version
 	}
 	s.markKnown(from)
 	for _, e := range entries {
-		if old := x.entries[e.ID]; old == nil || *old != e {
-			x.entries[e.ID] = &e
+		if old := source.entries[e.ID]; old == nil || *old != e {
+			source.entries[e.ID] = &e
 			s.dirty[e.ID] = true
 		}
-		delete(x.removal.entries, e.ID)
+		delete(source.removal.entries, e.ID)
 	}
 	for _, id := range removed {
-		if x.entry(id) != nil {
+		if source.entry(id) != nil {
 			s.dirty[id] = true
 		}
-		delete(x.entries, id)
-		delete(x.removal.entries, id)
+		delete(source.entries, id)
+		delete(source.removal.entries, id)
 	}
 	return s.changes()
 }
 
-// markKnown records that a source has reported. The first report of files that are an allow list concerns every node.
+// markKnown records that a source has reported. The first report of files that act as an allow list affects every node.
 func (s *Set) markKnown(from Source) {
-	x := &s.sources[from]
-	if from == Files && s.options.FilesAreAllowList && !x.known {
+	source := &s.sources[from]
+	if from == Files && s.options.FilesAreAllowList && !source.known {
 		for i := range s.sources {
 			for id := range s.sources[i].entries {
 				s.dirty[id] = true
 			}
 		}
 	}
-	x.known = true
+	source.known = true
 }
 
-// Tick lets time pass.
+// Tick advances the time and returns the members that change as timers fire.
 func (s *Set) Tick(now clock.Micros) []Member {
 	s.advance(now)
 	return s.changes()
 }
 
-// Next is the time at which Tick is due; ok is false where no timer is set.
+// Next returns the time at which Tick is due; ok is false if no timer is set.
 func (s *Set) Next() (at clock.Micros, ok bool) { return s.wheel.Next() }
 
-// advance moves the time on and fires the timers that are due.
+// advance advances the time and fires the timers that are due.
 func (s *Set) advance(now clock.Micros) {
 	s.now = max(s.now, now)
 	s.wheel.Advance(s.now, func(t *timerwheel.Timer) {
@@ -142,7 +143,7 @@
 	})
 }
 
-// changes merges the dirty nodes and returns those whose use differs.
+// changes merges the dirty nodes and returns those that have changed in the view.
 func (s *Set) changes() []Member {
 	if len(s.dirty) == 0 {
 		return nil
@@ -177,7 +178,7 @@
 	return out
 }
 
-// MedianCapacity is the median of the known capacities of the nodes in use; 0 where none is known.
+// MedianCapacity returns the median of the known capacities of the nodes in use, or 0 if none is known.
 func (s *Set) MedianCapacity() float64 {
 	var known []float64
 	for _, n := range s.nodes {
@@ -200,7 +201,7 @@
 	return Member{}, false
 }
 
-// Epoch counts the changes of the view.
+// Epoch returns the number of times that the view has changed.
 func (s *Set) Epoch() uint64 { return s.epoch }
 
 // HeldRemovals returns the IDs of the nodes that a source omits and whose removal is held back, and the reason.
--- a/internal/nodes/membership/source.go
+++ b/internal/nodes/membership/source.go
@@ -7,9 +7,9 @@
 	"poppyarch/internal/timing/timerwheel"
 )
 
-// sourceState is what one source has stated last.
+// sourceState is the latest state of one source.
 type sourceState struct {
-	known   bool // it has reported at least once
+	known   bool // the source has reported at least once
 	version int64
 	entries map[string]*Entry
 	removal heldRemoval
@@ -27,28 +27,28 @@
 		entries: map[string]*Entry{},
 		removal: heldRemoval{
 			entries: map[string]*Entry{},
-			timer:   timerwheel.Timer{ID: "\x00" + s.String()}, // no node's id
+			timer:   timerwheel.Timer{ID: "\x00" + s.String()}, // cannot be a node's ID
 		},
 	}
 }
 
-// entry is the source's entry for a node, also where its removal is held back; nil if there is none.
-func (x *sourceState) entry(id string) *Entry {
-	if e := x.entries[id]; e != nil {
+// entry returns the source's entry for a node, including one whose removal is held back, or nil if there is none.
+func (s *sourceState) entry(id string) *Entry {
+	if e := s.entries[id]; e != nil {
 		return e
 	}
-	return x.removal.entries[id]
+	return s.removal.entries[id]
 }
 
-// guardRemovals holds back the removal of omitted nodes where there are too many of them. It only delays omissions: a state
-// that a source gives a node explicitly takes effect at once.
+// guardRemovals holds back the removal of omitted nodes if there are too many of them. It only delays omissions: a
+// state that a source gives a node explicitly takes effect immediately.
 func (s *Set) guardRemovals(from Source, omitted []string) {
-	if len(omitted) == 0 || !s.guards(from) {
+	if len(omitted) == 0 || !s.isGuarded(from) {
 		return
 	}
-	x := &s.sources[from]
-	held := &x.removal
-	nodes := len(x.entries) + len(held.entries)
+	source := &s.sources[from]
+	held := &source.removal
+	nodes := len(source.entries) + len(held.entries)
 	limit := max(int(s.options.MaxRemovalFraction*float64(nodes)), s.options.MinGuardedRemovals)
 	if len(held.entries) == 0 {
 		if len(omitted) <= limit {
@@ -57,13 +57,13 @@
 		s.wheel.Set(&held.timer, s.now+s.options.RemovalHold)
 	}
 	for _, id := range omitted {
-		held.entries[id] = x.entries[id]
+		held.entries[id] = source.entries[id]
 	}
-	held.reason = fmt.Sprintf("%d of %d nodes are gone from %s at once, more than %d: held back",
-		len(held.entries), len(x.entries), from, limit)
+	held.reason = fmt.Sprintf("removals held back: %d of %d nodes are missing from %s, limit %d",
+		len(held.entries), len(source.entries), from, limit)
 }
 
-func (s *Set) guards(from Source) bool {
+func (s *Set) isGuarded(from Source) bool {
 	switch from {
 	case Operators:
 		return false
@@ -75,16 +75,16 @@
 }
 
 // releaseRemovals applies the removals that are held back.
-func (s *Set) releaseRemovals(x *sourceState) {
-	for id := range x.removal.entries {
+func (s *Set) releaseRemovals(source *sourceState) {
+	for id := range source.removal.entries {
 		s.dirty[id] = true
 	}
-	clear(x.removal.entries)
-	x.removal.reason = ""
-	s.wheel.Stop(&x.removal.timer)
+	clear(source.removal.entries)
+	source.removal.reason = ""
+	s.wheel.Stop(&source.removal.timer)
 }
 
-// AcceptRemovals applies the removals of a source that are held back. It returns the members that change.
+// AcceptRemovals applies the removals of a source that are held back. It returns the changed members.
 func (s *Set) AcceptRemovals(from Source, now clock.Micros) []Member {
 	s.advance(now)
 	s.releaseRemovals(&s.sources[from])
