--- a/internal/nodes/routing/bounded.go
+++ b/internal/nodes/routing/bounded.go
@@ -6,15 +6,16 @@
 	"slices"
 )
 
-// pickSlack is how much more often than its share Bounded may pick a node.
+// pickSlack is the fraction by which Bounded may exceed a node's share of the picks.
 const pickSlack = 0.1
 
-// rounding keeps a share that is a whole number from being rounded up by floating-point error.
-const rounding = 1e-9
+// roundingMargin is added before a share is rounded up, so that floating-point error in a share that is a whole number
+// does not change the result.
+const roundingMargin = 1e-9
 
-// Bounded is Rendezvous with a bound on how often a node is picked: its share of all picks and a tenth, rounded up. Brokers
-// are served in the order of their scores, and one that finds a node full takes its next best. It needs the names of all
-// brokers, and returns the subsets of all.
+// Bounded is Rendezvous with a bound on how often a node is picked: its share of all picks plus a tenth, rounded up. A
+// node goes to the brokers with the highest scores for it, and a broker that finds a node fully picked takes its next
+// best. It needs the names of all brokers, and returns the subset of each.
 func Bounded(brokers []string, nodes []Node, k int) map[string][]string {
 	k = min(k, len(nodes))
 	a := &assignment{brokers: brokers, nodes: nodes, capacity: capacities(len(brokers)*k, nodes)}
@@ -22,7 +23,8 @@
 		a.rankings = append(a.rankings, rank(name, nodes))
 	}
 	a.picked = make([][]string, len(brokers))
-	// All brokers' first choices, then all their second ones, so that nobody's first choice loses to another's second.
+	// All first choices are assigned before any second choice, so that no first choice loses to another broker's
+	// second.
 	for range k {
 		a.pickOneEach()
 	}
@@ -42,16 +44,16 @@
 	}
 	capacity := make([]int, len(nodes))
 	for i, n := range nodes {
-		capacity[i] = int(math.Ceil(float64(picks)*n.weight()/total*(1+pickSlack) + rounding))
+		capacity[i] = int(math.Ceil(float64(picks)*n.weight()/total*(1+pickSlack) + roundingMargin))
 	}
 	return capacity
 }
 
-// ranking is one broker's order of preference. Nodes go by their positions.
+// ranking is one broker's order of preference. Nodes are identified by their index.
 type ranking struct {
 	scores []float64 // by node
-	order  []int     // the best node first
-	next   int       // in order
+	order  []int     // best node first
+	next   int       // index in order of the next node to consider
 }
 
 func rank(broker string, nodes []Node) *ranking {
@@ -77,36 +79,36 @@
 	return r.order[r.next], true
 }
 
-// assignment is the state of one Bounded. Brokers and nodes go by their positions.
+// assignment is the state of one call of Bounded. Brokers and nodes are identified by their index.
 type assignment struct {
 	brokers  []string
 	nodes    []Node
 	rankings []*ranking // by broker
-	capacity []int      // by node, what is left
+	capacity []int      // remaining picks, by node
 	picked   [][]string // by broker
 }
 
-// pickOneEach gives every broker one more node, as long as there is capacity.
+// pickOneEach assigns one more node to every broker while there is capacity.
 func (a *assignment) pickOneEach() {
 	waiting := make([]int, len(a.brokers))
 	for b := range a.brokers {
 		waiting[b] = b
 	}
 	for len(waiting) > 0 {
-		requests := map[int][]int{} // brokers by the node that they ask for
+		candidatesByNode := map[int][]int{} // brokers, by the node that they rank best
 		for _, b := range waiting {
 			if node, ok := a.rankings[b].bestFree(a.capacity); ok {
-				requests[node] = append(requests[node], b)
+				candidatesByNode[node] = append(candidatesByNode[node], b)
 			}
 		}
 		waiting = waiting[:0]
-		for node, candidates := range requests {
+		for node, candidates := range candidatesByNode {
 			waiting = append(waiting, a.grant(node, candidates)...)
 		}
 	}
 }
 
-// grant gives a node to the candidates with the highest scores and returns those that got none.
+// grant assigns a node to the candidates with the highest scores and returns the rejected candidates.
 func (a *assignment) grant(node int, candidates []int) (rejected []int) {
 	slices.SortFunc(candidates, func(x, y int) int {
 		return cmp.Or(cmp.Compare(a.rankings[y].scores[node], a.rankings[x].scores[node]), cmp.Compare(a.brokers[x], a.brokers[y]))
--- a/internal/nodes/routing/broker_subset.go
+++ b/internal/nodes/routing/broker_subset.go
@@ -4,8 +4,8 @@
 	"slices"
 )
 
-// Subset is the nodes that one broker uses: of each shard all if it has no more than K, else the K that rank best. After a
-// change of the table only the shards that changed are ranked anew.
+// Subset holds the nodes that one broker uses: all nodes of a shard that has at most K, otherwise the K with the
+// highest scores. After a change of the table only the changed shards are ranked again.
 type Subset struct {
 	Broker string
 	K      int
@@ -14,16 +14,16 @@
 	used   map[string]bool
 }
 
-// NewSubset returns the subset of an empty table. k 0 means all nodes.
+// NewSubset returns the subset of an empty table. If k is 0, it contains all nodes.
 func NewSubset(broker string, k int) *Subset {
 	return &Subset{Broker: broker, K: k, table: NewTable(), picked: map[int][]string{}, used: map[string]bool{}}
 }
 
-// Change applies added and changed entries and removed nodes. It returns the nodes that the broker uses from now on and those
-// that it no longer uses, sorted.
-func (s *Subset) Change(set []Entry, gone []string) (begin, end []string) {
-	touched := s.touchedShards(set, gone)
-	s.table = s.table.Change(set, gone)
+// Change applies added and changed entries and removed nodes. It returns the nodes that the broker starts to use and
+// those that it stops using, both sorted.
+func (s *Subset) Change(entries []Entry, removed []string) (added, dropped []string) {
+	touched := s.touchedShards(entries, removed)
+	s.table = s.table.Change(entries, removed)
 	before := map[string]bool{}
 	for shard := range touched {
 		for _, id := range s.picked[shard] {
@@ -37,29 +37,29 @@
 	for shard := range touched {
 		for _, id := range s.picked[shard] {
 			if !before[id] {
-				begin = append(begin, id)
+				added = append(added, id)
 			}
 		}
 	}
 	for id := range before {
 		if !s.used[id] {
-			end = append(end, id)
+			dropped = append(dropped, id)
 		}
 	}
-	slices.Sort(begin)
-	slices.Sort(end)
-	return begin, end
+	slices.Sort(added)
+	slices.Sort(dropped)
+	return added, dropped
 }
 
-// touchedShards returns the shards that entries and removed nodes are in, before and after the change.
-func (s *Subset) touchedShards(set []Entry, gone []string) map[int]bool {
+// touchedShards returns the shards that the entries and the removed nodes belong to, before or after the change.
+func (s *Subset) touchedShards(entries []Entry, removed []string) map[int]bool {
 	touched := map[int]bool{}
-	for _, id := range gone {
+	for _, id := range removed {
 		if shard, ok := s.table.byID[id]; ok {
 			touched[shard] = true
 		}
 	}
-	for _, e := range set {
+	for _, e := range entries {
 		if shard, ok := s.table.byID[e.ID]; ok {
 			touched[shard] = true
 		}
@@ -92,8 +92,8 @@
 // Uses reports whether the broker uses a node.
 func (s *Subset) Uses(id string) bool { return s.used[id] }
 
-// Len counts the nodes that it uses.
+// Len returns the number of nodes that the broker uses.
 func (s *Subset) Len() int { return len(s.used) }
 
-// Table is the table of the present epoch.
+// Table returns the table of the current epoch.
 func (s *Subset) Table() *Table { return s.table }
--- a/internal/nodes/routing/routing_test.go
+++ b/internal/nodes/routing/routing_test.go
@@ -14,28 +14,28 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
-func fleet(n int) (out []Node) {
+func makeNodes(n int) (out []Node) {
 	for k := range n {
 		out = append(out, Node{ID: fmt.Sprintf("node-%05d", k), Weight: 1})
 	}
 	return out
 }
 
-func names(n int) (out []string) {
+func brokerNames(n int) (out []string) {
 	for k := range n {
 		out = append(out, fmt.Sprintf("broker-%03d", k))
 	}
 	return out
 }
 
-// Bounded keeps its bound, fills every subset, and does not hang on the order of its input.
+// Bounded keeps its bound, fills the subsets, and does not depend on the order of its input.
 func TestBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		nodes := fleet(rapid.IntRange(1, 60).Draw(t, "nodes"))
+		nodes := makeNodes(rapid.IntRange(1, 60).Draw(t, "nodes"))
 		for i := range nodes {
 			nodes[i].Weight = float64(rapid.IntRange(1, 4).Draw(t, "weight"))
 		}
-		brokers := names(rapid.IntRange(1, 20).Draw(t, "brokers"))
+		brokers := brokerNames(rapid.IntRange(1, 20).Draw(t, "brokers"))
 		k := rapid.IntRange(1, 8).Draw(t, "k")
 		got := Bounded(brokers, nodes, k)
 		total := 0.0
@@ -43,25 +43,25 @@
 			total += n.Weight
 		}
 		count := map[string]int{}
-		short := 0
+		unfilled := 0
 		for _, b := range brokers {
 			list := got[b]
-			short += min(k, len(nodes)) - len(list)
+			unfilled += min(k, len(nodes)) - len(list)
 			for i, id := range list {
 				count[id]++
 				if i > 0 && list[i-1] >= id {
-					t.Fatalf("%s has %v", b, list)
+					t.Fatalf("subset of %s is not sorted or has duplicates: %v", b, list)
 				}
 			}
 		}
 		for _, n := range nodes {
-			if most := float64(len(brokers)*min(k, len(nodes)))*n.Weight/total*1.1 + 1; float64(count[n.ID]) > most {
-				t.Fatalf("%s is picked %d times, at most %v", n.ID, count[n.ID], most)
+			if limit := float64(len(brokers)*min(k, len(nodes)))*n.Weight/total*1.1 + 1; float64(count[n.ID]) > limit {
+				t.Fatalf("%s is picked %d times, at most %v", n.ID, count[n.ID], limit)
 			}
 		}
-		// A node has one place for a broker: where weights are very unequal, not all places can be filled.
-		if short > len(brokers)*k/3+k {
-			t.Fatalf("%d places of %d are not filled", short, len(brokers)*k)
+		// A broker can pick a node only once: if weights are very unequal, not all places can be filled.
+		if unfilled > len(brokers)*k/3+k {
+			t.Fatalf("%d places of %d are not filled", unfilled, len(brokers)*k)
 		}
 		slices.Reverse(nodes)
 		slices.Reverse(brokers)
@@ -71,58 +71,58 @@
 	})
 }
 
-// subsetModel is a subset with what it should hold.
+// subsetModel is a subset together with its expected content.
 type subsetModel struct {
 	subset *Subset
-	nodes  map[string]Entry // by id
-	used   map[string]bool
+	nodes  map[string]Entry // by ID
+	used   map[string]bool  // nodes in use, accumulated from the reported changes
 }
 
-// testShards lie in different chunks of the table.
+// testShards are in different chunks of the table.
 var testShards = []int{0, 70, 140}
 
-// drawChange returns entries to set and nodes to remove, no node twice.
-func drawChange(t *rapid.T) (set []Entry, gone []string) {
+// drawChange returns entries to set and nodes to remove, without naming a node twice.
+func drawChange(t *rapid.T) (entries []Entry, removed []string) {
 	for range rapid.IntRange(1, 4).Draw(t, "changes") {
 		id := fmt.Sprint("n", rapid.IntRange(0, 9).Draw(t, "node"))
 		shard := rapid.SampledFrom(testShards).Draw(t, "shard")
-		if slices.Contains(gone, id) || slices.ContainsFunc(set, func(x Entry) bool { return x.ID == id }) {
+		if slices.Contains(removed, id) || slices.ContainsFunc(entries, func(x Entry) bool { return x.ID == id }) {
 			continue
 		}
-		if rapid.IntRange(0, 2).Draw(t, "gone") == 0 {
-			gone = append(gone, id)
+		if rapid.IntRange(0, 2).Draw(t, "remove") == 0 {
+			removed = append(removed, id)
 		} else {
-			set = append(set, Entry{Node: Node{ID: id, Weight: 1}, Shard: shard})
+			entries = append(entries, Entry{Node: Node{ID: id, Weight: 1}, Shard: shard})
 		}
 	}
-	return set, gone
+	return entries, removed
 }
 
-// change applies a change and checks that what begins and ends is reported exactly.
-func (m *subsetModel) change(t *rapid.T, set []Entry, gone []string) {
+// change applies a change and checks that no node is reported as added or dropped wrongly.
+func (m *subsetModel) change(t *rapid.T, entries []Entry, removed []string) {
 	t.Helper()
-	for _, id := range gone {
+	for _, id := range removed {
 		delete(m.nodes, id)
 	}
-	for _, e := range set {
+	for _, e := range entries {
 		m.nodes[e.ID] = e
 	}
-	begin, end := m.subset.Change(set, gone)
-	for _, id := range begin {
+	added, dropped := m.subset.Change(entries, removed)
+	for _, id := range added {
 		if m.used[id] {
-			t.Fatalf("%s begins twice", id)
+			t.Fatalf("%s is reported as added but was already used", id)
 		}
 		m.used[id] = true
 	}
-	for _, id := range end {
+	for _, id := range dropped {
 		if !m.used[id] {
-			t.Fatalf("%s ends and was not used", id)
+			t.Fatalf("%s is reported as dropped but was not used", id)
 		}
 		delete(m.used, id)
 	}
 }
 
-// shardNodes is what a shard should hold.
+// shardNodes returns the nodes that a shard should hold.
 func (m *subsetModel) shardNodes(shard int) []Node {
 	var nodes []Node
 	for _, e := range m.nodes {
@@ -134,7 +134,7 @@
 	return nodes
 }
 
-// check compares the table and the subset with what they should be.
+// check compares the table and the subset with their expected content.
 func (m *subsetModel) check(t *rapid.T) {
 	t.Helper()
 	if m.subset.Table().Len() != len(m.nodes) {
@@ -159,19 +159,19 @@
 	}
 }
 
-// TestTableAndSubsetFollowChanges also holds earlier epochs of the table unchanged.
+// TestTableAndSubsetFollowChanges also checks that earlier epochs of the table stay unchanged.
 func TestTableAndSubsetFollowChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &subsetModel{subset: NewSubset("b1", rapid.IntRange(0, 3).Draw(t, "k")), nodes: map[string]Entry{}, used: map[string]bool{}}
 		var earlier *Table
 		var earlierNodes []Node
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			set, gone := drawChange(t)
-			if rapid.IntRange(0, 5).Draw(t, "keep") == 0 {
+			entries, removed := drawChange(t)
+			if rapid.IntRange(0, 5).Draw(t, "keep table") == 0 {
 				earlier = m.subset.Table()
 				earlierNodes = slices.Clone(earlier.Nodes(testShards[1]))
 			}
-			m.change(t, set, gone)
+			m.change(t, entries, removed)
 			m.check(t)
 			if earlier != nil && !slices.Equal(earlier.Nodes(testShards[1]), earlierNodes) {
 				t.Fatal("an earlier epoch has changed")
@@ -180,12 +180,12 @@
 	})
 }
 
-// Looking a shard's nodes up: the table, a map of lists, and a scan over all nodes.
+// BenchmarkLookup looks up the nodes of a shard in the table, in a map of lists, and by a scan over all nodes.
 func BenchmarkLookup(b *testing.B) {
 	const n = 10_000
 	var set []Entry
 	byShard := map[int][]Node{}
-	for k, x := range fleet(n) {
+	for k, x := range makeNodes(n) {
 		set = append(set, Entry{x, k % 4096})
 		byShard[k%4096] = append(byShard[k%4096], x)
 	}
@@ -213,11 +213,11 @@
 	_ = sum
 }
 
-// The next epoch after a change of one node: shared, and as a copy of a map.
+// BenchmarkEpoch makes the next epoch after a change of one node, by sharing chunks and by copying a map.
 func BenchmarkEpoch(b *testing.B) {
 	const n = 10_000
 	var set []Entry
-	for k, x := range fleet(n) {
+	for k, x := range makeNodes(n) {
 		set = append(set, Entry{x, k})
 	}
 	b.Run("table", func(b *testing.B) {
--- a/internal/nodes/routing/subset.go
+++ b/internal/nodes/routing/subset.go
@@ -1,5 +1,6 @@
-// Package routing says which nodes stand for which shard, and which part of a large fleet one broker uses, so that its
-// connections stay bounded. It does no I/O, and everybody who knows the same names comes to the same answer.
+// Package routing maps shards to the nodes that hold them, and selects the subset of a large fleet that one broker
+// uses, so that its number of connections stays bounded. It does no I/O, and its results depend on the given names
+// only, so that all brokers compute the same.
 package routing
 
 import (
@@ -8,10 +9,10 @@
 	"slices"
 )
 
-// Node is a node as subsets see it.
+// Node is a storage node that a subset may contain.
 type Node struct {
 	ID     string
-	Weight float64 // against the usual node; 0 counts as 1
+	Weight float64 // relative to a typical node; 0 counts as 1
 }
 
 func (n Node) weight() float64 {
@@ -21,7 +22,7 @@
 	return 1
 }
 
-// hash mixes two names. It has to be the same at every broker and in every version.
+// hash combines two names. It must be the same in every broker and in every version.
 func hash(a, b string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(a) {
@@ -31,7 +32,7 @@
 	for i := range len(b) {
 		h = (h ^ uint64(b[i])) * 1099511628211
 	}
-	// FNV's upper bits are weak: mix them.
+	// The upper bits of an FNV hash are poorly distributed: mix them.
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
 	h ^= h >> 33
@@ -39,25 +40,25 @@
 	return h ^ h>>33
 }
 
-// score is a node's rank for a broker, the greater the better: -w/ln(u), so that the share of the brokers for which a node
-// is best is that of its weight.
+// score rates a node for a broker; higher is better. It is -w/ln(u), so that the share of brokers for which a node is
+// best is proportional to its weight.
 func score(broker string, n Node) float64 {
 	u := (float64(hash(broker, n.ID)>>11) + 0.5) / (1 << 53)
 	return -n.weight() / math.Log(u)
 }
 
-// Rendezvous is the k nodes that rank best for a broker: weighted rendezvous hashing. A node that comes or goes changes the
-// subsets that it is in, by one place each, and no others. How often a node is picked varies as chance has it.
+// Rendezvous returns the k nodes with the highest scores for a broker, by weighted rendezvous hashing. An added or
+// removed node changes only the subsets that contain it, by one node each. How often a node is picked varies randomly.
 func Rendezvous(broker string, nodes []Node, k int) []string {
 	type ranked struct {
-		id string
-		s  float64
+		id    string
+		score float64
 	}
 	list := make([]ranked, 0, len(nodes))
 	for _, n := range nodes {
 		list = append(list, ranked{n.ID, score(broker, n)})
 	}
-	slices.SortFunc(list, func(a, b ranked) int { return cmp.Or(cmp.Compare(b.s, a.s), cmp.Compare(a.id, b.id)) })
+	slices.SortFunc(list, func(a, b ranked) int { return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.id, b.id)) })
 	var out []string
 	for _, r := range list[:min(k, len(list))] {
 		out = append(out, r.id)
@@ -66,19 +67,20 @@
 	return out
 }
 
-// Rounds is deterministic subsetting by rounds of shuffles: brokers in groups of n/k share one shuffle of all nodes and each takes its
-// piece. As even as can be, but a node that comes or goes changes every shuffle. It is here to be measured against.
+// Rounds is deterministic subsetting in rounds: a group of n/k brokers shares one shuffle of all n nodes, and each
+// broker takes a slice of k nodes. The picks are as even as possible, but an added or removed node changes every
+// shuffle. It serves as a baseline for comparison.
 func Rounds(brokers []string, nodes []Node, k int) map[string][]string {
 	k = min(k, len(nodes))
 	if k == 0 {
 		return map[string][]string{}
 	}
-	per := max(len(nodes)/k, 1)
+	brokersPerRound := max(len(nodes)/k, 1)
 	out := make(map[string][]string, len(brokers))
 	var shuffled []string
 	for b, name := range brokers {
-		if b%per == 0 {
-			round := string(rune('a'+b/per%26)) + string(rune('0'+b/per/26))
+		if b%brokersPerRound == 0 {
+			round := string(rune('a'+b/brokersPerRound%26)) + string(rune('0'+b/brokersPerRound/26))
 			shuffled = make([]string, len(nodes))
 			for i, n := range nodes {
 				shuffled[i] = n.ID
@@ -91,8 +93,8 @@
 				shuffled[i], shuffled[j] = shuffled[j], shuffled[i]
 			}
 		}
-		at := b % per * k
-		out[name] = slices.Sorted(slices.Values(shuffled[at:min(at+k, len(shuffled))]))
+		start := b % brokersPerRound * k
+		out[name] = slices.Sorted(slices.Values(shuffled[start:min(start+k, len(shuffled))]))
 	}
 	return out
 }
--- a/internal/nodes/routing/table.go
+++ b/internal/nodes/routing/table.go
@@ -11,80 +11,80 @@
 	Shard int
 }
 
-// Table is which nodes hold which shard, of one epoch. It is never changed: Change makes the next one, which shares all that is the
-// same with it, so a reader keeps what it has begun with.
+// Table maps shards to the nodes that hold them, for one epoch. It is immutable: Change returns the next table, which
+// shares its unchanged parts with this one, so a reader may keep using the table that it has.
 type Table struct {
 	Epoch  uint64
-	shards []*[chunk]shard // by number, in chunks that are shared between epochs
-	byID   map[string]int  // shard of each node, of the newest epoch only
-	newest *uint64
-	count  int
+	shards []*[chunkSize]shard // by shard number, in chunks that are shared between epochs
+	byID   map[string]int      // shard of each node; shared, and valid for the newest epoch only
+	newest *uint64             // the newest epoch; shared
+	count  int                 // number of nodes
 }
 
-// chunk is how many shards are copied when one changes.
-const chunk = 64
+// chunkSize is the number of shards that are copied when one of them changes.
+const chunkSize = 64
 
-// shard is the nodes that hold it, by id.
+// shard lists the nodes that hold a shard, sorted by ID.
 type shard struct{ nodes []Node }
 
-// NewTable returns an empty one.
+// NewTable returns an empty table.
 func NewTable() *Table { return &Table{byID: map[string]int{}, newest: new(uint64)} }
 
-// Nodes lists the nodes of a shard. The list must not be changed.
+// Nodes returns the nodes of a shard. The caller must not modify the slice.
 func (t *Table) Nodes(n int) []Node {
-	if n < 0 || n/chunk >= len(t.shards) || t.shards[n/chunk] == nil {
+	if n < 0 || n/chunkSize >= len(t.shards) || t.shards[n/chunkSize] == nil {
 		return nil
 	}
-	return t.shards[n/chunk][n%chunk].nodes
+	return t.shards[n/chunkSize][n%chunkSize].nodes
 }
 
-// Len counts the nodes.
+// Len returns the number of nodes.
 func (t *Table) Len() int { return t.count }
 
-// maxShard bounds the table against a mistyped number.
+// maxShard bounds the size of the table in case a shard number is mistyped.
 const maxShard = 1 << 20
 
-// Change is the next epoch, with these entries added or changed and these nodes gone. Only the newest epoch can be changed; of
-// an older one it returns nil.
-func (t *Table) Change(set []Entry, gone []string) *Table {
+// Change returns the table of the next epoch, with the entries added or changed and the removed nodes deleted. Only the
+// newest table can be changed; for an older one Change returns nil.
+func (t *Table) Change(entries []Entry, removed []string) *Table {
 	if *t.newest != t.Epoch {
 		return nil
 	}
 	next := &Table{Epoch: t.Epoch + 1, shards: slices.Clone(t.shards), byID: t.byID, newest: t.newest, count: t.count}
-	own := map[int]bool{}
-	at := func(n int) *shard {
-		c := n / chunk
+	copied := map[int]bool{}
+	shardToEdit := func(n int) *shard {
+		c := n / chunkSize
 		for len(next.shards) <= c {
 			next.shards = append(next.shards, nil)
 		}
-		if !own[c] {
-			fresh := new([chunk]shard)
+		if !copied[c] {
+			fresh := new([chunkSize]shard)
 			if next.shards[c] != nil {
 				*fresh = *next.shards[c]
 			}
-			next.shards[c], own[c] = fresh, true
+			next.shards[c], copied[c] = fresh, true
 		}
-		return &next.shards[c][n%chunk]
+		return &next.shards[c][n%chunkSize]
 	}
-	drop := func(id string) {
+	remove := func(id string) {
 		n, ok := next.byID[id]
 		if !ok {
 			return
 		}
-		s := at(n)
+		s := shardToEdit(n)
 		s.nodes = slices.DeleteFunc(slices.Clone(s.nodes), func(x Node) bool { return x.ID == id })
 		delete(next.byID, id)
 		next.count--
 	}
-	for _, id := range gone {
-		drop(id)
+	for _, id := range removed {
+		remove(id)
 	}
-	for _, e := range set {
+	for _, e := range entries {
 		if e.Shard < 0 || e.Shard >= maxShard {
 			continue
 		}
-		drop(e.ID)
-		s := at(e.Shard)
+		remove(e.ID)
+		s := shardToEdit(e.Shard)
 		i, _ := slices.BinarySearchFunc(s.nodes, e.ID, func(x Node, id string) int { return cmp.Compare(x.ID, id) })
 		s.nodes = slices.Insert(slices.Clone(s.nodes), i, e.Node)
 		next.byID[e.ID] = e.Shard
