--- a/internal/nodes/routing/subset.go
+++ b/internal/nodes/routing/subset.go
@@ -1,6 +1,6 @@
 // Package routing maps shards to the nodes that hold them, and selects the subset of a large fleet that one broker
 // uses, so that its number of connections stays bounded. It does no I/O, and its results depend on the given names
-// only, so that all brokers compute the same.
+// only, so that all brokers compute the same results.
 package routing
 
 import (
