--- a/internal/nodes/discovery/address.go
+++ b/internal/nodes/discovery/address.go
@@ -9,14 +9,14 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// addressSelector holds the address of the discovery service and ends the watch at an address that is no longer the right
-// one. It is safe for concurrent use.
+// addressSelector holds the address of the discovery service and ends the watch at an outdated address. It is safe for
+// concurrent use.
 type addressSelector struct {
 	mu      sync.Mutex
 	desired string
-	polled  string             // by the latest watch; empty: there has been none
-	cancel  context.CancelFunc // ends the present watch
-	changed chan struct{}      // the watch was ended; holds one
+	polled  string             // address of the latest watch; empty if there has been none
+	cancel  context.CancelFunc // ends the current watch
+	changed chan struct{}      // signals that the watch was ended; has a buffer of one
 }
 
 func newAddressSelector(addr string) addressSelector {
@@ -27,7 +27,7 @@
 	}
 }
 
-// set changes the address. The watch at the old one ends within jitter.
+// set changes the address. The watch at the old one ends after a random delay of up to jitter.
 func (a *addressSelector) set(addr string, jitter clock.Micros) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -49,7 +49,7 @@
 }
 
 func (a *addressSelector) endOutdatedWatchLocked() {
-	if a.polled == a.desired { // a new watch has begun meanwhile
+	if a.polled == a.desired { // a new watch has started in the meantime
 		return
 	}
 	a.cancel()
@@ -59,15 +59,15 @@
 	}
 }
 
-// watchTarget is where a watch goes.
+// watchTarget is the address and the context of one watch.
 type watchTarget struct {
 	ctx     context.Context // ends with the watch
 	cancel  context.CancelFunc
 	addr    string
-	changed bool // the watch before was at another address
+	changed bool // the previous watch used another address
 }
 
-// beginWatch returns the target of the next watch, and makes it the one that a change of the address ends.
+// beginWatch returns the target of the next watch. A later change of the address ends this watch.
 func (a *addressSelector) beginWatch(ctx context.Context) watchTarget {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/nodes/discovery/client.go
+++ b/internal/nodes/discovery/client.go
@@ -33,8 +33,8 @@
 	onResult    func(err error)
 }
 
-// New returns a client that updates the table and the decision module. revision is that of the list that they have, or
-// NoRevision. zones are the names of the zones in the order of their numbers.
+// New returns a client that updates the table and the decision module. revision is the revision of the list that they
+// already have, or NoRevision. zones are the names of the zones in the order of their numbers.
 func New(addr string, revision int64, zones []string, table *core.EndpointTable, d *dispatcher.Dispatcher,
 	lim *limits.Limits, log *slog.Logger) *Client {
 	c := &Client{
@@ -47,7 +47,7 @@
 		log:        log,
 		onResult:   func(error) {},
 		onEndpoints: func(nodes []core.Node, full bool) {
-			// The table goes first: what the module decides next is checked against it.
+			// The table is updated first because the module's next decisions are checked against it.
 			table.Update(nodes, full)
 			d.UpdateEndpoints(DecisionEndpoints(nodes), full)
 		},
@@ -56,24 +56,24 @@
 	return c
 }
 
-// OnEndpoints has f called with each list, in their order, instead of updating the table and the module. It is called
-// before Run.
+// OnEndpoints sets a function that is called with each list, in order, instead of updating the table and the module. It
+// must be called before Run.
 func (c *Client) OnEndpoints(f func(nodes []core.Node, full bool)) { c.onEndpoints = f }
 
-// OnResult has f called with nil for each list that arrives and with the error of each watch that ends. It is called before
-// Run.
+// OnResult sets a function that is called with nil for each list that arrives and with the error of each watch that
+// ends. It must be called before Run.
 func (c *Client) OnResult(f func(err error)) { c.onResult = f }
 
-// Revision is the revision of the list that was delivered last, or NoRevision.
+// Revision returns the revision of the list that was delivered last, or NoRevision.
 func (c *Client) Revision() int64 { return c.revision.Load() }
 
-// SetAddress changes the address of discovery, also in the middle of a call. The list in force stays until one from the new
-// address has arrived. As all brokers of a fleet change together and each reads the full list, the watch at the old address
-// goes on for a random part of Limits.DiscoveryMoveJitter.
+// SetAddress changes the address of discovery, even during a call. The current list stays in use until one from the new
+// address has arrived. All brokers of a fleet change the address at the same time and each reads the full list, so to
+// spread these reads the watch at the old address continues for a random part of Limits.DiscoveryMoveJitter.
 func (c *Client) SetAddress(addr string) { c.address.set(addr, c.limits.DiscoveryMoveJitter) }
 
-// Run watches whenever the decision module requests it or the address has changed, until ctx is done. The module decides on
-// the backoff after a failure, within the bound that it is given, and the list in force stays.
+// Run starts a watch whenever the decision module requests it or the address has changed, until ctx is done. After a
+// failure the current list stays in use, and the module chooses the backoff within the bound that it is given.
 func (c *Client) Run(ctx context.Context) {
 	defer c.poller.closeIdleConnections()
 	for {
@@ -86,7 +86,7 @@
 		target := c.address.beginWatch(ctx)
 		if target.changed {
 			c.progress.startOver(time.Now())
-			c.poller.resetGrace() // how slow the old address was says nothing of the new one
+			c.poller.resetGrace() // the latency of the old address says nothing about the new one
 			c.poller.closeIdleConnections()
 		}
 		err := c.watch(target.ctx, "http://"+target.addr+membersPath)
@@ -97,7 +97,7 @@
 		}
 		if addressChanged {
 			c.log.Info("discovery: address changed, watch at the old one ended", "from", target.addr)
-			continue // address.changed begins the next watch
+			continue // address.changed starts the next watch
 		}
 		c.watchFailed(err)
 	}
@@ -112,19 +112,19 @@
 	c.dispatcher.EndpointWatchFailed(clock.FromDuration(within))
 }
 
-// watch polls again at once after each answer and returns the first error.
+// watch polls again immediately after each response and returns the first error.
 func (c *Client) watch(ctx context.Context, url string) error {
-	answered := false // this watch has had an answer
+	answered := false // this watch has received a response
 	for {
 		startedAt := time.Now()
 		revision := c.progress.nextRevision(startedAt)
 		list, err := c.poll(ctx, url, revision)
 		c.progress.scheduleFullList(err, revision, list != nil && list.Full)
 		if err != nil && c.progress.isExtraFullList(revision) && ctx.Err() == nil {
-			continue // with a call for changes, at once: the end of the watch would delay them
+			continue // request changes immediately; ending the watch would delay them by a backoff
 		}
 		if err == nil && list.Revision < c.progress.revision {
-			// Discovery has lost its history: only a full list shows what was removed.
+			// Discovery has lost its history; only a full list shows which nodes were removed.
 			c.log.Warn("discovery: list revision went back, reading the full list", "from", c.progress.revision, "to", list.Revision)
 			list, err = c.poll(ctx, url, NoRevision)
 		}
@@ -147,12 +147,12 @@
 	return c.poller.poll(ctx, url, revision, c.progress.changesMissing(time.Now()))
 }
 
-// accept checks a list and delivers it. Where discovery answered a call at once though it had no changes, it first pauses, so
-// that polling does not become a busy loop.
+// accept validates a list and delivers it. If discovery answered immediately although it had no changes, accept pauses
+// first, so that polling does not become a busy loop.
 func (c *Client) accept(ctx context.Context, list *List, startedAt time.Time) error {
 	nodes, err := list.Nodes(c.zones)
 	if err != nil {
-		return fmt.Errorf("node list %d: %w", list.Revision, err)
+		return fmt.Errorf("node list, revision %d: %w", list.Revision, err)
 	}
 	pause := clock.Duration(c.limits.WatchMinInterval)
 	if list.Revision == c.progress.revision && time.Since(startedAt) < pause {
--- a/internal/nodes/discovery/client_test.go
+++ b/internal/nodes/discovery/client_test.go
@@ -33,15 +33,15 @@
 	}
 }
 
-// watch runs a client against a handler and returns the table that it keeps.
-func watch(t *testing.T, h http.Handler, lim *limits.Limits) *core.EndpointTable {
+// startWatch runs a client against a handler and returns the table that the client updates.
+func startWatch(t *testing.T, h http.Handler, lim *limits.Limits) *core.EndpointTable {
 	t.Helper()
-	table, _ := client(t, h, lim)
+	table, _ := startClient(t, h, lim)
 	return table
 }
 
-// client is watch for tests that need the client too.
-func client(t *testing.T, h http.Handler, lim *limits.Limits, onResult ...func(error)) (*core.EndpointTable, *discovery.Client) {
+// startClient is like startWatch and also returns the client.
+func startClient(t *testing.T, h http.Handler, lim *limits.Limits, onResult ...func(error)) (*core.EndpointTable, *discovery.Client) {
 	t.Helper()
 	srv := httptest.NewServer(h)
 	f, err := dispatcher.New(decision.Config{PollsEndpoints: true, MaxPollInterval: time.Second,
@@ -57,7 +57,7 @@
 		wait.Wait()
 		srv.Close()
 	})
-	c := discovery.New(strings.TrimPrefix(srv.URL, "http://"), discovery.NoRevision, []string{"room"}, table, f, lim,
+	c := discovery.New(strings.TrimPrefix(srv.URL, "http://"), discovery.NoRevision, []string{"zone-a"}, table, f, lim,
 		slog.New(slog.DiscardHandler))
 	for _, f := range onResult {
 		c.OnResult(f)
@@ -67,63 +67,64 @@
 	return table, c
 }
 
-// In the middle of a watch that would wait a minute, the client reads the full list at the new address at once, whatever
-// revision the old one had, and endpoints that only the old one named are removed.
+// A change of the address ends a watch that would wait a minute. The client reads the full list at the new address
+// immediately, whatever the revision at the old one, and endpoints that only the old list named are removed.
 func TestAddressChangeEndsWatchAndReadsFullList(t *testing.T) {
 	old, other := fake.NewDiscovery(), fake.NewDiscovery()
-	old.Set(target("a", "up"), target("b", "up"))
-	old.Set(target("a", "up"))
+	old.Set(endpoint("a", "up"), endpoint("b", "up"))
+	old.Set(endpoint("a", "up"))
 	srv := httptest.NewServer(other)
 	t.Cleanup(srv.Close)
-	table, c := client(t, old, testLimits())
-	eventually(t, "a is up", state(table, "a")(decision.Ready))
+	table, c := startClient(t, old, testLimits())
+	eventually(t, "a is up", hasState(table, "a")(decision.Ready))
 	eventually(t, "a watch", func() bool { return len(old.Calls()) > 1 })
-	other.Set(target("b", "draining"))
+	other.Set(endpoint("b", "draining"))
 	addr := strings.TrimPrefix(srv.URL, "http://")
 	c.SetAddress(addr)
 	c.SetAddress(addr) // no change
-	eventually(t, "b drains", state(table, "b")(decision.Draining))
-	if !state(table, "a")(decision.Removed)() {
-		t.Error("a is not gone")
+	eventually(t, "b drains", hasState(table, "b")(decision.Draining))
+	if !hasState(table, "a")(decision.Removed)() {
+		t.Error("a, which only the old address lists, was not removed")
 	}
-	other.Set(target("c", "up"))
-	eventually(t, "c is up", state(table, "c")(decision.Ready))
+	other.Set(endpoint("c", "up"))
+	eventually(t, "c is up", hasState(table, "c")(decision.Ready))
 	if n := len(old.Calls()); n != 2 {
 		t.Errorf("%d calls at the old address, want 2", n)
 	}
-	c.SetAddress("127.0.0.1:1") // nobody listens there: the list stays, and a further change works
+	c.SetAddress("127.0.0.1:1") // no server listens there: the list stays, and the next change works
 	c.SetAddress(addr)
-	other.Set(target("c", "draining"))
-	eventually(t, "c drains", state(table, "c")(decision.Draining))
+	other.Set(endpoint("c", "draining"))
+	eventually(t, "c drains", hasState(table, "c")(decision.Draining))
 }
 
-// The brokers of a fleet poll a new address spread over a time. Until then the watch at the old one goes on.
+// The brokers of a fleet switch to a new address after random delays. Until then the watch at the old address
+// continues.
 func TestAddressChangeIsDelayedByJitter(t *testing.T) {
 	old, other := fake.NewDiscovery(), fake.NewDiscovery()
-	old.Set(target("a", "up"))
-	other.Set(target("b", "up"))
+	old.Set(endpoint("a", "up"))
+	other.Set(endpoint("b", "up"))
 	srv := httptest.NewServer(other)
 	t.Cleanup(srv.Close)
 	lim := testLimits()
-	lim.DiscoveryMoveJitter = 3_600_000_000 // it will hardly fall into the first seconds
-	table, c := client(t, old, lim)
-	eventually(t, "a is up", state(table, "a")(decision.Ready))
+	lim.DiscoveryMoveJitter = 3_600_000_000 // an hour: the delay will hardly end within the first seconds
+	table, c := startClient(t, old, lim)
+	eventually(t, "a is up", hasState(table, "a")(decision.Ready))
 	c.SetAddress(strings.TrimPrefix(srv.URL, "http://"))
-	old.Set(target("a", "draining"))
-	eventually(t, "a drains, as the old address says", state(table, "a")(decision.Draining))
+	old.Set(endpoint("a", "draining"))
+	eventually(t, "a drains at the old address", hasState(table, "a")(decision.Draining))
 	if n := len(other.Calls()); n > 0 {
-		t.Errorf("%d calls at the new address already", n)
+		t.Errorf("%d calls at the new address before the delay, want 0", n)
 	}
 }
 
-// A list may name more zones than the settings. Taken for one of the settings' zones, they would let a request that one zone
-// deduplicates be retried in another.
+// A list may name zones that the settings do not have. If such a zone got the number of another zone, a request that is
+// deduplicated within one zone could be retried in the other.
 func TestUnknownZonesGetDistinctNumbers(t *testing.T) {
-	list := discovery.List{Endpoints: []discovery.Endpoint{target("a", "up"), target("b", "up"), target("c", "up"), target("d", "up")}}
-	for i, az := range []string{"room", "hall", "yard", "hall"} {
+	list := discovery.List{Endpoints: []discovery.Endpoint{endpoint("a", "up"), endpoint("b", "up"), endpoint("c", "up"), endpoint("d", "up")}}
+	for i, az := range []string{"zone-a", "zone-c", "zone-d", "zone-c"} {
 		list.Endpoints[i].Zone = az
 	}
-	n, err := list.Nodes([]string{"room", "cellar"})
+	n, err := list.Nodes([]string{"zone-a", "zone-b"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -132,15 +133,15 @@
 	}
 }
 
-// Where a discovery cannot give the full list to a broker that has changed to it, changes are polled instead, and the full
-// list once it is available.
+// If a discovery service cannot send the full list to a broker that has just switched to it, the broker polls for
+// changes instead, and reads the full list once it is available.
 func TestChangesAreReadWhileFullListIsRejected(t *testing.T) {
 	old, other := fake.NewDiscovery(), fake.NewDiscovery()
 	for _, d := range []*fake.Discovery{old, other} {
-		d.Set(target("a", "up"))
-		d.Set(target("b", "up"))
+		d.Set(endpoint("a", "up"))
+		d.Set(endpoint("b", "up"))
 	}
-	other.Set(target("b", "draining"))
+	other.Set(endpoint("b", "draining"))
 	var fullListCalls, overloaded atomic.Int32
 	overloaded.Store(1)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -154,49 +155,49 @@
 	t.Cleanup(srv.Close)
 	lim := testLimits()
 	lim.WatchTimeout, lim.WatchGracePeriod = 200_000, 300_000
-	var failedWatches atomic.Int32 // each costs a backoff in which no change arrives
-	table, c := client(t, old, lim, func(err error) {
+	var failedWatches atomic.Int32 // each is followed by a backoff in which no change arrives
+	table, c := startClient(t, old, lim, func(err error) {
 		if err != nil {
 			failedWatches.Add(1)
 		}
 	})
-	eventually(t, "b is up", state(table, "b")(decision.Ready))
+	eventually(t, "b is up", hasState(table, "b")(decision.Ready))
 	c.SetAddress(strings.TrimPrefix(srv.URL, "http://"))
-	eventually(t, "b drains", state(table, "b")(decision.Draining))
+	eventually(t, "b drains", hasState(table, "b")(decision.Draining))
 	if failedWatches.Load() > 0 {
-		t.Error("the failed full list has ended the watch")
+		t.Error("the rejected call for the full list ended the watch")
 	}
 	if fullListCalls.Load() != 1 {
-		t.Errorf("the full list was polled %d times before the changes", fullListCalls.Load())
+		t.Errorf("the full list was requested %d times before the changes, want 1", fullListCalls.Load())
 	}
-	eventually(t, "the full list is polled again", func() bool { return fullListCalls.Load() > 1 })
+	eventually(t, "the full list is requested again", func() bool { return fullListCalls.Load() > 1 })
 	overloaded.Store(0)
-	other.Set(target("a", "removed"))
-	eventually(t, "a is gone", state(table, "a")(decision.Removed))
+	other.Set(endpoint("a", "removed"))
+	eventually(t, "a is removed", hasState(table, "a")(decision.Removed))
 }
 
-// answer writes a body. A client that has gone away fails the test by what it does not get.
-func answer(w io.Writer, body string) { _, _ = io.WriteString(w, body) }
+// writeBody writes a response body. Write errors are ignored: the test fails anyway if the client lacks the response.
+func writeBody(w io.Writer, body string) { _, _ = io.WriteString(w, body) }
 
 // eventually waits until ok returns true.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never came: " + what)
+			t.Fatal("condition not met within 30 s: " + what)
 		}
 	}
 }
 
-func target(uid, state string) discovery.Endpoint {
-	return discovery.Endpoint{ID: uid, Addr: "127.0.0.1:1", Zone: "room", State: state}
+func endpoint(uid, state string) discovery.Endpoint {
+	return discovery.Endpoint{ID: uid, Addr: "127.0.0.1:1", Zone: "zone-a", State: state}
 }
 
-func state(table *core.EndpointTable, uid string) func(decision.EndpointState) func() bool {
+func hasState(table *core.EndpointTable, uid string) func(decision.EndpointState) func() bool {
 	return func(want decision.EndpointState) func() bool {
 		return func() bool {
 			n, ok := table.Get(uid)
-			if want == decision.Removed { // what is gone is forgotten
+			if want == decision.Removed { // the table deletes removed nodes
 				return !ok
 			}
 			return ok && n.State == want
@@ -204,60 +205,61 @@
 	}
 }
 
-// Changes reach the table, one call after the other.
+// Successive calls bring all changes into the table.
 func TestWatchFollowsChanges(t *testing.T) {
 	d := fake.NewDiscovery()
-	table := watch(t, d, testLimits())
-	d.Set(target("a", "up"))
-	eventually(t, "a is up", state(table, "a")(decision.Ready))
-	d.Set(target("a", "draining"))
-	eventually(t, "a drains", state(table, "a")(decision.Draining))
-	d.Set(target("a", "removed"), target("b", "up"))
-	eventually(t, "a is gone", state(table, "a")(decision.Removed))
-	eventually(t, "b is up", state(table, "b")(decision.Ready))
+	table := startWatch(t, d, testLimits())
+	d.Set(endpoint("a", "up"))
+	eventually(t, "a is up", hasState(table, "a")(decision.Ready))
+	d.Set(endpoint("a", "draining"))
+	eventually(t, "a drains", hasState(table, "a")(decision.Draining))
+	d.Set(endpoint("a", "removed"), endpoint("b", "up"))
+	eventually(t, "a is removed", hasState(table, "a")(decision.Removed))
+	eventually(t, "b is up", hasState(table, "b")(decision.Ready))
 }
 
-// While discovery is down the list stays in force and polls back off; afterwards the watch goes on.
+// While discovery is down the list stays in use and polls back off; afterwards the watch continues.
 func TestListStaysAndPollsBackOffWhileDiscoveryIsDown(t *testing.T) {
 	lim := testLimits()
-	lim.NotificationDeadline = lim.WatchGracePeriod + 60_000_000 // as in operation, it leaves room for the backoff
+	lim.NotificationDeadline = lim.WatchGracePeriod + 60_000_000 // as in production, leaves time for the backoff
 	d := fake.NewDiscovery()
-	table := watch(t, d, lim)
-	d.Set(target("a", "up"))
-	eventually(t, "a is up", state(table, "a")(decision.Ready))
+	table := startWatch(t, d, lim)
+	d.Set(endpoint("a", "up"))
+	eventually(t, "a is up", hasState(table, "a")(decision.Ready))
 	d.SetDown(true)
 	n := len(d.Calls())
-	// One call may have been on its way, and the first after a long watch goes out at once; from then on there is a backoff.
+	// One call may have been in flight, and the first after a long watch follows immediately; later ones follow a
+	// backoff.
 	eventually(t, "three more calls", func() bool { return len(d.Calls()) >= n+3 })
 	calls := d.Calls()
-	// The backoff's first pause is at least a third of 0.75 s, and no slow machine makes a pause shorter.
+	// The first backoff is at least a third of 0.75 s. A slow machine can only make it longer.
 	if gap := calls[len(calls)-1].Sub(calls[len(calls)-2]); gap < 250*time.Millisecond {
 		t.Errorf("polled again after %v", gap)
 	}
-	if !state(table, "a")(decision.Ready)() {
-		t.Error("the list went away with discovery")
+	if !hasState(table, "a")(decision.Ready)() {
+		t.Error("the list was dropped while discovery was down")
 	}
 	d.SetDown(false)
-	d.Set(target("a", "draining"))
-	eventually(t, "a drains", state(table, "a")(decision.Draining))
+	d.Set(endpoint("a", "draining"))
+	eventually(t, "a drains", hasState(table, "a")(decision.Draining))
 }
 
-// The next call goes out when the answer has arrived, without a pause.
+// The next call follows a response without a pause.
 func TestNextPollFollowsAnswerWithoutPause(t *testing.T) {
 	revision := 1
 	var times []time.Time
 	var mu sync.Mutex
-	watch(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	startWatch(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		revision++
 		times = append(times, time.Now())
-		answer(w, fmt.Sprintf(`{"rev":%d,"all":false,"targets":[]}`, revision))
+		writeBody(w, fmt.Sprintf(`{"rev":%d,"all":false,"targets":[]}`, revision))
 	}), testLimits())
 	eventually(t, "fifty calls", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return len(times) >= 50 // with a backoff before each this would take half a minute
+		return len(times) >= 50 // with a backoff before each call this would take half a minute
 	})
 }
 
@@ -266,7 +268,7 @@
 	var mu sync.Mutex
 	var calls []string
 	d := fake.NewDiscovery()
-	table := watch(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	table := startWatch(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		calls = append(calls, r.URL.RawQuery)
 		mu.Unlock()
@@ -277,8 +279,8 @@
 		defer mu.Unlock()
 		return len(calls) > 1
 	})
-	d.Set(target("a", "up"))
-	eventually(t, "a is up", state(table, "a")(decision.Ready))
+	d.Set(endpoint("a", "up"))
+	eventually(t, "a is up", hasState(table, "a")(decision.Ready))
 	mu.Lock()
 	defer mu.Unlock()
 	if calls[0] != "" || !strings.HasPrefix(calls[1], "after=0&wait_ms=") || len(calls) > 3 {
@@ -286,15 +288,15 @@
 	}
 }
 
-// A discovery that answers at once though it has no changes is polled again after a pause.
+// A discovery service that answers immediately although it has no changes is polled again after a pause.
 func TestAnswersWithoutChangesAreNotPolledInABusyLoop(t *testing.T) {
 	var mu sync.Mutex
 	var times []time.Time
-	watch(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	startWatch(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		times = append(times, time.Now())
-		answer(w, `{"rev":7,"all":false,"targets":[]}`)
+		writeBody(w, `{"rev":7,"all":false,"targets":[]}`)
 	}), testLimits())
 	eventually(t, "five calls", func() bool {
 		mu.Lock()
@@ -303,33 +305,33 @@
 	})
 	mu.Lock()
 	defer mu.Unlock()
-	if gap := times[4].Sub(times[1]); gap < 3*50*time.Millisecond { // a lower bound: no slow machine goes under it
-		t.Errorf("three calls in %v", gap)
+	if gap := times[4].Sub(times[1]); gap < 3*50*time.Millisecond { // a slow machine can only make the gap longer
+		t.Errorf("three calls within %v, want at least 150 ms", gap)
 	}
 }
 
-// An answer that cannot be read or used is a failure, and the list in force stays.
+// A response that cannot be decoded or used counts as a failure, and the current list stays in use.
 func TestInvalidAnswerKeepsList(t *testing.T) {
 	for _, body := range []string{`{`, `{"rev":5,"targets":[{"uid":"a","endpoint":"x","state":"new"}]}`,
 		`{"rev":5,"targets":[{"state":"up"}]}`, `{"rev":5,"targets":"` + strings.Repeat("x", 1<<17) + `"}`} {
 		var mu sync.Mutex
 		n := 0
-		table := watch(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		table := startWatch(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			mu.Lock()
 			defer mu.Unlock()
 			if n++; n == 1 {
-				answer(w, `{"rev":2,"all":true,"targets":[{"uid":"a","endpoint":"x","state":"up"}]}`)
+				writeBody(w, `{"rev":2,"all":true,"targets":[{"uid":"a","endpoint":"x","state":"up"}]}`)
 				return
 			}
-			answer(w, body)
+			writeBody(w, body)
 		}), testLimits())
 		eventually(t, "two calls after the first", func() bool {
 			mu.Lock()
 			defer mu.Unlock()
 			return n >= 3
 		})
-		if !state(table, "a")(decision.Ready)() {
-			t.Errorf("the list went away with %.40q", body)
+		if !hasState(table, "a")(decision.Ready)() {
+			t.Errorf("the list was dropped after the response %.40q", body)
 		}
 	}
 }
--- a/internal/nodes/discovery/deadline_test.go
+++ b/internal/nodes/discovery/deadline_test.go
@@ -21,21 +21,22 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// span is a time from one moment to another, after the test's start.
+// span is a period; from and to are relative to the start of the test.
 type span struct{ from, to time.Duration }
 
-func (s span) holds(t time.Duration) bool { return t >= s.from && t < s.to }
+func (s span) contains(t time.Duration) bool { return t >= s.from && t < s.to }
 
-// faultyDiscovery is a discovery service with faults, on the bubble's clock. While overloaded it answers 503. While silent it
-// answers nothing, and calls that were open when that began are never answered. After the change of its address the old one
-// is closed and the new one overloaded for a while. The list changes every changeInterval.
+// faultyDiscovery simulates a discovery service with faults, on the clock of the synctest bubble. While overloaded it
+// answers with 503. While silent it does not answer, and calls that were open when the silence began are never
+// answered. After the change of its address the old address is closed and the new one is overloaded for a while. The
+// list changes every changeInterval.
 type faultyDiscovery struct {
-	begun                          time.Time
+	startedAt                      time.Time
 	overloaded, silent             span
 	addressChange, newOverloadedTo time.Duration
 	mu                             sync.Mutex
-	open                           []span        // calls, by when they came and when their wait is over
-	firstAnswer                    time.Duration // at the new address; 0: none yet
+	calls                          []span        // from the arrival of each call to the end of its wait
+	firstAnswer                    time.Duration // at the new address; 0 if there is none yet
 }
 
 const (
@@ -43,10 +44,10 @@
 	recoveryTime   = 3500 * time.Millisecond
 )
 
-func (s *faultyDiscovery) now() time.Duration { return time.Since(s.begun) }
+func (s *faultyDiscovery) now() time.Duration { return time.Since(s.startedAt) }
 
 func (s *faultyDiscovery) RoundTrip(r *http.Request) (*http.Response, error) {
-	came, ctx, old := s.now(), r.Context(), r.URL.Host == "old:1"
+	arrivedAt, ctx, old := s.now(), r.Context(), r.URL.Host == "old:1"
 	status, body, after, wait := http.StatusOK, "", int64(-1), time.Duration(0)
 	if q := r.URL.Query(); q.Has("after") {
 		ms := 0
@@ -56,20 +57,20 @@
 		wait = time.Duration(ms) * time.Millisecond
 	}
 	s.mu.Lock()
-	s.open = append(s.open, span{came, came + wait})
+	s.calls = append(s.calls, span{arrivedAt, arrivedAt + wait})
 	s.mu.Unlock()
 	for {
 		t := s.now()
 		rev := int64(t / changeInterval)
 		switch {
-		case s.silent.holds(t) || came < s.silent.from && t >= s.silent.from: // never an answer
+		case s.silent.contains(t) || arrivedAt < s.silent.from && t >= s.silent.from: // never answered
 			<-ctx.Done()
 			return nil, ctx.Err()
 		case old && t >= s.addressChange+1500*time.Millisecond:
 			return nil, errors.New("connection refused")
-		case s.overloaded.holds(t) || !old && t < s.newOverloadedTo:
+		case s.overloaded.contains(t) || !old && t < s.newOverloadedTo:
 			status = http.StatusServiceUnavailable
-		case after < 0 || rev > after || t >= came+wait:
+		case after < 0 || rev > after || t >= arrivedAt+wait:
 			body = fmt.Sprintf(`{"rev":%d,"all":%v,"targets":[{"uid":"a","endpoint":"x","state":"up"}]}`, rev, after < 0)
 		}
 		if status != http.StatusOK || body != "" {
@@ -88,9 +89,10 @@
 	}
 }
 
-// deadline is when a change made at t counts as known to the broker: one that a silent call should have returned, 6 s after
-// the silence began, or 2 s after the end of the call's wait where that is later; one around a change of the address, 4 s
-// after that, until the new address has answered; others half a minute later.
+// deadline returns the time by which the broker must know a change made at t. If a call that is never answered should
+// have returned the change, that is 6 s after the start of the silence, or 2 s after the end of the call's wait if that
+// is later. Before the first response of the new address, it is 4 s after the change of the address or after t,
+// whichever is later. In all other cases it is 30 s after t.
 func (s *faultyDiscovery) deadline(t time.Duration) time.Duration {
 	deadline := t + 30*time.Second
 	s.mu.Lock()
@@ -98,7 +100,7 @@
 	if t < s.firstAnswer {
 		deadline = min(deadline, max(t, s.addressChange)+4*time.Second)
 	}
-	for _, c := range s.open {
+	for _, c := range s.calls {
 		if c.from < s.silent.from && c.to > s.silent.from && c.to > t {
 			deadline = min(deadline, max(s.silent.from+6*time.Second, c.to+2*time.Second))
 		}
@@ -106,8 +108,8 @@
 	return max(deadline, t)
 }
 
-// Overload, silence and a change of the address in every order and overlap: a broker has each change before its deadline, or
-// else soon after the last of the faults, whatever failed before.
+// With overload, silence and a change of the address in every order and overlap, a broker has each change before its
+// deadline, or soon after the last of the faults, whatever failed before.
 func TestChangesArriveInTimeThroughOverloadSilenceAndAddressChange(t *testing.T) {
 	for _, order := range [][3]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}} {
 		for seed := range uint64(40) {
@@ -119,12 +121,12 @@
 func checkChangesArrive(t *testing.T, order [3]int, seed uint64) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 7))
-	at := [3]time.Duration{}
-	for i, fault := range order { // close enough to overlap
-		at[fault] = 5*time.Second + time.Duration(i)*1500*time.Millisecond + time.Duration(rng.Int64N(int64(time.Second)))
+	faultAt := [3]time.Duration{}
+	for i, fault := range order { // the faults are close enough to overlap
+		faultAt[fault] = 5*time.Second + time.Duration(i)*1500*time.Millisecond + time.Duration(rng.Int64N(int64(time.Second)))
 	}
-	s := &faultyDiscovery{begun: time.Now(), overloaded: span{at[0], at[0] + time.Second}, silent: span{at[1], at[1] + time.Second},
-		addressChange: at[2], newOverloadedTo: at[2] + time.Second}
+	s := &faultyDiscovery{startedAt: time.Now(), overloaded: span{faultAt[0], faultAt[0] + time.Second}, silent: span{faultAt[1], faultAt[1] + time.Second},
+		addressChange: faultAt[2], newOverloadedTo: faultAt[2] + time.Second}
 	lim := &limits.Limits{WatchTimeout: 1_000_000, WatchGracePeriod: 1_000_000, NotificationDeadline: 6_000_000, WatchMinInterval: 100_000, MaxListBytes: 1 << 16,
 		MaxListEndpoints: 10, NodeIdleTimeout: 10_000_000, DiscoveryMoveJitter: 400_000}
 	f, err := dispatcher.New(decision.Config{Seed: seed, Brokers: 80, PollsEndpoints: true, MaxPollInterval: 10 * time.Second,
@@ -135,7 +137,7 @@
 	c := New("old:1", 0, nil, core.NewEndpointTable(), f, lim, slog.New(slog.DiscardHandler))
 	c.poller.http.Transport = s
 	ctx, stop := context.WithCancel(t.Context())
-	arrivals := map[int64]time.Duration{} // by revision: when it or a later one was known
+	arrivals := map[int64]time.Duration{} // by revision: when the broker knew it or a later one
 	go core.RunDecisions(ctx, f, clock.New())
 	go c.Run(ctx)
 	for known := int64(0); s.now() < 30*time.Second; time.Sleep(10 * time.Millisecond) {
@@ -150,20 +152,21 @@
 	stop()
 	synctest.Wait()
 	for rev := int64(1); rev < 50; rev++ {
-		made := time.Duration(rev) * changeInterval
-		if made < 3*time.Second { // a fleet that starts spreads its first calls
+		changedAt := time.Duration(rev) * changeInterval
+		if changedAt < 3*time.Second { // a starting fleet spreads its first calls
 			continue
 		}
-		got, ok := arrivals[rev]
-		due := s.deadline(made) + 500*time.Millisecond
+		arrivedAt, ok := arrivals[rev]
+		due := s.deadline(changedAt) + 500*time.Millisecond
 		for _, end := range []time.Duration{s.overloaded.to, s.silent.to, s.newOverloadedTo} {
-			if end < due { // a call that hangs since then has to end, and the next to become due
+			if end < due { // a call that hangs since the fault must end, and the next call must become due
 				due = max(due, end+recoveryTime)
 			}
 		}
-		if !ok || got > due {
-			t.Fatalf("order %v seed %d: change of %v arrived at %v (%v), due by %v; overload %v, silence %v, address change %v", order, seed, made,
-				got, ok, due, s.overloaded, s.silent, s.addressChange)
+		if !ok || arrivedAt > due {
+			t.Fatalf("order %v seed %d: change of %v arrived at %v (arrived: %v), due by %v; "+
+				"overload %v, silence %v, address change %v",
+				order, seed, changedAt, arrivedAt, ok, due, s.overloaded, s.silent, s.addressChange)
 		}
 	}
 }
--- a/internal/nodes/discovery/grace_test.go
+++ b/internal/nodes/discovery/grace_test.go
@@ -17,7 +17,7 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// A call that hangs is cancelled soon; each next call gets more time, up to a bound.
+// A call that hangs is cancelled early; each following call gets more time, up to a bound.
 func TestGraceDoublesWithEachTimeout(t *testing.T) {
 	lim := &limits.Limits{WatchTimeout: 1, WatchGracePeriod: 1000, NotificationDeadline: 12_003, MaxListBytes: 1 << 16, MaxListEndpoints: 100, NodeIdleTimeout: 60_000_000}
 	hung := make(chan struct{})
@@ -30,25 +30,25 @@
 			t.Fatalf("a call that hangs ended with %v", err)
 		}
 		if c.poller.grace != min(want, 8002) {
-			t.Errorf("%d µs for the next answer, want %d", c.poller.grace, want)
+			t.Errorf("grace %d µs for the next response, want %d µs", c.poller.grace, min(want, 8002))
 		}
 	}
 	if c.poller.adjustGrace(io.ErrUnexpectedEOF, false); c.poller.grace != 8002 {
-		t.Errorf("%d µs after a broken answer", c.poller.grace)
+		t.Errorf("grace %d µs after a broken response, want 8002 µs", c.poller.grace)
 	}
 	if c.poller.adjustGrace(nil, false); c.poller.grace != 1000 {
-		t.Errorf("%d µs after a good answer", c.poller.grace)
+		t.Errorf("grace %d µs after a valid response, want 1000 µs", c.poller.grace)
 	}
 }
 
-// A full list that takes discovery longer than the usual grace is read all the same, however long watches wait. A wait of 3 s
-// is that of a fleet of 300 brokers.
+// A full list that takes discovery longer than the initial grace is still read, however long watches wait. A wait of
+// 3 s corresponds to a fleet of 300 brokers.
 func TestSlowFullListArrivesEventually(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lim := &limits.Limits{WatchTimeout: 3_000_000, WatchGracePeriod: 1_000_000, NotificationDeadline: 6_000_000, MaxListBytes: 1 << 16, MaxListEndpoints: 10}
 		c := New("", NoRevision, nil, core.NewEndpointTable(), nil, lim, slog.New(slog.DiscardHandler))
-		got := false
-		c.OnEndpoints(func([]core.Node, bool) { got = true })
+		received := false
+		c.OnEndpoints(func([]core.Node, bool) { received = true })
 		c.poller.http.Transport = slowFullList(3 * time.Second)
 		for range 4 {
 			ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
@@ -57,13 +57,13 @@
 			}
 			stop()
 		}
-		if !got {
+		if !received {
 			t.Error("no list after four calls")
 		}
 	})
 }
 
-// slowFullList answers with a full list after so long.
+// slowFullList is a transport that answers with a full list after the given time.
 type slowFullList time.Duration
 
 func (s slowFullList) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -75,8 +75,8 @@
 	}
 }
 
-// After a watch that had answers falls silent, changes may be missing: the next call does not wait for changes, and its grace
-// does not grow.
+// When a watch that has had responses times out, changes may be missing: the next call does not wait for changes, and
+// its grace does not grow.
 func TestSilentWatchIsPolledAgainWithoutWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lim := &limits.Limits{WatchTimeout: 1_000_000, WatchGracePeriod: 1_000_000, NotificationDeadline: 6_000_000, MaxListBytes: 1 << 16, MaxListEndpoints: 10}
@@ -85,7 +85,7 @@
 		waits := []string{}
 		c.poller.http.Transport = roundTripper(func(r *http.Request) (*http.Response, error) {
 			waits = append(waits, r.URL.Query().Get("wait_ms"))
-			if len(waits) == 1 { // the watch is established, and silent from then on
+			if len(waits) == 1 { // the first call is answered, later ones hang
 				return slowFullList(100 * time.Millisecond).RoundTrip(r)
 			}
 			<-r.Context().Done()
@@ -100,7 +100,7 @@
 			t.Errorf("changes missing until %v, now %v; grace %d µs", c.progress.missingUntil, time.Now(), c.poller.grace)
 		}
 		if len(waits) != 3 || waits[1] == "0" || waits[2] != "0" {
-			t.Errorf("calls with waits %v: the last should have none", waits)
+			t.Errorf("calls with waits %v, want three, the second with a wait and the third without", waits)
 		}
 	})
 }
--- a/internal/nodes/discovery/poller.go
+++ b/internal/nodes/discovery/poller.go
@@ -15,10 +15,10 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// StatusError says that discovery answered with another status than 200.
+// StatusError reports that discovery answered with a status other than 200.
 type StatusError struct {
 	Status int
-	After  time.Duration // since the call began
+	After  time.Duration // from the start of the call to the response
 }
 
 func (e *StatusError) Error() string {
@@ -30,8 +30,8 @@
 	limits     *limits.Limits
 	http       *http.Client
 	dial       func(ctx context.Context, network, addr string) (net.Conn, error)
-	grace      clock.Micros // how long after the end of its wait an answer may arrive
-	lastCallAt time.Time    // when the last call began
+	grace      clock.Micros // how long after the end of the wait the response may arrive
+	lastCallAt time.Time    // when the last call started
 }
 
 func newPoller(lim *limits.Limits) *poller {
@@ -49,16 +49,16 @@
 	return p
 }
 
-// connect opens a connection to discovery. It needs a timeout of its own: the transport goes on dialing for a call that
-// was cancelled, and as it allows one connection, one that hangs would block every later call.
+// connect opens a connection to discovery. It has its own timeout: the transport keeps dialing for a call that was
+// cancelled, and since it allows only one connection, a dial that hangs would block all later calls.
 func (p *poller) connect(ctx context.Context, network, addr string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, clock.Duration(2*p.limits.WatchGracePeriod))
 	defer cancel()
 	return p.dial(ctx, network, addr)
 }
 
-// poll asks for the changes since a revision, or with NoRevision for the full list. Where noWait is set the call does not
-// wait for a change, so that a server that does not answer is noticed after the grace period.
+// poll requests the changes since a revision, or the full list if revision is NoRevision. If noWait is set the call
+// does not wait for a change, so that a server that does not respond is noticed after the grace period.
 func (p *poller) poll(ctx context.Context, url string, revision int64, noWait bool) (*List, error) {
 	wait := clock.Micros(0)
 	if revision != NoRevision {
@@ -92,14 +92,15 @@
 	return q.Encode()
 }
 
-// drawWait is how long the next call waits for a change. Its jitter keeps brokers out of step that began together or were
-// notified of the same change.
+// drawWait returns how long the next call waits for a change. The jitter desynchronizes brokers that started together
+// or were notified of the same change.
 func (p *poller) drawWait() clock.Micros {
 	return p.limits.WatchTimeout - rand.N(p.limits.WatchTimeout/4+1)
 }
 
-// graceAfter is how much longer than its wait a call may take. The wait and the grace together leave time for another call
-// before the notification deadline; a call without a wait, as for the full list, may use all of the rest.
+// graceAfter returns how much longer than its wait a call may take. The wait and the grace together leave time for
+// another call before the notification deadline; a call without a wait, such as one for the full list, may use all of
+// the remaining time.
 func (p *poller) graceAfter(wait clock.Micros) clock.Micros {
 	base := p.limits.WatchGracePeriod
 	grace := min(p.grace, max(base, p.limits.NotificationDeadline*2/3-wait))
@@ -109,9 +110,9 @@
 	return grace
 }
 
-// adjustGrace follows up a call: the grace doubles with each call that times out, up to two thirds of the notification
-// deadline, so that the answer of a slow discovery arrives in the end. While changes may be missing it stays as it is, since a hung call
-// must end soon.
+// adjustGrace updates the grace after a call: it doubles with each call that times out, up to two thirds of the
+// notification deadline, so that the response of a slow discovery service eventually arrives. While changes may be
+// missing the grace does not grow, because a call that hangs must end soon.
 func (p *poller) adjustGrace(err error, changesMissing bool) {
 	switch {
 	case err == nil:
--- a/internal/nodes/discovery/progress.go
+++ b/internal/nodes/discovery/progress.go
@@ -8,27 +8,28 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// progress is what the client has read, what it still has to read, and how soon.
+// progress tracks what the client has read, what it still has to read, and when.
 type progress struct {
 	limits       *limits.Limits
-	revision     int64 // of the list in force; NoRevision: none
+	revision     int64 // of the current list, or NoRevision if there is none
 	fullList     fullListState
 	fullListAt   time.Time // when a scheduled full list is read
-	missingUntil time.Time // changes may be missing until then: the watch fell silent or the address changed
-	failures     int       // watches that ended since the last list
+	missingUntil time.Time // until then changes may be missing: the watch got no response or the address changed
+	failures     int       // watches that have ended since the last list arrived
 }
 
-// fullListState says whether the full list is still to be read although a revision is known.
+// fullListState tells whether and when the full list has to be read although a revision is known.
 type fullListState uint8
 
 const (
 	fullListRead         fullListState = iota // nothing is outstanding
-	fullListNow                               // with the next call
-	fullListAfterChanges                      // once a call for changes has been answered
-	fullListScheduled                         // from fullListAt on
+	fullListNow                               // read by the next call
+	fullListAfterChanges                      // scheduled once a call for changes has been answered
+	fullListScheduled                         // read by the first call after fullListAt
 )
 
-// fullListSpread is over how many times Limits.DiscoveryMoveJitter the full lists are spread that could not be read at once.
+// fullListSpread times Limits.DiscoveryMoveJitter is the period over which a fleet spreads its reads of full lists that
+// were rejected at first.
 const fullListSpread = 6
 
 // The longest pauses before a retry while changes may be missing.
@@ -37,26 +38,27 @@
 	missingRetry      = 1500 * time.Millisecond
 )
 
-// startOver follows a change of the address: revisions of one discovery service mean nothing to another.
+// startOver is called when the address has changed. It requests the full list, because the revisions of two discovery
+// services are unrelated.
 func (p *progress) startOver(now time.Time) {
 	p.fullList = fullListNow
 	p.markMissing(now)
 }
 
-// markMissing says that changes may be missing since a time.
+// markMissing records that changes may have been missing since the given time.
 func (p *progress) markMissing(since time.Time) {
 	p.missingUntil = since.Add(clock.Duration(p.limits.NotificationDeadline))
 }
 
 func (p *progress) changesMissing(now time.Time) bool { return now.Before(p.missingUntil) }
 
-// listArrived ends a series of failures.
+// listArrived resets the count of failures and records that no changes are missing.
 func (p *progress) listArrived() {
 	p.failures = 0
 	p.missingUntil = time.Time{}
 }
 
-// nextRevision is the revision that the next call asks from; NoRevision: it reads the full list.
+// nextRevision returns the revision from which the next call requests changes, or NoRevision if it reads the full list.
 func (p *progress) nextRevision(now time.Time) int64 {
 	if p.fullList == fullListNow || p.fullList == fullListScheduled && now.After(p.fullListAt) {
 		return NoRevision
@@ -64,9 +66,10 @@
 	return p.revision
 }
 
-// scheduleFullList follows up a call for the changes since a revision. A discovery service that cannot give full lists to a whole
-// fleet that has just changed to it may still answer calls for changes, which cost it little. Most often it is the same
-// service at another address, and these are complete. The full list then follows when the load has gone.
+// scheduleFullList updates the state of the full list after a call for the changes since revision. A discovery service
+// that cannot send full lists to a whole fleet that has just switched to it may still answer calls for changes, which
+// are cheap. It is usually the same service at another address, so the changes are complete. The full list is read
+// later, when the load has dropped.
 func (p *progress) scheduleFullList(err error, revision int64, full bool) {
 	switch {
 	case err == nil && full:
@@ -85,9 +88,9 @@
 	return revision == NoRevision && p.revision != NoRevision
 }
 
-// retryWithin is the longest pause before the next call after one that failed. A change counts as known to the broker
-// Limits.NotificationDeadline after discovery had it and could be reached. That may have been as early as the start of the
-// last call, so the next one, with the time for its answer, has to fit into what is left.
+// retryWithin returns the longest pause before the next call after a failed one. A change must be known to the broker
+// within Limits.NotificationDeadline of the time when discovery had it and was reachable. That may have been as early
+// as the start of the last call, so the next call and its response have to fit into the remaining time.
 func (p *progress) retryWithin(now, lastCallAt time.Time) time.Duration {
 	left := clock.Duration(p.limits.NotificationDeadline-p.limits.WatchGracePeriod) - now.Sub(lastCallAt)
 	if p.changesMissing(now) {
--- a/internal/nodes/discovery/wire.go
+++ b/internal/nodes/discovery/wire.go
@@ -14,10 +14,10 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// NoRevision stands for the revision of a list that is not known. 0 is a revision like any other: discovery starts there.
+// NoRevision means that the revision of the list is unknown. 0 is a valid revision: discovery starts with it.
 const NoRevision int64 = -1
 
-// List is an answer of the discovery service: the full list or the changed entries.
+// List is a response of the discovery service: the full list or the changed entries.
 type List struct {
 	Revision  int64      `json:"rev"`
 	Full      bool       `json:"all"`
@@ -28,7 +28,7 @@
 type Endpoint struct {
 	ID          string  `json:"uid"`
 	Addr        string  `json:"endpoint"`
-	ObjectAddr  string  `json:"object_endpoint,omitempty"` // empty: as Addr
+	ObjectAddr  string  `json:"object_endpoint,omitempty"` // defaults to Addr
 	Zone        string  `json:"az"`
 	Model       string  `json:"model"`
 	Shard       int     `json:"pod_group"`
@@ -44,16 +44,16 @@
 	"removed":  decision.Removed,
 }
 
-// Errors of entries that cannot be used. They are wrapped in an EntryError.
+// Errors for entries that cannot be used. They are wrapped in an EntryError.
 var (
 	ErrMissing      = errors.New("missing")
 	ErrUnknownState = errors.New("unknown state")
 )
 
-// EntryError names the entry and the field of a List that cannot be used.
+// EntryError reports which field of which entry of a List cannot be used.
 type EntryError struct {
-	Index int    // in List.Endpoints
-	Field string // as on the wire
+	Index int    // index in List.Endpoints
+	Field string // name of the JSON field
 	Err   error
 }
 
@@ -61,11 +61,11 @@
 	return fmt.Sprintf("targets[%d].%s: %v", e.Index, e.Field, e.Err)
 }
 
-// Unwrap returns the reason.
+// Unwrap returns the underlying error.
 func (e *EntryError) Unwrap() error { return e.Err }
 
-// Nodes checks a list and converts it to the core's form. zones are the names of the zones in the order of their numbers. Its
-// errors are EntryErrors.
+// Nodes validates a list and converts it to the form used by package core. zones are the names of the zones in the
+// order of their numbers. Errors are of type *EntryError.
 func (l *List) Nodes(zones []string) ([]core.Node, error) {
 	out := make([]core.Node, 0, len(l.Endpoints))
 	for i, e := range l.Endpoints {
@@ -96,18 +96,19 @@
 	return out, nil
 }
 
-// zoneNumber numbers a zone by its name. Names that the settings do not have get numbers of their own: requests whose
-// deduplication is limited to one zone are only retried in the same zone, so zones must not be taken for one another.
+// zoneNumber returns the number of a zone. A name that is missing from the settings gets a distinct number, a hash of
+// the name: requests whose deduplication is limited to one zone are only retried in the same zone, so two zones must
+// not be confused.
 func zoneNumber(name string, zones []string) int {
 	if i := slices.Index(zones, name); i >= 0 || name == "" {
 		return max(i, 0)
 	}
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(name)) // a hash takes everything
+	_, _ = h.Write([]byte(name)) // never fails
 	return len(zones) + int(h.Sum32())
 }
 
-// DecisionEndpoints converts nodes to the form of the decision module.
+// DecisionEndpoints converts nodes to the form used by the decision module.
 func DecisionEndpoints(nodes []core.Node) []decision.Endpoint {
 	out := make([]decision.Endpoint, 0, len(nodes))
 	for _, n := range nodes {
@@ -123,21 +124,21 @@
 	return out
 }
 
-// decode reads one answer within its bounds.
+// decode reads one response and enforces the limits on its size and its number of entries.
 func decode(r io.Reader, lim *limits.Limits) (*List, error) {
 	body, err := io.ReadAll(io.LimitReader(r, lim.MaxListBytes+1))
 	if err != nil {
-		return nil, fmt.Errorf("node list: %w", err)
+		return nil, fmt.Errorf("node list: read response: %w", err)
 	}
 	if int64(len(body)) > lim.MaxListBytes {
-		return nil, errors.New("node list: too long")
+		return nil, fmt.Errorf("node list: response is larger than %d bytes", lim.MaxListBytes)
 	}
 	var l List
 	if err := json.Unmarshal(body, &l); err != nil {
-		return nil, fmt.Errorf("node list: %w", err)
+		return nil, fmt.Errorf("node list: decode response: %w", err)
 	}
 	if len(l.Endpoints) > lim.MaxListEndpoints {
-		return nil, fmt.Errorf("node list: %d entries, more than %d", len(l.Endpoints), lim.MaxListEndpoints)
+		return nil, fmt.Errorf("node list: %d entries, limit %d", len(l.Endpoints), lim.MaxListEndpoints)
 	}
 	return &l, nil
 }
