--- a/internal/nodes/filewatch/filewatch.go
+++ b/internal/nodes/filewatch/filewatch.go
@@ -1,6 +1,7 @@
-// Package filewatch tells when the content of files has changed, however they are edited: renamed into place, written in
-// place, cut off and written anew, behind a symbolic link that is turned, by a slow writer, or removed. It says whether
-// what it read stands still, so that a file that is being written is not taken for one that has lost its rows.
+// Package filewatch reports when the content of files has changed, however they are edited: replaced by a rename,
+// overwritten in place, truncated and rewritten, switched behind a symbolic link, written slowly, or removed. It
+// reports whether the files have settled, so that a file that is still being written is not mistaken for one that has
+// lost rows.
 package filewatch
 
 import (
@@ -14,8 +15,8 @@
 	"github.com/fsnotify/fsnotify"
 )
 
-// Lists names the lists in a folder, sorted: files ending in .csv, .yaml or .yml, but hidden ones, which editors and
-// tools write beside them.
+// Lists returns the paths of the node lists in a directory, sorted: files ending in .csv, .yaml or .yml. Hidden files,
+// such as editors and tools create next to the lists, are ignored.
 func Lists(dir string) (out []string, err error) {
 	entries, err := os.ReadDir(dir) // sorted by name
 	if err != nil {
@@ -32,136 +33,137 @@
 	return out, nil
 }
 
-// Times are a watcher's waits.
+// Times holds the delays of a Watcher.
 type Times struct {
-	Poll   time.Duration // between two looks without any sign: where the system gives none
-	Settle time.Duration // a file that has not changed for so long stands still
-	Most   time.Duration // one that never does is read all the same, so long after its first change
+	PollInterval time.Duration // time between checks of the files if the system sends no notification
+	SettleTime   time.Duration // the files count as settled after this time without a change
+	MaxDelay     time.Duration // a change is reported this long after it was first seen, even if the files have not settled
 }
 
-// DefaultTimes keep well within half a second from a write to its effect.
+// DefaultTimes returns delays with which a write takes effect well within half a second.
 func DefaultTimes() Times {
-	return Times{Poll: 150 * time.Millisecond, Settle: 40 * time.Millisecond, Most: 160 * time.Millisecond}
+	return Times{PollInterval: 150 * time.Millisecond, SettleTime: 40 * time.Millisecond, MaxDelay: 160 * time.Millisecond}
 }
 
-// mark is what a file looks like from outside.
-type mark struct {
+// fileState identifies the content of a file by its metadata.
+type fileState struct {
 	dev, ino uint64
 	size     int64
-	at       int64
-	there    bool
+	modTime  int64
+	exists   bool
 }
 
-func look(path string) mark {
-	info, err := os.Stat(path) // follows links: what they point at counts
+func stat(path string) fileState {
+	info, err := os.Stat(path) // follows symbolic links, so that a change of the target is detected
 	if err != nil {
-		return mark{}
+		return fileState{}
 	}
-	m := mark{size: info.Size(), at: info.ModTime().UnixNano(), there: true}
+	m := fileState{size: info.Size(), modTime: info.ModTime().UnixNano(), exists: true}
 	if st, ok := info.Sys().(*syscall.Stat_t); ok {
 		m.dev, m.ino = st.Dev, st.Ino
 	}
 	return m
 }
 
-// Change is a content to be read.
+// Change reports that files have changed and should be read.
 type Change struct {
-	Since   time.Time // when the first sign of it came
-	Settled bool      // nothing has changed lately: what is missing is missing
+	Since   time.Time // when the change was first seen
+	Settled bool      // the files are no longer being written, so rows that are missing have been removed
 }
 
-// Watcher watches the files that it was told of.
+// Watcher watches the files set by Watch.
 type Watcher struct {
-	times Times
-	paths map[string]mark
-	fs    *fsnotify.Watcher // nil: only looks
-	dirs  map[string]bool
+	times       Times
+	states      map[string]fileState
+	notifier    *fsnotify.Watcher // nil if the files are only polled
+	watchedDirs map[string]bool
 }
 
-// New returns a watcher of nothing. Where the system gives no signs it only looks, which is said by the error; the
-// watcher is good all the same.
+// New returns a watcher without files. If the system provides no file change notifications, New returns an error
+// together with a usable watcher that only polls.
 func New(t Times) (*Watcher, error) {
-	w := &Watcher{times: t, paths: map[string]mark{}, dirs: map[string]bool{}}
-	fs, err := fsnotify.NewWatcher()
+	w := &Watcher{times: t, states: map[string]fileState{}, watchedDirs: map[string]bool{}}
+	notifier, err := fsnotify.NewWatcher()
 	if err == nil {
-		w.fs = fs
+		w.notifier = notifier
 	}
 	return w, err
 }
 
-// Watch sets the files. It is called before the first Next, and again whenever a reading has found others.
+// Watch sets the files to watch. It must be called before the first Next, and again when the set of files has changed.
 func (w *Watcher) Watch(paths []string) {
-	next := make(map[string]mark, len(paths))
+	next := make(map[string]fileState, len(paths))
 	dirs := map[string]bool{}
 	for _, p := range paths {
-		if m, ok := w.paths[p]; ok {
+		if m, ok := w.states[p]; ok {
 			next[p] = m
 		} else {
-			next[p] = look(p)
+			next[p] = stat(p)
 		}
-		// A rename is a sign of the folder and not of the file; and so are those of a link's target.
+		// A rename causes a notification for the directory and not for the file, also for the target of a symbolic
+		// link.
 		dirs[filepath.Dir(p)] = true
-		if real, err := filepath.EvalSymlinks(p); err == nil {
-			dirs[filepath.Dir(real)] = true
+		if target, err := filepath.EvalSymlinks(p); err == nil {
+			dirs[filepath.Dir(target)] = true
 		}
 		if info, err := os.Stat(p); err == nil && info.IsDir() {
 			dirs[p] = true
 		}
 	}
-	w.paths = next
-	if w.fs == nil {
+	w.states = next
+	if w.notifier == nil {
 		return
 	}
 	for d := range dirs {
-		if !w.dirs[d] {
-			_ = w.fs.Add(d) // one that cannot be watched is looked at
+		if !w.watchedDirs[d] {
+			_ = w.notifier.Add(d) // a directory that cannot be watched is still polled
 		}
 	}
-	for d := range w.dirs {
+	for d := range w.watchedDirs {
 		if !dirs[d] {
-			_ = w.fs.Remove(d)
+			_ = w.notifier.Remove(d)
 		}
 	}
-	w.dirs = dirs
+	w.watchedDirs = dirs
 }
 
-// Close gives the system's watch back.
+// Close stops the file change notifications and frees their resources.
 func (w *Watcher) Close() {
-	if w.fs != nil {
-		_ = w.fs.Close()
+	if w.notifier != nil {
+		_ = w.notifier.Close()
 	}
 }
 
-// refresh looks at all files and reports whether any is another than before.
+// refresh updates the states of all files and reports whether any file has changed.
 func (w *Watcher) refresh() bool {
 	changed := false
-	for p, old := range w.paths {
-		if m := look(p); m != old {
-			w.paths[p] = m
+	for p, old := range w.states {
+		if m := stat(p); m != old {
+			w.states[p] = m
 			changed = true
 		}
 	}
 	return changed
 }
 
-// Next waits for a change that is to be read, or for ctx. A change that was read before it stood still comes again once it
-// does.
-func (w *Watcher) Next(ctx context.Context, unsettled bool) (Change, bool) {
+// Next waits for a change that should be read; ok is false if ctx is done first. If the caller read the last change
+// before the files had settled, it sets unsettled, and Next reports the change again once they have.
+func (w *Watcher) Next(ctx context.Context, unsettled bool) (change Change, ok bool) {
 	var events chan fsnotify.Event
 	var errs chan error
-	if w.fs != nil {
-		events, errs = w.fs.Events, w.fs.Errors
+	if w.notifier != nil {
+		events, errs = w.notifier.Events, w.notifier.Errors
 	}
-	var since, last time.Time
+	var firstChange, lastChange time.Time
 	if unsettled {
-		since, last = time.Now(), time.Now()
+		firstChange, lastChange = time.Now(), time.Now()
 	}
 	for {
-		wait := w.times.Poll
-		if !last.IsZero() {
-			wait = min(w.times.Settle-time.Since(last), w.times.Poll)
+		wait := w.times.PollInterval
+		if !lastChange.IsZero() {
+			wait = min(w.times.SettleTime-time.Since(lastChange), w.times.PollInterval)
 			if !unsettled {
-				wait = min(wait, w.times.Most-time.Since(since))
+				wait = min(wait, w.times.MaxDelay-time.Since(firstChange))
 			}
 		}
 		t := time.NewTimer(max(wait, time.Millisecond))
@@ -171,33 +173,34 @@
 			return Change{}, false
 		case <-events:
 		case err := <-errs:
-			_ = err // notifications were lost: the files are looked at
+			_ = err // notifications were lost; the files are checked below
 		case <-t.C:
 		}
 		t.Stop()
 		if w.refresh() {
-			last = time.Now()
-			if since.IsZero() {
-				since = last
+			lastChange = time.Now()
+			if firstChange.IsZero() {
+				firstChange = lastChange
 			}
-			if unsettled { // news: to be read within the bound again
-				since, unsettled = last, false
+			if unsettled { // a new change: MaxDelay applies again
+				firstChange, unsettled = lastChange, false
 			}
 		}
 		switch {
-		case last.IsZero():
-		case time.Since(last) >= w.times.Settle:
-			return Change{since, true}, true
-		case !unsettled && time.Since(since) >= w.times.Most:
-			return Change{since, false}, true
+		case lastChange.IsZero():
+		case time.Since(lastChange) >= w.times.SettleTime:
+			return Change{firstChange, true}, true
+		case !unsettled && time.Since(firstChange) >= w.times.MaxDelay:
+			return Change{firstChange, false}, true
 		}
 	}
 }
 
-// Same reports whether the files still look as when the last change was told: a reading in between has seen one content.
+// Same reports whether the files are unchanged since Next reported the last change. If so, the caller has read a
+// consistent content in between.
 func (w *Watcher) Same() bool {
-	for p, old := range w.paths {
-		if look(p) != old {
+	for p, old := range w.states {
+		if stat(p) != old {
 			return false
 		}
 	}
--- a/internal/nodes/filewatch/filewatch_test.go
+++ b/internal/nodes/filewatch/filewatch_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// listEditor changes a list in every way in which editors and configuration tools write files.
+// listEditor changes a list in all the ways in which editors and configuration tools write files.
 type listEditor struct{ dir string }
 
 const listName = "list.csv"
@@ -29,8 +29,8 @@
 
 func (e listEditor) overwrite(text string) error { return e.write(listName, text) }
 
-// truncateAndWrite writes a text in pieces, with pauses between them and after the truncation.
-func (e listEditor) truncateAndWrite(text string, pieceSize int, pause time.Duration) error {
+// truncateAndWrite truncates the list and writes a text in chunks, with a pause before each.
+func (e listEditor) truncateAndWrite(text string, chunkSize int, pause time.Duration) error {
 	f, err := os.OpenFile(e.path(listName), os.O_WRONLY|os.O_TRUNC, 0)
 	if err != nil {
 		return err
@@ -38,7 +38,7 @@
 	err = f.Sync()
 	for text != "" && err == nil {
 		time.Sleep(pause)
-		n := min(len(text), pieceSize)
+		n := min(len(text), chunkSize)
 		_, err = f.WriteString(text[:n])
 		text = text[n:]
 	}
@@ -71,7 +71,7 @@
 	return e.write(listName, text)
 }
 
-// awaitSettled waits until the watcher has settled on a content, and returns the last one that it settled on.
+// awaitSettled waits until the watcher reports the wanted content as settled. It returns the last settled content.
 func awaitSettled(ctx context.Context, w *Watcher, path, want string) (settled string, ok bool) {
 	unsettled := false
 	for settled != want {
@@ -79,7 +79,7 @@
 		if !ok {
 			return settled, false
 		}
-		content, _ := os.ReadFile(path) // a file that is gone at the moment has no content
+		content, _ := os.ReadFile(path) // a file that does not exist at the moment counts as empty
 		unsettled = !change.Settled || !w.Same()
 		if !unsettled {
 			settled = string(content)
@@ -89,9 +89,9 @@
 	return settled, true
 }
 
-// TestEveryWayToEditIsNoticed holds with notifications from the system and without. A file that is being written is read now
-// and then, but never counts as settled half way.
-func TestEveryWayToEditIsNoticed(t *testing.T) {
+// Changes made in any way are detected, with and without notifications from the system. A file may be reported while it
+// is being written, but it does not count as settled before it is complete.
+func TestEveryWayToEditIsDetected(t *testing.T) {
 	for _, notifications := range []bool{true, false} {
 		t.Run(fmt.Sprintf("notifications %v", notifications), func(t *testing.T) {
 			editor := listEditor{dir: t.TempDir()}
@@ -103,15 +103,15 @@
 				t.Log(err)
 			}
 			defer w.Close()
-			if !notifications && w.fs != nil {
-				_ = w.fs.Close()
-				w.fs = nil
+			if !notifications && w.notifier != nil {
+				_ = w.notifier.Close()
+				w.notifier = nil
 			}
 			path := editor.path(listName)
 			w.Watch([]string{path})
-			ctx, cancel := context.WithTimeout(t.Context(), patience)
+			ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 			defer cancel()
-			// Each edit begins with what the one before it left.
+			// Each edit starts from the files that the previous one left.
 			for n, edit := range []func(string) error{
 				editor.renameOver, editor.overwrite, editor.truncateThenWrite, editor.replaceByLink, editor.switchLink,
 				editor.overwriteLinkTarget, editor.writeByteByByte, editor.removeAndCreate,
@@ -120,7 +120,7 @@
 				written := make(chan error, 1)
 				go func() { written <- edit(want) }()
 				if settled, ok := awaitSettled(ctx, w, path, want); !ok {
-					t.Fatalf("edit %d: never settled on %q, last %q", n, want, settled)
+					t.Fatalf("edit %d: content %q never settled, last settled content %q", n, want, settled)
 				}
 				if err := <-written; err != nil {
 					t.Fatalf("edit %d: %v", n, err)
@@ -130,14 +130,14 @@
 	}
 }
 
-// A file that a writer adds to step by step is told as settled once, with all of it: the steps are far closer together than what
-// counts as standing still.
+// A file that is written in small steps is reported as settled once, with its complete content: the steps are much
+// shorter than SettleTime.
 func TestSlowWriterSettlesOnce(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list.csv")
 	if err := os.WriteFile(path, []byte("old"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	w, _ := New(Times{Poll: 20 * time.Millisecond, Settle: 2 * time.Second, Most: patience})
+	w, _ := New(Times{PollInterval: 20 * time.Millisecond, SettleTime: 2 * time.Second, MaxDelay: testTimeout})
 	defer w.Close()
 	w.Watch([]string{path})
 	const want = "a list of some length"
@@ -153,11 +153,11 @@
 			t.Error(err)
 		}
 	}()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	c, ok := w.Next(ctx, false)
 	b, _ := os.ReadFile(path)
 	if !ok || !c.Settled || string(b) != want {
-		t.Errorf("%v %+v %q", ok, c, b)
+		t.Errorf("Next returned %+v, %v; content %q, want %q and settled", c, ok, b, want)
 	}
 }
