--- a/internal/nodes/discovery/deadline_test.go
+++ b/internal/nodes/discovery/deadline_test.go
@@ -27,12 +27,12 @@
 func (s span) contains(t time.Duration) bool { return t >= s.from && t < s.to }
 
 // faultyDiscovery simulates a discovery service with faults, on the clock of the synctest bubble. While overloaded it
-// answers with 503. While silent it does not answer, and calls that were open when the silence began are never
+// answers with 503. While unresponsive it does not answer, and calls that were open when that began are never
 // answered. After the change of its address the old address is closed and the new one is overloaded for a while. The
 // list changes every changeInterval.
 type faultyDiscovery struct {
 	startedAt                      time.Time
-	overloaded, silent             span
+	overloaded, unresponsive       span
 	addressChange, newOverloadedTo time.Duration
 	mu                             sync.Mutex
 	calls                          []span        // from the arrival of each call to the end of its wait
@@ -63,7 +63,7 @@
 		t := s.now()
 		rev := int64(t / changeInterval)
 		switch {
-		case s.silent.contains(t) || arrivedAt < s.silent.from && t >= s.silent.from: // never answered
+		case s.unresponsive.contains(t) || arrivedAt < s.unresponsive.from && t >= s.unresponsive.from: // never answered
 			<-ctx.Done()
 			return nil, ctx.Err()
 		case old && t >= s.addressChange+1500*time.Millisecond:
@@ -90,8 +90,8 @@
 }
 
 // deadline returns the time by which the broker must know a change made at t. If a call that is never answered should
-// have returned the change, that is 6 s after the start of the silence, or 2 s after the end of the call's wait if that
-// is later. Before the first response of the new address, it is 4 s after the change of the address or after t,
+// have returned the change, that is 6 s after discovery became unresponsive, or 2 s after the end of the call's wait if
+// that is later. Before the first response of the new address, it is 4 s after the change of the address or after t,
 // whichever is later. In all other cases it is 30 s after t.
 func (s *faultyDiscovery) deadline(t time.Duration) time.Duration {
 	deadline := t + 30*time.Second
@@ -101,16 +101,16 @@
 		deadline = min(deadline, max(t, s.addressChange)+4*time.Second)
 	}
 	for _, c := range s.calls {
-		if c.from < s.silent.from && c.to > s.silent.from && c.to > t {
-			deadline = min(deadline, max(s.silent.from+6*time.Second, c.to+2*time.Second))
+		if c.from < s.unresponsive.from && c.to > s.unresponsive.from && c.to > t {
+			deadline = min(deadline, max(s.unresponsive.from+6*time.Second, c.to+2*time.Second))
 		}
 	}
 	return max(deadline, t)
 }
 
-// With overload, silence and a change of the address in every order and overlap, a broker has each change before its
-// deadline, or soon after the last of the faults, whatever failed before.
-func TestChangesArriveInTimeThroughOverloadSilenceAndAddressChange(t *testing.T) {
+// With overload, unresponsiveness and a change of the address in every order and overlap, a broker has each change
+// before its deadline, or soon after the last of the faults, whatever failed before.
+func TestChangesArriveInTimeThroughOverloadHangAndAddressChange(t *testing.T) {
 	for _, order := range [][3]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}} {
 		for seed := range uint64(40) {
 			synctest.Test(t, func(t *testing.T) { checkChangesArrive(t, order, seed) })
@@ -125,7 +125,7 @@
 	for i, fault := range order { // the faults are close enough to overlap
 		faultAt[fault] = 5*time.Second + time.Duration(i)*1500*time.Millisecond + time.Duration(rng.Int64N(int64(time.Second)))
 	}
-	s := &faultyDiscovery{startedAt: time.Now(), overloaded: span{faultAt[0], faultAt[0] + time.Second}, silent: span{faultAt[1], faultAt[1] + time.Second},
+	s := &faultyDiscovery{startedAt: time.Now(), overloaded: span{faultAt[0], faultAt[0] + time.Second}, unresponsive: span{faultAt[1], faultAt[1] + time.Second},
 		addressChange: faultAt[2], newOverloadedTo: faultAt[2] + time.Second}
 	lim := &limits.Limits{WatchTimeout: 1_000_000, WatchGracePeriod: 1_000_000, NotificationDeadline: 6_000_000, WatchMinInterval: 100_000, MaxListBytes: 1 << 16,
 		MaxListEndpoints: 10, NodeIdleTimeout: 10_000_000, DiscoveryMoveJitter: 400_000}
@@ -158,15 +158,15 @@
 		}
 		arrivedAt, ok := arrivals[rev]
 		due := s.deadline(changedAt) + 500*time.Millisecond
-		for _, end := range []time.Duration{s.overloaded.to, s.silent.to, s.newOverloadedTo} {
+		for _, end := range []time.Duration{s.overloaded.to, s.unresponsive.to, s.newOverloadedTo} {
 			if end < due { // a call that hangs since the fault must end, and the next call must become due
 				due = max(due, end+recoveryTime)
 			}
 		}
 		if !ok || arrivedAt > due {
 			t.Fatalf("order %v seed %d: change of %v arrived at %v (arrived: %v), due by %v; "+
-				"overload %v, silence %v, address change %v",
-				order, seed, changedAt, arrivedAt, ok, due, s.overloaded, s.silent, s.addressChange)
+				"overload %v, unresponsive %v, address change %v",
+				order, seed, changedAt, arrivedAt, ok, due, s.overloaded, s.unresponsive, s.addressChange)
 		}
 	}
 }
--- a/internal/nodes/discovery/grace_test.go
+++ b/internal/nodes/discovery/grace_test.go
@@ -77,7 +77,7 @@
 
 // When a watch that has had responses times out, changes may be missing: the next call does not wait for changes, and
 // its grace does not grow.
-func TestSilentWatchIsPolledAgainWithoutWait(t *testing.T) {
+func TestUnresponsiveWatchIsPolledAgainWithoutWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lim := &limits.Limits{WatchTimeout: 1_000_000, WatchGracePeriod: 1_000_000, NotificationDeadline: 6_000_000, MaxListBytes: 1 << 16, MaxListEndpoints: 10}
 		c := New("", 1, nil, core.NewEndpointTable(), nil, lim, slog.New(slog.DiscardHandler))
