--- a/internal/nodes/nodefile/csv.go
+++ b/internal/nodes/nodefile/csv.go
@@ -7,26 +7,27 @@
 	"strings"
 )
 
-// cell is a value with its column.
+// cell is the text of a cell and the column of its first character, counted from 1.
 type cell struct {
 	text string
 	col  int
 }
 
-// csv reads a header and a row for each node. A row is one line: so a quote without its end spoils no other.
+// csv reads a header line and one line per node. A row cannot span lines, so that an unclosed quote affects only its
+// own line.
 func (b *builder) csv(path, text string) {
 	var header []string
-	line := 0
+	lineNumber := 0
 	for len(text) > 0 {
-		l, rest, _ := strings.Cut(text, "\n")
+		line, rest, _ := strings.Cut(text, "\n")
 		text = rest
-		line++
-		l = strings.TrimSuffix(l, "\r")
-		if t := strings.TrimSpace(l); t == "" || t[0] == '#' {
+		lineNumber++
+		line = strings.TrimSuffix(line, "\r")
+		if t := strings.TrimSpace(line); t == "" || t[0] == '#' {
 			continue
 		}
-		at := Pos{path, line, 0}
-		cells, err := split(l)
+		at := Pos{path, lineNumber, 0}
+		cells, err := splitCells(line)
 		if err != nil {
 			var pe *csv.ParseError
 			if errors.As(err, &pe) {
@@ -46,24 +47,24 @@
 			}
 			continue
 		}
-		b.line(path, line, header, cells)
+		b.addRow(path, lineNumber, header, cells)
 	}
-	b.header0 = header
+	b.lastHeader = header
 	if header == nil {
 		b.fault(Fault{Pos: Pos{path, 1, 0}, Text: "no header: empty, or written half way"})
 		b.doc.Complete = false
 	}
 }
 
-// line takes in the cells of one node.
-func (b *builder) line(path string, line int, header []string, cells []cell) {
+// addRow adds the row of one node.
+func (b *builder) addRow(path string, lineNumber int, header []string, cells []cell) {
 	if len(cells) > len(header) {
-		b.fault(Fault{Pos: Pos{path, line, cells[len(header)].col}, Text: "more cells than columns"})
+		b.fault(Fault{Pos: Pos{path, lineNumber, cells[len(header)].col}, Text: "more cells than columns"})
 		return
 	}
-	r := raw{vars: make(map[string]field, len(cells))}
+	r := rawRow{vars: make(map[string]setting, len(cells))}
 	for i, c := range cells {
-		f := field{c.text, Pos{path, line, c.col}}
+		f := setting{c.text, Pos{path, lineNumber, c.col}}
 		switch {
 		case header[i] == "id":
 			r.id = f
@@ -76,35 +77,35 @@
 		}
 	}
 	if r.id.pos.Line == 0 {
-		r.id.pos = Pos{path, line, 0}
+		r.id.pos = Pos{path, lineNumber, 0}
 	}
-	b.raws = append(b.raws, r)
+	b.rawRows = append(b.rawRows, r)
 }
 
-// header checks the names of the columns.
+// header returns the names of the columns, or nil if they are invalid.
 func (b *builder) header(at Pos, cells []cell) []string {
-	var out []string
+	var names []string
 	for _, c := range cells {
 		pos := Pos{at.File, at.Line, c.col}
 		name := columnName(c.text)
-		if name != "id" && name != "group" && !slices.Contains(known, name) {
+		if name != "id" && name != "group" && !slices.Contains(knownKeys, name) {
 			b.fault(Fault{Pos: pos, Key: c.text, Text: "unknown column"})
 			return nil
 		}
-		if slices.Contains(out, name) {
+		if slices.Contains(names, name) {
 			b.fault(Fault{Pos: pos, Key: c.text, Text: "column given twice"})
 			return nil
 		}
-		out = append(out, name)
+		names = append(names, name)
 	}
-	if !slices.Contains(out, "id") {
+	if !slices.Contains(names, "id") {
 		b.fault(Fault{Pos: at, Key: "id", Text: "column missing"})
 		return nil
 	}
-	return out
+	return names
 }
 
-// columnName returns the name of a column, with synonyms replaced.
+// columnName returns the name of a column. Synonyms of id are replaced.
 func columnName(name string) string {
 	switch name {
 	case "name", "node", "uid":
@@ -113,25 +114,25 @@
 	return name
 }
 
-// split cuts a line into cells.
-func split(l string) ([]cell, error) {
-	if !strings.ContainsRune(l, '"') { // as nearly all are
+// splitCells splits a line into cells.
+func splitCells(line string) ([]cell, error) {
+	if !strings.ContainsRune(line, '"') { // fast path: most lines have no quotes
 		out := make([]cell, 0, 8)
-		for at := 0; ; {
-			k := strings.IndexByte(l[at:], ',')
-			part := l[at:]
-			if k >= 0 {
-				part = l[at : at+k]
+		for start := 0; ; {
+			comma := strings.IndexByte(line[start:], ',')
+			part := line[start:]
+			if comma >= 0 {
+				part = line[start : start+comma]
 			}
-			t := strings.TrimLeft(part, " \t")
-			out = append(out, cell{strings.TrimRight(t, " \t"), at + len(part) - len(t) + 1})
-			if k < 0 {
+			trimmed := strings.TrimLeft(part, " \t")
+			out = append(out, cell{strings.TrimRight(trimmed, " \t"), start + len(part) - len(trimmed) + 1})
+			if comma < 0 {
 				return out, nil
 			}
-			at += k + 1
+			start += comma + 1
 		}
 	}
-	r := csv.NewReader(strings.NewReader(l))
+	r := csv.NewReader(strings.NewReader(line))
 	r.TrimLeadingSpace = true
 	row, err := r.Read()
 	if err != nil {
--- a/internal/nodes/nodefile/diff.go
+++ b/internal/nodes/nodefile/diff.go
@@ -5,21 +5,21 @@
 	"slices"
 )
 
-// What a Difference says.
+// Values of Difference.What.
 const (
 	added   = "added"
 	removed = "removed"
 	changed = "changed"
 )
 
-// Difference is a node that two lists have differently.
+// Difference describes a node that differs between two lists.
 type Difference struct {
 	ID   string   `json:"id"`
-	What string   `json:"what"` // added, removed, changed
-	Keys []string `json:"keys,omitempty"`
+	What string   `json:"what"`           // added, removed, changed
+	Keys []string `json:"keys,omitempty"` // settings that differ, if What is changed
 }
 
-// Diff compares two lists by id. Differences are sorted by id.
+// Diff compares two lists by node ID. The differences are sorted by ID.
 func Diff(before, after []Row) []Difference {
 	rowsBefore, rowsAfter := byID(before), byID(after)
 	var differences []Difference
@@ -53,7 +53,7 @@
 func differingKeys(a, b *Row) []string {
 	valuesA, valuesB := a.values(), b.values()
 	var keys []string
-	for _, key := range known {
+	for _, key := range knownKeys {
 		if valuesA[key] != valuesB[key] {
 			keys = append(keys, key)
 		}
--- a/internal/nodes/nodefile/nodefile.go
+++ b/internal/nodes/nodefile/nodefile.go
@@ -1,5 +1,5 @@
-// Package nodefile reads lists of storage nodes in CSV and YAML as configuration tools keep them, and writes them back. A
-// faulty row is named by file, line and column, and the rest is used.
+// Package nodefile reads and writes lists of storage nodes in CSV and YAML, as configuration tools keep them. A faulty
+// row is reported with its file, line and column, and the other rows are used.
 package nodefile
 
 import (
@@ -13,7 +13,7 @@
 	"go4.org/netipx"
 )
 
-// Pos is a place in a file. Line and Col count from 1; 0: not known.
+// Pos is a position in a file. Line and Col count from 1; 0 means unknown.
 type Pos struct {
 	File string `json:"file"`
 	Line int    `json:"line"`
@@ -31,13 +31,13 @@
 	return s
 }
 
-// Fault is what is wrong at a place.
+// Fault is an error or a warning about a position in a list.
 type Fault struct {
 	Pos  Pos    `json:"pos"`
 	Key  string `json:"key,omitempty"`
 	Text string `json:"text"`
-	Node string `json:"node,omitempty"` // whose row it is, where that can be told
-	Warn bool   `json:"warn,omitempty"` // the row is used all the same
+	Node string `json:"node,omitempty"` // ID of the node whose row it is, if known
+	Warn bool   `json:"warn,omitempty"` // the fault is a warning: the row is still used
 }
 
 func (f Fault) Error() string {
@@ -48,7 +48,7 @@
 	return s + ": " + f.Text
 }
 
-// Row is one node.
+// Row holds the settings of one node.
 type Row struct {
 	ID       string            `json:"id"`
 	Addr     string            `json:"addr,omitempty"`
@@ -65,50 +65,50 @@
 	Capacity float64           `json:"capacity,omitempty"` // cores times speed
 }
 
-// Kind is what all nodes of a kind have.
+// Kind holds the settings shared by all nodes of a kind.
 type Kind struct {
 	Cores, Speed float64
 }
 
-// Doc is what a list says.
+// Doc is the content of one or more lists.
 type Doc struct {
 	Rows     []Row   `json:"Rows"`
 	Faults   []Fault `json:"Faults"`
-	Complete bool    `json:"Whole"` // false: a file could not be read at all, and what is missing may well still be there
+	Complete bool    `json:"Whole"` // false if a file could not be read, so rows may be missing that still exist
 }
 
-// field is a setting with its place.
-type field struct {
+// setting is the text of a setting and its position.
+type setting struct {
 	text string
 	pos  Pos
 }
 
-// raw is a node before its settings are checked.
-type raw struct {
-	id     field
-	vars   map[string]field
-	groups []string
-	nets   *netipx.IPSet // addresses that its groups may hold; nil: any
-	netsOf string
+// rawRow holds the settings of a node before they are validated.
+type rawRow struct {
+	id        setting
+	vars      map[string]setting
+	groups    []string
+	nets      *netipx.IPSet // addresses that the node may have; nil if any
+	netsGroup string        // group that sets nets
 }
 
-// Keys that a row may have.
-var known = []string{"addr", "objects", "shard", "zone", "state", "kind", "cores", "speed", "labels"}
+// knownKeys are the keys that a row may have.
+var knownKeys = []string{"addr", "objects", "shard", "zone", "state", "kind", "cores", "speed", "labels"}
 
-// Files hands out what lists are made of, so that the package does no I/O of its own.
+// Files provides access to files, so that the package itself does no I/O.
 type Files struct {
-	Read func(path string) ([]byte, error)  // a file's text
-	List func(dir string) ([]string, error) // files ending in .csv, .yaml or .yml, sorted; nil: folders cannot be read
+	Read func(path string) ([]byte, error)  // returns the content of a file
+	List func(dir string) ([]string, error) // returns the lists in a directory, sorted; nil if directories are not supported
 }
 
-// Load reads a file, or all of a folder in the order of their names. The first claim counts where two contradict each
-// other.
+// Load reads a file, or all files of a directory in the order of their names. If two rows contradict each other, the
+// first one is used.
 func Load(path string, f Files) *Doc { return LoadAll([]string{path}, f) }
 
-// LoadAll reads several as if they were one.
+// LoadAll reads several files or directories as a single list.
 func LoadAll(paths []string, f Files) *Doc {
 	d := &Doc{Complete: true}
-	b := &builder{doc: d, files: f, kinds: map[string]Kind{}, seen: map[string]bool{}}
+	b := &builder{doc: d, files: f, kinds: map[string]Kind{}, loaded: map[string]bool{}}
 	for _, path := range paths {
 		b.load(path, Pos{File: path})
 	}
@@ -120,35 +120,35 @@
 	return d
 }
 
-// Parse reads one text; includes cannot be followed.
+// Parse reads a list from a text. Includes are reported as faults.
 func Parse(path string, text []byte) *Doc {
 	return Load(path, Files{Read: func(p string) ([]byte, error) {
 		if p == path {
 			return text, nil
 		}
-		return nil, fmt.Errorf("%s: not at hand", p)
+		return nil, fmt.Errorf("%s: not read, includes are not supported here", p)
 	}})
 }
 
-// builder collects rows of several files.
+// builder collects the rows of one or more files.
 type builder struct {
-	doc     *Doc
-	files   Files
-	kinds   map[string]Kind
-	raws    []raw
-	seen    map[string]bool // files, against circles
-	header0 []string        // of the last CSV
+	doc        *Doc
+	files      Files
+	kinds      map[string]Kind
+	rawRows    []rawRow
+	loaded     map[string]bool // files that have been read, to detect include cycles
+	lastHeader []string        // column names of the last CSV file
 }
 
 func (b *builder) fault(f Fault) { b.doc.Faults = append(b.doc.Faults, f) }
 
 func (b *builder) load(path string, from Pos) {
-	clean := filepath.Clean(path)
-	if b.seen[clean] {
-		b.fault(Fault{Pos: from, Text: path + " is included already"})
+	cleanPath := filepath.Clean(path)
+	if b.loaded[cleanPath] {
+		b.fault(Fault{Pos: from, Text: path + " is already included"})
 		return
 	}
-	b.seen[clean] = true
+	b.loaded[cleanPath] = true
 	ext := strings.ToLower(filepath.Ext(path))
 	if ext != ".csv" && ext != ".yaml" && ext != ".yml" {
 		if b.files.List != nil {
@@ -159,7 +159,7 @@
 				return
 			}
 		}
-		b.fault(Fault{Pos: from, Text: path + ": an inventory ends in .csv, .yaml or .yml, or is a folder of such"})
+		b.fault(Fault{Pos: from, Text: path + ": not a directory and does not end in .csv, .yaml or .yml"})
 		b.doc.Complete = false
 		return
 	}
@@ -176,12 +176,12 @@
 	}
 }
 
-// check turns what was read into rows, and settles contradictions: the first claim counts.
+// check validates the raw rows and resolves contradictions between them: the first row is used.
 func (b *builder) check() {
 	ids, folded, addrs, shards := map[string]Pos{}, map[string]string{}, map[string]string{}, map[int]string{}
-	rows := make([]Row, 0, len(b.raws))
-	for i := range b.raws {
-		r := &b.raws[i]
+	rows := make([]Row, 0, len(b.rawRows))
+	for i := range b.rawRows {
+		r := &b.rawRows[i]
 		row, ok := b.row(r)
 		if !ok {
 			continue
@@ -190,13 +190,13 @@
 			b.fault(Fault{Pos: r.id.pos, Key: row.ID, Text: "given twice, first at " + at.String(), Warn: false})
 			continue
 		}
-		low := strings.ToLower(row.ID)
-		if other, twice := folded[low]; twice {
+		foldedID := strings.ToLower(row.ID)
+		if other, twice := folded[foldedID]; twice {
 			b.fault(Fault{Pos: r.id.pos, Key: row.ID, Text: "differs from " + other + " in case only", Node: row.ID})
 			continue
 		}
 		if other, twice := addrs[row.Addr]; twice && row.Addr != "" && row.State != "out" {
-			b.fault(Fault{Pos: r.vars["addr"].pos, Key: row.ID + ".addr", Text: row.Addr + " is " + other + "'s", Node: row.ID})
+			b.fault(Fault{Pos: r.vars["addr"].pos, Key: row.ID + ".addr", Text: row.Addr + " is already used by " + other, Node: row.ID})
 			continue
 		}
 		if row.State != "out" && row.Addr != "" {
@@ -208,7 +208,7 @@
 			}
 			addrs[row.Addr] = row.ID
 		}
-		ids[row.ID], folded[low] = r.id.pos, row.ID
+		ids[row.ID], folded[foldedID] = r.id.pos, row.ID
 		rows = append(rows, row)
 	}
 	b.doc.Rows = rows
--- a/internal/nodes/nodefile/nodefile_test.go
+++ b/internal/nodes/nodefile/nodefile_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
-const list = `# the room, as of the last count
+const sampleYAML = `# nodes of the test lab
 kinds:
   node-full: {cores: 2, speed: 1}
   node-slow: {cores: 2, speed: 0.6}
@@ -38,14 +38,14 @@
           state: draining
 `
 
-func ids(d *Doc) (out []string) {
+func rowIDs(d *Doc) (out []string) {
 	for _, r := range d.Rows {
 		out = append(out, r.ID)
 	}
 	return out
 }
 
-func faults(d *Doc) (out []string) {
+func faultTexts(d *Doc) (out []string) {
 	for _, f := range d.Faults {
 		out = append(out, f.Error())
 	}
@@ -53,9 +53,9 @@
 }
 
 func TestYAML(t *testing.T) {
-	d := Parse("n.yaml", []byte(list))
-	if len(d.Faults) > 0 || !d.Complete || !slices.Equal(ids(d), []string{"node-01", "node-02", "node-03", "node-04", "node-05", "slow-1"}) {
-		t.Fatalf("%v %v", ids(d), faults(d))
+	d := Parse("n.yaml", []byte(sampleYAML))
+	if len(d.Faults) > 0 || !d.Complete || !slices.Equal(rowIDs(d), []string{"node-01", "node-02", "node-03", "node-04", "node-05", "slow-1"}) {
+		t.Fatalf("%v %v", rowIDs(d), faultTexts(d))
 	}
 	r := d.Rows[2]
 	if r.Addr != "10.1.0.13:6379" || r.Shard != 2 || r.Zone != "olten-room" || r.Kind != "node-full" || r.Capacity != 2 || r.Pos != (Pos{"n.yaml", 12, 9}) {
@@ -69,49 +69,49 @@
 	}
 }
 
-// Every fault is named with its place, and the rest is used.
-func TestFaultsAreNamedAndTheRestIsUsed(t *testing.T) {
+// Every fault is reported with its position, and the valid rows are used.
+func TestFaultsAreReportedAndValidRowsAreUsed(t *testing.T) {
 	for _, x := range []struct {
 		file, text, want string
 		rows             int
-		whole            bool
+		complete         bool
 	}{
 		{"n.csv", "id,addr,shard\na,10.0.0.1:1,0\nb,10.0.0.2:x,1\nc,10.0.0.3:1,2\n", `n.csv:3:3: b.addr: "10.0.0.2:x" is not HOST:PORT`, 2, true},
 		{"n.csv", "id,addr,shard\na,10.0.0.1:1,0\n\"b,10.0.0.2:1,1\nc,10.0.0.3:1,2\n", `n.csv:3`, 2, true},
 		{"n.csv", "id,addr,shard\na,10.0.0.1:1,0\na ,10.0.0.2:1,1\n", "n.csv:3:1: a: given twice, first at n.csv:2:1", 1, true},
 		{"n.csv", "id,addr,shard\nnode-a,10.0.0.1:1,0\nNode-A,10.0.0.2:1,1\n", "n.csv:3:1: Node-A: differs from node-a in case only", 1, true},
-		{"n.csv", "id,addr,shard\na,10.0.0.1:1,0\nb,10.0.0.1:1,1\n", "n.csv:3:3: b.addr: 10.0.0.1:1 is a's", 1, true},
+		{"n.csv", "id,addr,shard\na,10.0.0.1:1,0\nb,10.0.0.1:1,1\n", "n.csv:3:3: b.addr: 10.0.0.1:1 is already used by a", 1, true},
 		{"n.csv", "id,addr,shard\na,10.0.0.1:1,0\nb,10.0.0.2:1,0\n", "n.csv:3:14: b.shard: 0 is also a's: both are used", 2, true},
 		{"n.csv", "id,addr,colour\n", "n.csv:1:9: colour: unknown column", 0, false},
 		{"n.csv", "", "no header", 0, false},
 		{"n.csv", "id,addr\na,10.0.0.1:1,7\n", "n.csv:2:14: more cells than columns", 0, true},
 		{"n.csv", "id,addr,state\na,10.0.0.1:1,asleep\n", `n.csv:2:14: a.state: "asleep"`, 0, true},
 		{"n.yaml", "g:\n  hosts:\n    a: {addr: \"10.0.0.1:1\"}\n    b: {addr: \"10.0.0.2:1\", colour: red}\n", "n.yaml:4:29: g.hosts.b.colour: unknown key", 2, true},
-		{"n.yaml", "g:\n  nets: [10.0.0.0/8]\n  hosts:\n    a: {addr: \"11.0.0.1:1\"}\n    b: {addr: \"10.0.0.2:1\", shard: 1}\n", "n.yaml:4:15: a.addr: 11.0.0.1 is not among", 1, true},
-		{"n.yaml", "g:\n  hosts:\n    a-[1:3]: {addr: \"10.0.0.[1:2]:1\"}\n    b: {addr: \"10.0.0.9:1\"}\n", "2 of a range for 3 nodes", 1, true},
+		{"n.yaml", "g:\n  nets: [10.0.0.0/8]\n  hosts:\n    a: {addr: \"11.0.0.1:1\"}\n    b: {addr: \"10.0.0.2:1\", shard: 1}\n", "n.yaml:4:15: a.addr: 11.0.0.1 is not in the nets of group g", 1, true},
+		{"n.yaml", "g:\n  hosts:\n    a-[1:3]: {addr: \"10.0.0.[1:2]:1\"}\n    b: {addr: \"10.0.0.9:1\"}\n", "range of 2 values for 3 nodes", 1, true},
 		{"n.yaml", "g:\n  hosts:\n    a: {addr: \"10.0.0.1:1\"\n", "n.yaml:", 0, false},
-		{"n.yaml", "kinds: {full: {cores: 2}}\ng:\n  hosts:\n    a: {addr: \"10.0.0.1:1\", kind: big}\n", `a.kind: no kind "big"`, 0, true},
+		{"n.yaml", "kinds: {full: {cores: 2}}\ng:\n  hosts:\n    a: {addr: \"10.0.0.1:1\", kind: big}\n", `a.kind: kind "big" is not defined`, 0, true},
 		{"n.yaml", "g: {children: {h: {children: {g: {}}}}}\n", "contains itself", 0, false},
 	} {
 		d := Parse(x.file, []byte(x.text))
-		if all := strings.Join(faults(d), "\n"); !strings.Contains(all, x.want) || len(d.Rows) != x.rows || d.Complete != x.whole {
-			t.Errorf("%q: %d rows, whole %v, %s", x.text, len(d.Rows), d.Complete, all)
+		if all := strings.Join(faultTexts(d), "\n"); !strings.Contains(all, x.want) || len(d.Rows) != x.rows || d.Complete != x.complete {
+			t.Errorf("%q: %d rows, complete %v, faults %s", x.text, len(d.Rows), d.Complete, all)
 		}
 	}
 }
 
-// One bad row among 10,000.
-func TestOneBadRow(t *testing.T) {
-	text := big(10_000)
+// One faulty row among 10,000 is reported, and all others are used.
+func TestOneFaultyRow(t *testing.T) {
+	text := largeCSV(10_000)
 	lines := strings.SplitAfter(text, "\n")
 	lines[5000] = "n4999,nowhere,4999\n"
 	d := Parse("n.csv", []byte(strings.Join(lines, "")))
 	if len(d.Rows) != 9999 || len(d.Faults) != 1 || d.Faults[0].Pos != (Pos{"n.csv", 5001, 7}) || d.Faults[0].Node != "n4999" {
-		t.Errorf("%d rows, %v", len(d.Rows), faults(d))
+		t.Errorf("%d rows, %v", len(d.Rows), faultTexts(d))
 	}
 }
 
-func big(n int) string {
+func largeCSV(n int) string {
 	var b strings.Builder
 	b.WriteString("id,addr,shard,kind\n")
 	for k := range n {
@@ -120,7 +120,7 @@
 	return b.String()
 }
 
-// Folders and includes, circles and files that are not there.
+// Directories and includes are read; include cycles and missing files are reported.
 func TestIncludes(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) {
@@ -142,10 +142,10 @@
 		return names, nil
 	}}
 	d := Load(filepath.Join(dir, "a.yaml"), f)
-	got := ids(d)
+	got := rowIDs(d)
 	slices.Sort(got)
-	all := strings.Join(faults(d), "\n")
-	if !slices.Equal(got, []string{"a", "b", "c"}) || d.Complete || !strings.Contains(all, "included already") || !strings.Contains(all, "none.csv") || !strings.Contains(all, "given twice") {
+	all := strings.Join(faultTexts(d), "\n")
+	if !slices.Equal(got, []string{"a", "b", "c"}) || d.Complete || !strings.Contains(all, "already included") || !strings.Contains(all, "none.csv") || !strings.Contains(all, "given twice") {
 		t.Errorf("%v %v %s", got, d.Complete, all)
 	}
 }
@@ -173,7 +173,7 @@
 	return rows
 }
 
-// checkRows compares rows but for their positions and for the group that rows without one are written in.
+// checkRows compares rows, ignoring their positions and the group in which YAML places rows without a group.
 func checkRows(t *rapid.T, got, want []Row) {
 	t.Helper()
 	byID := map[string]Row{}
@@ -201,7 +201,7 @@
 		for file, text := range map[string][]byte{"n.csv": CSV(rows), "n.yaml": encodedYAML} {
 			d := Parse(file, text)
 			if len(d.Faults) > 0 || len(d.Rows) != len(rows) {
-				t.Fatalf("%s: %v\n%s", file, faults(d), text)
+				t.Fatalf("%s: %v\n%s", file, faultTexts(d), text)
 			}
 			checkRows(t, d.Rows, rows)
 			if diff := Diff(rows, d.Rows); len(diff) > 0 {
@@ -211,8 +211,8 @@
 	})
 }
 
-// One setting is changed; comments, order and every other line stay.
-func TestSetKeepsTheRest(t *testing.T) {
+// Set changes one setting; comments, order and all other lines are preserved.
+func TestSetPreservesOtherContent(t *testing.T) {
 	csv := "# racks\nid, addr ,state\n\na, 10.0.0.1:1, up\n  # b is old\nb,10.0.0.2:1\nc,10.0.0.3:1,out"
 	out, err := Set("n.csv", []byte(csv), "b", "state", "draining")
 	if want := strings.Replace(csv, "b,10.0.0.2:1\n", "b,10.0.0.2:1,draining\n", 1); err != nil || string(out) != want {
@@ -222,32 +222,32 @@
 	if want := strings.Replace(csv, "3:1,out", "3:1,up", 1); err != nil || string(out) != want {
 		t.Errorf("%v\n%s", err, out)
 	}
-	out, err = Set("n.yaml", []byte(list), "node-05", "state", "out")
+	out, err = Set("n.yaml", []byte(sampleYAML), "node-05", "state", "out")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, keep := range []string{"# the room, as of the last count", "# spare", "node-[01:04]", "nets: [10.1.0.0/24"} {
+	for _, keep := range []string{"# nodes of the test lab", "# spare", "node-[01:04]", "nets: [10.1.0.0/24"} {
 		if !strings.Contains(string(out), keep) {
 			t.Errorf("%q is lost:\n%s", keep, out)
 		}
 	}
-	if diff := Diff(Parse("n.yaml", []byte(list)).Rows, Parse("n.yaml", out).Rows); len(diff) != 1 || diff[0].ID != "node-05" || !slices.Equal(diff[0].Keys, []string{"state"}) {
+	if diff := Diff(Parse("n.yaml", []byte(sampleYAML)).Rows, Parse("n.yaml", out).Rows); len(diff) != 1 || diff[0].ID != "node-05" || !slices.Equal(diff[0].Keys, []string{"state"}) {
 		t.Errorf("%+v", diff)
 	}
 	for _, x := range [][3]string{{"a", "colour", "red"}, {"z", "state", "up"}, {"a", "state", "asleep"}} {
 		if _, err := Set("n.csv", []byte(csv), x[0], x[1], x[2]); err == nil {
-			t.Errorf("%v was taken", x)
+			t.Errorf("Set accepted %v", x)
 		}
 	}
-	if _, err := Set("n.yaml", []byte(list), "node-02", "state", "out"); err == nil {
-		t.Error("a node of a range was set")
+	if _, err := Set("n.yaml", []byte(sampleYAML), "node-02", "state", "out"); err == nil {
+		t.Error("Set changed a node of a range")
 	}
 }
 
 func FuzzParse(f *testing.F) {
 	f.Add(true, "id,addr,shard\na,10.0.0.1:1,0\n")
 	f.Add(true, "id,\"addr\"\n\"a\"\"b\",x")
-	f.Add(false, list)
+	f.Add(false, sampleYAML)
 	f.Add(false, "g: &a {hosts: {x: *a}}\n")
 	f.Fuzz(func(t *testing.T, csv bool, text string) {
 		file := "n.yaml"
@@ -258,7 +258,7 @@
 		seen := map[string]bool{}
 		for _, r := range d.Rows {
 			if low := strings.ToLower(r.ID); seen[low] || !validID(r.ID) {
-				t.Fatalf("%q is there twice or is no id", r.ID)
+				t.Fatalf("ID %q is duplicate or invalid", r.ID)
 			} else {
 				seen[low] = true
 			}
@@ -266,24 +266,24 @@
 	})
 }
 
-// Reading again what has changed a little gives what reading it anew does.
-func TestReaderAgainstParse(t *testing.T) {
+// Reading a changed list with a Reader gives the same result as parsing it from scratch.
+func TestReaderMatchesParse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		lines := strings.SplitAfter(big(rapid.IntRange(1, 12).Draw(t, "rows")), "\n")
+		lines := strings.SplitAfter(largeCSV(rapid.IntRange(1, 12).Draw(t, "rows")), "\n")
 		var r Reader
-		fast := 0
+		patches := 0
 		for range 15 {
 			text := strings.Join(lines, "")
-			d, changed, some := r.Read("n.csv", text)
+			d, changed, patched := r.Read("n.csv", text)
 			want := Parse("n.csv", []byte(text))
 			if !reflect.DeepEqual(d.Rows, want.Rows) && len(d.Rows)+len(want.Rows) > 0 || !reflect.DeepEqual(d.Faults, want.Faults) || d.Complete != want.Complete {
-				t.Fatalf("%q:\n%+v %v\n%+v %v", text, d.Rows, faults(d), want.Rows, faults(want))
+				t.Fatalf("%q:\n%+v %v\n%+v %v", text, d.Rows, faultTexts(d), want.Rows, faultTexts(want))
 			}
-			if some {
-				fast++
+			if patched {
+				patches++
 				for _, c := range changed {
 					if !slices.ContainsFunc(want.Rows, func(x Row) bool { return reflect.DeepEqual(x, c) }) {
-						t.Fatalf("%+v is no row", c)
+						t.Fatalf("changed row %+v is not in the list", c)
 					}
 				}
 			}
@@ -307,23 +307,23 @@
 	})
 }
 
-// A list of which one line has changed: looked at alone, and with the whole list read anew.
+// BenchmarkReread reads a list in which one line has changed, by patching this line and by parsing the whole list.
 func BenchmarkReread(b *testing.B) {
 	for _, n := range []int{10, 1000, 100_000} {
-		one := big(n)
-		two := strings.Replace(one, "n7,10.0.0.7:6379,7", "n7,10.0.0.7:6380,7", 1)
-		b.Run(fmt.Sprintf("change/%d", n), func(b *testing.B) {
+		before := largeCSV(n)
+		after := strings.Replace(before, "n7,10.0.0.7:6379,7", "n7,10.0.0.7:6380,7", 1)
+		b.Run(fmt.Sprintf("patch/%d", n), func(b *testing.B) {
 			var r Reader
-			r.Read("n.csv", one)
+			r.Read("n.csv", before)
 			for k := 1; b.Loop(); k++ {
-				if _, _, some := r.Read("n.csv", []string{one, two}[k%2]); !some {
-					b.Fatal("read anew")
+				if _, _, patched := r.Read("n.csv", []string{before, after}[k%2]); !patched {
+					b.Fatal("the whole list was parsed")
 				}
 			}
 		})
-		b.Run(fmt.Sprintf("anew/%d", n), func(b *testing.B) {
+		b.Run(fmt.Sprintf("full/%d", n), func(b *testing.B) {
 			for k := 0; b.Loop(); k++ {
-				Parse("n.csv", []byte([]string{one, two}[k%2]))
+				Parse("n.csv", []byte([]string{before, after}[k%2]))
 			}
 		})
 	}
--- a/internal/nodes/nodefile/reader.go
+++ b/internal/nodes/nodefile/reader.go
@@ -5,58 +5,58 @@
 	"strings"
 )
 
-// Reader reads one CSV list again and again. Where only some lines have changed since the last reading, and nothing is
-// wrong in either, it looks at those alone; everything else is read as Parse does.
+// Reader reads successive versions of a CSV list. If only some lines have changed since the last version, and both
+// versions are free of faults, it parses only these lines. Otherwise it parses the whole list, as Parse does.
 type Reader struct {
-	path   string
-	text   string
-	doc    *Doc
-	header []string
-	first  int               // bytes up to the end of the header's line
-	ids    map[string]string // by their folded form
-	addrs  map[string]string
-	shards map[int]string
+	path      string
+	text      string
+	doc       *Doc
+	header    []string
+	headerEnd int               // size of the text before the line of the first row
+	ids       map[string]string // node IDs by lower-case ID
+	addrs     map[string]string // node IDs by address
+	shards    map[int]string    // node IDs by shard
 }
 
-// Read returns the list, which is good until the next Read. changed has the rows that differ from the last reading, where
-// that is all that differs: then some is true, no row has gone, and nothing is wrong.
-func (r *Reader) Read(path, text string) (d *Doc, changed []Row, some bool) {
+// Read returns the list, which is valid until the next call of Read. patched is true if the list has no faults and only
+// the content of some rows differs from the last version; changed then holds these rows.
+func (r *Reader) Read(path, text string) (d *Doc, changed []Row, patched bool) {
 	if r.doc != nil && r.path == path {
 		if changed, ok := r.patch(text); ok {
 			r.text = text
 			return r.doc, changed, true
 		}
 	}
-	b := &builder{doc: &Doc{Complete: true}, kinds: map[string]Kind{}, seen: map[string]bool{}}
+	b := &builder{doc: &Doc{Complete: true}, kinds: map[string]Kind{}, loaded: map[string]bool{}}
 	b.csv(path, text)
 	b.check()
 	*r = Reader{path: path, text: text}
-	if len(b.doc.Faults) == 0 && b.header0 != nil {
-		r.doc, r.header = b.doc, b.header0
+	if len(b.doc.Faults) == 0 && b.lastHeader != nil {
+		r.doc, r.header = b.doc, b.lastHeader
 		r.ids, r.addrs, r.shards = map[string]string{}, map[string]string{}, map[int]string{}
 		for i := range r.doc.Rows {
 			r.claim(&r.doc.Rows[i])
 		}
-		if len(r.doc.Rows) > 0 { // the header stands before the first row
-			r.first = lineStart(text, r.doc.Rows[0].Pos.Line)
+		if len(r.doc.Rows) > 0 { // the header precedes the first row
+			r.headerEnd = lineStart(text, r.doc.Rows[0].Pos.Line)
 		}
 	}
 	return b.doc, nil, false
 }
 
-// lineStart is where a line begins, counted from 1.
+// lineStart returns the offset of a line. Lines count from 1.
 func lineStart(text string, line int) int {
-	at := 0
+	offset := 0
 	for ; line > 1; line-- {
-		at += strings.IndexByte(text[at:], '\n') + 1
+		offset += strings.IndexByte(text[offset:], '\n') + 1
 	}
-	return at
+	return offset
 }
 
-// claim notes what a row holds, or reports that it is another's.
+// claim registers the ID, address and shard of a row. It returns false if another row has one of them already.
 func (r *Reader) claim(x *Row) bool {
-	low := strings.ToLower(x.ID)
-	if r.ids[low] != "" {
+	foldedID := strings.ToLower(x.ID)
+	if r.ids[foldedID] != "" {
 		return false
 	}
 	if x.State != "out" && x.Addr != "" {
@@ -65,12 +65,12 @@
 		}
 		r.addrs[x.Addr], r.shards[x.Shard] = x.ID, x.ID
 	}
-	r.ids[low] = x.ID
+	r.ids[foldedID] = x.ID
 	return true
 }
 
-// drop takes a row's claims back.
-func (r *Reader) drop(x *Row) {
+// release deletes the claims of a row.
+func (r *Reader) release(x *Row) {
 	delete(r.ids, strings.ToLower(x.ID))
 	if x.State != "out" && x.Addr != "" {
 		delete(r.addrs, x.Addr)
@@ -78,14 +78,14 @@
 	}
 }
 
-// patch applies a text that differs from the last one in the content of some rows only. Otherwise, or if anything is wrong
-// with it, it reports false; then the text has to be read from the start.
+// patch applies a text that differs from the last one only in the content of some rows. It returns false if there are
+// other differences or any faults; the whole text must then be parsed.
 func (r *Reader) patch(text string) ([]Row, bool) {
 	if len(r.doc.Rows) == 0 {
 		return nil, false
 	}
 	prefix, suffix := commonLines(r.text, text)
-	if prefix < r.first {
+	if prefix < r.headerEnd {
 		return nil, false
 	}
 	before := r.text[prefix : len(r.text)-suffix]
@@ -101,8 +101,8 @@
 	if !ok {
 		return nil, false
 	}
-	first := lowest(r.doc.Rows, firstLine)
-	last := lowest(r.doc.Rows, firstLine+strings.Count(after, "\n")+1)
+	first := firstRowFrom(r.doc.Rows, firstLine)
+	last := firstRowFrom(r.doc.Rows, firstLine+strings.Count(after, "\n")+1)
 	if !sameIDs(r.doc.Rows[first:last], rows) {
 		return nil, false
 	}
@@ -113,29 +113,29 @@
 	return rows, true
 }
 
-// parseLines parses complete lines of rows. Anything wrong with them is reported as false.
+// parseLines parses complete lines of rows. It returns false if there is any fault.
 func (r *Reader) parseLines(lines string, firstLine int) ([]Row, bool) {
-	b := &builder{doc: &Doc{Complete: true}, kinds: map[string]Kind{}, seen: map[string]bool{}}
+	b := &builder{doc: &Doc{Complete: true}, kinds: map[string]Kind{}, loaded: map[string]bool{}}
 	for i, line := range strings.Split(lines, "\n") {
 		line = strings.TrimSuffix(line, "\r")
 		if trimmed := strings.TrimSpace(line); trimmed == "" || trimmed[0] == '#' {
 			continue
 		}
-		cells, err := split(line)
+		cells, err := splitCells(line)
 		if err != nil {
 			return nil, false
 		}
-		b.line(r.path, firstLine+i, r.header, cells)
+		b.addRow(r.path, firstLine+i, r.header, cells)
 	}
 	b.check()
 	return b.doc.Rows, len(b.doc.Faults) == 0
 }
 
-// replaceClaims replaces the claims of rows by those of others. If one contradicts another row, the reader has to start
-// anew.
+// replaceClaims replaces the claims of some rows. If a new claim contradicts another row it returns false, and the
+// reader must parse the whole list again.
 func (r *Reader) replaceClaims(before, after []Row) bool {
 	for i := range before {
-		r.drop(&before[i])
+		r.release(&before[i])
 	}
 	for i := range after {
 		if !r.claim(&after[i]) {
@@ -150,7 +150,7 @@
 	return slices.EqualFunc(a, b, func(x, y Row) bool { return x.ID == y.ID })
 }
 
-// commonLines returns how many bytes two texts have in common at their beginnings and at their ends, in complete lines.
+// commonLines returns the sizes of the longest common prefix and suffix of two texts that consist of complete lines.
 func commonLines(a, b string) (prefix, suffix int) {
 	prefix = commonPrefix(a, b)
 	prefix = strings.LastIndexByte(b[:prefix], '\n') + 1
@@ -165,7 +165,7 @@
 	return prefix, suffix - lineEnd
 }
 
-// compareBlock is how many bytes are compared at once.
+// compareBlock is the number of bytes that are compared in one step.
 const compareBlock = 64
 
 func commonPrefix(a, b string) int {
@@ -194,8 +194,8 @@
 	return n
 }
 
-// lowest is the first row at or behind a line.
-func lowest(rows []Row, line int) int {
+// firstRowFrom returns the index of the first row at or after a line.
+func firstRowFrom(rows []Row, line int) int {
 	lo, hi := 0, len(rows)
 	for lo < hi {
 		m := (lo + hi) / 2
--- a/internal/nodes/nodefile/write.go
+++ b/internal/nodes/nodefile/write.go
@@ -13,9 +13,9 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// values are a row's settings as text, in the order of the known keys.
+// values returns the settings of a row as text, by key.
 func (r *Row) values() map[string]string {
-	num := func(v float64) string {
+	formatNumber := func(v float64) string {
 		if v == 0 {
 			return ""
 		}
@@ -26,32 +26,32 @@
 		labels = append(labels, k+"="+r.Labels[k])
 	}
 	return map[string]string{"addr": r.Addr, "objects": r.Objects, "shard": strconv.Itoa(r.Shard), "zone": r.Zone, "state": r.State, "kind": r.Kind,
-		"cores": num(r.Cores), "speed": num(r.Speed), "labels": strings.Join(labels, ";")}
+		"cores": formatNumber(r.Cores), "speed": formatNumber(r.Speed), "labels": strings.Join(labels, ";")}
 }
 
-// CSV writes rows as a list of its own. Columns that no row needs are left out.
+// CSV encodes rows as a CSV list. Columns that no row needs are omitted.
 func CSV(rows []Row) []byte {
-	used := []string{"id"}
-	for _, key := range known {
+	columns := []string{"id"}
+	for _, key := range knownKeys {
 		if slices.ContainsFunc(rows, func(r Row) bool { v := r.values()[key]; return v != "" && (key != "state" || v != "up") }) {
-			used = append(used, key)
+			columns = append(columns, key)
 		}
 	}
-	group := slices.ContainsFunc(rows, func(r Row) bool { return len(r.Groups) > 0 })
-	if group {
-		used = append(used, "group")
+	hasGroups := slices.ContainsFunc(rows, func(r Row) bool { return len(r.Groups) > 0 })
+	if hasGroups {
+		columns = append(columns, "group")
 	}
 	var b bytes.Buffer
 	w := csv.NewWriter(&b)
-	_ = w.Write(used) // a buffer takes all
+	_ = w.Write(columns) // writing to a buffer cannot fail
 	for i := range rows {
 		v := rows[i].values()
 		v["id"] = rows[i].ID
-		if group && len(rows[i].Groups) > 0 {
+		if hasGroups && len(rows[i].Groups) > 0 {
 			v["group"] = rows[i].Groups[len(rows[i].Groups)-1]
 		}
 		var line []string
-		for _, key := range used {
+		for _, key := range columns {
 			line = append(line, v[key])
 		}
 		_ = w.Write(line)
@@ -60,7 +60,8 @@
 	return b.Bytes()
 }
 
-// YAML encodes rows as a list of its own, with a group for each innermost one, in the order in which they come.
+// YAML encodes rows as a YAML list, in their order. Each row is placed in its innermost group, or in the group nodes if
+// it has none.
 func YAML(rows []Row) ([]byte, error) {
 	root := newMapping()
 	hosts := map[string]*yaml.Node{}
@@ -86,7 +87,7 @@
 	node := newMapping()
 	node.Style = yaml.FlowStyle
 	values := r.values()
-	for _, key := range known {
+	for _, key := range knownKeys {
 		if value := values[key]; value != "" && (key != "state" || value != stateUp) {
 			appendEntry(node, key, scalar(key, value))
 		}
@@ -100,10 +101,10 @@
 	mapping.Content = append(mapping.Content, stringNode(key), value)
 }
 
-// Set changes one setting of one node in a text and leaves everything else as it is: order, comments, and in CSV every
-// other byte. A node of a range, or one that only an included file has, cannot be set.
+// Set changes one setting of one node in a text and preserves the order, the comments, and in CSV every other byte. The
+// settings of a node that is part of a range or that is defined in an included file cannot be changed.
 func Set(path string, in []byte, id, key, value string) ([]byte, error) {
-	if !slices.Contains(known, key) {
+	if !slices.Contains(knownKeys, key) {
 		return nil, fmt.Errorf("%s: unknown key", key)
 	}
 	var out []byte
@@ -116,7 +117,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// What was written has to read back as meant.
+	// Verify that the new text, when parsed, has the intended value.
 	before, after := Parse(path, in), Parse(path, out)
 	for i := range after.Rows {
 		if r := &after.Rows[i]; r.ID == id && r.values()[key] == value {
@@ -128,7 +129,7 @@
 			return nil, f
 		}
 	}
-	return nil, fmt.Errorf("%s: %s.%s: cannot be set to %q here", path, id, key, value)
+	return nil, fmt.Errorf("%s: %s.%s cannot be set to %q in this file", path, id, key, value)
 }
 
 func setCSV(path, in, id, key, value string) ([]byte, error) {
@@ -139,7 +140,7 @@
 		if trimmed := strings.TrimSpace(body); trimmed == "" || trimmed[0] == '#' {
 			continue
 		}
-		cells, err := split(body)
+		cells, err := splitCells(body)
 		if err != nil {
 			continue // not the header, and no row that can be edited
 		}
@@ -153,7 +154,7 @@
 		}
 		column := slices.Index(header, key)
 		if column < 0 {
-			return nil, fmt.Errorf("%s: there is no column %s", path, key)
+			return nil, fmt.Errorf("%s: the header has no column %s", path, key)
 		}
 		edited, err := setCell(body, cells, column, value)
 		if err != nil {
@@ -162,13 +163,13 @@
 		lines[i] = edited + line[len(body):]
 		return []byte(strings.Join(lines, "")), nil
 	}
-	return nil, fmt.Errorf("%s: no row for %s", path, id)
+	return nil, fmt.Errorf("%s: no row for node %s", path, id)
 }
 
-// setCell replaces one cell of a line. A short line gets the cells that it lacks.
+// setCell replaces one cell of a line. Missing cells are added to a line that is too short.
 func setCell(line string, cells []cell, column int, value string) (string, error) {
 	if strings.ContainsAny(value, ",\"\n") {
-		return "", fmt.Errorf(" %q cannot stand in a cell without quotes", value)
+		return "", fmt.Errorf(" value %q would need quotes, which Set does not write", value)
 	}
 	for len(cells) <= column {
 		line += ","
@@ -177,12 +178,12 @@
 	c := cells[column]
 	start := c.col - 1
 	if start > 0 && start < len(line) && line[start] == '"' {
-		return "", fmt.Errorf("%d: a quoted cell is not edited", c.col)
+		return "", fmt.Errorf("%d: a quoted cell cannot be edited", c.col)
 	}
 	return line[:start] + value + line[start+len(c.text):], nil
 }
 
-// columnNames returns the names of the columns, with synonyms replaced.
+// columnNames returns the names of the columns. Synonyms of id are replaced.
 func columnNames(cells []cell) []string {
 	var names []string
 	for _, c := range cells {
@@ -198,13 +199,13 @@
 	}
 	node := findHost(&doc, id)
 	if node == nil || node.Kind != yaml.MappingNode {
-		return nil, fmt.Errorf("%s: %s has no entry of its own", path, id)
+		return nil, fmt.Errorf("%s: node %s has no entry of its own", path, id)
 	}
 	setEntry(node, key, scalar(key, value))
 	return encodeYAML(&doc)
 }
 
-// findHost returns the settings of a host, or nil. Missing settings become an empty mapping.
+// findHost returns the settings of a host, or nil if there is no such host. Missing settings become an empty mapping.
 func findHost(n *yaml.Node, id string) *yaml.Node {
 	switch n.Kind {
 	case yaml.DocumentNode:
@@ -228,7 +229,7 @@
 	return nil
 }
 
-// findEntry returns the value of a key of a mapping of hosts, or nil.
+// findEntry returns the value of a key in a mapping of hosts, or nil if there is none.
 func findEntry(hosts *yaml.Node, id string) *yaml.Node {
 	if hosts.Kind != yaml.MappingNode {
 		return nil
@@ -265,7 +266,7 @@
 	}
 }
 
-// scalar returns the value of a setting: numbers as they are, everything else as a string.
+// scalar returns the YAML value of a setting: numbers are left untagged, everything else is a string.
 func scalar(key, value string) *yaml.Node {
 	if key == "shard" || key == "cores" || key == "speed" {
 		return &yaml.Node{Kind: yaml.ScalarNode, Value: value}
--- a/internal/nodes/nodefile/yaml.go
+++ b/internal/nodes/nodefile/yaml.go
@@ -18,33 +18,33 @@
 // groupAll is the name of the group that contains all nodes.
 const groupAll = "all"
 
-// group is a group of a YAML list, joined from all the places it stands at.
+// group is a group of a YAML list, merged from all places where it is defined.
 type group struct {
 	name     string
 	depth    int
-	vars     map[string]field
+	vars     map[string]setting
 	children []string
 	nets     *netipx.IPSet
 }
 
-// member is a node with the groups it stands in.
-type member struct {
-	id     field
-	own    map[string]field
-	groups []string
-	order  int
+// host is a node of a YAML list.
+type host struct {
+	id     setting
+	own    map[string]setting // its own settings, without those of its groups
+	groups []string           // groups that name it directly
+	order  int                // rank in the order of first appearance
 }
 
-// tree is one YAML file while it is read.
-type tree struct {
+// yamlParser parses one YAML file.
+type yamlParser struct {
 	b      *builder
 	path   string
 	groups map[string]*group
-	nodes  map[string]*member
+	nodes  map[string]*host
 }
 
-// yaml reads groups, hosts, vars and children; kinds, include and nets are this program's own. What is faulty is named and
-// left out: a row, a setting, or a group's setting.
+// yaml reads an inventory of groups with hosts, vars and children, extended by kinds, include and nets. A faulty row or
+// setting is reported and ignored.
 func (b *builder) yaml(path string, text []byte) {
 	var doc yaml.Node
 	if err := yaml.Unmarshal(text, &doc); err != nil {
@@ -57,11 +57,11 @@
 		b.doc.Complete = false
 		return
 	}
-	t := &tree{b: b, path: path, groups: map[string]*group{}, nodes: map[string]*member{}}
-	t.each(doc.Content[0], "", func(key string, k, v *yaml.Node) {
+	t := &yamlParser{b: b, path: path, groups: map[string]*group{}, nodes: map[string]*host{}}
+	t.eachPair(doc.Content[0], "", func(key string, k, v *yaml.Node) {
 		switch key {
 		case "kinds":
-			t.each(v, key, func(kind string, k, v *yaml.Node) { t.kind(kind, v) })
+			t.eachPair(v, key, func(kind string, k, v *yaml.Node) { t.kind(kind, v) })
 		case "include":
 			t.include(v)
 		default:
@@ -71,14 +71,14 @@
 	t.resolve()
 }
 
-func (t *tree) pos(n *yaml.Node) Pos { return Pos{t.path, n.Line, n.Column} }
+func (t *yamlParser) pos(n *yaml.Node) Pos { return Pos{t.path, n.Line, n.Column} }
 
-func (t *tree) fault(n *yaml.Node, key, format string, args ...any) {
+func (t *yamlParser) fault(n *yaml.Node, key, format string, args ...any) {
 	t.b.fault(Fault{Pos: t.pos(n), Key: key, Text: fmt.Sprintf(format, args...)})
 }
 
-// each calls f for the pairs of a mapping; faulty ones are reported and left out.
-func (t *tree) each(n *yaml.Node, at string, f func(key string, k, v *yaml.Node)) {
+// eachPair calls f for the pairs of a mapping. Faulty pairs are reported and skipped.
+func (t *yamlParser) eachPair(n *yaml.Node, keyPath string, f func(key string, k, v *yaml.Node)) {
 	_ = yamltree.EachPair(n, yamltree.Visitor{ // neither function returns an error
 		Pair: func(key string, k, v *yaml.Node) error {
 			f(key, k, v)
@@ -87,24 +87,24 @@
 		Fault: func(f yamltree.Fault, n *yaml.Node, key string) error {
 			switch f {
 			case yamltree.NotMapping:
-				t.fault(n, at, "must be a mapping")
+				t.fault(n, keyPath, "must be a mapping")
 			case yamltree.KeyNotPlain:
-				t.fault(n, at, "keys must be plain names")
+				t.fault(n, keyPath, "keys must be plain names")
 			case yamltree.KeyRepeated:
-				t.fault(n, at+"."+key, "key given twice: the first counts")
+				t.fault(n, keyPath+"."+key, "key given twice: the first value is used")
 			}
 			return nil
 		},
 	})
 }
 
-func (t *tree) kind(name string, n *yaml.Node) {
+func (t *yamlParser) kind(name string, n *yaml.Node) {
 	var kind Kind
-	t.each(n, "kinds."+name, func(key string, k, v *yaml.Node) {
+	t.eachPair(n, "kinds."+name, func(key string, k, v *yaml.Node) {
 		x, err := strconv.ParseFloat(v.Value, 64)
 		switch {
 		case key != "cores" && key != "speed":
-			t.fault(k, "kinds."+name+"."+key, "unknown key; a kind has cores and speed")
+			t.fault(k, "kinds."+name+"."+key, "unknown key; valid keys are cores and speed")
 		case err != nil || !(x > 0):
 			t.fault(v, "kinds."+name+"."+key, "%q is not a number above 0", v.Value)
 		case key == "cores":
@@ -116,7 +116,7 @@
 	t.b.kinds[name] = kind
 }
 
-func (t *tree) include(n *yaml.Node) {
+func (t *yamlParser) include(n *yaml.Node) {
 	n = yamltree.Resolve(n)
 	list := []*yaml.Node{n}
 	if n.Kind == yaml.SequenceNode {
@@ -124,7 +124,7 @@
 	}
 	for _, x := range list {
 		if x.Kind != yaml.ScalarNode || x.Value == "" {
-			t.fault(x, "include", "must be a path, or a list of paths")
+			t.fault(x, "include", "must be a path or a list of paths")
 			continue
 		}
 		path := x.Value
@@ -135,34 +135,34 @@
 	}
 }
 
-func (t *tree) group(name string, n *yaml.Node) {
+func (t *yamlParser) group(name string, n *yaml.Node) {
 	g := t.groups[name]
 	if g == nil {
-		g = &group{name: name, vars: map[string]field{}}
+		g = &group{name: name, vars: map[string]setting{}}
 		t.groups[name] = g
 	}
-	t.each(n, name, func(key string, k, v *yaml.Node) {
-		at := name + "." + key
+	t.eachPair(n, name, func(key string, k, v *yaml.Node) {
+		keyPath := name + "." + key
 		switch key {
 		case "vars":
-			t.vars(v, at, g.vars)
+			t.vars(v, keyPath, g.vars)
 		case "children":
-			t.each(v, at, func(child string, k, v *yaml.Node) {
+			t.eachPair(v, keyPath, func(child string, k, v *yaml.Node) {
 				g.children = append(g.children, child)
 				t.group(child, v)
 			})
 		case "hosts":
-			t.each(v, at, func(host string, k, v *yaml.Node) { t.hosts(name, host, at+"."+host, k, v) })
+			t.eachPair(v, keyPath, func(host string, k, v *yaml.Node) { t.hosts(name, host, keyPath+"."+host, k, v) })
 		case "nets":
-			t.nets(g, v, at)
+			t.nets(g, v, keyPath)
 		default:
-			t.fault(k, at, "unknown key; a group has hosts, vars, children and nets")
+			t.fault(k, keyPath, "unknown key; valid keys are hosts, vars, children and nets")
 		}
 	})
 }
 
-// nets are the addresses that a group's nodes may have: prefixes, ranges and single ones.
-func (t *tree) nets(g *group, n *yaml.Node, at string) {
+// nets reads the addresses that the nodes of a group may have: prefixes, ranges and single addresses.
+func (t *yamlParser) nets(g *group, n *yaml.Node, keyPath string) {
 	var set netipx.IPSetBuilder
 	n = yamltree.Resolve(n)
 	list := []*yaml.Node{n}
@@ -178,7 +178,7 @@
 		} else if a, err := netip.ParseAddr(x.Value); err == nil {
 			set.Add(a)
 		} else {
-			t.fault(x, at, "%q is no prefix, range or address", x.Value)
+			t.fault(x, keyPath, "%q is not an IP address, prefix or range", x.Value)
 			continue
 		}
 		ok = true
@@ -188,32 +188,32 @@
 	}
 }
 
-// hosts reads one host, or a range of them.
-func (t *tree) hosts(in, name, at string, k, n *yaml.Node) {
+// hosts reads one host or a range of hosts.
+func (t *yamlParser) hosts(group, name, keyPath string, k, n *yaml.Node) {
 	ids, err := expand(name)
 	if err != nil {
-		t.fault(k, at, "%v", err)
+		t.fault(k, keyPath, "%v", err)
 		return
 	}
-	own := map[string]field{}
-	t.vars(n, at, own)
+	own := map[string]setting{}
+	t.vars(n, keyPath, own)
 	for i, id := range ids {
 		m := t.nodes[id]
 		if m == nil {
-			m = &member{id: field{id, t.pos(k)}, own: map[string]field{}, order: len(t.nodes)}
+			m = &host{id: setting{id, t.pos(k)}, own: map[string]setting{}, order: len(t.nodes)}
 			t.nodes[id] = m
 		}
-		m.groups = append(m.groups, in)
+		m.groups = append(m.groups, group)
 		for key, f := range own {
-			f, err := spread(f, i, len(ids))
+			f, err := settingAt(f, i, len(ids))
 			if err != nil {
 				if i == 0 {
-					t.b.fault(Fault{Pos: f.pos, Key: at + "." + key, Text: err.Error()})
+					t.b.fault(Fault{Pos: f.pos, Key: keyPath + "." + key, Text: err.Error()})
 				}
-				f.text = "" // stays unset; the fault is told once
+				f.text = "" // stays unset; the fault is reported only once per range
 			}
 			if old, twice := m.own[key]; twice && old.text != f.text {
-				t.b.fault(Fault{Pos: f.pos, Key: id + "." + key, Text: "set twice, first at " + old.pos.String() + ": the first counts", Node: id, Warn: true})
+				t.b.fault(Fault{Pos: f.pos, Key: id + "." + key, Text: "set twice, first at " + old.pos.String() + ": the first value is used", Node: id, Warn: true})
 				continue
 			}
 			m.own[key] = f
@@ -221,11 +221,11 @@
 	}
 }
 
-func (t *tree) vars(n *yaml.Node, at string, to map[string]field) {
-	t.each(n, at, func(key string, k, v *yaml.Node) {
+func (t *yamlParser) vars(n *yaml.Node, keyPath string, to map[string]setting) {
+	t.eachPair(n, keyPath, func(key string, k, v *yaml.Node) {
 		v = yamltree.Resolve(v)
-		if !slices.Contains(known, key) {
-			t.fault(k, at+"."+key, "unknown key")
+		if !slices.Contains(knownKeys, key) {
+			t.fault(k, keyPath+"."+key, "unknown key")
 			return
 		}
 		text := v.Value
@@ -238,30 +238,31 @@
 				text += v.Content[i].Value + "=" + v.Content[i+1].Value
 			}
 		} else if v.Kind != yaml.ScalarNode {
-			t.fault(v, at+"."+key, "must be a single value")
+			t.fault(v, keyPath+"."+key, "must be a single value")
 			return
 		}
-		to[key] = field{text, t.pos(v)}
+		to[key] = setting{text, t.pos(v)}
 	})
 }
 
-// resolve determines the settings of every node: from the outermost group to the innermost, groups of one depth in the order
-// of their names, the node's own last; the later wins.
-func (t *tree) resolve() {
+// resolve determines the settings of every node. Settings are applied from the outermost group to the innermost, for
+// groups of the same depth in the order of their names, and the node's own settings last. Later settings override
+// earlier ones.
+func (t *yamlParser) resolve() {
 	for _, g := range t.groups {
-		if !t.deepen(g, 1, map[string]bool{}) {
+		if !t.setDepth(g, 1, map[string]bool{}) {
 			return
 		}
 	}
 	parents := t.parents()
 	for _, m := range t.nodesInOrder() {
 		groups := t.groupsOf(m, parents)
-		t.b.raws = append(t.b.raws, m.inherit(groups))
+		t.b.rawRows = append(t.b.rawRows, m.inherit(groups))
 	}
 }
 
 // parents returns the names of the groups that contain each group.
-func (t *tree) parents() map[string][]string {
+func (t *yamlParser) parents() map[string][]string {
 	parents := map[string][]string{}
 	for _, g := range t.groups {
 		for _, child := range g.children {
@@ -272,17 +273,17 @@
 }
 
 // nodesInOrder returns the nodes in the order of their first appearance.
-func (t *tree) nodesInOrder() []*member {
-	nodes := make([]*member, 0, len(t.nodes))
+func (t *yamlParser) nodesInOrder() []*host {
+	nodes := make([]*host, 0, len(t.nodes))
 	for _, m := range t.nodes {
 		nodes = append(nodes, m)
 	}
-	slices.SortFunc(nodes, func(a, b *member) int { return cmp.Compare(a.order, b.order) })
+	slices.SortFunc(nodes, func(a, b *host) int { return cmp.Compare(a.order, b.order) })
 	return nodes
 }
 
 // groupsOf returns the groups that a node is in, directly or not, the outermost first.
-func (t *tree) groupsOf(m *member, parents map[string][]string) []*group {
+func (t *yamlParser) groupsOf(m *host, parents map[string][]string) []*group {
 	names := map[string]bool{}
 	var addWithParents func(string)
 	addWithParents = func(name string) {
@@ -308,7 +309,7 @@
 	return groups
 }
 
-// compareGroups orders groups by depth and name; the group of all nodes is outside of all others.
+// compareGroups orders groups by depth and name. The group of all nodes is the outermost.
 func compareGroups(a, b *group) int {
 	if a.name == b.name {
 		return 0
@@ -323,8 +324,8 @@
 }
 
 // inherit merges the settings of a node's groups and its own.
-func (m *member) inherit(groups []*group) raw {
-	r := raw{id: m.id, vars: map[string]field{}}
+func (m *host) inherit(groups []*group) rawRow {
+	r := rawRow{id: m.id, vars: map[string]setting{}}
 	for _, g := range groups {
 		if g.name != groupAll {
 			r.groups = append(r.groups, g.name)
@@ -332,24 +333,25 @@
 		maps.Copy(r.vars, g.vars)
 		if g.nets != nil {
 			r.nets = g.nets
-			r.netsOf = g.name
+			r.netsGroup = g.name
 		}
 	}
 	maps.Copy(r.vars, m.own)
 	return r
 }
 
-func (t *tree) deepen(g *group, depth int, above map[string]bool) bool {
-	if above[g.name] {
+// setDepth sets the depth of a group and of all groups in it. It returns false if a group contains itself.
+func (t *yamlParser) setDepth(g *group, depth int, ancestors map[string]bool) bool {
+	if ancestors[g.name] {
 		t.b.fault(Fault{Pos: Pos{t.path, 1, 0}, Key: g.name, Text: "the group contains itself"})
 		t.b.doc.Complete = false
 		return false
 	}
-	above[g.name] = true
-	defer delete(above, g.name)
+	ancestors[g.name] = true
+	defer delete(ancestors, g.name)
 	g.depth = max(g.depth, depth)
 	for _, c := range g.children {
-		if !t.deepen(t.groups[c], depth+1, above) {
+		if !t.setDepth(t.groups[c], depth+1, ancestors) {
 			return false
 		}
 	}
