--- a/internal/nodes/nodefile/nodefile.go
+++ b/internal/nodes/nodefile/nodefile.go
@@ -98,7 +98,7 @@
 // Files provides access to files, so that the package itself does no I/O.
 type Files struct {
 	Read func(path string) ([]byte, error)  // returns the content of a file
-	List func(dir string) ([]string, error) // returns the lists in a directory, sorted; nil if directories are not supported
+	List func(dir string) ([]string, error) // returns the .csv, .yaml and .yml files of a directory, sorted; nil if unsupported
 }
 
 // Load reads a file, or all files of a directory in the order of their names. If two rows contradict each other, the
