--- a/internal/nodes/membership/membership_test.go
+++ b/internal/nodes/membership/membership_test.go
@@ -255,7 +255,7 @@
 		t.Fatalf("drain of a node whose removal is held back: %+v", got)
 	}
 	if x := s.Explain("s10"); x.Phase != PhaseDraining || len(x.Facts) != 2 || !x.Facts[0].HeldBack || len(x.Notes) == 0 {
-		t.Errorf("%+v", x)
+		t.Errorf("explanation of s10, whose removal is held back: %+v", x)
 	}
 	if got := s.AcceptRemovals(Files, 6); len(got) != 14 {
 		t.Fatalf("accepted removals: %+v", got)
@@ -289,7 +289,7 @@
 	returns := 0
 	for range 6 {
 		if got := setState(OutOfService); len(got) > 0 && got[0].State != OutOfService {
-			t.Fatal(got)
+			t.Fatalf("node taken out of service is returned as %+v", got)
 		}
 		if got := setState(Up); len(got) > 0 {
 			returns++
@@ -302,7 +302,7 @@
 		t.Fatalf("returned %d times, %d in use; %+v", returns, len(s.Members()), s.Explain("s0"))
 	}
 	if x := s.Explain("s0"); x.Phase != PhaseOut || len(x.Notes) == 0 {
-		t.Errorf("%+v", x)
+		t.Errorf("explanation of a suppressed node: %+v", x)
 	}
 	for range 400 {
 		next, ok := s.Next()
@@ -316,11 +316,11 @@
 		t.Errorf("not used again by %d: %+v", now, s.Explain("s0"))
 	}
 	if x := s.Explain("s0"); x.Phase != PhaseCold {
-		t.Errorf("%+v", x)
+		t.Errorf("phase after the return is %s, want %s", x.Phase, PhaseCold)
 	}
 	s.Tick(now + 5*second)
 	if x := s.Explain("s0"); x.Phase != PhaseWarming {
-		t.Errorf("%+v", x)
+		t.Errorf("phase 5 s after the return is %s, want %s", x.Phase, PhaseWarming)
 	}
 }
 
@@ -330,16 +330,16 @@
 	o.FilesAreAllowList = true
 	s := New(o, 1)
 	if got := s.Replace(Discovery, 1, entriesInState(3, Up), 2); len(got) != 3 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("before the first list: %+v", got)
 	}
 	if got := s.Replace(Files, 1, entriesInState(2, Up), 3); len(got) != 1 || got[0].ID != "s2" || got[0].State != OutOfService {
-		t.Fatalf("%+v", got)
+		t.Fatalf("first list without s2: %+v", got)
 	}
 	if x := s.Explain("s2"); x.Phase != PhaseOut || len(x.Notes) == 0 {
-		t.Errorf("%+v", x)
+		t.Errorf("explanation of a node that no file names: %+v", x)
 	}
 	if got := s.Replace(Files, 2, entriesInState(3, Up), 4); len(got) != 1 || got[0].State != Up {
-		t.Fatalf("%+v", got)
+		t.Fatalf("list that names s2 again: %+v", got)
 	}
 }
 
--- a/internal/nodes/nodefile/nodefile_test.go
+++ b/internal/nodes/nodefile/nodefile_test.go
@@ -55,17 +55,17 @@
 func TestYAML(t *testing.T) {
 	d := Parse("n.yaml", []byte(sampleYAML))
 	if len(d.Faults) > 0 || !d.Complete || !slices.Equal(rowIDs(d), []string{"node-01", "node-02", "node-03", "node-04", "node-05", "slow-1"}) {
-		t.Fatalf("%v %v", rowIDs(d), faultTexts(d))
+		t.Fatalf("rows %v, faults %v", rowIDs(d), faultTexts(d))
 	}
 	r := d.Rows[2]
 	if r.Addr != "10.1.0.13:6379" || r.Shard != 2 || r.Zone != "olten-room" || r.Kind != "node-full" || r.Capacity != 2 || r.Pos != (Pos{"n.yaml", 12, 9}) {
-		t.Errorf("%+v", r)
+		t.Errorf("node-03: %+v", r)
 	}
 	if r := d.Rows[5]; r.State != "draining" || r.Capacity != 1.2 {
-		t.Errorf("%+v", r)
+		t.Errorf("slow-1: %+v", r)
 	}
 	if r := d.Rows[4]; r.Labels["rack"] != "a" || !slices.Equal(r.Groups, []string{"full"}) {
-		t.Errorf("%+v", r)
+		t.Errorf("node-05: %+v", r)
 	}
 }
 
@@ -107,7 +107,7 @@
 	lines[5000] = "n4999,nowhere,4999\n"
 	d := Parse("n.csv", []byte(strings.Join(lines, "")))
 	if len(d.Rows) != 9999 || len(d.Faults) != 1 || d.Faults[0].Pos != (Pos{"n.csv", 5001, 7}) || d.Faults[0].Node != "n4999" {
-		t.Errorf("%d rows, %v", len(d.Rows), faultTexts(d))
+		t.Errorf("%d rows, faults %v", len(d.Rows), faultTexts(d))
 	}
 }
 
@@ -146,7 +146,7 @@
 	slices.Sort(got)
 	all := strings.Join(faultTexts(d), "\n")
 	if !slices.Equal(got, []string{"a", "b", "c"}) || d.Complete || !strings.Contains(all, "already included") || !strings.Contains(all, "none.csv") || !strings.Contains(all, "given twice") {
-		t.Errorf("%v %v %s", got, d.Complete, all)
+		t.Errorf("rows %v, complete %v, faults %s", got, d.Complete, all)
 	}
 }
 
@@ -201,11 +201,11 @@
 		for file, text := range map[string][]byte{"n.csv": CSV(rows), "n.yaml": encodedYAML} {
 			d := Parse(file, text)
 			if len(d.Faults) > 0 || len(d.Rows) != len(rows) {
-				t.Fatalf("%s: %v\n%s", file, faultTexts(d), text)
+				t.Fatalf("%s: faults %v in\n%s", file, faultTexts(d), text)
 			}
 			checkRows(t, d.Rows, rows)
 			if diff := Diff(rows, d.Rows); len(diff) > 0 {
-				t.Fatalf("%+v", diff)
+				t.Fatalf("lists differ after reading back: %+v", diff)
 			}
 		}
 	})
@@ -216,11 +216,11 @@
 	csv := "# racks\nid, addr ,state\n\na, 10.0.0.1:1, up\n  # b is old\nb,10.0.0.2:1\nc,10.0.0.3:1,out"
 	out, err := Set("n.csv", []byte(csv), "b", "state", "draining")
 	if want := strings.Replace(csv, "b,10.0.0.2:1\n", "b,10.0.0.2:1,draining\n", 1); err != nil || string(out) != want {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("state of b: error %v, text\n%s", err, out)
 	}
 	out, err = Set("n.csv", []byte(csv), "c", "state", "up")
 	if want := strings.Replace(csv, "3:1,out", "3:1,up", 1); err != nil || string(out) != want {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("state of c: error %v, text\n%s", err, out)
 	}
 	out, err = Set("n.yaml", []byte(sampleYAML), "node-05", "state", "out")
 	if err != nil {
@@ -232,7 +232,7 @@
 		}
 	}
 	if diff := Diff(Parse("n.yaml", []byte(sampleYAML)).Rows, Parse("n.yaml", out).Rows); len(diff) != 1 || diff[0].ID != "node-05" || !slices.Equal(diff[0].Keys, []string{"state"}) {
-		t.Errorf("%+v", diff)
+		t.Errorf("differences after setting the state of node-05: %+v", diff)
 	}
 	for _, x := range [][3]string{{"a", "colour", "red"}, {"z", "state", "up"}, {"a", "state", "asleep"}} {
 		if _, err := Set("n.csv", []byte(csv), x[0], x[1], x[2]); err == nil {
@@ -277,7 +277,7 @@
 			d, changed, patched := r.Read("n.csv", text)
 			want := Parse("n.csv", []byte(text))
 			if !reflect.DeepEqual(d.Rows, want.Rows) && len(d.Rows)+len(want.Rows) > 0 || !reflect.DeepEqual(d.Faults, want.Faults) || d.Complete != want.Complete {
-				t.Fatalf("%q:\n%+v %v\n%+v %v", text, d.Rows, faultTexts(d), want.Rows, faultTexts(want))
+				t.Fatalf("text %q:\ngot  %+v, faults %v\nwant %+v, faults %v", text, d.Rows, faultTexts(d), want.Rows, faultTexts(want))
 			}
 			if patched {
 				patches++
--- a/internal/nodes/routing/routing_test.go
+++ b/internal/nodes/routing/routing_test.go
@@ -61,7 +61,7 @@
 		}
 		// A broker can pick a node only once: if weights are very unequal, not all places can be filled.
 		if unfilled > len(brokers)*k/3+k {
-			t.Fatalf("%d places of %d are not filled", unfilled, len(brokers)*k)
+			t.Fatalf("%d of %d places in subsets are not filled", unfilled, len(brokers)*k)
 		}
 		slices.Reverse(nodes)
 		slices.Reverse(brokers)
@@ -138,7 +138,7 @@
 func (m *subsetModel) check(t *rapid.T) {
 	t.Helper()
 	if m.subset.Table().Len() != len(m.nodes) {
-		t.Fatalf("%d nodes, want %d", m.subset.Table().Len(), len(m.nodes))
+		t.Fatalf("table has %d nodes, want %d", m.subset.Table().Len(), len(m.nodes))
 	}
 	want := map[string]bool{}
 	for _, shard := range testShards {
