--- a/internal/nodes/membership/explain.go
+++ b/internal/nodes/membership/explain.go
@@ -60,7 +60,7 @@
 		}
 	}
 	if known && s.excludedByFiles(id) {
-		explanation.Notes = append(explanation.Notes, "excluded: no file names this node, and only nodes named in files are used")
+		explanation.Notes = append(explanation.Notes, "no file has it, and only what a file has is used")
 	}
 	if n := s.nodes[id]; n != nil {
 		if n.note != "" {
--- a/internal/nodes/membership/node.go
+++ b/internal/nodes/membership/node.go
@@ -139,7 +139,7 @@
 		n.upSince = s.now
 		return false
 	}
-	n.note = fmt.Sprintf("suppressed after repeated returns: penalty %.1f, used again at %.1f or below",
+	n.note = fmt.Sprintf("came back too often: penalty %.1f, stays out until %.1f",
 		current, s.options.ReuseThreshold)
 	halfLives := math.Log2(current / s.options.ReuseThreshold)
 	wait := clock.Micros(float64(s.options.PenaltyHalfLife) * halfLives)
--- a/internal/nodes/membership/source.go
+++ b/internal/nodes/membership/source.go
@@ -59,7 +59,7 @@
 	for _, id := range omitted {
 		held.entries[id] = source.entries[id]
 	}
-	held.reason = fmt.Sprintf("removals held back: %d of %d nodes are missing from %s, limit %d",
+	held.reason = fmt.Sprintf("%d of %d nodes are gone from %s at once, more than %d: held back",
 		len(held.entries), len(source.entries), from, limit)
 }
 
