--- a/internal/broker/control/address.go
+++ b/internal/broker/control/address.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	maxSocketPathBytes = 100 // the kernel allows 107
+	maxSocketPathBytes = 100 // Linux accepts up to 107
 	socketMode         = 0o600
-	probeTimeout       = time.Second // for an answer of the process that may own a socket
+	probeTimeout       = time.Second // for connecting to a process that may still listen on the socket
 )
 
-// The reasons of an AddressError.
+// Reasons of an AddressError.
 var (
-	ErrSocketPath  = errors.New("a socket's path has 1 to 100 bytes")
+	ErrSocketPath  = errors.New("a socket path must have 1 to 100 bytes")
 	ErrAddressForm = errors.New("neither unix:PATH nor HOST:PORT")
-	ErrNotLoopback = errors.New("not on loopback: whoever reaches it may change the broker")
+	ErrNotLoopback = errors.New("not a loopback IP address: anyone who can reach the endpoint can reconfigure the broker")
 )
 
-// ErrSocketInUse says that another process listens on a socket.
-var ErrSocketInUse = errors.New("another process listens there")
+// ErrSocketInUse reports a socket on which another process listens.
+var ErrSocketInUse = errors.New("another process is listening on this socket")
 
-// AddressError says why an address cannot be a control address.
+// AddressError reports an invalid address of a control endpoint.
 type AddressError struct {
 	Addr   string
 	Reason error // ErrSocketPath, ErrAddressForm or ErrNotLoopback
@@ -33,11 +33,10 @@
 
 func (e *AddressError) Error() string { return fmt.Sprintf("%q: %v", e.Addr, e.Reason) }
 
-// Unwrap returns the reason.
 func (e *AddressError) Unwrap() error { return e.Reason }
 
-// ParseAddress splits a control address, unix:PATH or HOST:PORT on loopback, into the arguments of net.Listen. Its errors
-// are AddressErrors.
+// ParseAddress converts the address of a control endpoint, unix:PATH or HOST:PORT on loopback, to the arguments of
+// net.Listen. Its errors are AddressErrors.
 func ParseAddress(addr string) (network, address string, err error) {
 	if path, ok := strings.CutPrefix(addr, "unix:"); ok {
 		if path == "" || len(path) > maxSocketPathBytes {
@@ -55,8 +54,8 @@
 	return "tcp", addr, nil
 }
 
-// Listen opens a control address. It replaces a socket that a dead process left behind; where the process lives, the
-// error is ErrSocketInUse.
+// Listen listens on the address of a control endpoint. It replaces a socket file left behind by a process that has
+// exited. If a process still listens on the socket, the error is ErrSocketInUse.
 func Listen(addr string) (net.Listener, error) {
 	network, address, err := ParseAddress(addr)
 	if err != nil {
@@ -73,7 +72,7 @@
 		_ = conn.Close() // nothing was sent on it
 		return nil, fmt.Errorf("%s: %w", path, ErrSocketInUse)
 	}
-	_ = os.Remove(path) // most often there is none; what cannot be removed fails the next step
+	_ = os.Remove(path) // usually there is none; a file that cannot be removed makes net.Listen fail
 	ln, err := net.Listen("unix", path)
 	if err != nil {
 		return nil, err
--- a/internal/broker/control/client.go
+++ b/internal/broker/control/client.go
@@ -12,27 +12,28 @@
 	"net/url"
 )
 
-// ErrNoRecords says that the broker keeps no records in memory.
+// ErrNoRecords reports a broker that keeps no records in memory.
 var ErrNoRecords = errors.New("the broker keeps no records in memory")
 
-// StatusError says that an answer could not be used.
+// StatusError reports a response that cannot be used.
 type StatusError struct {
-	Status int // of the HTTP answer
+	Status int // HTTP status of the response
 	Err    error
 }
 
-func (e *StatusError) Error() string { return fmt.Sprintf("control: status %d: %v", e.Status, e.Err) }
+func (e *StatusError) Error() string {
+	return fmt.Sprintf("control: response with HTTP status %d: %v", e.Status, e.Err)
+}
 
-// Unwrap returns what was wrong with the answer.
 func (e *StatusError) Unwrap() error { return e.Err }
 
-// Client talks to an endpoint. It makes each call once; the caller decides on retries.
+// Client calls the control endpoint of a broker. It makes each call once; the caller decides on retries.
 type Client struct {
 	http *http.Client
 	base string
 }
 
-// Dial returns a client for an address. It sends nothing yet, and each call opens a connection of its own.
+// Dial returns a client for an address. It opens no connection; each call opens its own.
 func Dial(addr string) (*Client, error) {
 	network, address, err := ParseAddress(addr)
 	if err != nil {
@@ -48,21 +49,22 @@
 	return &Client{http: &http.Client{Transport: transport}, base: "http://broker/v1/"}, nil
 }
 
-// State returns what the boot holds.
+// State returns the state of the broker process.
 func (c *Client) State(ctx context.Context) (*State, error) {
 	var st State
 	err := c.call(ctx, http.MethodGet, "state", nil, &st)
 	return &st, err
 }
 
-// Change sends a change. After an error it is unknown whether the change was applied; it may be retried with the same ID.
+// Change sends a change. After an error it is unknown whether the change was applied; it may be retried with the same
+// ID.
 func (c *Client) Change(ctx context.Context, ch *Change) (*Outcome, error) {
 	var o Outcome
 	err := c.call(ctx, http.MethodPost, "change", ch, &o)
 	return &o, err
 }
 
-// Nodes decodes into out the origin of each fact about a node, or about all nodes where id is empty.
+// Nodes decodes into out the source of each attribute of a node, or of all nodes if id is empty.
 func (c *Client) Nodes(ctx context.Context, id string, out any) error {
 	path := "nodes"
 	if id != "" {
@@ -71,16 +73,16 @@
 	return c.call(ctx, http.MethodGet, path, nil, out)
 }
 
-// AcceptRemovals has the broker apply the node removals that its guard holds back. It returns the number of nodes whose use
-// changed.
+// AcceptRemovals makes the broker apply the node removals that its removal guard holds back. It returns the number of
+// nodes whose state changed.
 func (c *Client) AcceptRemovals(ctx context.Context) (changed int, err error) {
 	var out acceptResult
 	err = c.call(ctx, http.MethodPost, "nodes/accept", nil, &out)
 	return out.Changed, err
 }
 
-// Records returns, in the form of a segment, the records that a broker without a record folder keeps in memory. More than
-// maxBytes are an error. The error is ErrNoRecords where the broker does not record to memory.
+// Records returns, in the format of a segment, the records that a broker without a record directory keeps in memory. A
+// response of more than maxBytes is an error. If the broker does not record to memory, the error is ErrNoRecords.
 func (c *Client) Records(ctx context.Context, maxBytes int64) ([]byte, error) {
 	resp, err := c.send(ctx, http.MethodGet, "records", nil)
 	if err != nil {
@@ -92,18 +94,18 @@
 	}
 	b, err := io.ReadAll(io.LimitReader(resp.Body, maxBytes+1))
 	if err == nil && int64(len(b)) > maxBytes {
-		err = fmt.Errorf("control: more than %d bytes of records", maxBytes)
+		err = fmt.Errorf("control: the records exceed %d bytes", maxBytes)
 	}
 	return b, err
 }
 
-// call sends in as JSON, unless it is nil, and decodes the answer of any status into out.
+// call sends in as JSON, unless it is nil, and decodes a response of any status into out.
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
 	var body io.Reader
 	if in != nil {
 		b, err := json.Marshal(in)
 		if err != nil {
-			return fmt.Errorf("control: %s: %w", path, err)
+			return fmt.Errorf("control: encode the request body for %s: %w", path, err)
 		}
 		body = bytes.NewReader(b)
 	}
--- a/internal/broker/control/handler.go
+++ b/internal/broker/control/handler.go
@@ -5,11 +5,11 @@
 	"net/http"
 )
 
-// maxChangeBytes bounds the text of a change and of an answer: overrides for thousands of nodes fit.
+// maxChangeBytes bounds the body of a change and of a response; overrides for thousands of nodes fit.
 const maxChangeBytes = 8 << 20
 
-// Handler serves the endpoint: GET /v1/state, /v1/nodes and /v1/records, POST /v1/change and /v1/nodes/accept. A path whose
-// callback is not set answers 404.
+// Handler returns the HTTP handler of the endpoint: GET /v1/state, /v1/nodes and /v1/records, POST /v1/change and
+// /v1/nodes/accept. A path whose callback is not set responds with 404.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/state", func(w http.ResponseWriter, _ *http.Request) {
@@ -44,13 +44,13 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
-	_, _ = w.Write(s.callbacks.records()) // a client that has gone away asks again
+	_, _ = w.Write(s.callbacks.records()) // a client that has disconnected sends the request again
 }
 
 func (s *Server) serveChange(w http.ResponseWriter, r *http.Request) {
 	var c Change
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxChangeBytes))
-	d.DisallowUnknownFields() // accepting an unknown field would promise an effect that it does not have
+	d.DisallowUnknownFields() // an unknown field would be accepted and have no effect
 	if err := d.Decode(&c); err != nil {
 		writeJSON(w, http.StatusBadRequest, Outcome{Code: CodeRejected, Reason: err.Error()})
 		return
@@ -59,7 +59,7 @@
 	writeJSON(w, o.Code.httpStatus(), o)
 }
 
-// httpStatus is the status of an answer with this code.
+// httpStatus returns the HTTP status of a response with this code.
 func (c Code) httpStatus() int {
 	switch c {
 	case CodeApplied:
@@ -76,5 +76,5 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // a client that has gone away asks again
+	_ = json.NewEncoder(w).Encode(v) // a client that has disconnected sends the request again
 }
--- a/internal/broker/control/ledger.go
+++ b/internal/broker/control/ledger.go
@@ -7,25 +7,25 @@
 	"fmt"
 )
 
-// Ledger decides which changes one boot applies: it knows the revision that the boot holds, the highest fencing token and
-// the outcomes of the latest commands by idempotency key. It does no I/O. It is not safe for concurrent use.
+// Ledger decides which changes one boot applies: it keeps the revision that the boot holds, the highest fencing token
+// and the outcomes of the latest commands by idempotency key. It does no I/O. It is not safe for concurrent use.
 type Ledger struct {
 	boot        string
 	revision    uint64
 	token       uint64
-	maxCommands int // outcomes remembered
+	maxCommands int // maximum number of outcomes kept
 	outcomes    map[string]recordedOutcome
-	order       []string // keys of outcomes, the oldest first
+	order       []string // keys of outcomes, oldest first
 }
 
-// recordedOutcome is the outcome of an earlier command, with the digest that tells whether a change under the same
-// idempotency key is the same change.
+// recordedOutcome is the outcome of an earlier command. The digest tells a repetition of the command from a different
+// change with the same idempotency key.
 type recordedOutcome struct {
 	digest  changeDigest
 	outcome Outcome
 }
 
-// NewLedger returns the ledger of a boot that holds revision 0. It remembers the outcomes of up to maxCommands commands.
+// NewLedger returns the ledger of a boot that holds revision 0. It keeps the outcomes of the last maxCommands commands.
 func NewLedger(boot string, maxCommands int) *Ledger {
 	return &Ledger{
 		boot:        boot,
@@ -34,16 +34,16 @@
 	}
 }
 
-// Boot is the identifier of the boot.
+// Boot returns the identifier of the boot.
 func (l *Ledger) Boot() string { return l.boot }
 
-// Applied is the revision that the boot holds.
+// Applied returns the revision that the boot holds.
 func (l *Ledger) Applied() uint64 { return l.revision }
 
-// Token is the highest fencing token seen.
+// Token returns the highest fencing token seen.
 func (l *Ledger) Token() uint64 { return l.token }
 
-// Admit checks a change. It returns nil where the change is to be applied; the caller then reports the result to Record.
+// Admit checks a change. It returns nil if the change is to be applied; the caller then passes the result to Record.
 // Otherwise the outcome that it returns is final. A change whose idempotency key is known gets the recorded outcome
 // again and is never applied twice.
 func (l *Ledger) Admit(c *Change) *Outcome {
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// Record stores the result of an admitted change: applied with its effects, or rejected where err is not nil.
+// Record stores the result of an admitted change: applied with its effects, or rejected if err is not nil.
 func (l *Ledger) Record(c *Change, effects []Effect, err error) *Outcome {
 	var o *Outcome
 	if err != nil {
@@ -87,7 +87,7 @@
 	return o
 }
 
-// repeat answers a change whose idempotency key is known.
+// repeat returns the outcome of a change whose idempotency key is known.
 func (l *Ledger) repeat(c *Change, earlier recordedOutcome) *Outcome {
 	if earlier.digest != digestOf(c) {
 		return l.reject(CodeIDConflict, "id %s belongs to another change", c.ID)
@@ -98,7 +98,7 @@
 	return &o
 }
 
-// reject returns an outcome that leaves the boot as it is.
+// reject returns the outcome of a change that is not applied.
 func (l *Ledger) reject(code Code, format string, args ...any) *Outcome {
 	return &Outcome{
 		Code:            code,
@@ -111,11 +111,11 @@
 // changeDigest identifies the content of a change.
 type changeDigest string
 
-// digestOf leaves out the fencing token, since a new agent may complete a command that its predecessor began.
+// digestOf ignores the fencing token, since a new agent may complete a command that its predecessor started.
 func digestOf(c *Change) changeDigest {
 	withoutToken := *c
 	withoutToken.FencingToken = 0
-	b, _ := json.Marshal(&withoutToken) // plain values always marshal
+	b, _ := json.Marshal(&withoutToken) // cannot fail: the fields are plain values
 	sum := sha256.Sum256(b)
 	return changeDigest(hex.EncodeToString(sum[:]))
 }
--- a/internal/broker/control/ledger_test.go
+++ b/internal/broker/control/ledger_test.go
@@ -12,16 +12,16 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
-// ledgerModel drives a ledger and holds what it must not violate.
+// ledgerModel drives a ledger and keeps the state that its decisions are checked against.
 type ledgerModel struct {
 	ledger       *Ledger
-	boots        int
-	applications map[string]int // of this boot, by idempotency key
+	boots        int            // boots started so far
+	applications map[string]int // in the current boot, by idempotency key
 	sent         []Change       // to all boots
-	highestToken uint64         // that this boot has seen
+	highestToken uint64         // seen by the current boot
 }
 
-// restart begins the next boot.
+// restart starts the next boot.
 func (m *ledgerModel) restart() {
 	m.boots++
 	m.ledger = NewLedger(fmt.Sprint("b", m.boots), 1000)
@@ -29,42 +29,43 @@
 	m.highestToken = 0
 }
 
-// drawRepeat draws a change that was sent before, possibly by another agent now; ok is false where there is none.
+// drawRepeat draws a change that was sent before, sometimes with the token of another agent. ok is false if none was
+// sent.
 func (m *ledgerModel) drawRepeat(t *rapid.T) (c Change, ok bool) {
 	if len(m.sent) == 0 {
 		return Change{}, false
 	}
-	c = rapid.SampledFrom(m.sent).Draw(t, "again")
+	c = rapid.SampledFrom(m.sent).Draw(t, "earlier change")
 	if rapid.Bool().Draw(t, "other agent") {
 		c.FencingToken = uint64(rapid.IntRange(1, 3).Draw(t, "token"))
 	}
 	return c, true
 }
 
-// drawNew draws a new change, some with a stale base or no new revision.
+// drawNew draws a new change. Some have a wrong base revision or no higher revision.
 func (m *ledgerModel) drawNew(t *rapid.T, n int) Change {
 	c := Change{
 		ID:           fmt.Sprint("c", n),
 		FencingToken: uint64(rapid.IntRange(1, 3).Draw(t, "token")),
 		Boot:         m.ledger.Boot(),
 		BaseRevision: m.ledger.Applied(),
-		Revision:     m.ledger.Applied() + uint64(rapid.IntRange(0, 2).Draw(t, "up")),
+		Revision:     m.ledger.Applied() + uint64(rapid.IntRange(0, 2).Draw(t, "revision increment")),
 	}
-	if rapid.IntRange(0, 3).Draw(t, "stale") == 0 {
+	if rapid.IntRange(0, 3).Draw(t, "wrong base") == 0 {
 		c.BaseRevision++
 	}
 	m.sent = append(m.sent, c)
 	return c
 }
 
-// handle gives the ledger a change and checks what it decides.
+// handle passes a change to the ledger and checks its decision.
 func (m *ledgerModel) handle(t *rapid.T, c Change) {
 	before := m.ledger.Applied()
 	o := m.ledger.Admit(&c)
 	if o == nil {
 		o = m.apply(t, c, before)
 	} else if m.ledger.Applied() != before || o.Code == CodeApplied && !o.Repeated {
-		t.Fatalf("%+v", o)
+		t.Fatalf("%+v was not admitted, but the boot went from revision %d to %d with outcome %+v", c, before, m.ledger.Applied(), o)
 	}
 	if o.Code != CodeRejected || o.Reason != "id: missing" {
 		m.highestToken = max(m.highestToken, c.FencingToken)
@@ -77,30 +78,30 @@
 		t.Fatalf("%+v was admitted at revision %d", c, before)
 	}
 	var err error
-	if rapid.IntRange(0, 4).Draw(t, "refuse") == 0 {
-		err = errors.New("no")
+	if rapid.IntRange(0, 4).Draw(t, "invalid") == 0 {
+		err = errors.New("invalid change")
 	}
 	o := m.ledger.Record(&c, nil, err)
 	m.applications[c.ID]++
 	if m.applications[c.ID] > 1 {
-		t.Fatalf("%s was carried out twice", c.ID)
+		t.Fatalf("change %s was applied twice", c.ID)
 	}
 	after := m.ledger.Applied()
 	if (err == nil) != (o.Code == CodeApplied) || err == nil && after != c.Revision || err != nil && after != before {
-		t.Fatalf("%+v %d", o, after)
+		t.Fatalf("recorded %+v with error %v: outcome %+v, revision %d", c, err, o, after)
 	}
 	return o
 }
 
-// Two agents send changes that repeat, cross, come late and are meant for other boots: a boot applies each command at most
-// once, its revision only rises and only from the one that a change builds on, and an agent is rejected once one with a
-// higher token has been seen.
+// Agents send changes that are repeated, out of date, interleaved with those of other agents or meant for another boot.
+// A boot applies each command at most once, its revision only increases, and only from the base revision of a change.
+// The changes of an agent are rejected once a higher fencing token has been seen.
 func TestLedgerAppliesEachCommandAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &ledgerModel{}
 		m.restart()
-		for n := range rapid.IntRange(1, 60).Draw(t, "calls") {
-			switch rapid.IntRange(0, 5).Draw(t, "what") {
+		for n := range rapid.IntRange(1, 60).Draw(t, "steps") {
+			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
 				m.restart()
 			case 1, 2:
--- a/internal/broker/control/messages.go
+++ b/internal/broker/control/messages.go
@@ -6,15 +6,15 @@
 	"poppyarch/internal/fleet/spec"
 )
 
-// Change is the whole configuration that an agent wants a broker process to apply at runtime. It is a full desired state
-// and not a difference.
+// Change is the runtime configuration that an agent wants a broker process to apply. It is the full desired state, not
+// a difference.
 type Change struct {
 	ID            string              `json:"id"`       // idempotency key of the command
-	FencingToken  uint64              `json:"token"`    // of the agent; a token lower than the highest one seen is rejected
+	FencingToken  uint64              `json:"token"`    // of the agent; one below the highest one seen is rejected
 	Boot          string              `json:"boot"`     // the boot that the change is meant for
 	BaseRevision  uint64              `json:"base"`     // the revision that the boot must hold
-	Revision      uint64              `json:"revision"` // the revision that it holds afterwards; greater than BaseRevision
-	FleetRevision uint64              `json:"rev"`      // the fleet's revision that it comes from, for information
+	Revision      uint64              `json:"revision"` // the revision held afterwards; greater than BaseRevision
+	FleetRevision uint64              `json:"rev"`      // the fleet revision that it comes from, for information
 	Live          spec.LiveSettings   `json:"live"`
 	NodeOverrides []spec.NodeOverride `json:"nodes"`
 }
@@ -22,22 +22,22 @@
 // Code is the result of a change.
 type Code string
 
-// The codes, as they are sent.
+// Codes as they are sent.
 const (
 	CodeApplied    Code = "taken"    // the change is in force
-	CodeFenced     Code = "fenced"   // an agent with a higher fencing token has sent changes
+	CodeFenced     Code = "fenced"   // an agent with a higher fencing token has sent a change
 	CodeWrongBoot  Code = "boot"     // the change was meant for another boot
-	CodeStaleBase  Code = "base"     // the boot holds another revision than the change builds on
+	CodeStaleBase  Code = "base"     // the boot holds another revision than BaseRevision
 	CodeRejected   Code = "refused"  // the change is invalid; Outcome.Reason names the field
 	CodeIDConflict Code = "misnamed" // the idempotency key belongs to a different change
 	CodeDraining   Code = "draining" // the broker is shutting down
 )
 
-// Outcome answers a change.
+// Outcome is the response to a change.
 type Outcome struct {
 	Code            Code     `json:"code"`
 	Reason          string   `json:"reason,omitempty"`
-	Repeated        bool     `json:"repeated,omitempty"` // the outcome of an earlier attempt with the same idempotency key
+	Repeated        bool     `json:"repeated,omitempty"` // outcome of an earlier attempt with the same idempotency key
 	Boot            string   `json:"boot"`
 	AppliedRevision uint64   `json:"applied"` // the revision that the boot holds now
 	Effects         []Effect `json:"did,omitempty"`
@@ -50,25 +50,25 @@
 	NewValue string `json:"to"`
 }
 
-// State is a broker's answer to GET /v1/state.
+// State is the response to GET /v1/state.
 type State struct {
 	Name                 string            `json:"name"`
 	Boot                 string            `json:"boot"`
 	PID                  int               `json:"pid"`
-	StartDigest          string            `json:"started"` // digest of the start settings, as the configuration gives it
-	AppliedRevision      uint64            `json:"applied"` // 0: the configuration that it started with
-	FleetRevision        uint64            `json:"rev"`     // the fleet's revision that AppliedRevision comes from
-	FencingToken         uint64            `json:"token"`   // the highest seen
+	StartDigest          string            `json:"started"` // digest of the start settings, from the configuration
+	AppliedRevision      uint64            `json:"applied"` // 0 until a change has been applied
+	FleetRevision        uint64            `json:"rev"`     // the fleet revision that AppliedRevision comes from
+	FencingToken         uint64            `json:"token"`   // the highest one seen
 	StartedAt            time.Time         `json:"since"`
 	Draining             bool              `json:"draining,omitempty"`
-	EndpointListRevision int64             `json:"list_rev"` // of the endpoint list in force; -1: none yet
+	EndpointListRevision int64             `json:"list_rev"` // of the endpoint list in force; -1 if there is none yet
 	NodeCount            int               `json:"nodes"`
-	InFlight             int64             `json:"open"`              // requests admitted and not answered
-	Live                 spec.LiveSettings `json:"live"`              // in force
-	Stats                *Stats            `json:"figures,omitempty"` // of the last second, where the broker records
+	InFlight             int64             `json:"open"`              // requests admitted and not yet answered
+	Live                 spec.LiveSettings `json:"live"`              // settings in force
+	Stats                *Stats            `json:"figures,omitempty"` // of the last second; nil if nothing is recorded
 }
 
-// acceptResult answers POST /v1/nodes/accept.
+// acceptResult is the response to POST /v1/nodes/accept.
 type acceptResult struct {
-	Changed int `json:"changed"` // nodes whose use has changed
+	Changed int `json:"changed"` // number of nodes whose state has changed
 }
--- a/internal/broker/control/server.go
+++ b/internal/broker/control/server.go
@@ -18,19 +18,20 @@
 type Broker interface {
 	// Check returns an error that names the invalid field of a change, or nil.
 	Check(spec.LiveSettings, []spec.NodeOverride) error
-	// Apply brings a checked change into force and returns what that altered.
+	// Apply applies a checked change and returns the settings that it altered.
 	Apply(spec.LiveSettings, []spec.NodeOverride) []Effect
-	// FillState fills in what the broker knows: endpoint list, nodes, requests in flight, settings in force.
+	// FillState sets the endpoint list revision, the node count, the requests in flight, the settings in force and the
+	// statistics.
 	FillState(*State)
 }
 
-// The points at which the hook is called while a change is handled.
+// Points at which the hook is called while a change is handled.
 const (
 	PointAdmitted = "admitted" // before the change is applied
-	PointRecorded = "recorded" // after it was recorded, before it is answered
+	PointRecorded = "recorded" // after the outcome was recorded, before the response is sent
 )
 
-// maxCommands is how many outcomes the ledger remembers.
+// maxCommands is the number of outcomes that the ledger keeps.
 const maxCommands = 256
 
 // Server is the control endpoint of one boot. The methods that set callbacks are called before Serve.
@@ -42,13 +43,14 @@
 	startedAt   time.Time
 	callbacks   callbacks
 
-	mu            sync.Mutex // guards what follows and serializes changes
+	mu            sync.Mutex // guards the fields below and serializes changes
 	ledger        *Ledger
 	fleetRevision uint64
 	draining      bool
 }
 
-// callbacks are optional; nil ones turn off what they serve.
+// callbacks are the optional functions of a Server. A nil hook or onChange is not called; a path that needs another one
+// that is nil responds with 404.
 type callbacks struct {
 	hook           func(point string)
 	onChange       func(*Change, *Outcome)
@@ -57,8 +59,8 @@
 	acceptRemovals func() int
 }
 
-// NewServer returns the endpoint of a boot that holds revision 0. startDigest is the digest of the start settings that the
-// configuration gives.
+// NewServer returns the endpoint of a boot that holds revision 0. startDigest is the digest of the start settings, from
+// the configuration.
 func NewServer(name, boot, startDigest string, b Broker, log *slog.Logger) *Server {
 	return &Server{
 		broker:      b,
@@ -70,20 +72,21 @@
 	}
 }
 
-// SetHook has f called at PointAdmitted and PointRecorded of an admitted change; tests stop the process there.
+// SetHook sets a function that is called at PointAdmitted and PointRecorded of an admitted change. Tests stop the
+// process there.
 func (s *Server) SetHook(f func(point string)) { s.callbacks.hook = f }
 
-// OnChange has f called with every change and its outcome.
+// OnChange sets a function that is called with every change and its outcome.
 func (s *Server) OnChange(f func(*Change, *Outcome)) { s.callbacks.onChange = f }
 
-// HandleNodes serves GET /v1/nodes from explain, called with the id of one node or with "" for all, and POST
-// /v1/nodes/accept from acceptRemovals, which returns the number of nodes changed.
+// HandleNodes sets the functions that serve GET /v1/nodes and POST /v1/nodes/accept. explain is called with the id of
+// one node or with "" for all; acceptRemovals returns the number of nodes that changed.
 func (s *Server) HandleNodes(explain func(id string) any, acceptRemovals func() int) {
 	s.callbacks.explainNodes = explain
 	s.callbacks.acceptRemovals = acceptRemovals
 }
 
-// HandleRecords serves GET /v1/records from f, which returns the records that the broker keeps in memory.
+// HandleRecords sets the function that serves GET /v1/records. It returns the records that the broker keeps in memory.
 func (s *Server) HandleRecords(f func() []byte) { s.callbacks.records = f }
 
 // Drain rejects all changes from now on.
@@ -93,7 +96,7 @@
 	s.draining = true
 }
 
-// State is the answer to GET /v1/state.
+// State returns the response to GET /v1/state.
 func (s *Server) State() State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,7 +115,8 @@
 	return st
 }
 
-// Change applies a change or says why it does not. Changes are handled one at a time.
+// Change applies a change, or returns an outcome with the reason why it was not applied. Changes are handled one at a
+// time.
 func (s *Server) Change(c *Change) *Outcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,7 +167,7 @@
 	maxHeaderBytes    = 16 << 10
 )
 
-// Serve answers on ln until ctx is done; it then closes ln and all connections.
+// Serve serves the endpoint on ln until ctx is done; it then closes ln and all connections.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	srv := &http.Server{
 		Handler:           s.Handler(),
@@ -175,7 +179,7 @@
 		ErrorLog:          slog.NewLogLogger(s.log.Handler(), slog.LevelWarn),
 	}
 	stop := context.AfterFunc(ctx, func() {
-		_ = srv.Close() // the process is ending; there is nobody to tell
+		_ = srv.Close() // the process is ending; no caller could use the error
 	})
 	defer stop()
 	if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
--- a/internal/broker/control/server_test.go
+++ b/internal/broker/control/server_test.go
@@ -28,9 +28,9 @@
 
 func (f *fakeBroker) FillState(st *State) { st.NodeCount = 7 }
 
-// serve runs a server of boot b1 on a Unix socket and returns a client; the server has ended without an error when stop
-// returns.
-func serve(t *testing.T, b Broker) (s *Server, c *Client, stop func()) {
+// startServer runs a server of boot b1 on a Unix socket and returns a client. stop waits until the server has ended and
+// fails the test if it returned an error.
+func startServer(t *testing.T, b Broker) (s *Server, c *Client, stop func()) {
 	t.Helper()
 	s = NewServer("n1", "b1", "d1", b, slog.New(slog.DiscardHandler))
 	addr := "unix:" + filepath.Join(t.TempDir(), "c")
@@ -53,56 +53,58 @@
 	}
 }
 
-func TestRetryAfterLostAnswerGetsRecordedOutcome(t *testing.T) {
+// The connection breaks after a change was applied and before its response is sent. The retry with the same idempotency
+// key gets the recorded outcome, and the change is not applied again.
+func TestRetryAfterLostResponseGetsRecordedOutcome(t *testing.T) {
 	b := &fakeBroker{}
-	s, c, stop := serve(t, b)
-	lost := false
+	s, c, stop := startServer(t, b)
+	responseLost := false
 	s.SetHook(func(point string) {
-		if point == PointRecorded && !lost {
-			lost = true
-			panic(http.ErrAbortHandler) // the connection breaks instead of an answer
+		if point == PointRecorded && !responseLost {
+			responseLost = true
+			panic(http.ErrAbortHandler) // closes the connection without a response
 		}
 	})
 	change := &Change{ID: "c1", FencingToken: 1, Boot: "b1", Revision: 5}
 	if _, err := c.Change(t.Context(), change); err == nil {
-		t.Fatal("an answer though the connection broke")
+		t.Fatal("got an outcome although the connection was closed before the response")
 	}
 	o, err := c.Change(t.Context(), change)
 	if err != nil || o.Code != CodeApplied || !o.Repeated || o.AppliedRevision != 5 || b.applied != 1 {
-		t.Fatalf("%v %+v, applied %d times", err, o, b.applied)
+		t.Fatalf("retry: error %v, outcome %+v, applied %d times", err, o, b.applied)
 	}
 	o, err = c.Change(t.Context(), &Change{ID: "c2", FencingToken: 1, Boot: "b1", BaseRevision: 5, Revision: 6, Live: spec.LiveSettings{MaxInFlight: -1}})
 	if err != nil || o.Code != CodeRejected || o.AppliedRevision != 5 {
-		t.Fatalf("%v %+v", err, o)
+		t.Fatalf("invalid change: error %v, outcome %+v", err, o)
 	}
 	s.Drain()
 	o, err = c.Change(t.Context(), &Change{ID: "c3", FencingToken: 1, Boot: "b1", BaseRevision: 5, Revision: 6})
 	if err != nil || o.Code != CodeDraining {
-		t.Fatalf("%v %+v", err, o)
+		t.Fatalf("change while draining: error %v, outcome %+v", err, o)
 	}
 	st, err := c.State(t.Context())
 	if err != nil || st.AppliedRevision != 5 || st.NodeCount != 7 || !st.Draining || st.StartDigest != "d1" {
-		t.Fatalf("%v %+v", err, st)
+		t.Fatalf("error %v, state %+v", err, st)
 	}
 	stop()
 }
 
 func TestRecordsWithoutRecorderIsErrNoRecords(t *testing.T) {
-	_, c, stop := serve(t, &fakeBroker{})
+	_, c, stop := startServer(t, &fakeBroker{})
 	if _, err := c.Records(t.Context(), 10); !errors.Is(err, ErrNoRecords) {
-		t.Errorf("error %v", err)
+		t.Errorf("got error %v, want %v", err, ErrNoRecords)
 	}
 	stop()
 }
 
-func TestListenOnLiveSocketIsErrSocketInUse(t *testing.T) {
+func TestListenOnSocketInUseIsErrSocketInUse(t *testing.T) {
 	addr := "unix:" + filepath.Join(t.TempDir(), "c")
 	ln, err := Listen(addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Listen(addr); !errors.Is(err, ErrSocketInUse) {
-		t.Errorf("error %v", err)
+		t.Errorf("got error %v, want %v", err, ErrSocketInUse)
 	}
 	if err := ln.Close(); err != nil {
 		t.Error(err)
@@ -119,7 +121,7 @@
 		_, err := Dial(addr)
 		var addrErr *AddressError
 		if !errors.As(err, &addrErr) || addrErr.Addr != addr || !errors.Is(err, reason) {
-			t.Errorf("%q: error %v, want %v", addr, err, reason)
+			t.Errorf("address %q: got error %v, want %v", addr, err, reason)
 		}
 	}
 }
--- a/internal/broker/control/stats.go
+++ b/internal/broker/control/stats.go
@@ -2,13 +2,13 @@
 
 import "poppyarch/internal/timing/clock"
 
-// Stats counts what a broker did in a span of time. Durations are microseconds.
+// Stats are the statistics of a broker over a time span. Durations are in microseconds.
 type Stats struct {
 	Span     clock.Micros   `json:"span"`
 	Requests []RequestStats `json:"groups"`
 	Nodes    []NodeStats    `json:"nodes"`
-	Volumes  []VolumeStats  `json:"volumes"`           // the most frequent ones
-	Dropped  uint64         `json:"dropped,omitempty"` // records lost for want of buffer space, since the boot
+	Volumes  []VolumeStats  `json:"volumes"`           // those with the most requests
+	Dropped  uint64         `json:"dropped,omitempty"` // records dropped since the boot because the buffer was full
 }
 
 // RequestStats counts the requests of one class and plan.
@@ -16,14 +16,14 @@
 	Class    string       `json:"class"`
 	Plan     string       `json:"plan"`
 	Served   uint64       `json:"served"`
-	Late     uint64       `json:"late"` // of the served, those that missed the latency objective
+	Late     uint64       `json:"late"` // served requests that missed the latency objective
 	Rejected uint64       `json:"refused"`
 	Failed   uint64       `json:"failed"`
 	P50      clock.Micros `json:"p50"`
 	P99      clock.Micros `json:"p99"`
 }
 
-// VolumeStats counts the requests of one volume. Count may be too high by up to CountError.
+// VolumeStats counts the requests of one volume. Count is an estimate that is too high by at most CountError.
 type VolumeStats struct {
 	Volume     string `json:"volume"`
 	Count      uint64 `json:"count"`
