--- a/internal/broker/config/config.go
+++ b/internal/broker/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads the broker's configuration, checks it and derives what it leaves open. It is the only place that
-// does. Errors name the faulty key; those of single keys are KeyErrors.
+// Package config reads and validates the broker's configuration and derives the values that it leaves out. No other
+// package does. Errors name the invalid key; an error about a single key is a KeyError.
 package config
 
 import (
@@ -10,38 +10,38 @@
 	"poppyarch/internal/nodes/discovery"
 )
 
-// Config is a checked configuration.
+// Config is a validated configuration.
 type Config struct {
 	Name          string
-	Listen        string // of the block frontend; empty: it is off
+	Listen        string // of the block frontend; empty if it is off
 	DiscoveryAddr string
 	Seed          uint64
-	InitialList   discovery.List // known at the start; its Revision is discovery.NoRevision where there is none
+	InitialList   discovery.List // in force at the start; its Revision is discovery.NoRevision if there is none
 	Policy        decision.Config
-	Zones         []string // by number
-	Shards        int      // 0: unknown
+	Zones         []string // names, by zone number
+	Shards        int      // number of shards; 0 if unknown
 	Limits        limits.Limits
-	Object        *Object    // nil: the object frontend is off
-	Control       *Control   // nil: there is no control endpoint
-	Record        *Record    // nil: nothing is recorded
-	Nodes         *NodeFiles // nil: the node list is discovery's alone
+	Object        *Object    // nil if the object frontend is off
+	Control       *Control   // nil if there is no control endpoint
+	Record        *Record    // nil if nothing is recorded
+	Nodes         *NodeFiles // nil if nodes come from discovery alone
 	LogLevel      string     // debug, info, warn or error
 
 	source source
 }
 
-// source is what Reload compares with the next version of the file.
+// source is the part of the file that Reload compares with the next version of it.
 type source struct {
-	discoveryAddr string            // in the file, without the environment's override
-	keys          map[string]string // the JSON text of each key
+	discoveryAddr string            // in the file, regardless of LB_DISCOVERY
+	keys          map[string]string // canonical JSON of the value of each top-level key
 }
 
-// ClassIndex is the number of a class, or -1 where there is none of this name.
+// ClassIndex returns the index of the class with this name, or -1 if there is none.
 func (c *Config) ClassIndex(name string) int {
 	return slices.IndexFunc(c.Policy.Classes, func(k decision.Class) bool { return k.Name == name })
 }
 
-// PlanIndex is the number of a plan, or -1 where there is none of this name.
+// PlanIndex returns the index of the plan with this name, or -1 if there is none.
 func (c *Config) PlanIndex(name string) int {
 	return slices.IndexFunc(c.Policy.Plans, func(p decision.Plan) bool { return p.Name == name })
 }
--- a/internal/broker/config/config_test.go
+++ b/internal/broker/config/config_test.go
@@ -33,33 +33,33 @@
 	}
 }
 
-// A change counts as known to the broker 2 s after the wait of a call that hangs, and 4 s after SIGHUP: a hung call must be
-// detected early enough for several retries.
+// A change counts as known to the broker 2 s after the time-out of a hung watch, and 4 s after SIGHUP. A hung watch
+// must be detected early enough for several retries.
 func TestHungWatchIsDetectedWithinTwoSeconds(t *testing.T) {
 	c, err := Parse([]byte(validConfig), noEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if l := c.Limits; l.WatchGracePeriod > 1_000_000 || l.WatchTimeout+l.WatchGracePeriod > 2_000_000 {
-		t.Errorf("a hung call is noticed after %d + %d µs", l.WatchTimeout, l.WatchGracePeriod)
+		t.Errorf("a hung watch is detected after %d + %d µs, want at most 1 s of grace period and 2 s in total", l.WatchTimeout, l.WatchGracePeriod)
 	}
 }
 
-// One discovery serves all brokers, so the wait of a call has to grow with their number, yet stay within the time after which
-// changes count as known to a broker that does not poll.
+// One discovery service serves all brokers, so the watch time-out must grow with their number. It must stay within the
+// time after which changes count as known to a broker that does not poll.
 func TestWatchTimeoutGrowsWithFleet(t *testing.T) {
-	for brokers, maxCalls := range map[int]float64{4: 4.1, 300: 110, 1024: 210} {
+	for brokers, maxPolls := range map[int]float64{4: 4.1, 300: 110, 1024: 210} {
 		text := strings.Replace(validConfig, `"settings":{`, fmt.Sprintf(`"settings":{"balancers":%d,"contract":{"ask_within_ns":10000000000},`, brokers), 1)
 		c, err := Parse([]byte(text), noEnv)
 		if err != nil {
 			t.Fatal(err)
 		}
 		l := c.Limits
-		if calls := float64(brokers) * 1e6 / float64(l.WatchTimeout); calls > maxCalls || l.WatchTimeout > 5_000_000 {
-			t.Errorf("%d brokers make %.0f calls a second, each waits %d µs", brokers, calls, l.WatchTimeout)
+		if polls := float64(brokers) * 1e6 / float64(l.WatchTimeout); polls > maxPolls || l.WatchTimeout > 5_000_000 {
+			t.Errorf("%d brokers make %.0f polls a second with a watch time-out of %d µs", brokers, polls, l.WatchTimeout)
 		}
 		if l.DiscoveryMoveJitter > 1_500_000 || brokers >= 300 && l.DiscoveryMoveJitter < 1_000_000 {
-			t.Errorf("%d brokers poll a new address within %d µs", brokers, l.DiscoveryMoveJitter)
+			t.Errorf("%d brokers spread the polls of a new address over %d µs", brokers, l.DiscoveryMoveJitter)
 		}
 	}
 }
@@ -75,12 +75,12 @@
 		t.Errorf("%+v, %v", c, err)
 	}
 	if _, err := Load(noEnv); err == nil || !strings.HasPrefix(err.Error(), "LB_CONFIG") {
-		t.Errorf("got %v", err)
+		t.Errorf("without LB_CONFIG: got error %v", err)
 	}
 }
 
-// A reload also names the keys that wait for the next start. LB_DISCOVERY is in force until the file names another address
-// than it did.
+// A reload also names the changed keys that take effect at the next start. LB_DISCOVERY stays in force until the
+// address in the file changes.
 func TestReloadAppliesDiscoveryAndLogOnly(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.json")
 	env := map[string]string{"LB_CONFIG": path, "LB_DISCOVERY": "127.0.0.1:8"}
@@ -112,19 +112,19 @@
 		next, restart, err := c.Reload(getenv)
 		if x.err != "" {
 			if err == nil || !strings.Contains(err.Error(), x.err) {
-				t.Errorf("%q: %v", x.replace, err)
+				t.Errorf("%q: got error %v, want one that contains %q", x.replace, err, x.err)
 			}
 			continue
 		}
 		if err != nil || next.DiscoveryAddr != x.discovery || next.LogLevel != x.log || strings.Join(restart, " ") != x.restart {
-			t.Errorf("%q: %v, %s, %s, restart %q", x.replace, err, next.DiscoveryAddr, next.LogLevel, restart)
+			t.Errorf("%q: error %v, discovery %s, log %s, keys that need a restart %q", x.replace, err, next.DiscoveryAddr, next.LogLevel, restart)
 			continue
 		}
 		c = next
 	}
 }
 
-func TestErrorsNameTheFaultyKey(t *testing.T) {
+func TestErrorsNameTheInvalidKey(t *testing.T) {
 	for _, x := range []struct{ old, new, want string }{
 		{`"listen":"127.0.0.1:1"`, `"listen":"127.0.0.1"`, "listen: "},
 		{`"listen":"127.0.0.1:1"`, `"listen":7`, "listen: "},
@@ -150,10 +150,10 @@
 	} {
 		text := strings.Replace(validConfig, x.old, x.new, 1)
 		if text == validConfig {
-			t.Fatalf("%s is not there", x.old)
+			t.Fatalf("validConfig does not contain %s", x.old)
 		}
 		if _, err := Parse([]byte(text), noEnv); err == nil || !strings.HasPrefix(err.Error(), x.want) {
-			t.Errorf("%s: got %v", x.new, err)
+			t.Errorf("%s: got error %v, want prefix %q", x.new, err, x.want)
 		}
 	}
 }
@@ -170,18 +170,18 @@
 	}
 }
 
-// The reuse window is that of the connection pool and the cost of a handshake that of the settings.
+// The policy gets the reuse window of the connection pool, and the cost of a handshake from the settings.
 func TestConnectionSettingsReachThePolicy(t *testing.T) {
-	priced := strings.Replace(validConfig, `"limits":{"keepalive_ns"`, `"deductions":{"handshake":0.08},"limits":{"keepalive_ns"`, 1)
-	c, err := Parse([]byte(priced), noEnv)
+	withCost := strings.Replace(validConfig, `"limits":{"keepalive_ns"`, `"deductions":{"handshake":0.08},"limits":{"keepalive_ns"`, 1)
+	c, err := Parse([]byte(withCost), noEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c.Policy.HandshakeCost != 0.08 || clock.FromDuration(c.Policy.ConnectionReuseWindow) != c.Limits.NodeReuseWindow || c.Policy.ConnectionReuseWindow <= 0 {
-		t.Errorf("handshake cost %v, reuse window %v, of the pool %d µs", c.Policy.HandshakeCost, c.Policy.ConnectionReuseWindow, c.Limits.NodeReuseWindow)
+		t.Errorf("handshake cost %v, reuse window %v in the policy and %d µs in the pool", c.Policy.HandshakeCost, c.Policy.ConnectionReuseWindow, c.Limits.NodeReuseWindow)
 	}
 	_, err = Parse([]byte(strings.Replace(validConfig, `"settings":`, `"tuning":{"list_told":0},"settings":`, 1)), noEnv)
 	if err == nil || !strings.Contains(err.Error(), "list_told") {
-		t.Errorf("list_told 0: %v", err)
+		t.Errorf("list_told 0: got error %v, want one that names the key", err)
 	}
 }
--- a/internal/broker/config/control.go
+++ b/internal/broker/config/control.go
@@ -3,5 +3,5 @@
 // Control configures the control endpoint.
 type Control struct {
 	Listen      string `json:"listen"`            // unix:PATH, or HOST:PORT on loopback
-	StartDigest string `json:"started,omitempty"` // of the start settings, for whoever starts the broker
+	StartDigest string `json:"started,omitempty"` // digest of the start settings, for the agent that starts the broker
 }
--- a/internal/broker/config/errors.go
+++ b/internal/broker/config/errors.go
@@ -8,26 +8,25 @@
 	"strconv"
 )
 
-// ErrMissing says that a key has no value.
+// ErrMissing reports a required key without a value.
 var ErrMissing = errors.New("missing")
 
-// KeyError says what is wrong with the value of a key.
+// KeyError reports a key with an invalid value.
 type KeyError struct {
-	Key string // with the keys of the objects around it, separated by dots
+	Key string // path of the key: the keys of the enclosing objects and its own, separated by dots
 	Err error
 }
 
 func (e *KeyError) Error() string { return e.Key + ": " + e.Err.Error() }
 
-// Unwrap returns the reason.
 func (e *KeyError) Unwrap() error { return e.Err }
 
 func keyErrorf(key, format string, args ...any) error {
 	return &KeyError{Key: key, Err: fmt.Errorf(format, args...)}
 }
 
-// within adds the key of an object to an error about one of its keys.
-func within(object string, err error) error {
+// prefixKey prepends the key of an object to the path of an error about one of its keys.
+func prefixKey(object string, err error) error {
 	var keyErr *KeyError
 	if errors.As(err, &keyErr) {
 		return &KeyError{Key: object + "." + keyErr.Key, Err: keyErr.Err}
@@ -35,11 +34,11 @@
 	return &KeyError{Key: object, Err: err}
 }
 
-// jsonError makes a type error of encoding/json name the key.
+// jsonError converts a type error of encoding/json to a KeyError.
 func jsonError(err error) error {
 	var typeErr *json.UnmarshalTypeError
 	if errors.As(err, &typeErr) {
-		return keyErrorf(typeErr.Field, "cannot be a %s", typeErr.Value)
+		return keyErrorf(typeErr.Field, "is a JSON %s, expected %s", typeErr.Value, typeErr.Type.Kind())
 	}
 	return err
 }
--- a/internal/broker/config/limits.go
+++ b/internal/broker/config/limits.go
@@ -21,44 +21,44 @@
 	defaultSockets  = 1024
 	minMemoryMB     = 32
 	minSockets      = 64
-	ownDescriptors  = 32 // of the runtime, standard streams, listeners and discovery
+	ownDescriptors  = 32 // for the runtime, standard streams, listeners and discovery
 )
 
 // The platform sends SIGKILL after a grace period that follows from the longest deadline.
 const (
-	maxKillDeadline = 3 * second        // longer deadlines count as this
-	killSlack       = 700 * millisecond // the grace period is longer than the deadline by this
-	killMargin      = 150 * millisecond // all requests are answered so long before
-	drainAnswerTime = 250 * millisecond // what the last request admitted has left
+	maxKillDeadline    = 3 * second        // longer deadlines are treated as this one
+	killSlack          = 700 * millisecond // the grace period exceeds the deadline by this
+	killMargin         = 150 * millisecond // all requests are answered this long before SIGKILL
+	drainAnswerReserve = 250 * millisecond // time left to answer the last request that is admitted
 )
 
-// Polls of discovery.
+// Polling of discovery, and idle connections to nodes.
 const (
-	localAgentMaxBackoff  = 150 * millisecond // an agent that serves one broker bears frequent polls
-	maxPollsPerSecond     = 100               // that a whole fleet makes while nothing changes
+	localAgentMaxBackoff  = 150 * millisecond // an agent that serves a single broker can take frequent polls
+	maxPollsPerSecond     = 100               // made by the whole fleet while nothing changes
 	moveJitterPerBroker   = 5 * millisecond
-	maxMoveJitter         = second + 500*millisecond // the old address serves this long after a change
-	keepAliveSafetyFactor = 3                        // idle connections are closed this much earlier than the node would
+	maxMoveJitter         = second + 500*millisecond // the old address still serves this long after a change of address
+	keepAliveSafetyFactor = 3                        // idle connections are closed this factor earlier than by the node
 )
 
-// setLimits derives the limits from the machine and the settings, and applies the tuning.
+// setLimits derives the limits from the machine size and the settings, and applies the overrides in tuning.
 func (c *Config) setLimits(in *file, settings *connectionSettings) error {
 	machine, err := in.Limits.withDefaults()
 	if err != nil {
 		return err
 	}
-	l := machine.limits()
-	c.limitConnections(l, settings)
-	c.limitDiscovery(l)
-	c.limitRequests(l, settings)
-	if err := tune(l, in.Tuning); err != nil {
+	l := machine.defaultLimits()
+	c.setConnectionLimits(l, settings)
+	c.setDiscoveryLimits(l)
+	c.setRequestLimits(l, settings)
+	if err := applyTuning(l, in.Tuning); err != nil {
 		return err
 	}
 	c.Limits = *l
 	return nil
 }
 
-// withDefaults checks the size and fills in defaults.
+// withDefaults validates the size and fills in defaults.
 func (m machineSize) withDefaults() (machineSize, error) {
 	if m.Cores < 0 || m.MemoryMB < 0 || m.Sockets < 0 {
 		return m, &KeyError{Key: "limits", Err: errors.New("cores, memory_mb and sockets cannot be negative")}
@@ -67,16 +67,16 @@
 	m.MemoryMB = cmp.Or(m.MemoryMB, defaultMemoryMB)
 	m.Sockets = cmp.Or(m.Sockets, defaultSockets)
 	if m.MemoryMB < minMemoryMB {
-		return m, keyErrorf("limits.memory_mb", "%d is under %d", m.MemoryMB, minMemoryMB)
+		return m, keyErrorf("limits.memory_mb", "%d is below the minimum of %d", m.MemoryMB, minMemoryMB)
 	}
 	if m.Sockets < minSockets {
-		return m, keyErrorf("limits.sockets", "%d is under %d", m.Sockets, minSockets)
+		return m, keyErrorf("limits.sockets", "%d is below the minimum of %d", m.Sockets, minSockets)
 	}
 	return m, nil
 }
 
-// limits are the defaults, and what follows from the size of the machine.
-func (m machineSize) limits() *limits.Limits {
+// defaultLimits returns the default limits of a machine of this size.
+func (m machineSize) defaultLimits() *limits.Limits {
 	memoryBytes := m.MemoryMB << 20
 	freeDescriptors := m.Sockets - ownDescriptors
 	return &limits.Limits{
@@ -97,7 +97,7 @@
 		ClientWriteTimeout:             5 * second,
 		ClientFirstByteTimeout:         2*second + 500*millisecond,
 		ClientStallTimeout:             second + 500*millisecond,
-		ClientIdleConns:                m.Sockets/3 - m.Sockets/24, // clients may hold a third: idle ones must not use that up
+		ClientIdleConns:                m.Sockets/3 - m.Sockets/24, // clients may use a third, idle ones not all of it
 		ClientIdleTimeoutUnderPressure: 2 * second,
 		ClientIdleTimeout:              10 * second,
 		ClientLingerTimeout:            200 * millisecond,
@@ -132,8 +132,8 @@
 	}
 }
 
-// limitConnections applies what the settings say of connections to storage nodes.
-func (c *Config) limitConnections(l *limits.Limits, settings *connectionSettings) {
+// setConnectionLimits applies the settings for connections to storage nodes.
+func (c *Config) setConnectionLimits(l *limits.Limits, settings *connectionSettings) {
 	if v := settings.Limits.ConnectTimeout; v > 0 {
 		l.ConnectTimeout = clock.FromDuration(time.Duration(v))
 	}
@@ -144,10 +144,11 @@
 	c.Policy.ConnectionReuseWindow = clock.Duration(l.NodeReuseWindow)
 }
 
-// limitDiscovery scales the polls with the size of the fleet, since one discovery service serves all brokers. A change of
-// its address is spread further than the polls: each broker then reads the full list, while a poll without changes is
-// small. A longer wait is safe: changes only count as known to the broker some time after it.
-func (c *Config) limitDiscovery(l *limits.Limits) {
+// setDiscoveryLimits scales the poll interval with the size of the fleet, since one discovery service serves all
+// brokers. After a change of its address the first polls are spread over a longer time, because each broker then reads
+// the full list, while the response to a poll without changes is small. A longer watch time-out is safe: a change only
+// counts as known to the broker some time after the watch has timed out.
+func (c *Config) setDiscoveryLimits(l *limits.Limits) {
 	brokers := clock.Micros(c.Policy.Brokers)
 	l.WatchTimeout = max(l.WatchTimeout, brokers*second/maxPollsPerSecond)
 	if v := clock.FromDuration(c.Policy.MaxPollInterval); v > 0 {
@@ -159,28 +160,28 @@
 	l.DiscoveryMoveJitter = min(brokers*moveJitterPerBroker, maxMoveJitter)
 }
 
-// limitRequests follows the classes' deadlines and latency objectives.
-func (c *Config) limitRequests(l *limits.Limits, settings *connectionSettings) {
+// setRequestLimits derives limits from the classes' deadlines and latency objectives.
+func (c *Config) setRequestLimits(l *limits.Limits, settings *connectionSettings) {
 	if v := settings.Limits.MaxInFlight; v > 0 {
 		l.MaxInFlight = min(l.MaxInFlight, v)
 	}
 	longest := clock.Micros(0)
 	for _, k := range c.Policy.Classes {
 		longest = max(longest, clock.FromDuration(k.Deadline))
-		// An idempotent request whose response stalls can still be retried in time.
+		// Leaves enough time to retry an idempotent request whose response stalls.
 		l.ResponseCompletionTimeout = min(l.ResponseCompletionTimeout, clock.FromDuration(k.LatencyObjective)/3)
 	}
-	l.ClientRequestTimeout = longest // by then its client has given up
+	l.ClientRequestTimeout = longest // the client has given up by then
 	l.DrainTotalTime = max(l.DrainTotalTime, longest+500*millisecond)
 	l.DrainAnswerTime = min(longest, maxKillDeadline) + killSlack - killMargin
-	l.DrainServeTime = max(l.DrainAnswerTime-drainAnswerTime, l.DrainAcceptTime)
+	l.DrainServeTime = max(l.DrainAnswerTime-drainAnswerReserve, l.DrainAcceptTime)
 }
 
-// descriptorReserve is how many descriptors connections must leave.
+// descriptorReserve is the number of descriptors that connections must leave free.
 const descriptorReserve = 16
 
-// tune overrides single limits and checks the result.
-func tune(l *limits.Limits, tuning json.RawMessage) error {
+// applyTuning overrides single limits and checks the result.
+func applyTuning(l *limits.Limits, tuning json.RawMessage) error {
 	if len(tuning) > 0 {
 		d := json.NewDecoder(bytes.NewReader(tuning))
 		d.DisallowUnknownFields()
@@ -194,19 +195,19 @@
 		}
 	}
 	if l.ClientConns+l.NodeConns+descriptorReserve > l.Descriptors {
-		return keyErrorf("tuning.client_conns", "%d with %d node_conns do not fit %d descriptors",
-			l.ClientConns, l.NodeConns, l.Descriptors)
+		return keyErrorf("tuning.client_conns", "%d and %d node_conns exceed the %d descriptors, of which %d are reserved",
+			l.ClientConns, l.NodeConns, l.Descriptors, descriptorReserve)
 	}
 	return nil
 }
 
-// namedLimit is a limit with its key in the configuration.
+// namedLimit is a limit with its key in the tuning object.
 type namedLimit struct {
 	key   string
 	value int64
 }
 
-// positiveLimits are the limits that must be above 0.
+// positiveLimits returns the limits that must be above 0.
 func positiveLimits(l *limits.Limits) []namedLimit {
 	return []namedLimit{
 		{"procs", int64(l.Procs)},
--- a/internal/broker/config/nodefiles.go
+++ b/internal/broker/config/nodefiles.go
@@ -14,21 +14,25 @@
 	defaultRemoteZonePenaltyMS = 50
 )
 
-// NodeFiles configures lists of storage nodes in files, and how they are merged with discovery's.
+// NodeFiles configures node lists in files and how they are merged with the list of discovery.
 type NodeFiles struct {
-	Files               []string `json:"files"`     // .csv, .yaml, .yml, or folders of such
-	Mode                string   `json:"mode"`      // "union" (default): files add nodes and restrict them; "limit": only what a file has is used
-	MaxRemovalFraction  *float64 `json:"guard"`     // omissions of more than this share at once are held back; 0: none; default 0.2
-	MinGuardedRemovals  int      `json:"guard_min"` // up to so many never are; default 3
-	RemovalHoldMS       int64    `json:"hold_ms"`   // how long they are held back; default 600000
-	LocalZone           string   `json:"zone"`      // the broker's own; new objects go to nodes there unless others are better by far_ms
-	RemoteZonePenaltyMS int64    `json:"far_ms"`    // default 50
-	Subset              int      `json:"subset"`    // of a shard's nodes, only so many are used by this broker; 0: all
-	SuppressThreshold   *float64 `json:"suppress"`  // penalty above which a node that returns stays out; 0: never; default 3
+	Files []string `json:"files"` // .csv, .yaml or .yml files, or directories of such files
+	// "union" (default): files add nodes and restrict them; "limit": only nodes that a file lists are used.
+	Mode string `json:"mode"`
+	// An update that omits more than this fraction of the nodes is held back; 0 turns this off; default 0.2.
+	MaxRemovalFraction *float64 `json:"guard"`
+	MinGuardedRemovals int      `json:"guard_min"` // up to this many removals are never held back; default 3
+	RemovalHoldMS      int64    `json:"hold_ms"`   // how long removals are held back; default 600000
+	// The broker's own zone. New objects go to nodes in it unless others are better by far_ms.
+	LocalZone           string   `json:"zone"`
+	RemoteZonePenaltyMS int64    `json:"far_ms"`   // default 50
+	Subset              int      `json:"subset"`   // number of a shard's nodes that this broker uses; 0 for all
+	SuppressThreshold   *float64 `json:"suppress"` // penalty above which a returning node is not used; 0: off; default 3
 }
 
-// MembershipOptions are the options of the membership. slowStart is the duration of a node's slow start; 0: the default.
-// Without node files only operators' overrides are merged with discovery's list, and nodes that return are not suppressed.
+// MembershipOptions returns the options of the membership. slowStart is the duration of a node's slow start; 0 selects
+// the default. Without node files (n is nil) only operators' overrides are merged with discovery's list, and nodes that
+// return are not suppressed.
 func (n *NodeFiles) MembershipOptions(slowStart time.Duration) membership.Options {
 	o := membership.DefaultOptions()
 	if slowStart > 0 {
@@ -59,9 +63,9 @@
 	case len(n.Files) == 0:
 		return &KeyError{Key: "files", Err: ErrMissing}
 	case n.Mode != "" && n.Mode != modeUnion && n.Mode != modeLimit:
-		return keyErrorf("mode", "%q is neither union nor limit", n.Mode)
+		return keyErrorf("mode", "%q is neither \"union\" nor \"limit\"", n.Mode)
 	case n.MaxRemovalFraction != nil && !(*n.MaxRemovalFraction >= 0 && *n.MaxRemovalFraction <= 1): // also NaN
-		return keyErrorf("guard", "%v is not 0 to 1", *n.MaxRemovalFraction)
+		return keyErrorf("guard", "%v is not between 0 and 1", *n.MaxRemovalFraction)
 	case n.MinGuardedRemovals < 0:
 		return keyErrorf("guard_min", "%d is negative", n.MinGuardedRemovals)
 	case n.RemoteZonePenaltyMS < 0:
--- a/internal/broker/config/object.go
+++ b/internal/broker/config/object.go
@@ -11,16 +11,16 @@
 // Object configures the object frontend.
 type Object struct {
 	Listen        string            `json:"listen"`
-	Shards        int               `json:"shards"`     // that objects are distributed over by their names; default: that of the settings
-	UnitBytes     int64             `json:"unit_bytes"` // bytes of one unit of a request's size; default 1 MiB
+	Shards        int               `json:"shards"`     // that objects are distributed over by name; default: n_shards
+	UnitBytes     int64             `json:"unit_bytes"` // bytes in one unit of request size; default 1 MiB
 	ReadClass     string            `json:"read_class"`
 	WriteClass    string            `json:"write_class"`
-	CompleteClass string            `json:"complete_class"` // of calls that complete an upload; not idempotent
+	CompleteClass string            `json:"complete_class"` // of requests that complete an upload; not idempotent
 	DefaultPlan   string            `json:"default_plan"`
-	BucketPlans   map[string]string `json:"buckets"` // plans by bucket
+	BucketPlans   map[string]string `json:"buckets"` // plan names, by bucket
 }
 
-// checkObject checks the object frontend's keys and fills in defaults.
+// checkObject validates the keys of the object frontend and fills in defaults.
 func (c *Config) checkObject() error {
 	o := c.Object
 	if err := CheckAddress(o.Listen); err != nil {
@@ -30,7 +30,7 @@
 		o.Shards = c.Shards
 	}
 	if o.Shards <= 0 {
-		return &KeyError{Key: "shards", Err: errors.New("must be above 0 (settings.specifics.n_shards is missing too)")}
+		return &KeyError{Key: "shards", Err: errors.New("must be above 0 (the default, settings.specifics.n_shards, is not set)")}
 	}
 	if o.UnitBytes == 0 {
 		o.UnitBytes = defaultUnitBytes
@@ -57,10 +57,10 @@
 		}
 		idempotency := c.Policy.Classes[i].Idempotency
 		if class.key == "read_class" && idempotency != decision.Idempotent {
-			return keyErrorf(class.key, "class %q may not be repeated, but reads are", class.name)
+			return keyErrorf(class.key, "reads are retried, but class %q is not \"retryable\"", class.name)
 		}
 		if class.key == "complete_class" && idempotency != decision.NotIdempotent {
-			return keyErrorf(class.key, "class %q may run twice, but completions must not", class.name)
+			return keyErrorf(class.key, "a completion must not run twice, but class %q is not \"fragile\"", class.name)
 		}
 	}
 	return nil
--- a/internal/broker/config/parse.go
+++ b/internal/broker/config/parse.go
@@ -25,7 +25,7 @@
 	defaultMaxRetryAfter = 2 * time.Second
 )
 
-// file is the form of the configuration file.
+// file is the JSON object of the configuration file.
 type file struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -39,17 +39,17 @@
 	Record    *Record         `json:"record"`
 	Nodes     *NodeFiles      `json:"nodes"`
 	Log       string          `json:"log"`
-	Tuning    json.RawMessage `json:"tuning"` // single values of limits.Limits, by their JSON names
+	Tuning    json.RawMessage `json:"tuning"` // overrides of limits.Limits, by JSON name
 }
 
-// machineSize is what the broker may use of its machine.
+// machineSize is the part of the machine that the broker may use.
 type machineSize struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int64   `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// connectionSettings is the part of the settings that concerns connections and not decisions.
+// connectionSettings is the part of the settings that the decision module does not use.
 type connectionSettings struct {
 	Zones  []string `json:"zones"`
 	Limits struct {
@@ -62,12 +62,11 @@
 	} `json:"specifics"`
 }
 
-// Load reads the configuration file that the variable LB_CONFIG names. LB_NAME, LB_LISTEN and LB_DISCOVERY override its
-// keys.
+// Load reads the configuration file that LB_CONFIG names. LB_NAME, LB_LISTEN and LB_DISCOVERY override its keys.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv("LB_CONFIG")
 	if path == "" {
-		return nil, errors.New("LB_CONFIG: not set; it names the configuration file")
+		return nil, errors.New("LB_CONFIG: not set; it must name the configuration file")
 	}
 	text, err := readFile(path)
 	if err != nil {
@@ -96,7 +95,8 @@
 	return text, nil
 }
 
-// Parse checks the text of a configuration file and fills in defaults. getenv gives the overriding variables.
+// Parse validates the text of a configuration file and fills in defaults. getenv returns the environment variables that
+// override its keys.
 func Parse(text []byte, getenv func(string) string) (*Config, error) {
 	var in file
 	if err := json.Unmarshal(text, &in); err != nil {
@@ -148,7 +148,7 @@
 
 func (c *Config) checkAddresses() error {
 	if c.Listen == "" && c.Object == nil {
-		return keyErrorf("listen", "%w (and no object front is set up)", ErrMissing)
+		return keyErrorf("listen", "%w (and the object frontend is not configured)", ErrMissing)
 	}
 	if c.Listen != "" {
 		if err := CheckAddress(c.Listen); err != nil {
@@ -158,7 +158,7 @@
 	if err := CheckAddress(c.DiscoveryAddr); err != nil {
 		return &KeyError{Key: "discovery", Err: err}
 	}
-	if c.source.discoveryAddr != "" { // a reload may change to it, whatever LB_DISCOVERY says
+	if c.source.discoveryAddr != "" { // a reload may switch to it even if LB_DISCOVERY is set
 		if err := CheckAddress(c.source.discoveryAddr); err != nil {
 			return &KeyError{Key: "discovery", Err: err}
 		}
@@ -174,7 +174,7 @@
 	return keyErrorf("log", "%q is none of debug, info, warn, error", c.LogLevel)
 }
 
-// setSeed sets the seed of the random decisions; without one in the file, each start draws its own.
+// setSeed sets the seed of the random decisions. If the file has none, it is taken from the clock at each start.
 func (c *Config) setSeed(text string) error {
 	if text == "" {
 		c.Seed = uint64(time.Now().UnixNano())
@@ -182,13 +182,13 @@
 	}
 	seed, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
-		return keyErrorf("seed", "%q is not a number of up to 16 hex digits", text)
+		return keyErrorf("seed", "%q is not a number of 1 to 16 hexadecimal digits", text)
 	}
 	c.Seed = seed
 	return nil
 }
 
-// setPolicy sets what follows from the settings alone.
+// setPolicy sets the fields that depend on the settings object alone.
 func (c *Config) setPolicy(text json.RawMessage) (*connectionSettings, error) {
 	if len(text) == 0 {
 		return nil, &KeyError{Key: "settings", Err: ErrMissing}
@@ -197,11 +197,12 @@
 	if c.Policy, err = settings.Parse(string(text), c.Seed); err != nil {
 		return nil, err
 	}
-	// The settings say whether the simulator's clients get a Retry-After. Those of a broker always may.
+	// The settings say whether clients in the simulator get a Retry-After. Clients of a broker always may.
 	c.Policy.SendsRetryAfter = true
 	c.Policy.MaxRetryAfter = cmp.Or(c.Policy.MaxRetryAfter, defaultMaxRetryAfter)
-	// A broker always reads its list with a watch. Where the settings say that lists are pushed, a discovery agent of its own
-	// answers it, and what that agent has counts as known to the broker whether or not a watch is open.
+	// A broker always reads its endpoint list with a watch. If the settings say that lists are pushed, a local
+	// discovery agent serves the watch, and the list that this agent has counts as known to the broker even while no
+	// watch is open.
 	if !c.Policy.PollsEndpoints {
 		c.Policy.PollsEndpoints = true
 		c.Policy.LocalDiscoveryAgent = true
@@ -218,7 +219,7 @@
 	return &connections, nil
 }
 
-// checkSections checks the optional objects of the file and fills in their defaults.
+// checkSections validates the optional objects of the file and fills in their defaults.
 func (c *Config) checkSections() error {
 	if c.Control != nil {
 		if _, _, err := control.ParseAddress(c.Control.Listen); err != nil {
@@ -227,26 +228,26 @@
 	}
 	if c.Nodes != nil {
 		if err := c.Nodes.check(); err != nil {
-			return within("nodes", err)
+			return prefixKey("nodes", err)
 		}
 		if err := c.setLocalZone(); err != nil {
-			return within("nodes", err)
+			return prefixKey("nodes", err)
 		}
 	}
 	if c.Record != nil {
 		if err := c.Record.check(); err != nil {
-			return within("record", err)
+			return prefixKey("record", err)
 		}
 	}
 	if c.Object != nil {
 		if err := c.checkObject(); err != nil {
-			return within("object", err)
+			return prefixKey("object", err)
 		}
 	}
 	return nil
 }
 
-// setLocalZone has the policy prefer nodes of the broker's own zone.
+// setLocalZone makes the policy prefer nodes of the broker's own zone.
 func (c *Config) setLocalZone() error {
 	zone := c.Nodes.LocalZone
 	if zone == "" {
@@ -254,7 +255,7 @@
 	}
 	i := slices.Index(c.Zones, zone)
 	if i < 0 {
-		return keyErrorf("zone", "%q is none of settings.zones", zone)
+		return keyErrorf("zone", "%q is not in settings.zones", zone)
 	}
 	c.Policy.LocalZone = i + 1
 	penalty := cmp.Or(c.Nodes.RemoteZonePenaltyMS, defaultRemoteZonePenaltyMS)
--- a/internal/broker/config/record.go
+++ b/internal/broker/config/record.go
@@ -17,15 +17,15 @@
 
 // Record configures the recorder.
 type Record struct {
-	Dir             string  `json:"dir"`           // of the segments; empty: a ring in memory
-	SampleFraction  float64 `json:"sample"`        // of the requests, recorded one by one; all are counted; default 1
+	Dir             string  `json:"dir"`           // of the segments; if empty, records go to a ring buffer in memory
+	SampleFraction  float64 `json:"sample"`        // of requests recorded individually; all are counted; default 1
 	SegmentBytes    int64   `json:"segment_bytes"` // default 8 MiB
-	TotalBytes      int64   `json:"total_bytes"`   // of all segments of this broker, or of the ring; default 256 MiB, ring 8 MiB
+	TotalBytes      int64   `json:"total_bytes"`   // of all segments (default 256 MiB) or of the ring (default 8 MiB)
 	FlushIntervalMS int64   `json:"flush_ms"`      // default 50
 	HeartbeatMS     int64   `json:"beat_ms"`       // default 500
 }
 
-// check checks the recorder's keys and fills in defaults.
+// check validates the recorder's keys and fills in defaults.
 func (r *Record) check() error {
 	inMemory := r.Dir == ""
 	total := int64(defaultTotalBytes)
@@ -39,17 +39,17 @@
 	r.HeartbeatMS = cmp.Or(r.HeartbeatMS, defaultRecordHeartbeatMS)
 	switch {
 	case !(r.SampleFraction > 0 && r.SampleFraction <= 1): // also NaN
-		return keyErrorf("sample", "%v is not above 0 and up to 1", r.SampleFraction)
+		return keyErrorf("sample", "%v is not above 0 and at most 1", r.SampleFraction)
 	case r.SegmentBytes < minRecordBytes:
-		return keyErrorf("segment_bytes", "%d is under %d", r.SegmentBytes, minRecordBytes)
+		return keyErrorf("segment_bytes", "%d is below the minimum of %d", r.SegmentBytes, minRecordBytes)
 	case r.TotalBytes < minSegmentsOfDiskRecord*r.SegmentBytes && !inMemory:
-		return keyErrorf("total_bytes", "%d is under two segments", r.TotalBytes)
+		return keyErrorf("total_bytes", "%d is less than two segments of %d bytes", r.TotalBytes, r.SegmentBytes)
 	case r.TotalBytes < minRecordBytes:
-		return keyErrorf("total_bytes", "%d is under %d", r.TotalBytes, minRecordBytes)
+		return keyErrorf("total_bytes", "%d is below the minimum of %d", r.TotalBytes, minRecordBytes)
 	case r.FlushIntervalMS < 1 || r.FlushIntervalMS > maxFlushIntervalMS:
-		return keyErrorf("flush_ms", "%d is not 1 to %d", r.FlushIntervalMS, maxFlushIntervalMS)
+		return keyErrorf("flush_ms", "%d is not between 1 and %d", r.FlushIntervalMS, maxFlushIntervalMS)
 	case r.HeartbeatMS < r.FlushIntervalMS || r.HeartbeatMS > maxRecordHeartbeatMS:
-		return keyErrorf("beat_ms", "%d is not flush_ms to %d", r.HeartbeatMS, maxRecordHeartbeatMS)
+		return keyErrorf("beat_ms", "%d is not between flush_ms (%d) and %d", r.HeartbeatMS, r.FlushIntervalMS, maxRecordHeartbeatMS)
 	}
 	return nil
 }
--- a/internal/broker/config/reload.go
+++ b/internal/broker/config/reload.go
@@ -6,17 +6,18 @@
 	"slices"
 )
 
-// Keys that Reload does not name as waiting for a restart.
+// Keys whose changes Reload does not report as needing a restart.
 var (
 	reloadedKeys  = []string{"discovery", "log"}
-	startOnlyKeys = []string{"seed", "known"} // they describe a start and mean nothing later
+	startOnlyKeys = []string{"seed", "known"} // they describe a start and are not used afterwards
 )
 
-// Reload reads the configuration again for a broker that runs with c. A running broker applies discovery and log: next is c
-// with these two. needRestart names the other keys that have changed. An invalid file is an error, and c stays as it is.
+// Reload reads the configuration again for a broker that runs with c. Only discovery and log can change in a running
+// broker: next is c with the new values of these two. needRestart names the other keys that have changed. An invalid
+// file is an error, and c is not changed.
 //
-// At the start LB_DISCOVERY overrides the file. An address that has changed in the file since the start, or since the last
-// reload, is newer than the environment and so overrides it.
+// At the start LB_DISCOVERY overrides the file. An address that has changed in the file since the start or the last
+// reload is newer than the environment variable and therefore overrides it.
 func (c *Config) Reload(getenv func(string) string) (next *Config, needRestart []string, err error) {
 	loaded, err := Load(getenv)
 	if err != nil {
@@ -31,7 +32,7 @@
 	return &reloaded, c.needRestart(loaded), nil
 }
 
-// needRestart returns, sorted, the keys that differ in a newer configuration and only take effect at a start.
+// needRestart returns, sorted, the keys that differ in a newer configuration and take effect only at a start.
 func (c *Config) needRestart(newer *Config) []string {
 	keys := map[string]bool{}
 	for _, m := range []map[string]string{c.source.keys, newer.source.keys} {
@@ -45,7 +46,8 @@
 	return slices.Sorted(maps.Keys(keys))
 }
 
-// keys returns the text of each key of a JSON object, in a canonical form whatever its spaces and the order of members.
+// keys returns the JSON of each value of an object in canonical form, independent of white space and the order of
+// members.
 func keys(text []byte) (map[string]string, error) {
 	var doc map[string]any
 	if err := json.Unmarshal(text, &doc); err != nil {
--- a/internal/broker/settings/doc.go
+++ b/internal/broker/settings/doc.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings object that the simulator and the platform hand to a broker. It maps their names to
-// the terms of package decision; no other package knows them.
+// Package settings reads the settings object that the simulator and the platform pass to a broker. It maps their names
+// to the terms of package decision; no other package uses those names.
 //
 //	platform                         broker
 //	balancers                        Config.Brokers
--- a/internal/broker/settings/negative.go
+++ b/internal/broker/settings/negative.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// checkNotNegative returns an Error for the first number below 0 in v, whose path is that of v and the JSON names below it.
+// checkNotNegative returns an Error for the first negative number in v. path is the path of v; the path of a nested
+// value is that path followed by the JSON names of the fields and the indexes that lead to the value.
 func checkNotNegative(v reflect.Value, path string) error {
 	switch v.Kind() {
 	case reflect.Pointer:
--- a/internal/broker/settings/settings.go
+++ b/internal/broker/settings/settings.go
@@ -8,22 +8,22 @@
 	"poppyarch/internal/broker/decision"
 )
 
-// Error says what is wrong with a setting.
+// Error reports an invalid setting.
 type Error struct {
-	Path string // of the setting, as the platform writes it
+	Path string // of the setting, in the names of the platform
 	Err  error
 }
 
 func (e *Error) Error() string { return e.Path + ": " + e.Err.Error() }
 
-// Unwrap returns the reason.
 func (e *Error) Unwrap() error { return e.Err }
 
 func errorf(path, format string, args ...any) error {
 	return &Error{Path: path, Err: fmt.Errorf(format, args...)}
 }
 
-// Parse converts the JSON of the settings to the decision module's configuration. An invalid value is an Error.
+// Parse converts the JSON of the settings to the configuration of the decision module. The error for an invalid value
+// is an Error.
 func Parse(text string, seed uint64) (decision.Config, error) {
 	var in settings
 	if err := json.Unmarshal([]byte(text), &in); err != nil {
@@ -47,7 +47,7 @@
 	return out, nil
 }
 
-// decisionConfig maps everything but the classes.
+// decisionConfig maps all settings except the classes.
 func (s *settings) decisionConfig() decision.Config {
 	c := decision.Config{
 		Brokers: s.Brokers,
--- a/internal/broker/settings/settings_test.go
+++ b/internal/broker/settings/settings_test.go
@@ -17,11 +17,11 @@
 	}
 	k := c.Classes[0]
 	if c.PollsEndpoints || c.Brokers != 3 || k.Idempotency != decision.IdempotentByKey || k.DedupScope != decision.DedupShard || k.DedupWindow != 900 || c.SlowStartCapacityUnits != 13 {
-		t.Errorf("%+v", c)
+		t.Errorf("parsed %+v", c)
 	}
 }
 
-func TestInvalidSettingIsNamedByItsPath(t *testing.T) {
+func TestErrorNamesPathOfInvalidSetting(t *testing.T) {
 	for _, x := range []struct{ from, to, err string }{
 		{`"push"`, `"pull"`, `settings.discovery: "pull" is neither ask nor push`},
 		{`"dedup"`, `"often"`, `settings.classes[0].repeat: unknown kind "often"`},
@@ -34,7 +34,7 @@
 	} {
 		text := strings.Replace(validSettings, x.from, x.to, 1)
 		if _, err := Parse(text, 7); text == validSettings || err == nil || !strings.Contains(err.Error(), x.err) {
-			t.Errorf("%s: %v", x.to, err)
+			t.Errorf("%s: got error %v, want one that contains %q", x.to, err, x.err)
 		}
 	}
 }
--- a/internal/broker/settings/wire.go
+++ b/internal/broker/settings/wire.go
@@ -6,7 +6,8 @@
 	"poppyarch/internal/broker/decision"
 )
 
-// settings is the part of the object that this package reads. Its fields have the broker's names and the platform's tags.
+// settings is the part of the object that this package reads. Fields are named in the broker's terms, JSON tags in the
+// platform's.
 type settings struct {
 	Brokers    int             `json:"balancers"`
 	Classes    []class         `json:"classes"`
@@ -68,10 +69,10 @@
 	MeanUnits              float64 `json:"mean_units"`
 }
 
-// discoveryMode says how the endpoint list reaches a broker.
+// discoveryMode is the way in which the endpoint list reaches a broker.
 type discoveryMode string
 
-// The modes. Unset, the list is pushed.
+// The discovery modes. If the mode is not set, the list is pushed.
 const (
 	discoveryPolled discoveryMode = "ask"
 	discoveryPushed discoveryMode = "push"
