--- a/internal/broker/server/control.go
+++ b/internal/broker/server/control.go
@@ -9,18 +9,19 @@
 	"poppyarch/internal/broker/control"
 )
 
-// newBootID returns a random name for an incarnation of the broker.
+// newBootID returns a random identifier of a boot, which is one run of a broker process.
 func newBootID() string {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // never fails
 	return hex.EncodeToString(b[:])
 }
 
-// startControl serves the control endpoint until ctx is done. rejectChanges makes it reject all further changes.
+// startControl starts the control endpoint, which serves until ctx is done. rejectChanges makes it reject all further
+// changes.
 func (b *broker) startControl(ctx context.Context) (rejectChanges func(), err error) {
 	id := newBootID()
 	if b.recording != nil {
-		id = b.recording.bootID // the same name here and in the records
+		id = b.recording.bootID // the control endpoint and the records use the same ID
 	}
 	ln, err := control.Listen(b.cfg.Control.Listen)
 	if err != nil {
--- a/internal/broker/server/live.go
+++ b/internal/broker/server/live.go
@@ -20,9 +20,9 @@
 // membershipTick is how often the timers of the membership are checked.
 const membershipTick = 100 * time.Millisecond
 
-// liveState is what can change in a running broker: some settings, from the configuration at a reload and from the
-// control endpoint, which takes precedence, and the nodes, from discovery, lists in files and operators. It is the
-// control.Broker of the control endpoint.
+// liveState is the state of a broker that can change while it runs. Some settings are changed by a reload of the
+// configuration and by the control endpoint, which takes precedence. Nodes are changed by discovery, node lists in
+// files and operators. liveState is the control.Broker of the control endpoint.
 type liveState struct {
 	log       *slog.Logger
 	level     *slog.LevelVar
@@ -30,11 +30,11 @@
 	discovery *discovery.Client
 	recording *recording
 
-	// mu guards the fields below. Changes of nodes reach the endpoint table and the module under it, in the order in
-	// which they were decided.
+	// mu guards the fields below. It is held while node changes are passed to the endpoint table and the decision
+	// module, so that both get them in the order in which they were merged.
 	mu         sync.Mutex
 	configured spec.LiveSettings
-	overrides  spec.LiveSettings // by the control endpoint
+	overrides  spec.LiveSettings // set by the control endpoint; zero fields override nothing
 	nodes      nodeSet
 }
 
@@ -61,8 +61,8 @@
 	return s
 }
 
-// start brings the nodes known at the start into force: the initial list of discovery and the lists in files, which
-// are returned, or nil if there are none.
+// start publishes the nodes known at the start, from the initial list of discovery and from node lists in files. It
+// returns the node lists, or nil if none are configured.
 func (s *liveState) start(cfg *config.Config, initial []core.Node) *nodeLists {
 	if !s.nodes.hasMembership() {
 		s.updateFromDiscovery(initial, true)
@@ -92,11 +92,11 @@
 		s.nodes.publish(nodes, full)
 		return
 	}
-	// Published even if nothing has changed: the module resets its backoff at every word from discovery.
-	s.nodes.publish(s.nodes.toCore(s.nodes.mergeDiscovery(nodes, full)), false)
+	// Published even if nothing has changed: the decision module resets its backoff at every update from discovery.
+	s.nodes.publish(s.nodes.coreNodes(s.nodes.mergeDiscovery(nodes, full)), false)
 }
 
-// runMembershipTimers lets the timers of the membership fire until ctx is done.
+// runMembershipTimers checks the timers of the membership periodically until ctx is done.
 func (s *liveState) runMembershipTimers(ctx context.Context) {
 	ticker := time.NewTicker(membershipTick)
 	defer ticker.Stop()
@@ -121,7 +121,7 @@
 	s.applySettings()
 }
 
-// effective is the configured settings with the overrides. The caller holds mu.
+// effective returns the configured settings with the overrides applied. The caller holds mu.
 func (s *liveState) effective() spec.LiveSettings {
 	v := s.configured
 	if s.overrides.LogLevel != "" {
@@ -136,11 +136,11 @@
 	return v
 }
 
-// applySettings brings the effective settings into force. The caller holds mu.
+// applySettings applies the effective settings. The caller holds mu.
 func (s *liveState) applySettings() {
 	v := s.effective()
 	s.discovery.SetAddress(v.Discovery)
-	_ = s.level.UnmarshalText([]byte(v.LogLevel)) // valid: both sources are checked before
+	_ = s.level.UnmarshalText([]byte(v.LogLevel)) // valid: both sources have been checked
 	s.limiter.SetLimit(v.MaxInFlight)
 }
 
@@ -167,14 +167,14 @@
 			return fmt.Errorf("%s: %w", field, err)
 		}
 		if seen[n.ID] {
-			return &spec.FieldError{Field: field, Problem: n.ID + " is there twice"}
+			return &spec.FieldError{Field: field, Problem: fmt.Sprintf("node %s is listed twice", n.ID)}
 		}
 		seen[n.ID] = true
 	}
 	return nil
 }
 
-// Apply brings a checked change into force and returns what that altered.
+// Apply applies a checked change and returns the settings and nodes that it altered.
 func (s *liveState) Apply(v spec.LiveSettings, nodes []spec.NodeOverride) []control.Effect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -182,7 +182,7 @@
 	s.overrides = v
 	s.applySettings()
 	effects := settingEffects(before, s.effective())
-	changed := s.nodes.toCore(s.nodes.mergeOperators(nodes))
+	changed := s.nodes.coreNodes(s.nodes.mergeOperators(nodes))
 	for _, n := range changed {
 		old, known := s.nodes.endpoints.Get(n.ID)
 		effects = append(effects, control.Effect{
@@ -197,7 +197,7 @@
 	return effects
 }
 
-// settingEffects lists the settings that differ.
+// settingEffects returns the settings that differ.
 func settingEffects(before, after spec.LiveSettings) (effects []control.Effect) {
 	for _, e := range []control.Effect{
 		{Setting: "log", OldValue: before.LogLevel, NewValue: after.LogLevel},
@@ -211,7 +211,7 @@
 	return effects
 }
 
-// nodeEffectState names a node's state in the control endpoint's effects.
+// nodeEffectState returns the name of a node's state in the effects of a change.
 func nodeEffectState(n core.Node, known bool) string {
 	switch {
 	case !known:
@@ -222,7 +222,7 @@
 	return "up"
 }
 
-// FillState fills in what the broker knows: endpoint list, nodes, requests in flight, settings in force.
+// FillState implements control.Broker.
 func (s *liveState) FillState(st *control.State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -233,7 +233,7 @@
 	st.InFlight = s.limiter.InFlight()
 }
 
-// nodesExplanation is the answer to GET /v1/nodes.
+// nodesExplanation is the response to GET /v1/nodes without a node id.
 type nodesExplanation struct {
 	Epoch        uint64                   `json:"epoch"`
 	HeldRemovals []string                 `json:"held,omitempty"`
@@ -241,7 +241,7 @@
 	Nodes        []membership.Explanation `json:"nodes"`
 }
 
-// explainNodes says where the known state of a node comes from, or of all nodes if id is empty.
+// explainNodes explains which sources the state of a node comes from; if id is empty, it explains all nodes.
 func (s *liveState) explainNodes(id string) any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -262,7 +262,7 @@
 	return out
 }
 
-// acceptRemovals brings the removals into force that the membership holds back, and returns how many nodes changed.
+// acceptRemovals applies the removals that the membership holds back and returns the number of nodes that changed.
 func (s *liveState) acceptRemovals() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/broker/server/nodelists.go
+++ b/internal/broker/server/nodelists.go
@@ -14,26 +14,27 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// maxLoggedFaults bounds the log lines on the rows of one reading.
+// maxLoggedFaults bounds the log lines about invalid rows each time the lists are read.
 const maxLoggedFaults = 20
 
-// nodeLists keeps the node lists in files merged into the nodes of a liveState. After readAtStart one goroutine
-// owns it, that of run; the lists are read without the liveState's mutex, so that discovery never waits for a file.
+// nodeLists watches the node lists in files and merges them into the nodes of a liveState. After readAtStart it belongs
+// to the goroutine of run. Files are read without holding the liveState's mutex, so that an update from discovery never
+// waits for a file.
 type nodeLists struct {
 	paths     []string
 	state     *liveState
 	log       *slog.Logger
-	readPaths []string                    // files and directories of the last reading
-	valid     map[string]membership.Entry // last valid content of each row, by node
-	csv       nodefile.Reader             // of a single CSV list
-	reason    string                      // why removals are held, as it was last logged
+	readPaths []string                    // files and directories that were read last time
+	valid     map[string]membership.Entry // last valid content of each row, by node ID
+	csv       nodefile.Reader             // used if the only list is a CSV file
+	reason    string                      // last logged reason why removals are held back; empty if none are
 }
 
-// listUpdate is what a reading of the lists has changed.
+// listUpdate is the result of reading the lists once.
 type listUpdate struct {
-	changed  []membership.Member
-	settled  bool // the files did not change while they were read
-	complete bool // all files could be read
+	changed  []membership.Member // nodes whose state has changed
+	settled  bool                // the files did not change while they were read
+	complete bool                // all files could be read
 }
 
 func newNodeLists(paths []string, state *liveState, log *slog.Logger) *nodeLists {
@@ -46,7 +47,7 @@
 	return l.merge(doc, true).complete
 }
 
-// run follows the files until ctx is done.
+// run reads the files whenever they change, until ctx is done.
 func (l *nodeLists) run(ctx context.Context) {
 	w, err := filewatch.New(filewatch.DefaultTimes())
 	if err != nil {
@@ -54,7 +55,7 @@
 	}
 	defer w.Close()
 	w.Watch(l.readPaths)
-	unsettled := true // a change between the first reading and now is found by reading once more
+	unsettled := true // read the files once more: they may have changed between readAtStart and Watch
 	for {
 		change, ok := w.Next(ctx, unsettled)
 		if !ok {
@@ -67,8 +68,8 @@
 	}
 }
 
-// read reads and merges the lists. settled is asked once the texts are in memory: whether the files have not changed
-// meanwhile.
+// read reads and merges the lists. settled is called once the texts are in memory and reports whether the files have
+// stayed the same meanwhile.
 func (l *nodeLists) read(settled func() bool) listUpdate {
 	if changed, ok := l.mergeChangedRows(settled); ok {
 		return listUpdate{changed: changed, settled: true, complete: true}
@@ -77,7 +78,7 @@
 	return l.merge(doc, isSettled)
 }
 
-// logUpdate logs a reading that has changed something or was incomplete.
+// logUpdate logs an update that has changed nodes or is incomplete.
 func (l *nodeLists) logUpdate(u *listUpdate, delay time.Duration) {
 	if len(u.changed) > 0 || !u.complete {
 		l.log.Info("nodes: lists read", "rows", len(l.valid), "changed", len(u.changed), "settled", u.settled,
@@ -89,8 +90,8 @@
 	}
 }
 
-// mergeChangedRows merges the rows of a single settled CSV list that have changed. It reports false, and has merged
-// nothing, if there are more or other lists, or if rows have been added, removed or are invalid.
+// mergeChangedRows merges only the changed rows if the only list is a CSV file. It merges nothing and returns false for
+// other lists, if the file is changing, or if rows have been added or removed or are invalid.
 func (l *nodeLists) mergeChangedRows(settled func() bool) (changed []membership.Member, ok bool) {
 	if len(l.paths) != 1 || !isCSV(l.paths[0]) {
 		return nil, false
@@ -114,8 +115,8 @@
 	}), true
 }
 
-// merge merges all lists. An invalid row keeps its last valid content. A list that cannot be read, or that was being
-// written, removes no node.
+// merge merges all lists. An invalid row keeps its last valid content. If a list cannot be read or was being written
+// while it was read, no node is removed.
 func (l *nodeLists) merge(doc *nodefile.Doc, settled bool) listUpdate {
 	next := make(map[string]membership.Entry, len(doc.Rows))
 	for i := range doc.Rows {
@@ -143,7 +144,7 @@
 	return listUpdate{changed: changed, settled: settled, complete: doc.Complete}
 }
 
-// keepValid adds the last valid content of a node's row to next, if next has no row of it.
+// keepValid adds the last valid content of a node's row to next unless next has a row for this node.
 func (l *nodeLists) keepValid(next map[string]membership.Entry, id string) {
 	if _, ok := next[id]; ok {
 		return
@@ -153,7 +154,7 @@
 	}
 }
 
-// logFaults logs the first faults of a reading.
+// logFaults logs the first maxLoggedFaults faults and the number of the others.
 func (l *nodeLists) logFaults(faults []nodefile.Fault) {
 	for _, f := range faults[:min(len(faults), maxLoggedFaults)] {
 		text := "nodes: invalid row, the other rows are used"
@@ -167,8 +168,8 @@
 	}
 }
 
-// publish merges an update of the lists into the nodes, publishes what changes and returns it. Only this is done
-// under the liveState's mutex.
+// publish calls merge to merge an update into the membership, publishes the nodes that changed and returns them. It is
+// the only step that holds the liveState's mutex.
 func (l *nodeLists) publish(merge func(*membership.Set, int64, clock.Micros) []membership.Member) []membership.Member {
 	l.state.mu.Lock()
 	defer l.state.mu.Unlock()
@@ -184,7 +185,7 @@
 	return changed
 }
 
-// entry converts a row.
+// entry converts a row to an entry of the membership.
 func (l *nodeLists) entry(r *nodefile.Row) membership.Entry {
 	e := membership.Entry{
 		ID:         r.ID,
@@ -205,8 +206,8 @@
 	return e
 }
 
-// load reads and parses all lists. If the files have changed meanwhile, as settled says, what follows the last whole
-// line of a CSV list may be part of a row and is left out.
+// load reads and parses all lists. If the files have changed meanwhile, which settled reports, the text after the last
+// complete line of a CSV list may be a partial row and is ignored.
 func (l *nodeLists) load(settled func() bool) (doc *nodefile.Doc, isSettled bool) {
 	texts := newFileTexts(l.paths)
 	doc = nodefile.LoadAll(l.paths, nodefile.Files{Read: texts.read, List: texts.list})
@@ -218,10 +219,10 @@
 	return doc, isSettled
 }
 
-// fileTexts reads each file once, so that parsing it twice sees the same text.
+// fileTexts reads each file once and keeps its text, so that parsing it twice sees the same text.
 type fileTexts struct {
 	files map[string]fileText
-	paths []string // files and directories that were read, those to be read first among them
+	paths []string // files and directories read so far, preceded by the configured paths
 }
 
 type fileText struct {
@@ -243,7 +244,7 @@
 	return f.text, f.err
 }
 
-// readCompleteLines is read without what follows the last line end of a CSV file.
+// readCompleteLines is like read, but leaves out an incomplete last line of a CSV file.
 func (t *fileTexts) readCompleteLines(path string) ([]byte, error) {
 	text, err := t.read(path)
 	if isCSV(path) {
--- a/internal/broker/server/nodeset.go
+++ b/internal/broker/server/nodeset.go
@@ -15,18 +15,18 @@
 )
 
 // nodeSet merges the sources of nodes and publishes the result to the endpoint table, the decision module and the
-// recorder. It is guarded by the mutex of its liveState.
+// recorder. The mutex of its liveState guards it.
 type nodeSet struct {
 	clock      *clock.Clock
 	endpoints  *core.EndpointTable
 	dispatcher *dispatcher.Dispatcher
 	discovery  *discovery.Client
 	recording  *recording
-	zones      []string // names, by number
+	zones      []string // names, by zone number
 
-	members  *membership.Set // nil: discovery's list is used as it is
-	subset   *routing.Subset // nil: all nodes are used
-	versions [3]int64        // of each source's last update
+	members  *membership.Set // nil if discovery is the only source of nodes
+	subset   *routing.Subset // nil if all nodes are used
+	versions [3]int64        // of the last update, by source
 }
 
 func newNodeSet(b *broker) nodeSet {
@@ -49,7 +49,7 @@
 // hasMembership reports whether there are sources of nodes besides discovery.
 func (s *nodeSet) hasMembership() bool { return s.members != nil }
 
-// resetSubset starts the broker's subset of a large fleet anew, if the configuration asks for one.
+// resetSubset replaces the subset with an empty one, if the configuration limits the broker to a subset of the nodes.
 func (s *nodeSet) resetSubset(cfg *config.Config) {
 	if cfg.Nodes != nil && cfg.Nodes.Subset > 0 {
 		s.subset = routing.NewSubset(cfg.Name, cfg.Nodes.Subset)
@@ -59,31 +59,31 @@
 // publishInitial publishes all members known at the start.
 func (s *nodeSet) publishInitial(cfg *config.Config) {
 	s.members.EndInitialSync()
-	s.resetSubset(cfg) // chosen from all of them at once
-	s.publish(s.toCore(s.members.Members()), true)
+	s.resetSubset(cfg) // so that the subset is chosen from all members at the same time
+	s.publish(s.coreNodes(s.members.Members()), true)
 }
 
-// publish brings nodes into force, as the whole list or as changes.
+// publish passes nodes to the recorder, the endpoint table and the decision module: the full list, or changes to it.
 func (s *nodeSet) publish(nodes []core.Node, full bool) {
-	s.recording.nodeChanges(s.endpoints, nodes, full, s.discovery.Revision())
-	s.endpoints.Update(nodes, full) // first: what the module decides next is checked against it
+	s.recording.recordNodeChanges(s.endpoints, nodes, full, s.discovery.Revision())
+	s.endpoints.Update(nodes, full) // before the module: its next decisions are checked against the table
 	s.dispatcher.UpdateEndpoints(discovery.DecisionEndpoints(nodes), full)
 }
 
 // publishChanges publishes changes of the membership, if there are any.
 func (s *nodeSet) publishChanges(changed []membership.Member) {
 	if len(changed) > 0 {
-		s.publish(s.toCore(changed), false)
+		s.publish(s.coreNodes(changed), false)
 	}
 }
 
-// nextVersion numbers an update of a source.
+// nextVersion returns the version number for the next update from a source.
 func (s *nodeSet) nextVersion(source membership.Source) int64 {
 	s.versions[source]++
 	return s.versions[source]
 }
 
-// mergeDiscovery merges discovery's list, or its changes if full is false, and returns what changed.
+// mergeDiscovery merges discovery's list, or changes to it if full is false, and returns the members that changed.
 func (s *nodeSet) mergeDiscovery(nodes []core.Node, full bool) []membership.Member {
 	entries := make([]membership.Entry, 0, len(nodes))
 	var removed []string
@@ -112,7 +112,7 @@
 	return s.members.Update(membership.Discovery, version, entries, removed, s.clock.Now())
 }
 
-// mergeOperators merges the operators' overrides, all of them, and returns what changed.
+// mergeOperators replaces the operators' overrides and returns the members that changed.
 func (s *nodeSet) mergeOperators(overrides []spec.NodeOverride) []membership.Member {
 	entries := make([]membership.Entry, 0, len(overrides))
 	for _, n := range overrides {
@@ -135,15 +135,15 @@
 	return s.members.Replace(membership.Operators, s.nextVersion(membership.Operators), entries, s.clock.Now())
 }
 
-// zoneNumber is the number of a zone; an unknown one counts as the first.
+// zoneNumber returns the number of a zone. An unknown zone is treated as the first one.
 func (s *nodeSet) zoneNumber(name string) int { return max(slices.Index(s.zones, name), 0) }
 
-// toCore converts changes of the membership. With a subset, nodes outside it are left out, and the change of one
-// node may bring others into it.
-func (s *nodeSet) toCore(changed []membership.Member) []core.Node {
+// coreNodes converts changed members to nodes of package core. If the broker uses a subset, nodes outside it are left
+// out, and the change of one node may add others to it.
+func (s *nodeSet) coreNodes(changed []membership.Member) []core.Node {
 	nodes := make([]core.Node, 0, len(changed))
 	if s.subset != nil {
-		changed = s.withinSubset(changed)
+		changed = s.applySubset(changed)
 	}
 	medianCapacity := 0.0
 	if slices.ContainsFunc(changed, func(m membership.Member) bool { return m.Capacity > 0 }) {
@@ -172,21 +172,21 @@
 	return nodes
 }
 
-// withinSubset is what changes mean for the subset of the fleet that this broker uses. A node that drains or is out
-// of service is always included, and another takes its place in the subset.
-func (s *nodeSet) withinSubset(changed []membership.Member) (out []membership.Member) {
+// applySubset updates the subset of nodes that this broker uses and returns the changes to publish. A changed node that
+// is draining or out of service is always included, and another node takes its place in the subset.
+func (s *nodeSet) applySubset(changed []membership.Member) (out []membership.Member) {
 	var up []routing.Entry
-	var gone []string
+	var unavailable []string
 	listed := map[string]bool{}
 	for _, m := range changed {
 		listed[m.ID] = true
 		if m.State == membership.Up {
 			up = append(up, routing.Entry{Node: routing.Node{ID: m.ID, Weight: m.Capacity}, Shard: m.Shard})
 		} else {
-			gone = append(gone, m.ID)
+			unavailable = append(unavailable, m.ID)
 		}
 	}
-	added, dropped := s.subset.Change(up, gone)
+	added, dropped := s.subset.Change(up, unavailable)
 	for _, m := range changed {
 		switch {
 		case m.State != membership.Up || s.subset.Uses(m.ID):
--- a/internal/broker/server/process.go
+++ b/internal/broker/server/process.go
@@ -14,25 +14,25 @@
 	"poppyarch/internal/broker/config"
 )
 
-// ConfigError is a configuration that a broker cannot start from.
+// ConfigError reports a configuration that a broker cannot start with.
 type ConfigError struct{ Err error }
 
 func (e *ConfigError) Error() string { return e.Err.Error() }
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// RunProcess is a broker process: it sets the runtime up as the configuration says, serves, drains on SIGTERM and
-// SIGINT, and reloads the configuration on SIGHUP. It logs to out. A configuration that it cannot start from is a
-// *ConfigError.
+// RunProcess runs a broker process: it applies the configured limits to the Go runtime, serves requests, drains on
+// SIGTERM or SIGINT and reloads the configuration on SIGHUP. It logs to out. If it cannot start with the configuration,
+// the error is a *ConfigError.
 func RunProcess(ctx context.Context, getenv func(string) string, listen ListenFunc, out io.Writer) error {
 	return RunProcessWithHook(ctx, getenv, listen, out, nil)
 }
 
-// RunProcessWithHook is RunProcess with a hook for the control endpoint, by which tests stop the process at the
-// points named in package control.
+// RunProcessWithHook is RunProcess with a hook for the control endpoint. Tests use it to stop the process at
+// control.PointAdmitted or control.PointRecorded.
 func RunProcessWithHook(ctx context.Context, getenv func(string) string, listen ListenFunc, out io.Writer,
 	controlHook func(point string)) error {
-	// First of all, since a SIGHUP that nobody handles ends the process. It is handled until the process ends, also
-	// in a drain. Two in quick succession count as one, and the configuration is read after the second.
+	// Must come first, since an unhandled SIGHUP ends the process. SIGHUP is handled until the process ends, also
+	// during a drain. Two signals in quick succession count as one, and the configuration is read after the second.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	cfg, err := config.Load(getenv)
--- a/internal/broker/server/recording.go
+++ b/internal/broker/server/recording.go
@@ -20,21 +20,21 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// recordingCloseTimeout bounds the writing of what is left at the end.
+// recordingCloseTimeout bounds the time for writing the remaining records at the end.
 const recordingCloseTimeout = time.Second
 
-// recording connects a broker with its recorder, whose goroutine it owns from startRecording to close. A nil one
-// records nothing.
+// recording connects a broker with its recorder and owns the recorder's goroutine from startRecording to close. A nil
+// recording records nothing.
 type recording struct {
 	cfg           *config.Config
 	bootID        string
 	recorder      *record.Recorder
-	ring          *record.Ring // nil: records go to files
-	discoveryDown atomic.Bool  // the last call to discovery failed
-	discovery     atomic.Pointer[discovery.Client]
+	ring          *record.Ring                     // nil if records go to files
+	discoveryDown atomic.Bool                      // whether the last call to discovery failed
+	discovery     atomic.Pointer[discovery.Client] // nil before observeDiscovery
 }
 
-// startRecording starts a recorder as the configuration says. It returns nil if nothing is to be recorded.
+// startRecording starts the configured recorder. It returns nil if the configuration has none.
 func startRecording(cfg *config.Config, c *clock.Clock, limiter *core.ConcurrencyLimiter, endpoints *core.EndpointTable,
 	log *slog.Logger) (*recording, error) {
 	if cfg.Record == nil {
@@ -51,13 +51,13 @@
 		FlushInterval:     time.Duration(o.FlushIntervalMS) * time.Millisecond,
 		HeartbeatInterval: time.Duration(o.HeartbeatMS) * time.Millisecond,
 	}
-	r.recorder = record.New(options, r.boot(), c.Now, r.levels(limiter, endpoints), sink)
+	r.recorder = record.New(options, r.incarnation(), c.Now, r.heartbeatFiller(limiter, endpoints), sink)
 	go r.recorder.Run() // close waits for it
 	log.Info("record: started", "dir", o.Dir, "sample", o.SampleFraction, "boot", r.bootID)
 	return r, nil
 }
 
-// newSink opens the directory for records, or a ring in memory where none is configured.
+// newSink opens the record directory, or creates a ring buffer in memory if no directory is configured.
 func (r *recording) newSink() (record.Sink, error) {
 	o := r.cfg.Record
 	if o.Dir == "" {
@@ -71,11 +71,11 @@
 	return dir, nil
 }
 
-// boot describes the broker's incarnation in the records.
-func (r *recording) boot() record.Incarnation {
-	boot := record.Incarnation{Name: r.cfg.Name, ID: r.bootID}
+// incarnation describes this run of the broker process for the records.
+func (r *recording) incarnation() record.Incarnation {
+	incarnation := record.Incarnation{Name: r.cfg.Name, ID: r.bootID}
 	for _, k := range r.cfg.Policy.Classes {
-		boot.Classes = append(boot.Classes, record.Class{
+		incarnation.Classes = append(incarnation.Classes, record.Class{
 			Name:             k.Name,
 			LatencyObjective: clock.FromDuration(k.LatencyObjective),
 			Deadline:         clock.FromDuration(k.Deadline),
@@ -83,13 +83,13 @@
 		})
 	}
 	for _, p := range r.cfg.Policy.Plans {
-		boot.Plans = append(boot.Plans, record.Plan{Name: p.Name, PriceFactor: p.PriceFactor})
+		incarnation.Plans = append(incarnation.Plans, record.Plan{Name: p.Name, PriceFactor: p.PriceFactor})
 	}
-	return boot
+	return incarnation
 }
 
-// levels returns the function that fills in a heartbeat. The recorder's goroutine alone calls it.
-func (r *recording) levels(limiter *core.ConcurrencyLimiter, endpoints *core.EndpointTable) func(*record.Heartbeat) {
+// heartbeatFiller returns the function that fills in a heartbeat. Only the recorder's goroutine calls it.
+func (r *recording) heartbeatFiller(limiter *core.ConcurrencyLimiter, endpoints *core.EndpointTable) func(*record.Heartbeat) {
 	heap := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 	return func(b *record.Heartbeat) {
 		metrics.Read(heap)
@@ -103,7 +103,7 @@
 	}
 }
 
-// close writes what is left and ends the recorder.
+// close writes the remaining records and stops the recorder.
 func (r *recording) close() {
 	if r == nil {
 		return
@@ -113,7 +113,7 @@
 	r.recorder.Close(ctx)
 }
 
-// requests is the recorder of requests, nil if nothing is recorded.
+// requests returns the recorder of requests, nil if nothing is recorded.
 func (r *recording) requests() *record.Recorder {
 	if r == nil {
 		return nil
@@ -121,15 +121,15 @@
 	return r.recorder
 }
 
-// note records an event of the whole broker.
+// note records an event that concerns the whole broker.
 func (r *recording) note(k record.Kind, text string) {
 	if r != nil {
 		r.recorder.Note(k, "", text, 0)
 	}
 }
 
-// decisionLog records a log line of the decision module that is about a node: "node NAME TEXT".
-func (r *recording) decisionLog(line string) {
+// recordDecisionLog records a log line of the decision module if it is about a node: "node NAME TEXT".
+func (r *recording) recordDecisionLog(line string) {
 	if r == nil {
 		return
 	}
@@ -139,9 +139,9 @@
 	}
 }
 
-// nodeChanges records how nodes about to be published differ from those in force. revision is that of the endpoint
-// list.
-func (r *recording) nodeChanges(endpoints *core.EndpointTable, nodes []core.Node, full bool, revision int64) {
+// recordNodeChanges records how nodes that are about to be published differ from those in the endpoint table. revision
+// is the revision of the endpoint list.
+func (r *recording) recordNodeChanges(endpoints *core.EndpointTable, nodes []core.Node, full bool, revision int64) {
 	if r == nil {
 		return
 	}
@@ -149,7 +149,7 @@
 	for _, n := range nodes {
 		listed[n.ID] = true
 		old, known := endpoints.Get(n.ID)
-		if text := nodeChange(old, known, n); text != "" {
+		if text := nodeChangeText(old, known, n); text != "" {
 			r.recorder.Note(record.KindList, n.ID, text, revision)
 		}
 	}
@@ -163,8 +163,8 @@
 	}
 }
 
-// nodeChange describes a change of one node in the records; empty: none.
-func nodeChange(old core.Node, known bool, n core.Node) string {
+// nodeChangeText returns the recorded text for a change of one node, empty if nothing has changed.
+func nodeChangeText(old core.Node, known bool, n core.Node) string {
 	startedAt := strconv.FormatInt(int64(n.StartedAt), 10)
 	switch {
 	case !known && n.State == decision.Removed:
@@ -181,7 +181,7 @@
 	return ""
 }
 
-// recordedState names a state in the records.
+// recordedState returns the name of a state in the records.
 func recordedState(s decision.EndpointState) string {
 	switch s {
 	case decision.Draining:
@@ -192,7 +192,8 @@
 	return "up"
 }
 
-// observeDiscovery records the revision of its list in heartbeats, and when it becomes unreachable and reachable.
+// observeDiscovery records the revision of the endpoint list in heartbeats, and when discovery stops or resumes
+// answering.
 func (r *recording) observeDiscovery(d *discovery.Client) {
 	if r == nil {
 		return
@@ -209,7 +210,7 @@
 	})
 }
 
-// observeControl records changes by the control endpoint, and lets it serve the records in memory.
+// observeControl records the changes made through the control endpoint and lets it serve the records in memory.
 func (r *recording) observeControl(s *control.Server) {
 	if r == nil {
 		return
--- a/internal/broker/server/reload.go
+++ b/internal/broker/server/reload.go
@@ -10,13 +10,13 @@
 
 // Reloader reloads the configuration of a running broker.
 type Reloader struct {
-	Hangups     <-chan os.Signal
+	Hangups     <-chan os.Signal // each signal triggers a reload
 	Getenv      func(string) string
-	Level       *slog.LevelVar
+	Level       *slog.LevelVar     // log level, set at a reload and by the control endpoint
 	ControlHook func(point string) // see control.Server.SetHook; nil except in tests
 }
 
-// run reloads the configuration at each hangup until ctx is done. An invalid one changes nothing.
+// run reloads the configuration at each SIGHUP until ctx is done. An invalid configuration changes nothing.
 func (r *Reloader) run(ctx context.Context, cfg *config.Config, state *liveState, log *slog.Logger) {
 	for {
 		select {
--- a/internal/broker/server/serve.go
+++ b/internal/broker/server/serve.go
@@ -19,8 +19,8 @@
 	Drain(context.Context) error
 }
 
-// serve runs the frontends, given by address, until ctx is done, and then drains them for at most drainTime. It
-// returns when their goroutines have ended.
+// serve runs the frontends, keyed by address, until ctx is done, and then drains them for at most drainTime. It returns
+// when their goroutines have ended.
 func serve(ctx context.Context, drainTime time.Duration, frontends map[string]frontend, listen ListenFunc,
 	log *slog.Logger) error {
 	var listeners []net.Listener
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// drain drains all frontends at once and waits for them.
+// drain drains all frontends concurrently and waits until they have drained.
 func drain(ctx context.Context, frontends map[string]frontend, log *slog.Logger) {
 	var draining sync.WaitGroup
 	for addr, f := range frontends {
--- a/internal/broker/server/server.go
+++ b/internal/broker/server/server.go
@@ -1,8 +1,8 @@
-// Package server assembles one broker from its configuration, runs it until it is told to stop and drains it.
+// Package server builds a broker from its configuration, runs it until its context is done and drains it.
 //
-// Run starts the goroutines of a broker and returns when all of them have ended. The background ones (decisions,
-// discovery, connection pools, node lists, reload, control endpoint) outlive the frontends, which need them while
-// they drain. The recorder is started first and closed last.
+// Run starts the goroutines of a broker and returns when all of them have ended. The background goroutines (decisions,
+// discovery, connection pools, node lists, reload, control endpoint) outlive the frontends, which need them during the
+// drain. The recorder is started first and closed last.
 package server
 
 import (
@@ -24,8 +24,8 @@
 	"poppyarch/internal/transport/pool"
 )
 
-// Run serves until ctx is done and then drains: new connections are accepted a while longer, idle ones are closed,
-// and every request that was accepted is answered. reloader may be nil.
+// Run serves until ctx is done and then drains: new connections are accepted for a short time, idle ones are closed,
+// and every accepted request is answered. reloader may be nil.
 func Run(ctx context.Context, cfg *config.Config, listen ListenFunc, reloader *Reloader, log *slog.Logger) error {
 	b := &broker{
 		cfg:       cfg,
@@ -44,7 +44,7 @@
 		return err
 	}
 
-	// The background outlives the frontends: it is stopped once they have drained.
+	// The background goroutines are stopped once the frontends have drained.
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer b.background.Wait()
 	defer stop()
@@ -65,27 +65,28 @@
 	return nil
 }
 
-// broker is the parts of a running broker.
+// broker holds the components of a running broker.
 type broker struct {
 	cfg        *config.Config
-	reloader   *Reloader // nil: the configuration is not reloaded
+	reloader   *Reloader // nil if the configuration is never reloaded
 	log        *slog.Logger
 	clock      *clock.Clock
 	endpoints  *core.EndpointTable
 	limiter    *core.ConcurrencyLimiter
-	recording  *recording // nil: nothing is recorded
+	recording  *recording // nil if nothing is recorded
 	dispatcher *dispatcher.Dispatcher
 	discovery  *discovery.Client
 	state      *liveState
-	nodeLists  *nodeLists     // nil: no lists in files
+	nodeLists  *nodeLists     // nil if there are no node lists in files
 	background sync.WaitGroup // the goroutines that outlive the frontends
 }
 
-// assemble makes the parts that know nodes and brings the initial endpoint list into force. It starts no goroutine.
+// assemble creates the dispatcher, the discovery client and the live state, and publishes the initial nodes. It starts
+// no goroutine.
 func (b *broker) assemble() (err error) {
 	b.dispatcher, err = dispatcher.New(b.cfg.Policy, func(text string) {
 		b.log.Info("module: " + text)
-		b.recording.decisionLog(text)
+		b.recording.recordDecisionLog(text)
 	})
 	if err != nil {
 		return err
@@ -117,7 +118,7 @@
 	}
 }
 
-// onDrain runs f when ctx is done, which starts the drain, unless the broker has ended before.
+// onDrain runs f when ctx is done, which starts the drain, unless the broker ends first.
 func (b *broker) onDrain(ctx, background context.Context, f func()) {
 	b.background.Go(func() {
 		select {
@@ -130,9 +131,9 @@
 	})
 }
 
-// startFrontends makes the frontends, by address, and starts their connection pools.
+// startFrontends creates the frontends, keyed by address, and starts their connection pools.
 func (b *broker) startFrontends(ctx context.Context) map[string]frontend {
-	// With both frontends on, each has half of the descriptors, so that neither starves the other.
+	// If both frontends are on, each gets half of the descriptors, so that neither starves the other.
 	limits := &b.cfg.Limits
 	clientConns, nodeConns := limits.ClientConns, limits.NodeConns
 	if b.cfg.Listen != "" && b.cfg.Object != nil {
@@ -156,7 +157,8 @@
 	return frontends
 }
 
-// startPool makes a connection pool of one frontend's own, as their connections speak different protocols.
+// startPool starts a connection pool for one frontend. Frontends cannot share one: their connections use different
+// protocols.
 func (b *broker) startPool(ctx context.Context, conns int) *pool.Pool {
 	p := pool.New(&b.cfg.Limits, conns, b.clock)
 	b.background.Go(func() { p.Run(ctx) })
--- a/internal/broker/server/stats.go
+++ b/internal/broker/server/stats.go
@@ -6,7 +6,7 @@
 	"poppyarch/internal/observability/record"
 )
 
-// stats are the control endpoint's statistics of the recorder's last summary, nil if there is none.
+// stats converts the recorder's latest summary to statistics for the control endpoint. It returns nil if there is none.
 func (r *recording) stats() *control.Stats {
 	if r == nil {
 		return nil
@@ -42,7 +42,7 @@
 	return out
 }
 
-// requestStats converts a group; ok is false if its class or plan is not configured.
+// requestStats converts the counts of one class and plan; ok is false if the class or plan is not configured.
 func (r *recording) requestStats(g *record.Group) (stats control.RequestStats, ok bool) {
 	classes, plans := r.cfg.Policy.Classes, r.cfg.Policy.Plans
 	if int(g.Class) >= len(classes) || int(g.Plan) >= len(plans) {
