--- a/internal/broker/server/block_test.go
+++ b/internal/broker/server/block_test.go
@@ -17,46 +17,47 @@
 	"poppyarch/internal/testkit/fake"
 )
 
-// A duplicate of a response may come some milliseconds after it, here as soon as the next request on the same connection.
-// It must not be taken for the response to that request.
+// A node sends a duplicate of a response on the same connection when it gets the next request within 10 ms. The broker
+// must not take it for the response to that request.
 func TestLateDuplicateResponseIsNotUsedForTheNextRequest(t *testing.T) {
-	const late = 10 * time.Millisecond
-	var last struct {
+	const maxDuplicateDelay = 10 * time.Millisecond
+	var previous struct {
 		sync.Mutex
 		conn redcon.Conn
 		id   string
 		at   time.Time
 	}
-	answer := func(rc redcon.Conn, id string) {
+	reply := func(rc redcon.Conn, id string) {
 		rc.WriteArray(3)
 		rc.WriteBulkString(id)
 		rc.WriteNull()
 		rc.WriteNull()
 	}
-	_, c, in, _ := blockRig(t, func(rc redcon.Conn, cmd redcon.Command) bool {
+	_, c, in, _ := startBlockBroker(t, func(rc redcon.Conn, cmd redcon.Command) bool {
 		id := string(cmd.Args[2])
-		last.Lock()
-		defer last.Unlock()
-		if rc == last.conn && time.Since(last.at) < late {
-			answer(rc, last.id)
+		previous.Lock()
+		defer previous.Unlock()
+		if rc == previous.conn && time.Since(previous.at) < maxDuplicateDelay {
+			reply(rc, previous.id)
 		}
-		answer(rc, id)
-		last.conn, last.id, last.at = rc, id, time.Now() // requests come one after the other
+		reply(rc, id)
+		previous.conn, previous.id, previous.at = rc, id, time.Now() // requests come one after the other
 		return true
 	})
 	for i := range 40 {
 		id := fmt.Sprint("id", i)
-		if got, want := answerOf(t, c, in, command("BLK.READ", "object-read", id), 2), fmt.Sprintf("$%d\r\n%s\r\n", len(id), id); got != want {
-			t.Fatalf("request %s got %q", id, got)
+		if got, want := sendAndRead(t, c, in, blockCommand("BLK.READ", "object-read", id), 2), fmt.Sprintf("$%d\r\n%s\r\n", len(id), id); got != want {
+			t.Fatalf("request %s got %q, want %q", id, got, want)
 		}
-		time.Sleep(late / 2) // a slower machine tests less and fails no more
+		time.Sleep(maxDuplicateDelay / 2) // on a slow machine fewer duplicates are sent, but the test does not fail
 	}
 }
 
-// blockRig starts one block node, which the endpoint list names, and a broker, and connects to the broker.
-func blockRig(t *testing.T, hook func(redcon.Conn, redcon.Command) bool) (*fake.Block, net.Conn, *bufio.Reader, func()) {
+// startBlockBroker starts a block node, a broker whose endpoint list names it, and a client connection to the broker.
+// hook may be nil.
+func startBlockBroker(t *testing.T, hook func(redcon.Conn, redcon.Command) bool) (*fake.Block, net.Conn, *bufio.Reader, func()) {
 	t.Helper()
-	r := newRig(t)
+	f := newFixture(t)
 	b := fake.NewBlock()
 	b.SetHook(hook)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -64,18 +65,19 @@
 		t.Fatal(err)
 	}
 	serveBlock(t, b, ln)
-	r.disc.Set(discovery.Endpoint{ID: "s-0", Addr: ln.Addr().String(), Zone: "room", Shard: 0, State: "up"})
-	base, stop := r.broker(`,"listen":"127.0.0.1:0","object":null`)
+	f.discovery.Set(discovery.Endpoint{ID: "s-0", Addr: ln.Addr().String(), Zone: "room", Shard: 0, State: "up"})
+	base, stop := f.startBroker(`,"listen":"127.0.0.1:0","object":null`)
 	c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	closeOnCleanup(t, c)
-	setDeadline(t, c, time.Now().Add(patience))
+	setDeadline(t, c, time.Now().Add(testTimeout))
 	return b, c, bufio.NewReader(c), stop
 }
 
-func command(name, class, id string, body ...string) string {
+// blockCommand returns a command of the block protocol with the given request ID.
+func blockCommand(name, class, id string, body ...string) string {
 	w := append([]string{name, "7f3a9c21e0b4d655", id,
 		"c=" + class + ",t=basis,d=20000,volume=00000003b4d60021,units=1,shard=0,hosts=1"}, body...)
 	out := fmt.Sprintf("*%d\r\n", len(w))
@@ -85,7 +87,8 @@
 	return out
 }
 
-func answerOf(t *testing.T, c net.Conn, in *bufio.Reader, cmd string, lines int) (out string) {
+// sendAndRead sends a command and returns the given number of response lines.
+func sendAndRead(t *testing.T, c net.Conn, in *bufio.Reader, cmd string, lines int) (out string) {
 	t.Helper()
 	send(t, c, cmd)
 	for range lines {
@@ -99,75 +102,77 @@
 }
 
 func TestBlockReadReturnsWhatWasWritten(t *testing.T) {
-	_, c, in, _ := blockRig(t, nil)
-	if got := answerOf(t, c, in, command("BLK.WRITE", "object-complete", "w1", "hello"), 2); got != "$5\r\nhello\r\n" {
-		t.Errorf("write: %q", got)
+	_, c, in, _ := startBlockBroker(t, nil)
+	if got := sendAndRead(t, c, in, blockCommand("BLK.WRITE", "object-complete", "w1", "hello"), 2); got != "$5\r\nhello\r\n" {
+		t.Errorf("write got %q", got)
 	}
-	if got := answerOf(t, c, in, command("BLK.READ", "object-read", "r1"), 2); got != "$5\r\nhello\r\n" {
-		t.Errorf("read: %q", got)
+	if got := sendAndRead(t, c, in, blockCommand("BLK.READ", "object-read", "r1"), 2); got != "$5\r\nhello\r\n" {
+		t.Errorf("read got %q", got)
 	}
 }
 
-// A node closes the connection after it got a request: only an idempotent request is retried, another one fails.
+// A node closes the connection after it has received a request. The broker retries the request only if it is
+// idempotent; otherwise the request fails.
 func TestLostNodeConnectionRetriesOnlyIdempotentRequests(t *testing.T) {
-	var broke atomic.Int32
-	b, c, in, _ := blockRig(t, func(rc redcon.Conn, cmd redcon.Command) bool {
-		if broke.Add(1)%2 == 0 {
+	var requests atomic.Int32
+	b, c, in, _ := startBlockBroker(t, func(rc redcon.Conn, cmd redcon.Command) bool {
+		if requests.Add(1)%2 == 0 {
 			return false
 		}
-		_ = rc.Close() // the connection is lost
+		_ = rc.Close() // the broker loses the connection
 		return true
 	})
-	if got := answerOf(t, c, in, command("BLK.READ", "object-read", "safe"), 2); got != "$0\r\n\r\n" {
-		t.Errorf("safe: %q", got)
+	if got := sendAndRead(t, c, in, blockCommand("BLK.READ", "object-read", "idempotent"), 2); got != "$0\r\n\r\n" {
+		t.Errorf("idempotent request got %q", got)
 	}
-	if got := answerOf(t, c, in, command("BLK.WRITE", "object-complete", "unsafe", "x"), 1); got != "-ERR failed\r\n" {
-		t.Errorf("unsafe: %q", got)
+	if got := sendAndRead(t, c, in, blockCommand("BLK.WRITE", "object-complete", "not-idempotent", "x"), 1); got != "-ERR failed\r\n" {
+		t.Errorf("request that is not idempotent got %q", got)
 	}
-	seen := map[string]int{}
+	received := map[string]int{}
 	for _, s := range b.Seen() {
-		seen[s]++
+		received[s]++
 	}
-	if seen["BLK.READ safe"] != 2 || seen["BLK.WRITE unsafe"] != 1 {
-		t.Errorf("the node saw %v", seen)
+	if received["BLK.READ idempotent"] != 2 || received["BLK.WRITE not-idempotent"] != 1 {
+		t.Errorf("the node received %v, want two attempts of the idempotent request and one of the other", received)
 	}
 }
 
-// A rejected attempt was not executed: it is retried, idempotent or not.
+// An attempt that the node rejects was not executed, so it is retried even if the request is not idempotent.
 func TestRejectedAttemptIsRetried(t *testing.T) {
-	var n atomic.Int32
-	_, c, in, _ := blockRig(t, func(rc redcon.Conn, cmd redcon.Command) bool {
-		if n.Add(1) > 1 {
+	var attempts atomic.Int32
+	_, c, in, _ := startBlockBroker(t, func(rc redcon.Conn, cmd redcon.Command) bool {
+		if attempts.Add(1) > 1 {
 			return false
 		}
 		rc.WriteError("BUSY")
 		return true
 	})
-	if got := answerOf(t, c, in, command("BLK.WRITE", "object-complete", "w", "x"), 2); got != "$1\r\nx\r\n" {
+	if got := sendAndRead(t, c, in, blockCommand("BLK.WRITE", "object-complete", "w", "x"), 2); got != "$1\r\nx\r\n" {
 		t.Errorf("got %q", got)
 	}
 }
 
+// A request that is at a node when the drain starts is answered. Then the broker closes the client connection.
 func TestDrainAnswersAcceptedRequests(t *testing.T) {
-	got, answer := make(chan struct{}), make(chan struct{})
-	_, c, in, stop := blockRig(t, func(rc redcon.Conn, cmd redcon.Command) bool {
-		close(got)
-		<-answer
+	received, release := make(chan struct{}), make(chan struct{})
+	_, c, in, stop := startBlockBroker(t, func(rc redcon.Conn, cmd redcon.Command) bool {
+		close(received)
+		<-release
 		return false
 	})
-	send(t, c, command("BLK.WRITE", "object-complete", "w", "x"))
-	<-got
-	ended := make(chan struct{})
+	send(t, c, blockCommand("BLK.WRITE", "object-complete", "w", "x"))
+	<-received
+	stopped := make(chan struct{})
 	go func() {
 		stop()
-		close(ended)
+		close(stopped)
 	}()
-	close(answer)
-	if got := answerOf(t, c, in, "", 2); got != "$1\r\nx\r\n" {
+	close(release)
+	if got := sendAndRead(t, c, in, "", 2); got != "$1\r\nx\r\n" {
 		t.Errorf("got %q", got)
 	}
 	if rest, err := io.ReadAll(in); err != nil || len(rest) > 0 {
-		t.Errorf("then %q, %v", rest, err)
+		t.Errorf("after the response: read %q, error %v, want the end of the connection", rest, err)
 	}
-	<-ended
+	<-stopped
 }
--- a/internal/broker/server/control_test.go
+++ b/internal/broker/server/control_test.go
@@ -11,11 +11,11 @@
 	"poppyarch/internal/observability/incident/collect"
 )
 
-// controlClient is the fleet's side of a broker's control endpoint.
+// controlClient calls a broker's control endpoint as an agent does.
 type controlClient struct {
 	*control.Client
 	t       *testing.T
-	changes int
+	changes int // changes sent so far
 }
 
 func newControlClient(t *testing.T, addr string) *controlClient {
@@ -36,7 +36,7 @@
 	return st
 }
 
-// change makes a change with the next revision.
+// change sends a change with the next revision.
 func (c *controlClient) change(nodes []spec.NodeOverride, live spec.LiveSettings) *control.Outcome {
 	c.t.Helper()
 	st := c.state()
@@ -56,17 +56,18 @@
 	return o
 }
 
-// mustChange makes a change that must be applied.
+// mustChange sends a change and fails the test if it is not applied.
 func (c *controlClient) mustChange(nodes []spec.NodeOverride, live spec.LiveSettings) *control.Outcome {
 	c.t.Helper()
 	o := c.change(nodes, live)
 	if o.Code != control.CodeApplied {
-		c.t.Fatalf("%+v", o)
+		c.t.Fatalf("the change was not applied: %+v", o)
 	}
 	return o
 }
 
-// hasRecordedDrain reports whether the records in the broker's memory are its own and have the drain of a node.
+// hasRecordedDrain reports whether the records in the broker's memory come from the current boot and contain the drain
+// of a node.
 func (c *controlClient) hasRecordedDrain(node string) bool {
 	c.t.Helper()
 	segment, err := c.Records(c.t.Context(), 1<<24)
@@ -77,65 +78,65 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	a := incident.Analyse([]*incident.Stream{s}, incident.DefaultOptions())
+	analysis := incident.Analyse([]*incident.Stream{s}, incident.DefaultOptions())
 	drained := false
-	for _, e := range a.Episodes {
+	for _, e := range analysis.Episodes {
 		drained = drained || e.Kind == incident.NodeDrain && e.Subject == node
 	}
-	return s.Boot.ID == c.state().Boot && s.Boot.Name == "t1" && drained && len(a.Nodes) >= 2
+	return s.Boot.ID == c.state().Boot && s.Boot.Name == "t1" && drained && len(analysis.Nodes) >= 2
 }
 
-// A broker accepts changes while it serves: a node drained by an operator gets nothing new, discovery's word that it
-// is up does not bring it back, and withdrawing the override does; a node that discovery does not know serves once it
-// is added. The changes are in the records in memory. A restart forgets all of it and reports revision 0.
+// A broker accepts changes while it serves. A node drained by an operator gets no new requests, even if discovery lists
+// it as up again. A node that discovery does not know serves once an operator adds it. Withdrawn settings are no longer
+// in force. The changes are in the records in memory. After a restart none of them is in force and the revision is 0.
 func TestControlChangesNodesAndSettingsOfARunningBroker(t *testing.T) {
-	r := newRig(t)
+	f := newFixture(t)
 	addr := "unix:" + filepath.Join(t.TempDir(), "c")
 	extra := fmt.Sprintf(`,"control":{"listen":%q,"started":"d1"},"record":{"beat_ms":100}`, addr)
-	base, stop := r.broker(extra)
+	base, stop := f.startBroker(extra)
 	c := newControlClient(t, addr)
 	if st := c.state(); st.AppliedRevision != 0 || st.StartDigest != "d1" || st.Boot == "" {
-		t.Fatalf("%+v", st)
+		t.Fatalf("state after the start: %+v", st)
 	}
-	home := r.home(base, "/b/k", []byte("x"))
-	id := fmt.Sprint("s-", home)
+	storeIndex := f.putObject(base, "/b/k", []byte("x"))
+	id := fmt.Sprint("s-", storeIndex)
 
 	o := c.mustChange([]spec.NodeOverride{{ID: id, State: spec.NodeDraining}}, spec.LiveSettings{MaxInFlight: 77, LogLevel: "debug"})
 	if len(o.Effects) != 3 {
-		t.Fatalf("%+v", o)
+		t.Fatalf("%+v, want 3 effects", o)
 	}
-	if a := r.do("GET", base+"/b/k", nil, "X-Timeout-Ms", "300"); a.status == 200 {
-		t.Errorf("a drained node was asked: %d", a.status)
+	if resp := f.do("GET", base+"/b/k", nil, "X-Timeout-Ms", "300"); resp.status == 200 {
+		t.Errorf("a drained node served a request: status %d", resp.status)
 	}
-	seen := count(r.stores[home], "GET ")
-	r.list(0, 0) // discovery lists both as up once more
-	eventually(t, "the list of discovery is in force", func() bool { return c.state().EndpointListRevision >= r.disc.List(-1).Revision })
-	if a := r.do("GET", base+"/b/k", nil, "X-Timeout-Ms", "300"); a.status == 200 || count(r.stores[home], "GET ") != seen {
-		t.Errorf("discovery brought a drained node back: %d", a.status)
+	seen := countRequests(f.stores[storeIndex], "GET ")
+	f.listNodes(0, 0) // discovery lists both nodes as up again
+	eventually(t, "the list from discovery is in force", func() bool { return c.state().EndpointListRevision >= f.discovery.List(-1).Revision })
+	if resp := f.do("GET", base+"/b/k", nil, "X-Timeout-Ms", "300"); resp.status == 200 || countRequests(f.stores[storeIndex], "GET ") != seen {
+		t.Errorf("a node that is drained but up in discovery got a request: status %d", resp.status)
 	}
 	if v := c.state().Live; v.MaxInFlight != 77 || v.LogLevel != "debug" {
-		t.Errorf("%+v", v)
+		t.Errorf("settings in force: %+v", v)
 	}
 
-	// The same store under a name that discovery does not know.
-	added := spec.NodeOverride{ID: "s-new", State: spec.NodeAdded, Addr: r.nodes[home].Addr(), Shard: home}
+	// The same store under an ID that discovery does not know.
+	added := spec.NodeOverride{ID: "s-new", State: spec.NodeAdded, Addr: f.nodes[storeIndex].Addr(), Shard: storeIndex}
 	c.mustChange([]spec.NodeOverride{{ID: id, State: spec.NodeRemoved}, added}, spec.LiveSettings{})
-	eventually(t, "an answer from the added node", func() bool { return r.do("GET", base+"/b/k", nil).status == 200 })
+	eventually(t, "a response from the added node", func() bool { return f.do("GET", base+"/b/k", nil).status == 200 })
 	if v := c.state().Live; v.MaxInFlight == 77 || v.LogLevel != "info" {
 		t.Errorf("withdrawn settings are still in force: %+v", v)
 	}
 	if o := c.change([]spec.NodeOverride{{ID: "x", State: "sleeping"}}, spec.LiveSettings{}); o.Code != control.CodeRejected {
-		t.Errorf("%+v", o)
+		t.Errorf("change with an invalid node state: %+v", o)
 	}
 	if o := c.change(nil, spec.LiveSettings{}); o.Code != control.CodeApplied {
-		t.Errorf("%+v", o)
+		t.Errorf("change without overrides: %+v", o)
 	}
 	eventually(t, "the drain is in the records", func() bool { return c.hasRecordedDrain(id) })
 
-	boot := c.state().Boot
+	firstBoot := c.state().Boot
 	stop()
-	r.broker(extra)
-	if st := c.state(); st.Boot == boot || st.AppliedRevision != 0 {
+	f.startBroker(extra)
+	if st := c.state(); st.Boot == firstBoot || st.AppliedRevision != 0 {
 		t.Errorf("after a restart: %+v", st)
 	}
 }
--- a/internal/broker/server/discovery_test.go
+++ b/internal/broker/server/discovery_test.go
@@ -15,21 +15,21 @@
 	"poppyarch/internal/testkit/fake"
 )
 
-// Idle clients hold every descriptor that clients may have while discovery is down. Once it is up its list is read all
-// the same, the node that it now names is reached, and a new client is served.
+// While discovery is down, idle clients hold all descriptors that clients may use. When discovery is up again, the
+// broker still has descriptors to read its list, connect to the node in it and serve a new client.
 func TestDiscoveryRecoversWhileIdleClientsHoldDescriptors(t *testing.T) {
 	const descriptors = 64
-	r := newRig(t)
+	f := newFixture(t)
 	block := fake.NewBlock()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	serveBlock(t, block, ln)
-	r.disc.SetDown(true)
-	text := bytes.Replace(r.configText(`,"listen":"127.0.0.1:0","object":null`), []byte(`"sockets":1024`),
+	f.discovery.SetDown(true)
+	text := bytes.Replace(f.configText(`,"listen":"127.0.0.1:0","object":null`), []byte(`"sockets":1024`),
 		fmt.Appendf(nil, `"sockets":%d`, descriptors), 1)
-	base, p := r.start(text, fmt.Sprint("POPPYARCH_TEST_DESCRIPTORS=", descriptors))
+	base, process := f.startProcessWith(text, fmt.Sprint("POPPYARCH_TEST_DESCRIPTORS=", descriptors))
 	addr := strings.TrimPrefix(base, "http://")
 	for i := range 3 * descriptors {
 		c, err := net.Dial("tcp", addr)
@@ -37,37 +37,37 @@
 			t.Fatal(err)
 		}
 		closeOnCleanup(t, c)
-		if i%2 == 0 { // the others send nothing
-			_, _ = io.WriteString(c, "*1\r\n$4\r\nPING\r\n") // the broker may have closed it
+		if i%2 == 0 { // the other clients send nothing
+			_, _ = io.WriteString(c, "*1\r\n$4\r\nPING\r\n") // the broker may have closed the connection
 		}
 	}
-	eventually(t, "failed calls", func() bool { return len(r.disc.Calls()) > 2 })
-	r.disc.Set(discovery.Endpoint{ID: "s-0", Addr: ln.Addr().String(), Zone: "room", Shard: 0, State: "up"})
-	r.disc.SetDown(false)
+	eventually(t, "failed calls to discovery", func() bool { return len(f.discovery.Calls()) > 2 })
+	f.discovery.Set(discovery.Endpoint{ID: "s-0", Addr: ln.Addr().String(), Zone: "room", Shard: 0, State: "up"})
+	f.discovery.SetDown(false)
 	eventually(t, "a reply from the node that the new list names", func() bool {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			return false
 		}
 		defer func() { _ = c.Close() }()
-		setDeadline(t, c, time.Now().Add(patience/4))
-		_, _ = io.WriteString(c, command("BLK.READ", "object-read", fmt.Sprint("r", time.Now().UnixNano())))
+		setDeadline(t, c, time.Now().Add(testTimeout/4))
+		_, _ = io.WriteString(c, blockCommand("BLK.READ", "object-read", fmt.Sprint("r", time.Now().UnixNano())))
 		line, _ := bufio.NewReader(c).ReadString('\n')
 		return line == "$0\r\n"
 	})
-	if n := p.log.count("too many open files"); n > 0 {
-		t.Errorf("%d times out of descriptors", n)
+	if n := process.log.count("too many open files"); n > 0 {
+		t.Errorf("the broker ran out of descriptors %d times", n)
 	}
 }
 
-// A broker that was killed and starts again with a long list is ready at once, whether discovery accepts calls and answers
-// none or refuses them, with lists that are polled or pushed.
+// A killed broker that restarts with a list of 300 nodes serves within 10 s without discovery: whether discovery
+// accepts connections and never answers or refuses connections, and whether lists are polled or pushed.
 func TestRestartedBrokerIsReadyWithoutDiscovery(t *testing.T) {
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // nobody accepts
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0") // accepts no connection
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeOnCleanup(t, silent)
+	closeOnCleanup(t, unresponsive)
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -75,43 +75,44 @@
 	if err := closed.Close(); err != nil {
 		t.Fatal(err)
 	}
-	for _, ln := range []net.Listener{silent, closed} {
-		for _, how := range []string{"ask", "push"} {
-			r := newRig(t)
+	for _, ln := range []net.Listener{unresponsive, closed} {
+		for _, mode := range []string{"ask", "push"} {
+			f := newFixture(t)
 			for i := range 300 {
-				r.disc.Set(discovery.Endpoint{ID: fmt.Sprint("n-", i), Addr: "127.0.0.1:1", Zone: "room", Shard: i % 2, State: "up"})
+				f.discovery.Set(discovery.Endpoint{ID: fmt.Sprint("n-", i), Addr: "127.0.0.1:1", Zone: "room", Shard: i % 2, State: "up"})
 			}
-			text := r.configText(`,"listen":"127.0.0.1:0","object":null`)
-			text = bytes.Replace(text, []byte(r.discN.Addr()), []byte(ln.Addr().String()), 1)
-			text = bytes.Replace(text, []byte(`"discovery":"ask"`), fmt.Appendf(nil, `"discovery":%q`, how), 1)
+			text := f.configText(`,"listen":"127.0.0.1:0","object":null`)
+			text = bytes.Replace(text, []byte(f.discoveryNode.Addr()), []byte(ln.Addr().String()), 1)
+			text = bytes.Replace(text, []byte(`"discovery":"ask"`), fmt.Appendf(nil, `"discovery":%q`, mode), 1)
 			for range 2 {
-				began := time.Now()
-				base, p := r.start(text)
+				startedAt := time.Now()
+				base, process := f.startProcessWith(text)
 				c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
 				if err != nil {
 					t.Fatal(err)
 				}
-				setDeadline(t, c, began.Add(10*time.Second))
-				if got := answerOf(t, c, bufio.NewReader(c), "*1\r\n$4\r\nPING\r\n", 1); got != "+PONG\r\n" {
-					t.Errorf("got %q", got)
+				setDeadline(t, c, startedAt.Add(10*time.Second))
+				if got := sendAndRead(t, c, bufio.NewReader(c), "*1\r\n$4\r\nPING\r\n", 1); got != "+PONG\r\n" {
+					t.Errorf("PING got %q", got)
 				}
 				_ = c.Close()
-				p.kill()
+				process.kill()
 			}
 		}
 	}
 }
 
-// Pushed lists come by a watch as well. Without one a broker would go on sending to draining nodes.
+// With discovery set to push, the broker still watches the list. Without a watch it would keep sending requests to
+// nodes that drain.
 func TestPushedListsAreWatched(t *testing.T) {
-	r := newRig(t)
-	text := bytes.Replace(r.configText(""), []byte(`"discovery":"ask"`), []byte(`"discovery":"push"`), 1)
-	base, _ := r.start(text)
-	eventually(t, "a watch", func() bool { return len(r.disc.Calls()) > 1 })
+	f := newFixture(t)
+	text := bytes.Replace(f.configText(""), []byte(`"discovery":"ask"`), []byte(`"discovery":"push"`), 1)
+	base, _ := f.startProcessWith(text)
+	eventually(t, "a watch at discovery", func() bool { return len(f.discovery.Calls()) > 1 })
 	for i := range 2 {
-		r.disc.Set(discovery.Endpoint{ID: fmt.Sprint("s-", i), Addr: r.nodes[i].Addr(), Zone: "room", Shard: i, State: "draining"})
+		f.discovery.Set(discovery.Endpoint{ID: fmt.Sprint("s-", i), Addr: f.nodes[i].Addr(), Zone: "room", Shard: i, State: "draining"})
 	}
-	eventually(t, "nothing goes to nodes that drain", func() bool {
-		return r.do("PUT", base+"/b/k", []byte("x")).status == http.StatusServiceUnavailable
+	eventually(t, "requests are rejected when all nodes drain", func() bool {
+		return f.do("PUT", base+"/b/k", []byte("x")).status == http.StatusServiceUnavailable
 	})
 }
--- a/internal/broker/server/object_test.go
+++ b/internal/broker/server/object_test.go
@@ -15,22 +15,22 @@
 )
 
 func TestObjectReadsRangesAndConditions(t *testing.T) {
-	r := newRig(t)
-	base, _ := r.broker("")
-	body := noise(200_000, 1) // longer than the buffer: streamed
-	r.home(base, "/art/label one.pdf", body)
+	f := newFixture(t)
+	base, _ := f.startBroker("")
+	body := testBytes(200_000, 1) // longer than the buffer, so it is streamed
+	f.putObject(base, "/art/label one.pdf", body)
 	u := base + "/art/label%20one.pdf"
-	whole := r.do("GET", u, nil)
-	if whole.status != 200 || !bytes.Equal(whole.body, body) {
-		t.Fatalf("whole: %d, %d bytes", whole.status, len(whole.body))
+	full := f.do("GET", u, nil)
+	if full.status != 200 || !bytes.Equal(full.body, body) {
+		t.Fatalf("full object: status %d, %d bytes", full.status, len(full.body))
 	}
-	etag := whole.header.Get("ETag")
+	etag := full.header.Get("ETag")
 	for _, c := range []struct {
 		name   string
 		header []string
 		status int
 		body   []byte
-		rng    string
+		rng    string // Content-Range
 	}{
 		{"first bytes", []string{"Range", "bytes=0-9"}, 206, body[:10], "bytes 0-9/200000"},
 		{"long range", []string{"Range", "bytes=1000-149999"}, 206, body[1000:150000], "bytes 1000-149999/200000"},
@@ -44,236 +44,238 @@
 		{"malformed range", []string{"Range", "bytes=9-3"}, 200, body, ""},
 		{"unknown unit", []string{"Range", "lines=1-2"}, 200, body, ""},
 	} {
-		a := r.do("GET", u, nil, c.header...)
-		if a.status != c.status || a.header.Get("Content-Range") != c.rng ||
-			c.body != nil && !bytes.Equal(a.body, c.body) {
-			t.Errorf("%s: %d, range %q, %d bytes", c.name, a.status, a.header.Get("Content-Range"), len(a.body))
+		resp := f.do("GET", u, nil, c.header...)
+		if resp.status != c.status || resp.header.Get("Content-Range") != c.rng ||
+			c.body != nil && !bytes.Equal(resp.body, c.body) {
+			t.Errorf("%s: status %d, range %q, %d bytes", c.name, resp.status, resp.header.Get("Content-Range"), len(resp.body))
 		}
 	}
-	if a := r.do("HEAD", u, nil); a.status != 200 || a.header.Get("Content-Length") != "200000" ||
-		a.header.Get("ETag") != etag {
-		t.Errorf("HEAD: %d %v", a.status, a.header)
+	if resp := f.do("HEAD", u, nil); resp.status != 200 || resp.header.Get("Content-Length") != "200000" ||
+		resp.header.Get("ETag") != etag {
+		t.Errorf("HEAD: status %d, header %v", resp.status, resp.header)
 	}
-	if a := r.do("DELETE", u, nil); a.status != 204 {
-		t.Errorf("DELETE: %d", a.status)
+	if resp := f.do("DELETE", u, nil); resp.status != 204 {
+		t.Errorf("DELETE: status %d", resp.status)
 	}
-	if a := r.do("GET", u, nil); a.status != 404 || !bytes.Contains(a.body, []byte("<Code>NoSuchKey</Code>")) {
-		t.Errorf("GET after DELETE: %d %s", a.status, a.body)
+	if resp := f.do("GET", u, nil); resp.status != 404 || !bytes.Contains(resp.body, []byte("<Code>NoSuchKey</Code>")) {
+		t.Errorf("GET after DELETE: status %d, %s", resp.status, resp.body)
 	}
 }
 
-// A node restarts in the middle of a range: the rest is read from it, pinned to the version that the first part came
-// from, and the client gets one complete response.
+// A node restarts after it has sent part of a range. The broker reads the rest from the restarted node, with If-Match
+// set to the version of the first part, and the client gets one complete response.
 func TestRangeReadResumesAfterNodeRestart(t *testing.T) {
-	r := newRig(t)
-	base, _ := r.broker("")
-	body := noise(50_000, 2)
-	home := r.home(base, "/art/die", body)
-	store, node := r.stores[home], r.nodes[home]
-	var died atomic.Bool
-	second := make(chan http.Header, 4)
+	f := newFixture(t)
+	base, _ := f.startBroker("")
+	body := testBytes(50_000, 2)
+	storeIndex := f.putObject(base, "/art/restart", body)
+	store, node := f.stores[storeIndex], f.nodes[storeIndex]
+	var restarted atomic.Bool
+	secondHeader := make(chan http.Header, 4)
 	store.SetHook(func(w http.ResponseWriter, q *http.Request, next func()) {
-		if died.Swap(true) {
-			second <- q.Header.Clone()
+		if restarted.Swap(true) {
+			secondHeader <- q.Header.Clone()
 			next()
 			return
 		}
-		next0 := &cut{ResponseWriter: w, left: 11_000}
-		store.Cut(next0, q)
+		store.Cut(&truncatingWriter{ResponseWriter: w, remaining: 11_000}, q)
 		w.(http.Flusher).Flush()
-		// The process dies, and another comes up in its place; discovery says so later.
+		// Another process replaces the node; discovery lists its start time later.
 		go func() {
 			if err := node.Replace(); err != nil {
 				t.Error(err)
 			}
-			boot := []int64{0, 0}
-			boot[home] = time.Now().UnixMilli()
-			r.list(boot...)
+			startedAtMS := []int64{0, 0}
+			startedAtMS[storeIndex] = time.Now().UnixMilli()
+			f.listNodes(startedAtMS...)
 		}()
 		<-q.Context().Done()
 		panic(http.ErrAbortHandler)
 	})
-	a := r.do("GET", base+"/art/die", nil, "Range", "bytes=100-40099")
-	if a.status != 206 || a.err != nil || !bytes.Equal(a.body, body[100:40100]) ||
-		a.header.Get("Content-Range") != "bytes 100-40099/50000" {
-		t.Fatalf("%d, %d bytes, %v, %v", a.status, len(a.body), a.err, a.header)
-	}
-	h := <-second
-	from, ok := strings.CutPrefix(h.Get("Range"), "bytes=")
-	first, last, _ := strings.Cut(from, "-")
+	resp := f.do("GET", base+"/art/restart", nil, "Range", "bytes=100-40099")
+	if resp.status != 206 || resp.err != nil || !bytes.Equal(resp.body, body[100:40100]) ||
+		resp.header.Get("Content-Range") != "bytes 100-40099/50000" {
+		t.Fatalf("status %d, %d bytes, error %v, header %v", resp.status, len(resp.body), resp.err, resp.header)
+	}
+	header := <-secondHeader
+	byteRange, ok := strings.CutPrefix(header.Get("Range"), "bytes=")
+	first, last, _ := strings.Cut(byteRange, "-")
 	if n, err := strconv.Atoi(first); !ok || err != nil || n < 100 || n > 11_100 || last != "40099" {
-		t.Errorf("the second attempt asked for %q", h.Get("Range"))
+		t.Errorf("the second attempt requested range %q", header.Get("Range"))
 	}
-	if h.Get("If-Match") != a.header.Get("ETag") {
-		t.Errorf("the second attempt is pinned to %q", h.Get("If-Match"))
+	if header.Get("If-Match") != resp.header.Get("ETag") {
+		t.Errorf("the second attempt has If-Match %q, want %q", header.Get("If-Match"), resp.header.Get("ETag"))
 	}
-	if n := count(store, "GET /art/die"); n != 2 {
+	if n := countRequests(store, "GET /art/restart"); n != 2 {
 		t.Errorf("%d attempts, want 2", n)
 	}
 }
 
-// The object is overwritten between the attempts: the response has one version or the other, never both.
+// The object is overwritten between two attempts of a range read. The response must not mix the versions.
 func TestResumedRangeReadNeverMixesVersions(t *testing.T) {
-	r := newRig(t)
-	base, _ := r.broker("")
-	old, fresh := noise(50_000, 3), noise(50_000, 4)
-	store := r.stores[r.home(base, "/art/die", old)]
-	var n atomic.Int32
+	f := newFixture(t)
+	base, _ := f.startBroker("")
+	oldBody, newBody := testBytes(50_000, 3), testBytes(50_000, 4)
+	store := f.stores[f.putObject(base, "/art/restart", oldBody)]
+	var attempts atomic.Int32
 	store.SetHook(func(w http.ResponseWriter, q *http.Request, next func()) {
-		if n.Add(1) > 1 {
+		if attempts.Add(1) > 1 {
 			next()
 			return
 		}
-		store.Cut(&cut{ResponseWriter: w, left: 11_000}, q)
+		store.Cut(&truncatingWriter{ResponseWriter: w, remaining: 11_000}, q)
 		w.(http.Flusher).Flush()
-		store.Put("/art/die", fresh)
+		store.Put("/art/restart", newBody)
 		panic(http.ErrAbortHandler)
 	})
-	a := r.do("GET", base+"/art/die", nil, "Range", "bytes=0-39999")
-	if a.status != 206 || !bytes.Equal(a.body, fresh[:40000]) {
-		t.Fatalf("%d, old %v, %d bytes", a.status, bytes.HasPrefix(a.body, old[:100]), len(a.body))
+	resp := f.do("GET", base+"/art/restart", nil, "Range", "bytes=0-39999")
+	if resp.status != 206 || !bytes.Equal(resp.body, newBody[:40000]) {
+		t.Fatalf("status %d, starts with the old version: %v, %d bytes", resp.status, bytes.HasPrefix(resp.body, oldBody[:100]), len(resp.body))
 	}
-	if n.Load() != 3 { // the first, the pinned one that met another version, the new start
-		t.Errorf("%d attempts, want 3", n.Load())
+	// The first attempt, one with If-Match that finds another version, and one from the start.
+	if attempts.Load() != 3 {
+		t.Errorf("%d attempts, want 3", attempts.Load())
 	}
 }
 
-// After the first byte a failure truncates the body, so that the client notices it, and nothing is retried.
+// A node fails after the first bytes of the response have gone to the client. The broker truncates the body, so that
+// the client detects the failure, and does not retry.
 func TestFailureAfterFirstByteTruncatesTheBody(t *testing.T) {
-	r := newRig(t)
-	base, _ := r.broker("")
-	body := noise(300_000, 5)
-	store := r.stores[r.home(base, "/art/big", body)]
+	f := newFixture(t)
+	base, _ := f.startBroker("")
+	body := testBytes(300_000, 5)
+	store := f.stores[f.putObject(base, "/art/big", body)]
 	store.SetHook(func(w http.ResponseWriter, q *http.Request, next func()) {
-		store.Cut(&cut{ResponseWriter: w, left: 200_000}, q)
+		store.Cut(&truncatingWriter{ResponseWriter: w, remaining: 200_000}, q)
 		w.(http.Flusher).Flush()
 		panic(http.ErrAbortHandler)
 	})
-	a := r.do("GET", base+"/art/big", nil)
-	if a.status != 200 || a.err == nil || len(a.body) >= len(body) || !bytes.HasPrefix(body, a.body) {
-		t.Fatalf("%d, %d bytes, %v", a.status, len(a.body), a.err)
+	resp := f.do("GET", base+"/art/big", nil)
+	if resp.status != 200 || resp.err == nil || len(resp.body) >= len(body) || !bytes.HasPrefix(body, resp.body) {
+		t.Fatalf("status %d, %d bytes, error %v", resp.status, len(resp.body), resp.err)
 	}
-	if n := count(store, "GET /art/big"); n != 1 {
+	if n := countRequests(store, "GET /art/big"); n != 1 {
 		t.Errorf("%d attempts after the first byte, want 1", n)
 	}
 }
 
-// upload creates a multipart upload and returns its id.
-func (r *rig) upload(base, path string) string {
-	r.t.Helper()
-	a := r.do("POST", base+path+"?uploads", nil)
+// createUpload creates a multipart upload and returns its id.
+func (f *fixture) createUpload(base, path string) string {
+	f.t.Helper()
+	resp := f.do("POST", base+path+"?uploads", nil)
 	var out struct {
 		UploadID string `xml:"UploadId"`
 	}
-	if err := xml.Unmarshal(a.body, &out); err != nil || a.status != 200 || out.UploadID == "" {
-		r.t.Fatalf("create: %d %s", a.status, a.body)
+	if err := xml.Unmarshal(resp.body, &out); err != nil || resp.status != 200 || out.UploadID == "" {
+		f.t.Fatalf("create upload: status %d, %s", resp.status, resp.body)
 	}
 	return out.UploadID
 }
 
 // uploadPart uploads a part of /art/poster and returns its ETag.
-func (r *rig) uploadPart(base, id string, n int, body []byte) string {
-	r.t.Helper()
-	a := r.do("PUT", fmt.Sprintf("%s/art/poster?partNumber=%d&uploadId=%s", base, n, id), body)
-	if a.status != 200 || a.header.Get("ETag") == "" {
-		r.t.Fatalf("part %d: %d %s", n, a.status, a.body)
+func (f *fixture) uploadPart(base, id string, n int, body []byte) string {
+	f.t.Helper()
+	resp := f.do("PUT", fmt.Sprintf("%s/art/poster?partNumber=%d&uploadId=%s", base, n, id), body)
+	if resp.status != 200 || resp.header.Get("ETag") == "" {
+		f.t.Fatalf("upload part %d: status %d, %s", n, resp.status, resp.body)
 	}
-	return a.header.Get("ETag")
+	return resp.header.Get("ETag")
 }
 
-func completion(etags ...string) []byte {
+// completionBody returns the request body that completes an upload with parts of these ETags.
+func completionBody(etags ...string) []byte {
 	var b strings.Builder
 	b.WriteString("<CompleteMultipartUpload>")
-	for i, e := range etags {
-		fmt.Fprintf(&b, "<Part><PartNumber>%d</PartNumber><ETag>%s</ETag></Part>", i+1, strings.ReplaceAll(e, `"`, "&quot;"))
+	for i, etag := range etags {
+		fmt.Fprintf(&b, "<Part><PartNumber>%d</PartNumber><ETag>%s</ETag></Part>", i+1, strings.ReplaceAll(etag, `"`, "&quot;"))
 	}
 	return []byte(b.String() + "</CompleteMultipartUpload>")
 }
 
-// The broker is killed before the last part. Another one continues the upload by its id alone, and it is completed
-// once, however often the client asks.
+// The broker is killed before the last part is uploaded. Another broker continues the upload, which it knows only by
+// its id. The upload is completed once even if the client repeats the completion.
 func TestUploadContinuesAtAnotherBroker(t *testing.T) {
-	r := newRig(t)
-	base, first := r.process()
-	one, two, three := noise(70_000, 6), noise(80_000, 7), noise(900, 8)
-	id := r.upload(base, "/art/poster")
-	tags := []string{r.uploadPart(base, id, 1, one), r.uploadPart(base, id, 2, two)}
-	first.kill()
-	base, _ = r.process()
-	a := r.do("GET", base+"/art/poster?uploadId="+id, nil)
-	if a.status != 200 || bytes.Count(a.body, []byte("<Part>")) != 2 || !bytes.Contains(a.body, []byte("<UploadId>"+id+"<")) {
-		t.Fatalf("list parts: %d %s", a.status, a.body)
-	}
-	tags = append(tags, r.uploadPart(base, id, 3, three))
-	for range 2 { // the client did not get the first response and retries
-		a = r.do("POST", base+"/art/poster?uploadId="+id, completion(tags...))
-		if a.status != 200 || !bytes.Contains(a.body, []byte("-3")) {
-			t.Fatalf("complete: %d %s", a.status, a.body)
+	f := newFixture(t)
+	base, firstBroker := f.startProcess()
+	part1, part2, part3 := testBytes(70_000, 6), testBytes(80_000, 7), testBytes(900, 8)
+	id := f.createUpload(base, "/art/poster")
+	tags := []string{f.uploadPart(base, id, 1, part1), f.uploadPart(base, id, 2, part2)}
+	firstBroker.kill()
+	base, _ = f.startProcess()
+	resp := f.do("GET", base+"/art/poster?uploadId="+id, nil)
+	if resp.status != 200 || bytes.Count(resp.body, []byte("<Part>")) != 2 || !bytes.Contains(resp.body, []byte("<UploadId>"+id+"<")) {
+		t.Fatalf("list parts: status %d, %s", resp.status, resp.body)
+	}
+	tags = append(tags, f.uploadPart(base, id, 3, part3))
+	for range 2 { // the client retries because it did not get the first response
+		resp = f.do("POST", base+"/art/poster?uploadId="+id, completionBody(tags...))
+		if resp.status != 200 || !bytes.Contains(resp.body, []byte("-3")) {
+			t.Fatalf("complete upload: status %d, %s", resp.status, resp.body)
 		}
 	}
-	if n := r.completions("/art/poster"); n != 1 {
+	if n := f.completions("/art/poster"); n != 1 {
 		t.Errorf("%d completions, want 1", n)
 	}
-	if got := r.do("GET", base+"/art/poster", nil); !bytes.Equal(got.body, bytes.Join([][]byte{one, two, three}, nil)) {
-		t.Errorf("the object has %d bytes", len(got.body))
+	if got := f.do("GET", base+"/art/poster", nil); !bytes.Equal(got.body, bytes.Join([][]byte{part1, part2, part3}, nil)) {
+		t.Errorf("the object has %d bytes, want those of the three parts", len(got.body))
 	}
 }
 
-// The node restarts after it completed an upload and before it answered, or before it completed it. The call is not
-// retried: reading back shows the outcome.
+// A node restarts before it responds to the completion of an upload: in one case after it executed the completion, in
+// the other before. The broker does not retry the completion; it reads the object back to find out the outcome.
 func TestCompletionWithUnknownOutcomeIsVerified(t *testing.T) {
-	for _, ran := range []bool{true, false} {
-		t.Run(fmt.Sprint("ran=", ran), func(t *testing.T) { testUnknownCompletion(t, ran) })
+	for _, executed := range []bool{true, false} {
+		t.Run(fmt.Sprint("executed=", executed), func(t *testing.T) { testCompletionWithUnknownOutcome(t, executed) })
 	}
 }
 
-func testUnknownCompletion(t *testing.T, ran bool) {
-	r := newRig(t)
-	base, _ := r.broker("")
-	id := r.upload(base, "/art/poster")
-	tag := r.uploadPart(base, id, 1, noise(1000, 9))
-	wait := "20000" // verified long before
-	if !ran {
-		wait = "3000" // looked for until the client's deadline
-	}
-	posts := r.restartAtFirstPost(ran)
-	a := r.do("POST", base+"/art/poster?uploadId="+id, completion(tag), "X-Timeout-Ms", wait)
-	done := r.completions("/art/poster")
+func testCompletionWithUnknownOutcome(t *testing.T, executed bool) {
+	f := newFixture(t)
+	base, _ := f.startBroker("")
+	id := f.createUpload(base, "/art/poster")
+	tag := f.uploadPart(base, id, 1, testBytes(1000, 9))
+	timeoutMS := "20000" // the broker finds the object long before
+	if !executed {
+		timeoutMS = "3000" // the broker looks for the object until the client's deadline
+	}
+	posts := f.restartAtFirstPost(executed)
+	resp := f.do("POST", base+"/art/poster?uploadId="+id, completionBody(tag), "X-Timeout-Ms", timeoutMS)
+	completions := f.completions("/art/poster")
 	if posts.Load() != 1 {
-		t.Errorf("the call reached the node %d times, want 1", posts.Load())
+		t.Errorf("the node received the completion %d times, want 1", posts.Load())
 	}
-	if ran && (a.status != 200 || done != 1) {
-		t.Errorf("ran: %d %s, %d completions", a.status, a.body, done)
+	if executed && (resp.status != 200 || completions != 1) {
+		t.Errorf("executed: status %d, %s, %d completions", resp.status, resp.body, completions)
 	}
-	if !ran && (a.status != 500 && a.status != 504 || done != 0 || a.header.Get("Retry-After") != "") {
-		t.Errorf("did not run: %d %s, %d completions", a.status, a.body, done)
+	if !executed && (resp.status != 500 && resp.status != 504 || completions != 0 || resp.header.Get("Retry-After") != "") {
+		t.Errorf("not executed: status %d, %s, %d completions", resp.status, resp.body, completions)
 	}
-	// After a retry of the client there is exactly one completion.
-	if a = r.do("POST", base+"/art/poster?uploadId="+id, completion(tag)); a.status != 200 {
-		t.Errorf("retried: %d %s", a.status, a.body)
+	// After the client has retried there is exactly one completion.
+	if resp = f.do("POST", base+"/art/poster?uploadId="+id, completionBody(tag)); resp.status != 200 {
+		t.Errorf("retry: status %d, %s", resp.status, resp.body)
 	}
-	if done = r.completions("/art/poster"); done != 1 {
-		t.Errorf("%d completions, want 1", done)
+	if completions = f.completions("/art/poster"); completions != 1 {
+		t.Errorf("%d completions after the retry, want 1", completions)
 	}
 }
 
-// restartAtFirstPost has the node that gets the first POST restart without an answer, after it has executed the call
-// if ran. It returns the count of POSTs.
-func (r *rig) restartAtFirstPost(ran bool) *atomic.Int32 {
+// restartAtFirstPost makes the node that gets the first POST restart without a response, after it has executed the
+// request if execute is true. The result counts the POSTs.
+func (f *fixture) restartAtFirstPost(execute bool) *atomic.Int32 {
 	var posts atomic.Int32
-	for i, s := range r.stores {
+	for i, s := range f.stores {
 		s.SetHook(func(w http.ResponseWriter, q *http.Request, next func()) {
 			if q.Method != "POST" || posts.Add(1) > 1 {
 				next()
 				return
 			}
-			if ran {
-				s.Cut(&cut{ResponseWriter: w}, q)
+			if execute {
+				s.Cut(&truncatingWriter{ResponseWriter: w}, q)
 			}
 			go func() {
-				r.nodes[i].Kill()
-				if err := r.nodes[i].Restart(); err != nil {
-					r.t.Error(err)
+				f.nodes[i].Kill()
+				if err := f.nodes[i].Restart(); err != nil {
+					f.t.Error(err)
 				}
 			}()
 			<-q.Context().Done()
@@ -283,17 +285,17 @@
 	return &posts
 }
 
-// completions is how often an upload of the object was completed.
-func (r *rig) completions(path string) int {
-	return r.stores[0].Completions(path) + r.stores[1].Completions(path)
+// completions returns how often the stores have completed an upload of the object.
+func (f *fixture) completions(path string) int {
+	return f.stores[0].Completions(path) + f.stores[1].Completions(path)
 }
 
 func TestAbortAndErrorsHaveS3Codes(t *testing.T) {
-	r := newRig(t)
-	base, _ := r.broker(`,"tuning":{"max_object":1000}`)
-	id := r.upload(base, "/art/x")
-	if a := r.do("DELETE", base+"/art/x?uploadId="+id, nil); a.status != 204 {
-		t.Errorf("abort: %d %s", a.status, a.body)
+	f := newFixture(t)
+	base, _ := f.startBroker(`,"tuning":{"max_object":1000}`)
+	id := f.createUpload(base, "/art/x")
+	if resp := f.do("DELETE", base+"/art/x?uploadId="+id, nil); resp.status != 204 {
+		t.Errorf("abort: status %d, %s", resp.status, resp.body)
 	}
 	tag := strings.Repeat("0", 32)
 	for _, c := range []struct {
@@ -304,13 +306,13 @@
 	}{
 		{"GET", "/art/x?uploadId=" + id, nil, 404, "NoSuchUpload"},
 		{"PUT", "/art/x?partNumber=1&uploadId=" + id, []byte("x"), 404, "NoSuchUpload"},
-		{"POST", "/art/x?uploadId=" + id, completion(tag), 404, "NoSuchUpload"},
+		{"POST", "/art/x?uploadId=" + id, completionBody(tag), 404, "NoSuchUpload"},
 		{"GET", "/art/x?uploadId=9-u1", nil, 404, "NoSuchUpload"},
 		{"GET", "/art/x?uploadId=u1", nil, 404, "NoSuchUpload"},
 		{"PUT", "/art/x?partNumber=0&uploadId=" + id, nil, 400, "InvalidArgument"},
 		{"PUT", "/art/x?partNumber=10001&uploadId=" + id, nil, 400, "InvalidArgument"},
 		{"POST", "/art/x?uploadId=" + id, []byte("<no"), 400, "MalformedXML"},
-		{"POST", "/art/x?uploadId=" + id, completion(), 400, "MalformedXML"},
+		{"POST", "/art/x?uploadId=" + id, completionBody(), 400, "MalformedXML"},
 		{"POST", "/art/x?uploadId=" + id, []byte("<CompleteMultipartUpload><Part><PartNumber>2</PartNumber><ETag>a</ETag>" +
 			"</Part><Part><PartNumber>1</PartNumber><ETag>a</ETag></Part></CompleteMultipartUpload>"), 400, "InvalidPartOrder"},
 		{"PUT", "/art/x", make([]byte, 1001), 400, "EntityTooLarge"},
@@ -320,49 +322,50 @@
 		{"GET", "/art/x?acl", nil, 501, "NotImplemented"},
 		{"PATCH", "/art/x", nil, 405, "MethodNotAllowed"},
 	} {
-		a := r.do(c.method, base+c.target, c.body)
-		if a.status != c.status || !bytes.Contains(a.body, []byte("<Code>"+c.code+"</Code>")) {
-			t.Errorf("%s %s: %d %s, want %d %s", c.method, c.target, a.status, a.body, c.status, c.code)
+		resp := f.do(c.method, base+c.target, c.body)
+		if resp.status != c.status || !bytes.Contains(resp.body, []byte("<Code>"+c.code+"</Code>")) {
+			t.Errorf("%s %s: status %d, %s, want %d %s", c.method, c.target, resp.status, resp.body, c.status, c.code)
 		}
 	}
 }
 
-// Without a node for the shard a request is rejected at once, with Retry-After.
+// No node has the shard of the object. The broker rejects the request immediately, with Retry-After.
 func TestRejectionCarriesRetryAfter(t *testing.T) {
-	r := newRig(t)
-	r.disc.Set(discovery.Endpoint{ID: "s-0", State: "removed", Addr: r.nodes[0].Addr()},
-		discovery.Endpoint{ID: "s-1", State: "removed", Addr: r.nodes[1].Addr()})
-	base, _ := r.broker("")
-	a := r.do("GET", base+"/art/x", nil)
-	if a.status != 503 || a.header.Get("Retry-After") != "1" || !bytes.Contains(a.body, []byte("<Code>SlowDown</Code>")) {
-		t.Fatalf("%d %v %s", a.status, a.header, a.body)
+	f := newFixture(t)
+	f.discovery.Set(discovery.Endpoint{ID: "s-0", State: "removed", Addr: f.nodes[0].Addr()},
+		discovery.Endpoint{ID: "s-1", State: "removed", Addr: f.nodes[1].Addr()})
+	base, _ := f.startBroker("")
+	resp := f.do("GET", base+"/art/x", nil)
+	if resp.status != 503 || resp.header.Get("Retry-After") != "1" || !bytes.Contains(resp.body, []byte("<Code>SlowDown</Code>")) {
+		t.Fatalf("status %d, header %v, %s", resp.status, resp.header, resp.body)
 	}
 }
 
-// A node never answers: 504 by the client's deadline.
+// All nodes hang. The client gets a 504 response at its deadline.
 func TestDeadlineEndsARequestWithGatewayTimeout(t *testing.T) {
-	r := newRig(t)
-	for _, s := range r.stores {
+	f := newFixture(t)
+	for _, s := range f.stores {
 		s.SetHook(func(_ http.ResponseWriter, q *http.Request, _ func()) { <-q.Context().Done() })
 	}
-	base, _ := r.broker("")
+	base, _ := f.startBroker("")
 	for _, method := range []string{"GET", "PUT"} {
-		a := r.do(method, base+"/art/x", nil, "X-Timeout-Ms", "2000")
-		if a.status != 504 || !bytes.Contains(a.body, []byte("GatewayTimeout")) {
-			t.Fatalf("%s: %d %s", method, a.status, a.body)
+		resp := f.do(method, base+"/art/x", nil, "X-Timeout-Ms", "2000")
+		if resp.status != 504 || !bytes.Contains(resp.body, []byte("GatewayTimeout")) {
+			t.Fatalf("%s: status %d, %s", method, resp.status, resp.body)
 		}
 	}
 }
 
-// cut passes so many bytes of a response's body on and drops the rest.
-type cut struct {
+// truncatingWriter passes on the first bytes of a response's body and drops the rest. If remaining is 0, it drops the
+// header too.
+type truncatingWriter struct {
 	http.ResponseWriter
-	left int
+	remaining int // bytes still to be passed on
 }
 
-func (c *cut) Write(b []byte) (int, error) {
-	n := min(len(b), c.left)
-	c.left -= n
+func (c *truncatingWriter) Write(b []byte) (int, error) {
+	n := min(len(b), c.remaining)
+	c.remaining -= n
 	if n > 0 {
 		if _, err := c.ResponseWriter.Write(b[:n]); err != nil {
 			return 0, err
@@ -371,8 +374,8 @@
 	return len(b), nil
 }
 
-func (c *cut) WriteHeader(status int) {
-	if c.left > 0 {
+func (c *truncatingWriter) WriteHeader(status int) {
+	if c.remaining > 0 {
 		c.ResponseWriter.WriteHeader(status)
 	}
 }
--- a/internal/broker/server/reload_test.go
+++ b/internal/broker/server/reload_test.go
@@ -11,110 +11,112 @@
 	"poppyarch/internal/testkit/fake"
 )
 
-// A reload that moves discovery is followed at once by a drain, with a request at a node: the request is answered.
-func TestDrainRightAfterReloadAnswersOpenRequests(t *testing.T) {
-	r := newRig(t)
-	base, p := r.process()
-	home := r.home(base, "/b/k", []byte("x"))
-	got, answer := make(chan struct{}), make(chan struct{})
-	r.stores[home].SetHook(func(_ http.ResponseWriter, _ *http.Request, next func()) {
-		close(got)
-		<-answer
+// A SIGHUP that changes the address of discovery is immediately followed by a SIGTERM, while a request is at a node.
+// The request is answered.
+func TestDrainRightAfterReloadAnswersRequestsInFlight(t *testing.T) {
+	f := newFixture(t)
+	base, process := f.startProcess()
+	storeIndex := f.putObject(base, "/b/k", []byte("x"))
+	received, release := make(chan struct{}), make(chan struct{})
+	f.stores[storeIndex].SetHook(func(_ http.ResponseWriter, _ *http.Request, next func()) {
+		close(received)
+		<-release
 		next()
 	})
 	done := make(chan int, 1)
-	go func() { done <- r.do("GET", base+"/b/k", nil).status }()
-	<-got
-	moved := bytes.Replace(r.configText(""), []byte(r.discN.Addr()), []byte("127.0.0.1:1"), 1)
-	tmp := filepath.Join(filepath.Dir(p.config), "new")
+	go func() { done <- f.do("GET", base+"/b/k", nil).status }()
+	<-received
+	moved := bytes.Replace(f.configText(""), []byte(f.discoveryNode.Addr()), []byte("127.0.0.1:1"), 1)
+	tmp := filepath.Join(filepath.Dir(process.config), "new")
 	if err := os.WriteFile(tmp, moved, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Rename(tmp, p.config); err != nil {
+	if err := os.Rename(tmp, process.config); err != nil {
 		t.Fatal(err)
 	}
-	p.signal(t, syscall.SIGHUP)
-	p.signal(t, syscall.SIGTERM)
-	eventually(t, "a drain", func() bool { return p.log.count("draining") > 0 })
-	close(answer)
+	process.signal(t, syscall.SIGHUP)
+	process.signal(t, syscall.SIGTERM)
+	eventually(t, "the drain has started", func() bool { return process.log.count("draining") > 0 })
+	close(release)
 	if status := <-done; status != http.StatusOK {
-		t.Errorf("the open request got %d", status)
+		t.Errorf("the request in flight got status %d, want 200", status)
 	}
-	if err := p.cmd.Wait(); err != nil {
-		t.Errorf("the process ended with %v", err)
+	if err := process.cmd.Wait(); err != nil {
+		t.Errorf("the process ended with error %v", err)
 	}
 }
 
-// A SIGHUP moves the broker to the discovery service that the file now names, whatever LB_DISCOVERY said at the start.
-// An invalid file changes nothing. The same holds in a drain.
-func TestHangupReloadsTheConfiguration(t *testing.T) {
-	r := newRig(t)
-	other := fake.NewDiscovery()
-	otherNode, err := fake.Start(other)
+// After a SIGHUP the broker uses the discovery service that the file now names, even if LB_DISCOVERY was set at the
+// start. An invalid file changes nothing. SIGHUP also reloads the configuration during a drain.
+func TestSIGHUPReloadsTheConfiguration(t *testing.T) {
+	f := newFixture(t)
+	newDiscovery := fake.NewDiscovery()
+	newDiscoveryNode, err := fake.Start(newDiscovery)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(otherNode.Kill)
-	for i, l := range r.disc.List(-1).Endpoints {
-		l.Addr = r.nodes[1-i].Addr() // the other list has the stores the other way round
-		other.Set(l)
+	t.Cleanup(newDiscoveryNode.Kill)
+	for i, endpoint := range f.discovery.List(-1).Endpoints {
+		endpoint.Addr = f.nodes[1-i].Addr() // the new list swaps the addresses of the stores
+		newDiscovery.Set(endpoint)
 	}
-	base, p := r.process("LB_DISCOVERY=" + r.discN.Addr())
-	eventually(t, "a watch at the first discovery", func() bool { return len(r.disc.Calls()) > 0 })
-	home := r.home(base, "/b/k", []byte("x"))
-	old := r.configText("")
-	hangup := func(text []byte, line string, times int) {
+	base, process := f.startProcess("LB_DISCOVERY=" + f.discoveryNode.Addr())
+	eventually(t, "a watch at the first discovery service", func() bool { return len(f.discovery.Calls()) > 0 })
+	storeIndex := f.putObject(base, "/b/k", []byte("x"))
+	original := f.configText("")
+	// reload replaces the configuration file, sends SIGHUP and waits until a log line has come at least times times.
+	reload := func(text []byte, line string, times int) {
 		t.Helper()
-		tmp := filepath.Join(filepath.Dir(p.config), "new")
+		tmp := filepath.Join(filepath.Dir(process.config), "new")
 		if err := os.WriteFile(tmp, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.Rename(tmp, p.config); err != nil {
+		if err := os.Rename(tmp, process.config); err != nil {
 			t.Fatal(err)
 		}
-		p.signal(t, syscall.SIGHUP)
-		eventually(t, line, func() bool { return p.log.count(line) >= times })
+		process.signal(t, syscall.SIGHUP)
+		eventually(t, line, func() bool { return process.log.count(line) >= times })
 	}
-	hangup([]byte(`{"discovery":`), "reload: invalid configuration", 1)
-	hangup(bytes.Replace(old, []byte(`"cores":1`), []byte(`"cores":"x"`), 1), "reload: invalid configuration", 2)
-	if n := len(other.Calls()); n != 0 {
-		t.Errorf("%d calls to a discovery that no configuration named", n)
+	reload([]byte(`{"discovery":`), "reload: invalid configuration", 1)
+	reload(bytes.Replace(original, []byte(`"cores":1`), []byte(`"cores":"x"`), 1), "reload: invalid configuration", 2)
+	if n := len(newDiscovery.Calls()); n != 0 {
+		t.Errorf("%d calls to a discovery service that no valid configuration has named", n)
 	}
-	moved := bytes.Replace(old, []byte(r.discN.Addr()), []byte(otherNode.Addr()), 1)
-	hangup(bytes.Replace(moved, []byte(`"name":"t1"`), []byte(`"name":"t1","log":"debug"`), 1), "reload: configuration read", 1)
-	eventually(t, "a list from the new discovery", func() bool { return len(other.Calls()) > 1 })
-	// The lines of a process come through a pipe, not in step with its calls.
-	eventually(t, "a line of the new log level", func() bool { return p.log.count("discovery: node") > 0 })
-	r.list(0, 0) // from the old one, which no longer counts
-	eventually(t, "the object at the other store", func() bool {
-		r.do("PUT", base+"/b/k", []byte("y"))
-		return r.stores[1-home].Get("/b/k") != nil
+	moved := bytes.Replace(original, []byte(f.discoveryNode.Addr()), []byte(newDiscoveryNode.Addr()), 1)
+	reload(bytes.Replace(moved, []byte(`"name":"t1"`), []byte(`"name":"t1","log":"debug"`), 1), "reload: configuration read", 1)
+	eventually(t, "calls to the new discovery service", func() bool { return len(newDiscovery.Calls()) > 1 })
+	// Log lines of the process come through a pipe and can arrive later than its calls.
+	eventually(t, "a line at the new log level", func() bool { return process.log.count("discovery: node") > 0 })
+	f.listNodes(0, 0) // at the old discovery service, which the broker no longer uses
+	eventually(t, "the object is stored at the address in the new list", func() bool {
+		f.do("PUT", base+"/b/k", []byte("y"))
+		return f.stores[1-storeIndex].Get("/b/k") != nil
 	})
-	// Two hangups in a row, and a key that needs a restart.
-	p.signal(t, syscall.SIGHUP)
-	hangup(bytes.Replace(moved, []byte(`"cores":1`), []byte(`"cores":2`), 1), "keys=[limits]", 1)
+	// Two SIGHUPs in a row, and a changed key that needs a restart.
+	process.signal(t, syscall.SIGHUP)
+	reload(bytes.Replace(moved, []byte(`"cores":1`), []byte(`"cores":2`), 1), "keys=[limits]", 1)
 
-	// In a drain, with a request open.
-	got, answer := make(chan struct{}), make(chan struct{})
-	for _, s := range r.stores {
+	// A reload during a drain, with a request in flight.
+	received, release := make(chan struct{}), make(chan struct{})
+	for _, s := range f.stores {
 		s.SetHook(func(_ http.ResponseWriter, _ *http.Request, next func()) {
-			close(got)
-			<-answer
+			close(received)
+			<-release
 			next()
 		})
 	}
 	done := make(chan int, 1)
-	go func() { done <- r.do("GET", base+"/b/k", nil).status }()
-	<-got
-	p.signal(t, syscall.SIGTERM)
-	eventually(t, "a drain", func() bool { return p.log.count("draining") > 0 })
-	before := p.log.count("reload: configuration read")
-	hangup(old, "reload: configuration read", before+1)
-	close(answer)
+	go func() { done <- f.do("GET", base+"/b/k", nil).status }()
+	<-received
+	process.signal(t, syscall.SIGTERM)
+	eventually(t, "the drain has started", func() bool { return process.log.count("draining") > 0 })
+	before := process.log.count("reload: configuration read")
+	reload(original, "reload: configuration read", before+1)
+	close(release)
 	if status := <-done; status != http.StatusOK {
-		t.Errorf("the open request got %d", status)
+		t.Errorf("the request in flight got status %d, want 200", status)
 	}
-	if err := p.cmd.Wait(); err != nil {
-		t.Errorf("the process ended with %v", err)
+	if err := process.cmd.Wait(); err != nil {
+		t.Errorf("the process ended with error %v", err)
 	}
 }
--- a/internal/broker/server/transcript_test.go
+++ b/internal/broker/server/transcript_test.go
@@ -21,9 +21,9 @@
 	"poppyarch/internal/testkit/fake"
 )
 
-var updateTranscripts = flag.Bool("update-transcripts", false, "write the transcripts under testdata anew; only for requests that no released version has answered")
+var updateTranscripts = flag.Bool("update-transcripts", false, "rewrite the transcripts under testdata; only for requests that no released version has served")
 
-// recordingProxy passes connections on to a server and keeps what its clients sent.
+// recordingProxy forwards connections to a server and records the bytes that its clients send.
 type recordingProxy struct {
 	listener net.Listener
 	target   string
@@ -32,7 +32,7 @@
 	sent bytes.Buffer
 }
 
-// newRecordingProxy listens on loopback until the test ends.
+// newRecordingProxy starts a proxy on loopback that accepts connections until the test ends.
 func newRecordingProxy(t *testing.T, target string) *recordingProxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -53,12 +53,12 @@
 		if err != nil {
 			return
 		}
-		go p.pass(client)
+		go p.forward(client)
 	}
 }
 
-// pass copies both ways until either side closes.
-func (p *recordingProxy) pass(client net.Conn) {
+// forward copies in both directions until either side closes.
+func (p *recordingProxy) forward(client net.Conn) {
 	defer func() { _ = client.Close() }()
 	server, err := net.Dial("tcp", p.target)
 	if err != nil {
@@ -66,27 +66,28 @@
 	}
 	defer func() { _ = server.Close() }()
 	go func() {
-		_, _ = io.Copy(client, server) // until either side closes
+		_, _ = io.Copy(client, server) // ends when either side closes
 		_ = client.Close()
 	}()
 	_, _ = io.Copy(server, io.TeeReader(client, p))
 }
 
-// Write keeps what a client sent.
+// Write records bytes that a client has sent.
 func (p *recordingProxy) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.sent.Write(b)
 }
 
+// recorded returns all bytes that clients have sent.
 func (p *recordingProxy) recorded() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.sent.String()
 }
 
-// variable matches what differs from run to run: ports, the time left to a client, dates.
-var variable = []struct {
+// runSpecificText lists patterns of text that differs from run to run: ports, times left until a deadline, dates, IDs.
+var runSpecificText = []struct {
 	pattern     *regexp.Regexp
 	replacement string
 }{
@@ -100,10 +101,10 @@
 	{regexp.MustCompile(`<RequestId>[^<]*<`), "<RequestId>ID<"},
 }
 
-// compareTranscript compares a transcript with the one under testdata, but for what differs from run to run.
+// compareTranscript compares a transcript with the one under testdata, ignoring text that differs from run to run.
 func compareTranscript(t *testing.T, name, transcript string) {
 	t.Helper()
-	for _, v := range variable {
+	for _, v := range runSpecificText {
 		transcript = v.pattern.ReplaceAllString(transcript, v.replacement)
 	}
 	path := filepath.Join("testdata", name)
@@ -121,9 +122,10 @@
 	}
 }
 
-// TestBlockFrontTranscript holds the bytes to a client and to a storage node for scripted requests of the block protocol.
-func TestBlockFrontTranscript(t *testing.T) {
-	r := newRig(t)
+// The bytes sent to a client and to a storage node for a fixed sequence of block protocol requests are those in
+// testdata.
+func TestBlockFrontendTranscript(t *testing.T) {
+	f := newFixture(t)
 	node := fake.NewBlock()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -131,72 +133,73 @@
 	}
 	serveBlock(t, node, listener)
 	proxy := newRecordingProxy(t, listener.Addr().String())
-	r.disc.Set(discovery.Endpoint{ID: "s-0", Addr: proxy.addr(), Zone: "room", Shard: 0, State: "up"})
-	base, _ := r.broker(`,"listen":"127.0.0.1:0","object":null`)
+	f.discovery.Set(discovery.Endpoint{ID: "s-0", Addr: proxy.addr(), Zone: "room", Shard: 0, State: "up"})
+	base, _ := f.startBroker(`,"listen":"127.0.0.1:0","object":null`)
 	var transcript strings.Builder
 	for _, request := range []string{
-		command("BLK.WRITE", "object-complete", "w1", "hello"),
-		command("BLK.READ", "object-read", "r1"),
+		blockCommand("BLK.WRITE", "object-complete", "w1", "hello"),
+		blockCommand("BLK.READ", "object-read", "r1"),
 		"*1\r\n$4\r\nPING\r\n",
 		"*2\r\n$4\r\nPING\r\n$2\r\nhi\r\n",
 		"PING\r\n",
 		"*1\r\n$7\r\nUNKNOWN\r\n",
 		"*2\r\n$8\r\nBLK.READ\r\n$1\r\na\r\n",
-		command("BLK.READ", "no-such-class", "r2"),
+		blockCommand("BLK.READ", "no-such-class", "r2"),
 		"*4\r\n$8\r\nBLK.READ\r\n$1\r\na\r\n$1\r\nb\r\n$3\r\nx=y\r\n",
 		"*1\r\n$4\r\nQUIT\r\n",
 		"*1\r\n$x\r\n",
 	} {
-		// Each request has a connection of its own: some answers end theirs.
+		// Each request uses its own connection, since some responses close it.
 		conn, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+		if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := io.WriteString(conn, request); err != nil {
 			t.Fatal(err)
 		}
-		answer := readBlockAnswer(t, bufio.NewReader(conn))
-		fmt.Fprintf(&transcript, "> %q\n< %q\n", request, answer)
+		response := readBlockResponse(t, bufio.NewReader(conn))
+		fmt.Fprintf(&transcript, "> %q\n< %q\n", request, response)
 		_ = conn.Close()
 	}
 	fmt.Fprintf(&transcript, "to the storage node: %q\n", proxy.recorded())
 	compareTranscript(t, "transcript-block.txt", transcript.String())
 }
 
-// readBlockAnswer returns the bytes of one answer: a line, or a length and a value.
-func readBlockAnswer(t *testing.T, reader *bufio.Reader) string {
+// readBlockResponse returns the bytes of one response: a line, or a length and a value.
+func readBlockResponse(t *testing.T, reader *bufio.Reader) string {
 	t.Helper()
-	answer, err := reader.ReadString('\n')
-	if err == nil && strings.HasPrefix(answer, "$") {
+	response, err := reader.ReadString('\n')
+	if err == nil && strings.HasPrefix(response, "$") {
 		var value string
 		value, err = reader.ReadString('\n')
-		answer += value
+		response += value
 	}
 	if err != nil {
-		t.Fatalf("after %q: %v", answer, err)
+		t.Fatalf("read a response, got %q: %v", response, err)
 	}
-	return answer
+	return response
 }
 
-// TestObjectFrontTranscript holds the bytes to a client and to storage nodes for scripted requests of the object API.
-func TestObjectFrontTranscript(t *testing.T) {
-	r := newRig(t)
+// The bytes sent to a client and to the storage nodes for a fixed sequence of object API requests are those in
+// testdata.
+func TestObjectFrontendTranscript(t *testing.T) {
+	f := newFixture(t)
 	var proxies []*recordingProxy
-	for i, node := range r.nodes {
+	for i, node := range f.nodes {
 		proxy := newRecordingProxy(t, node.Addr())
 		proxies = append(proxies, proxy)
-		r.disc.Set(discovery.Endpoint{ID: fmt.Sprint("s-", i), Addr: proxy.addr(), Zone: "room", Shard: i, State: "up"})
+		f.discovery.Set(discovery.Endpoint{ID: fmt.Sprint("s-", i), Addr: proxy.addr(), Zone: "room", Shard: i, State: "up"})
 	}
-	base, _ := r.broker("")
+	base, _ := f.startBroker("")
 	conn, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	closeOnCleanup(t, conn)
-	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	script := &objectScript{t: t, conn: conn, reader: bufio.NewReader(conn)}
@@ -224,20 +227,21 @@
 	script.send("PUT", "/art/book.pdf?partNumber=0&uploadId="+upload[1], "x")
 	script.send("POST", "/art/book.pdf?uploadId=nonsense", "x")
 	for i, proxy := range proxies {
-		fmt.Fprintf(&script.transcript, "to storage node %d: %q\n", i, normaliseDates(proxy.recorded()))
+		fmt.Fprintf(&script.transcript, "to storage node %d: %q\n", i, replaceRunSpecificText(proxy.recorded()))
 	}
 	compareTranscript(t, "transcript-object.txt", script.transcript.String())
 }
 
-// normaliseDates replaces what differs from run to run before the bytes are quoted.
-func normaliseDates(s string) string {
-	for _, v := range variable {
+// replaceRunSpecificText replaces text that differs from run to run. It is called before the bytes are quoted, since
+// the patterns match unquoted lines.
+func replaceRunSpecificText(s string) string {
+	for _, v := range runSpecificText {
 		s = v.pattern.ReplaceAllString(s, v.replacement)
 	}
 	return s
 }
 
-// objectScript sends requests on one connection and keeps what went either way.
+// objectScript sends requests on one connection and records the bytes of requests and responses.
 type objectScript struct {
 	t          *testing.T
 	conn       net.Conn
@@ -245,7 +249,7 @@
 	transcript strings.Builder
 }
 
-// send returns the answer's bytes as they came, but for what differs from run to run.
+// send sends a request and returns the bytes of the response, with text that differs from run to run replaced.
 func (s *objectScript) send(method, target, body string, headers ...string) string {
 	s.t.Helper()
 	request := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: broker\r\n", method, target)
@@ -268,29 +272,29 @@
 		s.t.Fatalf("%s %s: %v", method, target, err)
 	}
 	_ = response.Body.Close()
-	answer := normaliseDates(raw.String())
-	fmt.Fprintf(&s.transcript, "> %q\n< %q\n", request, answer)
-	return answer
+	text := replaceRunSpecificText(raw.String())
+	fmt.Fprintf(&s.transcript, "> %q\n< %q\n", request, text)
+	return text
 }
 
-// byteReader gives one byte a call, so that its reader takes nothing beyond what it needs.
+// byteReader returns one byte per call, so that a buffered reader on top of it reads nothing beyond the response.
 type byteReader struct{ from io.Reader }
 
 func (r *byteReader) Read(b []byte) (int, error) { return r.from.Read(b[:min(len(b), 1)]) }
 
-// TestDiscoveryCallsTranscript holds the forms of the calls to discovery.
+// The calls to discovery, without repetitions, are those in testdata.
 func TestDiscoveryCallsTranscript(t *testing.T) {
-	r := newRig(t)
-	proxy := newRecordingProxy(t, r.discN.Addr())
-	r.brokerFrom(r.configTextFor(proxy.addr(), ""))
-	whole := func() []string {
+	f := newFixture(t)
+	proxy := newRecordingProxy(t, f.discoveryNode.Addr())
+	f.startBrokerWith(f.configTextFor(proxy.addr(), ""))
+	completeCalls := func() []string {
 		parts := strings.Split(proxy.recorded(), "\r\n\r\n")
 		return parts[:len(parts)-1]
 	}
-	eventually(t, "the list was asked for and is watched", func() bool { return strings.Contains(strings.Join(whole(), ""), "wait_ms=") })
+	eventually(t, "a watch follows the first call to discovery", func() bool { return strings.Contains(strings.Join(completeCalls(), ""), "wait_ms=") })
 	var calls []string
-	for _, call := range whole() {
-		call = regexp.MustCompile(`after=\d+`).ReplaceAllString(normaliseDates(call), "after=REVISION")
+	for _, call := range completeCalls() {
+		call = regexp.MustCompile(`after=\d+`).ReplaceAllString(replaceRunSpecificText(call), "after=REVISION")
 		if !slices.Contains(calls, call) {
 			calls = append(calls, call)
 		}
