--- a/internal/broker/server/live.go
+++ b/internal/broker/server/live.go
@@ -167,7 +167,7 @@
 			return fmt.Errorf("%s: %w", field, err)
 		}
 		if seen[n.ID] {
-			return &spec.FieldError{Field: field, Problem: fmt.Sprintf("node %s is listed twice", n.ID)}
+			return &spec.FieldError{Field: field, Problem: n.ID + " is there twice"}
 		}
 		seen[n.ID] = true
 	}
