--- a/internal/timing/backoff/backoff.go
+++ b/internal/timing/backoff/backoff.go
@@ -1,14 +1,14 @@
-// Package backoff computes the delays of clients that retry calls to a shared service.
+// Package backoff computes the retry delays of clients that call a shared service.
 package backoff
 
 import "time"
 
 const (
-	firstDelayPerClient = 20 * time.Millisecond // the first delay grows with the number of clients
+	firstDelayPerClient = 20 * time.Millisecond // the first delay is proportional to the number of clients
 	minFirstDelay       = 500 * time.Millisecond
 	maxFirstDelay       = 2 * time.Second
 	maxDoublings        = 4
-	maxDelayFactor      = 4 // the longest delay, relative to the first; likewise for each client
+	maxDelayFactor      = 4 // maximum delay relative to the first delay, both per client and at the upper bound
 	minMaxDelay         = 2 * minFirstDelay
 	defaultMeanLimit    = 30 * time.Second
 )
@@ -20,8 +20,8 @@
 	meanLimit  time.Duration
 }
 
-// New returns the policy for one of so many clients of a service. meanLimit, if it is above 0, limits the mean of the
-// delays; it is 30 s otherwise.
+// New returns the policy of each client of a service that has the given number of clients. meanLimit is the upper limit
+// of the mean delay; 0 or less selects the default of 30 s.
 func New(clients int, meanLimit time.Duration) Backoff {
 	if meanLimit <= 0 {
 		meanLimit = defaultMeanLimit
@@ -34,14 +34,15 @@
 	}
 }
 
-// InitialDelay is the delay before the first call, which spreads the calls of many clients. random is uniform in [0, 1).
+// InitialDelay returns the delay before the first call. It spreads the first calls of many clients over time. random is
+// uniform in [0, 1).
 func (b Backoff) InitialDelay(random float64) time.Duration {
 	return time.Duration(float64(b.firstDelay-minFirstDelay) * random)
 }
 
-// RetryDelay is the delay after a call that failed, as did so many calls in a row before it. It is between a third and
-// the whole of the longest delay then, which doubles with each failure. limit, if it is above 0, limits the longest
-// delay. random is uniform in [0, 1).
+// RetryDelay returns the delay after a failed call. failures is the number of consecutive calls that failed before that
+// one. The delay lies between one third of the longest delay and the longest delay, which doubles with each failure up
+// to its maximum. A limit above 0 also caps the longest delay. random is uniform in [0, 1).
 func (b Backoff) RetryDelay(failures int, limit time.Duration, random float64) time.Duration {
 	mean := min(b.firstDelay<<min(failures, maxDoublings), b.maxDelay, b.meanLimit)
 	longest := mean * 3 / 2
--- a/internal/timing/backoff/backoff_test.go
+++ b/internal/timing/backoff/backoff_test.go
@@ -28,7 +28,7 @@
 		shortest := b.RetryDelay(x.failures, x.limit, 0)
 		longest := b.RetryDelay(x.failures, x.limit, 1)
 		if shortest != x.shortest || longest != x.longest {
-			t.Errorf("%+v: from %v to %v", x, shortest, longest)
+			t.Errorf("%+v: delays from %v to %v", x, shortest, longest)
 		}
 	}
 }
--- a/internal/timing/clock/clock_test.go
+++ b/internal/timing/clock/clock_test.go
@@ -11,11 +11,11 @@
 		c := New()
 		start := Micros(time.Now().UnixMicro())
 		if now := c.Now(); now != start {
-			t.Errorf("starts at %d, want %d", now, start)
+			t.Errorf("the clock starts at %d, want %d", now, start)
 		}
 		time.Sleep(1500 * time.Microsecond)
 		if now := c.Now(); now != start+1500 {
-			t.Errorf("%d after 1500 us, want %d", now, start+1500)
+			t.Errorf("the clock is at %d after 1500 us, want %d", now, start+1500)
 		}
 	})
 }
--- a/internal/timing/rate/meter_test.go
+++ b/internal/timing/rate/meter_test.go
@@ -12,9 +12,9 @@
 		m.Add(now, 2)
 	}
 	if r := m.Rate(time.Minute); math.Abs(r-20) > 0.5 {
-		t.Errorf("20 units a second are measured as %v", r)
+		t.Errorf("a rate of 20 units per second is measured as %v", r)
 	}
 	if r := m.Rate(time.Minute + DecayTime); math.Abs(r-20/math.E) > 0.5 {
-		t.Errorf("after one time constant it is %v", r)
+		t.Errorf("after one time constant the rate is %v, want about %v", r, 20/math.E)
 	}
 }
--- a/internal/timing/rate/window.go
+++ b/internal/timing/rate/window.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// FixedWindow limits events in consecutive windows of time. Its zero value is empty.
+// FixedWindow limits the number of events in consecutive time windows. Its zero value is ready for use.
 type FixedWindow struct {
 	start time.Duration
 	count int
@@ -21,7 +21,7 @@
 	return w.count <= limit
 }
 
-// SlidingWindow sums what was counted since a time. Its zero value is empty.
+// SlidingWindow sums the units counted since a point in time. Its zero value is ready for use.
 type SlidingWindow struct {
 	samples []sample
 }
@@ -36,7 +36,7 @@
 	w.samples = append(w.samples, sample{at: now, units: units})
 }
 
-// SumSince returns the units counted at from or later, and forgets all earlier ones.
+// SumSince returns the sum of the units counted at from or later, and discards all earlier samples.
 func (w *SlidingWindow) SumSince(from time.Duration) float64 {
 	w.samples = slices.DeleteFunc(w.samples, func(s sample) bool { return s.at < from })
 	var sum float64
--- a/internal/timing/rate/window_test.go
+++ b/internal/timing/rate/window_test.go
@@ -14,16 +14,16 @@
 		}
 	}
 	if allowed != 20 {
-		t.Errorf("%d events in two windows of 10", allowed)
+		t.Errorf("%d events allowed in two windows of 10 events, want 20", allowed)
 	}
 }
 
-func TestSlidingWindowForgetsWhatIsBeforeIt(t *testing.T) {
+func TestSlidingWindowDiscardsEarlierSamples(t *testing.T) {
 	var w SlidingWindow
 	for i := range 10 {
 		w.Add(time.Duration(i)*time.Second, 2)
 	}
 	if got := w.SumSince(7 * time.Second); got != 6 || len(w.samples) != 3 {
-		t.Errorf("%v units in %d samples", got, len(w.samples))
+		t.Errorf("%v units in %d samples, want 6 in 3", got, len(w.samples))
 	}
 }
--- a/internal/timing/timerwheel/timerwheel.go
+++ b/internal/timing/timerwheel/timerwheel.go
@@ -1,5 +1,6 @@
-// Package timerwheel is a hierarchical timing wheel: a set of many timers of which most are moved or stopped before they
-// fire. Set and Stop take constant time. It reads no clock and starts no goroutine; the owner says what time it is.
+// Package timerwheel implements a hierarchical timing wheel for a large number of timers, most of which are rescheduled
+// or stopped before they fire. Set and Stop take constant time. The wheel reads no clock and starts no goroutine; its
+// owner passes the time to Advance.
 package timerwheel
 
 import "poppyarch/internal/timing/clock"
@@ -7,22 +8,22 @@
 const (
 	levels   = 4
 	slotBits = 8
-	slots    = 1 << slotBits // of one level
+	slots    = 1 << slotBits // per level
 	slotMask = slots - 1
 )
 
-// tickCount is a time in units of a wheel's tick.
+// tickCount is a point in time in units of a wheel's tick.
 type tickCount int64
 
-// Timer is one entry of a Wheel. The zero value is stopped.
+// Timer is one entry of a Wheel. Its zero value is a stopped timer.
 type Timer struct {
-	ID         string       // for the owner; the wheel does not read it
-	deadline   clock.Micros // as set
-	prev, next *Timer       // in the slot's ring
-	slot       *Timer       // head of the slot's ring; nil: stopped
+	ID         string       // identifies the timer to its owner; the wheel does not use it
+	deadline   clock.Micros // the argument of Set, not rounded
+	prev, next *Timer       // neighbours in the slot's ring
+	slot       *Timer       // head of the slot's ring; nil if the timer is stopped
 }
 
-// Active reports whether the timer waits to fire.
+// Active reports whether the timer is set and has not fired.
 func (t *Timer) Active() bool { return t.slot != nil }
 
 // pushBack appends the timer to the ring of a slot.
@@ -34,7 +35,7 @@
 	slot.prev = t
 }
 
-// unlink takes the timer out of its ring.
+// unlink removes the timer from its ring.
 func (t *Timer) unlink() {
 	t.prev.next = t.next
 	t.next.prev = t.prev
@@ -43,7 +44,7 @@
 	t.slot = nil
 }
 
-// initRing makes a Timer the head of an empty ring.
+// initRing makes the timer the head of an empty ring.
 func (t *Timer) initRing() {
 	t.prev = t
 	t.next = t
@@ -53,13 +54,13 @@
 // late by less than a tick.
 type Wheel struct {
 	tick     clock.Micros         // width of a slot of the lowest level
-	now      tickCount            // everything up to here has fired
+	now      tickCount            // all timers due up to this tick have fired
 	slot     [levels][slots]Timer // heads of the rings
 	overflow Timer                // head of the ring of timers beyond the highest level
 	count    int                  // active timers
 }
 
-// New returns an empty wheel whose time is now. tick is its resolution.
+// New returns an empty wheel that starts at time now. tick is its resolution.
 func New(now, tick clock.Micros) *Wheel {
 	w := &Wheel{tick: tick, now: tickCount(now / tick)}
 	for level := range w.slot {
@@ -71,10 +72,10 @@
 	return w
 }
 
-// Len is the number of active timers.
+// Len returns the number of active timers.
 func (w *Wheel) Len() int { return w.count }
 
-// Set makes a timer fire at deadline, in place of any earlier setting.
+// Set makes a timer fire at deadline. It replaces the previous deadline of an active timer.
 func (w *Wheel) Set(t *Timer, deadline clock.Micros) {
 	w.Stop(t)
 	t.deadline = deadline
@@ -82,7 +83,7 @@
 	w.insert(t)
 }
 
-// Stop deactivates a timer.
+// Stop deactivates a timer. It has no effect on a stopped timer.
 func (w *Wheel) Stop(t *Timer) {
 	if !t.Active() {
 		return
@@ -91,18 +92,18 @@
 	w.count--
 }
 
-// dueTick is the tick at which a timer fires. It is rounded up, so that no timer fires early.
+// dueTick returns the tick at which a timer fires. It is rounded up, so that no timer fires early.
 func (w *Wheel) dueTick(t *Timer) tickCount {
 	return tickCount((t.deadline + w.tick - 1) / w.tick)
 }
 
-// insert links a timer into the slot of its deadline, at the lowest level that reaches so far.
+// insert links a timer into the slot of its deadline, at the lowest level whose range includes the deadline.
 func (w *Wheel) insert(t *Timer) {
 	due := max(w.dueTick(t), w.now+1)
 	slot := &w.overflow
 	for level := range levels {
 		shift := slotBits * level
-		// Within one turn of a level each slot holds a single tick.
+		// A slot is unambiguous only for deadlines within one turn of its level.
 		if due>>shift-w.now>>shift < slots {
 			slot = &w.slot[level][due>>shift&slotMask]
 			break
@@ -111,8 +112,8 @@
 	t.pushBack(slot)
 }
 
-// Advance moves the time to now and calls fire for each timer whose deadline has passed, tick by tick. fire may set and
-// stop timers.
+// Advance moves the wheel's time to now, tick by tick, and calls fire for each timer whose deadline has passed. fire may
+// set and stop timers.
 func (w *Wheel) Advance(now clock.Micros, fire func(*Timer)) {
 	end := tickCount(now / w.tick)
 	for w.now < end {
@@ -131,8 +132,8 @@
 	}
 }
 
-// cascadeLevels moves timers to lower levels where a level has completed a turn. It begins at the top, since a timer may
-// descend several levels at once.
+// cascadeLevels moves timers to lower levels after those have completed a turn. It starts at the highest level, because
+// a timer may descend several levels in one tick.
 func (w *Wheel) cascadeLevels() {
 	for level := levels - 1; level > 0; level-- {
 		shift := slotBits * level
@@ -146,7 +147,8 @@
 	}
 }
 
-// cascade inserts the timers of a slot again. Those that are due in the present tick go into the slot that is about to fire.
+// cascade reinserts the timers of a slot. Timers that are due in the current tick go into the slot that
+// is about to fire.
 func (w *Wheel) cascade(slot *Timer) {
 	if slot.next == slot {
 		return
@@ -165,8 +167,8 @@
 	}
 }
 
-// Next is a time before which no timer fires; the owner advances then at the latest. It may be early. ok is false where no
-// timer is active.
+// Next returns a lower bound of the time at which the next timer fires. The owner calls Advance at that time at the
+// latest; it is possible that no timer fires then. ok is false if no timer is active.
 func (w *Wheel) Next() (at clock.Micros, ok bool) {
 	if w.count == 0 {
 		return 0, false
@@ -177,7 +179,7 @@
 		if slot.next != slot {
 			break
 		}
-		if due&slotMask == 0 { // the next turn, at which timers descend from a higher level
+		if due&slotMask == 0 { // start of the next turn, when timers descend from a higher level
 			break
 		}
 	}
--- a/internal/timing/timerwheel/timerwheel_test.go
+++ b/internal/timing/timerwheel/timerwheel_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
-// wheelModel drives a wheel and a plain map of the deadlines that it should hold.
+// wheelModel applies the same operations to a wheel and to a map of the expected deadlines.
 type wheelModel struct {
 	wheel     *Wheel
 	now       clock.Micros
@@ -47,7 +47,7 @@
 	delete(m.deadlines, timer.ID)
 }
 
-// checkNext checks that no timer would fire before the time that Next returns.
+// checkNext checks that no timer is due before the time that Next returns.
 func (m *wheelModel) checkNext(t *rapid.T) {
 	next, ok := m.wheel.Next()
 	if !ok {
@@ -56,24 +56,24 @@
 	for id, at := range m.deadlines {
 		roundedUp := (at + modelTick - 1) / modelTick * modelTick
 		if at+modelTick < next && roundedUp < next && at > m.now {
-			t.Fatalf("timer %s at %d, but nothing is said to fire before %d", id, at, next)
+			t.Fatalf("timer %s is due at %d, but Next returned the later time %d", id, at, next)
 		}
 	}
 }
 
-// advance moves the time on and checks that exactly the timers that are due fire.
+// advance moves the time forward by step and checks that exactly the due timers fire.
 func (m *wheelModel) advance(t *rapid.T, step clock.Micros) {
 	m.now += step
 	m.wheel.Advance(m.now, func(timer *Timer) {
 		at, ok := m.deadlines[timer.ID]
 		if !ok || at > m.now {
-			t.Fatalf("timer %s fired at %d, set to %d (%v)", timer.ID, m.now, at, ok)
+			t.Fatalf("timer %s fired at %d, its deadline is %d (active: %v)", timer.ID, m.now, at, ok)
 		}
 		delete(m.deadlines, timer.ID)
 	})
 	for id, at := range m.deadlines {
 		if at <= m.now-modelTick {
-			t.Fatalf("timer %s at %d has not fired by %d", id, at, m.now)
+			t.Fatalf("timer %s was due at %d and has not fired by %d", id, at, m.now)
 		}
 	}
 }
@@ -83,10 +83,10 @@
 		m := newWheelModel(clock.Micros(rapid.Int64Range(0, 1<<40).Draw(t, "start")))
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			timer := &m.timers[rapid.IntRange(0, len(m.timers)-1).Draw(t, "timer")]
-			switch rapid.IntRange(0, 3).Draw(t, "what") {
+			switch rapid.IntRange(0, 3).Draw(t, "operation") {
 			case 0, 1:
-				in := rapid.SampledFrom([]clock.Micros{-5, 1, 10, 2555, 2560, 700000, 1 << 28, 1 << 38, 1 << 45}).Draw(t, "in")
-				m.set(timer, m.now+in+clock.Micros(rapid.Int64Range(0, 3000).Draw(t, "and")))
+				delay := rapid.SampledFrom([]clock.Micros{-5, 1, 10, 2555, 2560, 700000, 1 << 28, 1 << 38, 1 << 45}).Draw(t, "delay")
+				m.set(timer, m.now+delay+clock.Micros(rapid.Int64Range(0, 3000).Draw(t, "extra delay")))
 			case 2:
 				m.stop(timer)
 			default:
@@ -94,7 +94,7 @@
 				m.advance(t, rapid.SampledFrom([]clock.Micros{1, 9, 10, 300, 2560, 655360, 5000000}).Draw(t, "step"))
 			}
 			if m.wheel.Len() != len(m.deadlines) {
-				t.Fatalf("%d timers, want %d", m.wheel.Len(), len(m.deadlines))
+				t.Fatalf("%d active timers, want %d", m.wheel.Len(), len(m.deadlines))
 			}
 		}
 	})
@@ -106,7 +106,7 @@
 	index int // in the heap
 }
 
-// deadlineHeap is what the benchmark compares the wheel with.
+// deadlineHeap is the binary heap that the benchmark compares with the wheel.
 type deadlineHeap struct {
 	items []*deadline
 }
@@ -131,7 +131,7 @@
 	return last
 }
 
-// BenchmarkTimers moves deadlines again and again before they come.
+// BenchmarkTimers reschedules timers before they are due, in a wheel and in a heap.
 func BenchmarkTimers(b *testing.B) {
 	const n = 100_000
 	r := rand.New(rand.NewPCG(1, 2))
