--- a/internal/transport/pool/acquire.go
+++ b/internal/transport/pool/acquire.go
@@ -11,10 +11,11 @@
 	"poppyarch/internal/transport/socket"
 )
 
-// Acquire returns a connection for one attempt, with the attempt's deadline set, or nil and the attempt's outcome. In
-// that case nothing was sent. With fresh the connection is one that has certainly not broken unnoticed, as work needs
-// that is not idempotent: if it is written to a stale connection, which then breaks, nobody knows whether it was
-// executed. mayStart is called once the connection is established, since its node may have begun to drain meanwhile.
+// Acquire returns a connection for one attempt, with the attempt's deadline set. If it cannot, it returns nil and the
+// attempt's outcome; nothing was sent then. fresh excludes connections that may have broken unnoticed. Work that is not
+// idempotent requires this: if it is written to a stale connection, which then breaks, it is not known whether the work
+// was executed. mayStart is called once the connection is established, because the node may have begun to drain
+// meanwhile.
 func (p *Pool) Acquire(ctx context.Context, addr string, fresh bool, deadline clock.Micros, mayStart func() bool) (*Conn, core.Outcome) {
 	timeout := deadline - p.clock.Now()
 	if ctx.Err() != nil || timeout <= 0 {
@@ -38,14 +39,14 @@
 	return c, core.Served
 }
 
-// getOrWait is get, but if all connections are in use it waits for one, for as long as a connection may take to be
-// established. There may be far fewer connections than nodes, and each is returned after one response.
+// getOrWait is like get, but if all connections are in use it waits for one for up to Limits.ConnectTimeout. This
+// is worthwhile because there may be far fewer connections than nodes, and each is returned after one response.
 func (p *Pool) getOrWait(ctx context.Context, addr string, fresh bool) (*Conn, error) {
 	c, err := p.get(ctx, addr, fresh)
 	if !errors.Is(err, ErrExhausted) {
 		return c, err
 	}
-	timeout := time.NewTimer(clock.Duration(p.lim.ConnectTimeout)) // of waiting; dialling has its own
+	timeout := time.NewTimer(clock.Duration(p.lim.ConnectTimeout)) // limits the wait; dialling has its own timeout
 	defer timeout.Stop()
 	for errors.Is(err, ErrExhausted) {
 		select {
@@ -60,8 +61,8 @@
 	return c, err
 }
 
-// get returns an idle connection that is still usable, or else a new one. It returns ErrExhausted if all connections are
-// in use, or the error of dialling.
+// get returns an idle connection that is still usable, or else a new one. The error is ErrExhausted if all connections
+// are in use, or that of dialling.
 func (p *Pool) get(ctx context.Context, addr string, fresh bool) (*Conn, error) {
 	for {
 		c := p.takeIdle(addr, fresh)
@@ -71,7 +72,7 @@
 		if socket.Peek(c.Conn) == socket.Empty {
 			return c, nil
 		}
-		p.Discard(c) // closed by the node, or with input that belongs to no request
+		p.Discard(c) // closed by the node, or it has input that belongs to no request
 	}
 	if !p.reserveSlot() {
 		return nil, ErrExhausted
@@ -86,8 +87,8 @@
 	return newConn(nc, addr), nil
 }
 
-// dialer returns the function that dials nodes. Keep-alive is off: a machine that is gone does not answer it either, and
-// attempts have deadlines.
+// dialer returns the function that dials nodes. TCP keep-alive is disabled: a crashed machine would not answer the
+// probes either, and attempts have deadlines.
 func dialer() func(ctx context.Context, network, addr string) (net.Conn, error) {
 	d := &net.Dialer{KeepAlive: -1}
 	return d.DialContext
--- a/internal/transport/pool/conn.go
+++ b/internal/transport/pool/conn.go
@@ -13,8 +13,8 @@
 // readBufferBytes is the size of a connection's read buffer.
 const readBufferBytes = 4096
 
-// errReadLimit reports that a node has sent more than SetReadLimit allows.
-var errReadLimit = errors.New("pool: node sent more than the read limit")
+// errReadLimit reports that a node has sent more bytes than SetReadLimit allows.
+var errReadLimit = errors.New("pool: node sent more bytes than the read limit")
 
 // Conn is one connection to a node. Reads go through Reader.
 type Conn struct {
@@ -23,7 +23,7 @@
 
 	limited      *limitedReader
 	addr         string
-	lastResponse clock.Micros // when its last response was complete
+	lastResponse clock.Micros // when its last response was read completely
 }
 
 func newConn(nc net.Conn, addr string) *Conn {
@@ -36,24 +36,26 @@
 	}
 }
 
-// SetReadLimit limits the bytes that Reader reads from the connection from now on. Reads beyond the limit fail.
+// SetReadLimit limits the number of bytes that Reader reads from the connection from now on. Reads beyond the limit
+// fail.
 func (c *Conn) SetReadLimit(bytes int64) {
 	c.limited.enabled = true
 	c.limited.remaining = bytes
 }
 
-// ClearReadLimit lifts the limit.
+// ClearReadLimit removes the limit.
 func (c *Conn) ClearReadLimit() { c.limited.enabled = false }
 
-// InterruptOnDone ends reads and writes when ctx is done, by a deadline in the past. The returned function stops that
-// and reports whether it did so in time. It must be called after Acquire, which sets a deadline of its own.
+// InterruptOnDone makes reads and writes fail when ctx is done, by setting a deadline in the past. The returned
+// function disables this and reports whether it did so before ctx was done. InterruptOnDone must be called after
+// Acquire, which sets the attempt's deadline.
 func (c *Conn) InterruptOnDone(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, func() {
 		_ = c.SetDeadline(time.Unix(1, 0)) // fails on a closed connection only
 	})
 }
 
-// limitedReader reads from a connection up to a limit.
+// limitedReader reads from a connection up to a limit, if it is enabled.
 type limitedReader struct {
 	conn      net.Conn
 	enabled   bool
--- a/internal/transport/pool/pool.go
+++ b/internal/transport/pool/pool.go
@@ -1,5 +1,5 @@
 // Package pool keeps connections to storage nodes. A connection carries one attempt at a time, because an attempt is
-// aborted by closing its connection. Nothing here sends anything a second time.
+// aborted by closing its connection. The package never resends anything.
 package pool
 
 import (
@@ -14,21 +14,21 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// ErrExhausted reports that all connections that the pool may have are in use.
+// ErrExhausted reports that the pool has reached its connection limit and no connection is idle.
 var ErrExhausted = errors.New("pool: all node connections in use")
 
-// Pool holds the idle connections to all nodes, and limits the number of all connections.
+// Pool holds the idle connections to all nodes and limits the total number of connections.
 type Pool struct {
 	lim      *limits.Limits
 	maxConns int
 	clock    *clock.Clock
 	dial     func(ctx context.Context, network, addr string) (net.Conn, error)
-	freed    chan struct{} // a connection may be available again; holds one
+	freed    chan struct{} // signals that a connection may be available; buffer of one
 
 	mu            sync.Mutex
-	idle          map[string][]*Conn      // by address, the last used one at the end
-	lastTimeoutAt map[string]clock.Micros // by address: when the last attempt was sent that got no response
-	open          int                     // connections that are idle, in use or being dialled
+	idle          map[string][]*Conn      // by address, the most recently used last
+	lastTimeoutAt map[string]clock.Micros // by address: the latest sending time of an attempt that timed out
+	open          int                     // number of connections that are idle, in use or being dialled
 }
 
 // New returns an empty pool for at most maxConns connections.
@@ -44,7 +44,7 @@
 	}
 }
 
-// Put returns a connection whose response was read to its end.
+// Put returns a connection to the pool after its response was read completely.
 func (p *Pool) Put(c *Conn) {
 	if c.Reader.Buffered() > 0 || c.SetDeadline(time.Time{}) != nil {
 		p.Discard(c) // buffered input would be taken for the next response
@@ -55,10 +55,10 @@
 		p.Discard(surplus)
 		return
 	}
-	p.signalFreed() // the idle connection can be closed in favour of another
+	p.signalFreed() // a waiting attempt may reuse the connection or close it to dial another one
 }
 
-// addIdle adds an idle connection and returns one that exceeds the node's limit, if any.
+// addIdle adds an idle connection. If the node then has too many, it removes and returns the least recently used one.
 func (p *Pool) addIdle(c *Conn) (surplus *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,13 +72,13 @@
 
 // Discard closes a connection, which aborts its attempt.
 func (p *Pool) Discard(c *Conn) {
-	_ = c.Close() // it may be broken
+	_ = c.Close() // the connection may be broken
 	p.releaseSlot()
 }
 
-// RecordTimeout records that an attempt sent to a node at sentAt got no response. Connections without a response since
-// may be broken, as where the machine is gone. An attempt whose connection broke is no such sign: the node's other
-// connections would have been closed, too.
+// RecordTimeout records that an attempt sent to a node at sentAt timed out. Connections to the node that have received
+// no response since then may be broken, for example because the machine has crashed. An attempt whose connection broke
+// does not indicate this: if the node's other connections were affected, they would have been closed, too.
 func (p *Pool) RecordTimeout(addr string, sentAt clock.Micros) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,8 +100,8 @@
 	}
 }
 
-// CloseExpired closes connections that have been idle for longer than Limits.NodeIdleTimeout. The nodes close idle
-// connections themselves after a longer time, which no request must cross.
+// CloseExpired closes connections that have been idle for longer than Limits.NodeIdleTimeout. Nodes close idle
+// connections themselves after a longer time; closing them earlier keeps a request from crossing the node's close.
 func (p *Pool) CloseExpired() {
 	for _, c := range p.removeExpired(p.clock.Now()) {
 		p.Discard(c)
@@ -132,13 +132,14 @@
 	return expired
 }
 
-// takeIdle removes and returns the last used idle connection to a node; nil if there is no suitable one.
+// takeIdle removes and returns the most recently used idle connection to a node, or nil if none is suitable. See
+// Acquire for fresh.
 func (p *Pool) takeIdle(addr string, fresh bool) *Conn {
 	now := p.clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	idle := p.idle[addr]
-	// Input that follows a response late would be taken for the next response, were the connection reused at once.
+	// A connection is not reused right after its response: late input would be taken for the next response.
 	i := len(idle) - 1
 	for i >= 0 && now-idle[i].lastResponse < p.lim.NodeReuseDelay {
 		i--
@@ -149,7 +150,7 @@
 	c := idle[i]
 	age := now - c.lastResponse
 	if age > p.lim.NodeIdleTimeout {
-		return nil // as are all before it, which CloseExpired closes
+		return nil // and so have all before it; CloseExpired closes them
 	}
 	if fresh && (age > p.lim.NodeReuseWindow || c.lastResponse <= p.lastTimeoutAt[addr]) {
 		return nil
@@ -158,15 +159,15 @@
 	return c
 }
 
-// reserveSlot reserves the place of a new connection. At the limit the longest idle connection is closed for it; it
-// returns false if there is none.
+// reserveSlot reserves a slot for a new connection. At the connection limit it closes the connection that has been idle
+// for longest and reuses its slot; it returns false if no connection is idle.
 func (p *Pool) reserveSlot() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.open < p.maxConns {
 		p.open++
 		if p.open < p.maxConns {
-			p.signalFreed() // two places may have been freed with one signal
+			p.signalFreed() // two slots may have been freed with one signal
 		}
 		return true
 	}
@@ -174,13 +175,13 @@
 	if !ok {
 		return false
 	}
-	_ = p.idle[addr][0].Close() // its place goes to the new one
+	_ = p.idle[addr][0].Close() // its slot is reused for the new connection
 	p.idle[addr] = p.idle[addr][1:]
-	p.signalFreed() // others may be idle, too
+	p.signalFreed() // more connections may be idle
 	return true
 }
 
-// longestIdle is the node with the longest idle connection. The caller holds mu.
+// longestIdle returns the address of the node whose connection has been idle for longest. The caller holds mu.
 func (p *Pool) longestIdle() (addr string, ok bool) {
 	for a, idle := range p.idle {
 		if len(idle) > 0 && (!ok || idle[0].lastResponse < p.idle[addr][0].lastResponse) {
@@ -191,7 +192,7 @@
 	return addr, ok
 }
 
-// releaseSlot frees the place of a connection that is closed.
+// releaseSlot frees the slot of a closed connection.
 func (p *Pool) releaseSlot() {
 	p.mu.Lock()
 	p.open--
@@ -199,7 +200,7 @@
 	p.signalFreed()
 }
 
-// signalFreed wakes one that waits for a connection.
+// signalFreed wakes one goroutine that waits for a connection.
 func (p *Pool) signalFreed() {
 	select {
 	case p.freed <- struct{}{}:
--- a/internal/transport/pool/pool_test.go
+++ b/internal/transport/pool/pool_test.go
@@ -15,8 +15,8 @@
 	"poppyarch/internal/transport/socket"
 )
 
-// newPipePool returns a pool for 3 connections, which are pipes, and the number of dials. It is for a synctest bubble
-// with one goroutine that dials.
+// newPipePool returns a pool for 3 connections, which are pipes, and a counter of dials. The counter is not
+// synchronized: only one goroutine of the synctest bubble may dial.
 func newPipePool(lim *limits.Limits) (p *Pool, dials *int) {
 	p = New(lim, 3, clock.New())
 	dials = new(int)
@@ -46,8 +46,9 @@
 	return c
 }
 
-// Work that is not idempotent gets no connection that may have broken unnoticed: one that was idle for long, or one
-// whose last response is older than an attempt at that node that got none. Other work may get it.
+// Work that is not idempotent gets no connection that may have broken unnoticed: one that has been idle for longer than
+// NodeReuseWindow, or one whose last response precedes an attempt at the same node that timed out. Idempotent work may
+// get such a connection.
 func TestFreshConnectionIsNotStale(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, dials := newPipePool(testLimits())
@@ -66,7 +67,7 @@
 		time.Sleep(time.Millisecond)
 		c = get(t, p, "a", true)
 		if *dials != 2 {
-			t.Errorf("%d dials, want 2: a response came after the attempt that timed out was sent", *dials)
+			t.Errorf("%d dials, want 2: the last response came after the attempt that timed out was sent", *dials)
 		}
 		p.Put(c)
 		p.RecordTimeout("a", p.clock.Now())
@@ -82,12 +83,12 @@
 		p.Put(other)
 		p.Put(c)
 		if get(t, p, "a", true); *dials != 3 {
-			t.Errorf("%d dials, want 3: a response has come since", *dials)
+			t.Errorf("%d dials, want 3: a response has been received since the timeout", *dials)
 		}
 	})
 }
 
-// A connection is not reused right after its response: late input would be taken for the next one.
+// A connection is not reused right after its response: late input would be taken for the next response.
 func TestConnectionIsNotReusedBeforeTheReuseDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lim := testLimits()
@@ -99,10 +100,10 @@
 		time.Sleep(3 * time.Millisecond)
 		p.Put(second)
 		if get(t, p, "a", false) != first || *dials != 2 {
-			t.Errorf("want the connection whose delay has passed; %d dials", *dials)
+			t.Errorf("the connection whose reuse delay has passed was not reused; %d dials, want 2", *dials)
 		}
 		if get(t, p, "a", false) == second || *dials != 3 {
-			t.Errorf("%d dials, want 3: the other's delay has not passed", *dials)
+			t.Errorf("%d dials, want 3: the reuse delay of the other connection has not passed", *dials)
 		}
 	})
 }
@@ -127,7 +128,8 @@
 	})
 }
 
-// At the limit an idle connection to another node is closed for a new one; without one there is none.
+// At the connection limit an idle connection to another node is closed to make a new one possible. If no connection is
+// idle, the pool is exhausted.
 func TestConnectionLimitClosesIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newPipePool(testLimits())
@@ -136,15 +138,15 @@
 		get(t, p, "b", false)
 		get(t, p, "b", false)
 		if p.open != 3 || len(p.idle["a"]) != 0 {
-			t.Errorf("%d open, %d idle", p.open, len(p.idle["a"]))
+			t.Errorf("%d connections open, %d idle to node a, want 3 and 0", p.open, len(p.idle["a"]))
 		}
 		if _, err := p.get(t.Context(), "b", false); !errors.Is(err, ErrExhausted) {
-			t.Errorf("got %v", err)
+			t.Errorf("got %v, want ErrExhausted", err)
 		}
 	})
 }
 
-// acceptAll listens and passes on the accepted connections, of which there may be 3 at once.
+// acceptAll accepts connections on a loopback address and sends them to a channel with a buffer of 3.
 func acceptAll(t *testing.T) (addr string, accepted <-chan net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -164,13 +166,13 @@
 		}
 	}()
 	t.Cleanup(func() {
-		_ = ln.Close() // the test is over
+		_ = ln.Close() // its error does not matter after the test
 		<-done
 	})
 	return ln.Addr().String(), conns
 }
 
-// A connection that the node has closed, or on which it has sent unrequested input, is not reused.
+// A connection that the node has closed, or on which it has sent input without a request, is not reused.
 func TestBrokenConnectionIsNotReused(t *testing.T) {
 	addr, peers := acceptAll(t)
 	lim := testLimits()
@@ -192,12 +194,12 @@
 		p.Put(c)
 		peer := <-peers
 		if socket.Peek(c.Conn) != socket.Empty {
-			t.Fatalf("%s: an idle connection has input", x.name)
+			t.Fatalf("%s: the idle connection is not empty and open before the test", x.name)
 		}
 		if err := x.breakConn(peer); err != nil {
 			t.Fatal(err)
 		}
-		for socket.Peek(c.Conn) == socket.Empty { // until it has arrived
+		for socket.Peek(c.Conn) == socket.Empty { // until the peer's action has arrived
 			time.Sleep(time.Millisecond)
 		}
 		if again := get(t, p, addr, false); again == c {
@@ -209,12 +211,11 @@
 	}
 }
 
-// If all connections are in use, an attempt waits for one as long as a connection may take to be established. Then it
-// ends without having been sent.
-func TestAttemptWaitsForAConnection(t *testing.T) {
+// If all connections are in use, an attempt waits for one for up to ConnectTimeout. Then it ends with NotAttempted.
+func TestAttemptWaitsForAConnectionUpToTheConnectTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newPipePool(testLimits())
-		p.dial = func(context.Context, string, string) (net.Conn, error) { // by several goroutines, so it counts nothing
+		p.dial = func(context.Context, string, string) (net.Conn, error) { // no counter: several goroutines dial
 			c, _ := net.Pipe()
 			return c, nil
 		}
@@ -234,17 +235,17 @@
 		}
 		time.Sleep(300 * time.Millisecond)
 		if len(outcomes) > 0 {
-			t.Fatal("did not wait")
+			t.Fatal("an attempt ended although no connection was free")
 		}
-		p.Put(inUse[0]) // idle: it is closed for one that waits
+		p.Put(inUse[0]) // idle now: it is closed in favour of a waiting attempt
 		p.Discard(inUse[1])
 		synctest.Wait()
 		if len(outcomes) != 2 || <-outcomes != core.Served || <-outcomes != core.Served {
-			t.Fatal("two connections were freed, and not both were acquired")
+			t.Fatal("two connections were freed, but not both waiting attempts got one")
 		}
-		began := time.Now()
-		if _, outcome := acquire(); outcome != core.NotAttempted || time.Since(began) != time.Second {
-			t.Errorf("outcome %d after %v with none free, want not attempted after 1 s", outcome, time.Since(began))
+		start := time.Now()
+		if _, outcome := acquire(); outcome != core.NotAttempted || time.Since(start) != time.Second {
+			t.Errorf("outcome %d after %v without a free connection, want %d after 1 s", outcome, time.Since(start), core.NotAttempted)
 		}
 	})
 }
--- a/internal/transport/socket/socket.go
+++ b/internal/transport/socket/socket.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// State is what a connection's receiving side holds.
+// State describes the receiving side of a connection.
 type State uint8
 
 // The states.
@@ -19,7 +19,7 @@
 	Closed                // nothing to read, and the peer has closed the connection or it is broken
 )
 
-// Peek returns the state without blocking. A connection without a descriptor of its own counts as Empty.
+// Peek returns the state without blocking. A connection without a file descriptor, such as a pipe, counts as Empty.
 func Peek(c net.Conn) State {
 	raw, err := rawConn(c)
 	if errors.Is(err, errNoDescriptor) {
@@ -29,7 +29,7 @@
 		return Closed
 	}
 	state := Closed
-	// Control and not Read, which fails at once if the read deadline has passed.
+	// Control is used because Read fails immediately if the read deadline has passed.
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -46,7 +46,7 @@
 	return state
 }
 
-// The TCP states, as Linux numbers them, of an accepted connection whose peer has neither closed nor reset it.
+// The TCP states of an accepted connection that its peer has neither closed nor reset, with their numbers on Linux.
 const (
 	tcpEstablished = 1
 	tcpSynReceived = 3
@@ -54,8 +54,8 @@
 	tcpFinWait2    = 5
 )
 
-// PeerClosed reports whether the peer has closed or reset a connection, or this side has closed it. Unlike Peek it
-// detects that also while earlier bytes are unread. It is false for a connection without a descriptor of its own.
+// PeerClosed reports whether the peer has closed or reset a connection, or this side has closed it. Unlike Peek, it
+// detects that even while earlier bytes are unread. It returns false for a connection without a file descriptor.
 func PeerClosed(c net.Conn) bool {
 	raw, err := rawConn(c)
 	if err != nil {
@@ -69,7 +69,7 @@
 	if err != nil {
 		return true // closed on this side
 	}
-	if infoErr != nil || info.State == 0 { // no state has that number
+	if infoErr != nil || info.State == 0 { // 0 is not a TCP state
 		return Peek(c) == Closed
 	}
 	switch info.State {
@@ -79,8 +79,8 @@
 	return true
 }
 
-// UnsentBytes is how many bytes were written to a connection that the peer's system has not acknowledged; ok is false if
-// that is not known.
+// UnsentBytes returns the number of bytes that were written to a connection and that the peer's system has not
+// acknowledged. ok is false if the number is not known.
 func UnsentBytes(c net.Conn) (n int, ok bool) {
 	raw, err := rawConn(c)
 	if err != nil {
@@ -102,8 +102,8 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// errNoDescriptor reports a connection without a descriptor of its own, such as a pipe.
-var errNoDescriptor = errors.New("socket: connection has no descriptor")
+// errNoDescriptor reports a connection without a file descriptor, such as a pipe.
+var errNoDescriptor = errors.New("socket: connection has no file descriptor")
 
 func rawConn(c net.Conn) (syscall.RawConn, error) {
 	sc, ok := c.(syscall.Conn)
--- a/internal/transport/socket/socket_test.go
+++ b/internal/transport/socket/socket_test.go
@@ -30,7 +30,7 @@
 	return in.(*net.TCPConn), out.(*net.TCPConn)
 }
 
-// closeAll closes what may be closed already.
+// closeAll closes connections and listeners. It ignores errors, since they may be closed already.
 func closeAll(closers ...io.Closer) {
 	for _, c := range closers {
 		_ = c.Close()
@@ -44,7 +44,7 @@
 	}
 }
 
-// eventually waits for what the system has yet to deliver.
+// eventually waits until condition is true, for up to 30 s.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !condition(); time.Sleep(time.Millisecond) {
@@ -54,8 +54,8 @@
 	}
 }
 
-func TestPeerClosedDetectsTheEndBehindUnreadBytes(t *testing.T) {
-	for name, end := range map[string]func(*net.TCPConn) error{
+func TestPeerClosedDetectsACloseBehindUnreadBytes(t *testing.T) {
+	for name, closePeer := range map[string]func(*net.TCPConn) error{
 		"close":      (*net.TCPConn).Close,
 		"half close": (*net.TCPConn).CloseWrite,
 		"reset": func(c *net.TCPConn) error {
@@ -67,23 +67,23 @@
 		must(t, err)
 		eventually(t, "the bytes", func() bool { return Peek(local) == Readable })
 		if PeerClosed(local) {
-			t.Errorf("%s: the peer counts as closed before", name)
+			t.Errorf("%s: PeerClosed is true before the peer closes the connection", name)
 		}
-		must(t, end(peer))
+		must(t, closePeer(peer))
 		eventually(t, name, func() bool { return PeerClosed(local) })
 	}
 }
 
-// This side's half close does not count as the peer's; a connection that this side has closed has no peer.
+// A half close by this side does not count as a close by the peer; a full close by this side does.
 func TestPeerClosedAfterThisSideCloses(t *testing.T) {
 	local, _ := newPair(t)
 	must(t, local.CloseWrite())
 	if PeerClosed(local) {
-		t.Error("the peer counts as closed after a half close of this side")
+		t.Error("PeerClosed is true after a half close by this side")
 	}
 	must(t, local.Close())
 	if !PeerClosed(local) {
-		t.Error("the peer of a closed connection does not count as closed")
+		t.Error("PeerClosed is false after this side has closed the connection")
 	}
 }
 
@@ -91,26 +91,26 @@
 	local, peer := net.Pipe()
 	must(t, peer.Close())
 	if PeerClosed(local) || Peek(local) != Empty {
-		t.Error("a pipe has a state of its own")
+		t.Error("a closed pipe is not reported as open and empty")
 	}
 	if _, ok := UnsentBytes(local); ok {
-		t.Error("a pipe has a count of bytes")
+		t.Error("UnsentBytes returned a number for a pipe")
 	}
 }
 
-func TestUnsentBytesCountsWhatThePeerHasNoRoomFor(t *testing.T) {
+func TestUnsentBytesCountsBytesThatDoNotFitThePeersBuffer(t *testing.T) {
 	local, peer := newPair(t)
 	if n, ok := UnsentBytes(local); n != 0 || !ok {
-		t.Errorf("%d bytes, %v, before anything was written", n, ok)
+		t.Errorf("UnsentBytes returned %d, %v before any write, want 0, true", n, ok)
 	}
 	must(t, peer.SetReadBuffer(4096))
 	must(t, local.SetWriteBuffer(4<<20))
 	must(t, local.SetWriteDeadline(time.Now().Add(200*time.Millisecond)))
 	if _, err := local.Write(make([]byte, 16<<20)); err == nil {
-		t.Error("both sides hold 16 MiB")
+		t.Error("a write of 16 MiB succeeded although the peer does not read")
 	}
 	if n, ok := UnsentBytes(local); n == 0 || !ok {
-		t.Errorf("%d bytes, %v, of 16 MiB that nobody reads", n, ok)
+		t.Errorf("UnsentBytes returned %d, %v after a write that the peer does not read", n, ok)
 	}
 }
 
@@ -126,7 +126,7 @@
 		{nil, false},
 	} {
 		if got := IsTimeout(x.err); got != x.want {
-			t.Errorf("%v: %v", x.err, got)
+			t.Errorf("IsTimeout(%v) = %v, want %v", x.err, got, x.want)
 		}
 	}
 }
