--- a/internal/simulator/fields.go
+++ b/internal/simulator/fields.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// maxQuoted is how many bytes of the input an error quotes.
+// maxQuoted is the maximum number of input bytes that an error quotes.
 const maxQuoted = 40
 
 // field is one name=value pair.
@@ -16,18 +16,19 @@
 	value string
 }
 
-// fields are the pairs of one line. The first error is kept in err; methods that read values return zero values
-// after it.
+// fields holds the name=value pairs of one line. err is the first error of parsing the line or one of its
+// values; values read after an error must not be used.
 type fields struct {
-	text   string // the line without its message
+	text   string // the line without the message name
 	parsed []field
 	err    error
 }
 
-// parse splits the line at single spaces.
+// parse splits the line into its fields, which are separated by single spaces.
 func (f *fields) parse() { f.parseWithText("") }
 
-// parseWithText is parse for a line in which the value of the field textName runs to the end.
+// parseWithText is like parse, but the value of the field textName extends to the end of the line and may contain
+// spaces.
 func (f *fields) parseWithText(textName string) {
 	for rest := f.text; rest != ""; {
 		name, after, ok := strings.Cut(rest, "=")
@@ -44,16 +45,17 @@
 	}
 }
 
-// truncate returns the start of s for an error.
+// truncate returns the beginning of s, for quoting in an error.
 func truncate(s string) string { return s[:min(len(s), maxQuoted)] }
 
+// fail records err, unless an earlier error is recorded.
 func (f *fields) fail(err error) {
 	if f.err == nil {
 		f.err = err
 	}
 }
 
-// str returns the value of a field, empty if it is absent.
+// str returns the value of a field, or the empty string if the field is absent.
 func (f *fields) str(name string) string {
 	for i := range f.parsed {
 		if f.parsed[i].name == name {
@@ -63,7 +65,7 @@
 	return ""
 }
 
-// int returns a whole number, 0 if the field is absent.
+// int returns the value of an integer field, or 0 if the field is absent.
 func (f *fields) int(name string) int64 {
 	s := f.str(name)
 	if s == "" {
@@ -71,12 +73,12 @@
 	}
 	v, err := strconv.ParseInt(s, 10, 64)
 	if err != nil {
-		f.fail(fmt.Errorf("%s=%q is not a whole number", name, truncate(s)))
+		f.fail(fmt.Errorf("%s=%q is not an integer", name, truncate(s)))
 	}
 	return v
 }
 
-// uint returns a whole number from 0 on, 0 if the field is absent.
+// uint returns the value of a non-negative integer field, or 0 if the field is absent.
 func (f *fields) uint(name string) uint64 {
 	s := f.str(name)
 	if s == "" {
@@ -84,12 +86,12 @@
 	}
 	v, err := strconv.ParseUint(s, 10, 64)
 	if err != nil {
-		f.fail(fmt.Errorf("%s=%q is not a number from 0 on", name, truncate(s)))
+		f.fail(fmt.Errorf("%s=%q is not a non-negative integer", name, truncate(s)))
 	}
 	return v
 }
 
-// float returns a finite number, 0 if the field is absent.
+// float returns the value of a field that holds a finite number, or 0 if the field is absent.
 func (f *fields) float(name string) float64 {
 	s := f.str(name)
 	if s == "" {
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -1,9 +1,9 @@
 // Package simulator hosts instances of the decision module for the platform's simulator. It translates between the
-// lines of the simulator's protocol and the module's events and actions, and decides nothing.
+// lines of the simulator's protocol and the module's events and actions, and makes no decisions itself.
 //
-// The simulator sends batches: a mark with the time, messages for any number of instances, and the request to
-// answer. The host then steps each instance that was named and answers with the actions. The names that the protocol
-// uses are mapped to the module's terms in wire.go and nowhere else.
+// The simulator sends batches: a message with the time, messages for any number of instances, and a message that ends
+// the batch. The host then runs one step of each instance that has events and writes the resulting actions. The names
+// that the protocol uses are mapped to the module's terms in wire.go and nowhere else.
 package simulator
 
 import (
@@ -25,7 +25,7 @@
 	writeBufferSize = 1 << 18
 )
 
-// LineError is an error in the input, with the number of its line, counted from 1.
+// LineError is an error in the input, with its line number, counted from 1.
 type LineError struct {
 	Line int
 	Err  error
@@ -34,7 +34,7 @@
 func (e *LineError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 func (e *LineError) Unwrap() error { return e.Err }
 
-// instance is one hosted scheduler with the events of the batch being read.
+// instance is one hosted scheduler, with its events in the current batch.
 type instance struct {
 	id        int
 	scheduler *policy.Scheduler
@@ -42,34 +42,34 @@
 	inBatch   bool // listed in batch.instances
 }
 
-// batch is the batch being read.
+// batch is the state of the batch that is being read.
 type batch struct {
 	open      bool
-	frame     int64
+	frame     int64 // number of the batch, repeated in the reply
 	now       time.Duration
-	target    int         // id that the next messages are for; noTarget before the first
-	instance  *instance   // with that id; nil if it is not configured
-	instances []*instance // those to be stepped, in the order in which they were named
+	target    int         // id of the instance that the next messages are for; noTarget if none was named yet
+	instance  *instance   // the target instance; nil if it is not configured
+	instances []*instance // instances to run a step of, in the order of their first messages
 }
 
-// noTarget is the target of a batch that has not named one.
+// noTarget is the target before a batch has named one.
 const noTarget = -1
 
-// host reads batches and writes the answers to them.
+// host reads batches and writes the replies.
 type host struct {
 	in        *bufio.Reader
 	out       *bufio.Writer
-	line      int // lines read
+	line      int // number of lines read
 	instances map[int]*instance
-	rosters   map[int64][]decision.Endpoint // endpoint lists, by their number
+	rosters   map[int64][]decision.Endpoint // endpoint lists, by roster id
 	batch     batch
 
-	// Buffers.
+	// Buffers that are reused for each instance.
 	actions []decision.Action
 	text    []byte
 }
 
-// Serve answers batches until the end of the input. An error in the input is a *LineError.
+// Serve processes batches until the end of the input. It reports an error in the input as a *LineError.
 func Serve(r io.Reader, w io.Writer) error {
 	h := &host{
 		in:        bufio.NewReaderSize(r, readBufferSize),
@@ -95,7 +95,7 @@
 	}
 }
 
-// readLine reads one line without its end. The last one may come with io.EOF.
+// readLine returns the next line without its line end. The last line may be returned together with io.EOF.
 func (h *host) readLine() (string, error) {
 	text, err := h.in.ReadString('\n')
 	if text != "" {
@@ -104,22 +104,22 @@
 	return strings.TrimSuffix(strings.TrimSuffix(text, "\n"), "\r"), err
 }
 
-// handleLine handles one line. An empty one is ignored.
+// handleLine handles one line. Empty lines are ignored.
 func (h *host) handleLine(text string) error {
 	name, rest, _ := strings.Cut(text, " ")
 	if name == "" && rest == "" {
 		return nil
 	}
 	f := &fields{text: rest}
-	if name == messageBatch {
-		return h.openBatch(f)
+	if name == messageBeginBatch {
+		return h.beginBatch(f)
 	}
 	if !h.batch.open {
 		return fmt.Errorf("%q outside a batch", name)
 	}
 	switch name {
-	case messageAnswer:
-		return h.answer()
+	case messageEndBatch:
+		return h.endBatch()
 	case messageTarget:
 		return h.setTarget(f)
 	case messageRoster:
@@ -136,9 +136,10 @@
 	return h.addEvent(name, &ev)
 }
 
-func (h *host) openBatch(f *fields) error {
+// beginBatch begins a batch.
+func (h *host) beginBatch(f *fields) error {
 	if h.batch.open {
-		return errors.New("a batch inside a batch")
+		return fmt.Errorf("%q before the end of the previous batch", messageBeginBatch)
 	}
 	f.parse()
 	h.batch.now = time.Duration(f.int("t_ns"))
@@ -149,6 +150,7 @@
 	return f.err
 }
 
+// setTarget sets the instance that the next messages are for.
 func (h *host) setTarget(f *fields) error {
 	f.parse()
 	h.batch.target = int(f.int("initiator_id"))
@@ -170,7 +172,7 @@
 	return nil
 }
 
-// configure starts an instance. It replaces an older one of the same id.
+// configure creates the target instance. It replaces an existing one with the same id.
 func (h *host) configure(f *fields) error {
 	f.parseWithText("profile_data")
 	seed := f.uint("entropy")
@@ -179,7 +181,7 @@
 		return f.err
 	}
 	if h.batch.target < 0 {
-		return errors.New("configure without an instance")
+		return fmt.Errorf("%q without a valid target instance: id %d", messageConfigure, h.batch.target)
 	}
 	cfg, err := settings.Parse(text, seed)
 	if err != nil {
@@ -197,17 +199,17 @@
 	return nil
 }
 
-// remove removes the target instance and what the batch has for it so far.
+// remove removes the target instance, together with its events in the current batch.
 func (h *host) remove() error {
 	if h.batch.instance == nil {
-		return fmt.Errorf("down for instance %d, which was not configured", h.batch.target)
+		return fmt.Errorf("%q for instance %d, which was not configured", messageRemove, h.batch.target)
 	}
 	h.dropInstance()
 	h.batch.instance = nil
 	return nil
 }
 
-// dropInstance forgets the target instance, if there is one.
+// dropInstance removes the target instance from the host and from the batch, if it exists.
 func (h *host) dropInstance() {
 	if h.batch.instance == nil {
 		return
@@ -221,7 +223,7 @@
 	delete(h.instances, h.batch.target)
 }
 
-// readRoster reads an endpoint list: its number and the rows that follow.
+// readRoster reads an endpoint list: its id and the rows that follow.
 func (h *host) readRoster(f *fields) error {
 	f.parse()
 	id, records := f.int("roster_id"), f.int("records")
@@ -229,7 +231,7 @@
 		return f.err
 	}
 	if records < 0 {
-		return errors.New("roster with a negative number of records")
+		return fmt.Errorf("roster %d with a negative number of records: %d", id, records)
 	}
 	endpoints := []decision.Endpoint{}
 	for ; records > 0; records-- {
@@ -246,18 +248,18 @@
 func (h *host) readRosterRow() (decision.Endpoint, error) {
 	text, err := h.readLine()
 	if err != nil && text == "" {
-		return decision.Endpoint{}, fmt.Errorf("roster ends early: %w", err)
+		return decision.Endpoint{}, fmt.Errorf("reading a row of a roster: %w", err)
 	}
 	name, rest, _ := strings.Cut(text, " ")
 	if name != messageRosterRow {
-		return decision.Endpoint{}, fmt.Errorf("want a row, got %q", name)
+		return decision.Endpoint{}, fmt.Errorf("expected message %q in a roster, got %q", messageRosterRow, name)
 	}
 	return decodeEndpoint(&fields{text: rest})
 }
 
-// answer steps every instance of the batch, writes what they do and ends the batch. Errors of writing stay in the
-// buffered writer and are returned by Flush.
-func (h *host) answer() error {
+// endBatch runs one step of each instance in the batch, writes the resulting actions and ends the batch. The buffered
+// writer keeps the first write error, so Flush returns it at the latest.
+func (h *host) endBatch() error {
 	for _, i := range h.batch.instances {
 		h.actions = i.scheduler.Step(h.batch.now, i.events, h.actions[:0])
 		i.events = i.events[:0]
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -10,21 +10,23 @@
 	`"give_up_ns":4000000000,"importance":2,"name":"r","repeat":"retryable"}],"limits":{"send_cap":3},` +
 	`"policies":[{"shares":1,"usual_rate":5,"floor_rate":2,"value_factor":1}],"tick_ns":2000000}` + "\n"
 
+// opening configures instance 3 with one node, target_a.
 const opening = "mark t_ns=1000 frame=1\ntarget_instance initiator_id=3\n" + settingsLine +
 	"roster roster_id=0 records=1\nrow zone=0 readiness=ready target=target_a flavor=0 weight=1 pod=0\n" +
 	"discovery rev=1 scope=C roster_id=0\nover_to_you\n"
 
+// arrival sends request 77 to instance 3.
 const arrival = "mark t_ns=2000 frame=2\ntarget_instance initiator_id=3\ningress call=77 due_ns=4000002000 lies_in=0 " +
 	"service_level=0 weight=2 disk=d cls=0 item=k mounts=1\nover_to_you\n"
 
-// run serves the given input and returns the output.
+// run calls Serve on the input and returns the output.
 func run(in string) (string, error) {
 	var out strings.Builder
 	err := Serve(strings.NewReader(in), &out)
 	return out.String(), err
 }
 
-func TestArrivalIsForwarded(t *testing.T) {
+func TestArrivingRequestIsForwarded(t *testing.T) {
 	out, err := run(opening + arrival)
 	if err != nil {
 		t.Fatal(err)
@@ -35,13 +37,13 @@
 	}
 }
 
-func TestEmptyBatchIsAnswered(t *testing.T) {
+func TestEmptyBatchGetsAReply(t *testing.T) {
 	if out, err := run("mark t_ns=1 frame=9\nover_to_you\n"); err != nil || out != "next frame=9\n" {
 		t.Fatalf("got %q, %v", out, err)
 	}
 }
 
-func TestRosterNumberMayBeReusedWithinABatch(t *testing.T) {
+func TestRosterIDMayBeReusedWithinABatch(t *testing.T) {
 	batch := "mark t_ns=3000 frame=2\nroster roster_id=0 records=1\nrow readiness=gone target=target_a pod=0\n" +
 		"target_instance initiator_id=3\ndiscovery rev=2 scope=D roster_id=0\n" +
 		"roster roster_id=0 records=1\nrow readiness=ready target=target_b pod=0\ndiscovery rev=3 scope=D roster_id=0\n" +
@@ -61,7 +63,7 @@
 	}
 }
 
-func TestInvalidInputIsAnErrorWithItsLine(t *testing.T) {
+func TestInvalidInputIsReportedWithItsLineNumber(t *testing.T) {
 	for in, part := range map[string]string{
 		"what\n":                           "line 1: \"what\" outside a batch",
 		"mark t_ns=x frame=1\n":            "line 1: t_ns=\"x\"",
@@ -80,12 +82,12 @@
 		}
 		var line *LineError
 		if !errors.As(err, &line) || line.Line < 1 {
-			t.Errorf("%q: %#v is no LineError", truncate(in), err)
+			t.Errorf("%q: %#v is not a LineError with a line number", truncate(in), err)
 		}
 	}
 }
 
-// FuzzServe looks for input that panics or does not end.
+// FuzzServe checks that no input makes Serve panic or run without end.
 func FuzzServe(f *testing.F) {
 	for _, seed := range []string{"", opening, opening + arrival, opening + arrival +
 		"mark t_ns=9000 frame=3\ntarget_instance initiator_id=3\nfinished call=77 seq_no=0 target=target_a rc=turned_away\n" +
@@ -93,6 +95,6 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(_ *testing.T, in string) {
-		_, _ = run(in) // any error is fine
+		_, _ = run(in) // invalid input may return any error
 	})
 }
--- a/internal/simulator/wire.go
+++ b/internal/simulator/wire.go
@@ -9,18 +9,18 @@
 	"poppyarch/internal/broker/decision"
 )
 
-// Messages that are handled by the host itself.
+// Messages that the host itself handles.
 const (
-	messageBatch     = "mark"            // opens a batch
-	messageAnswer    = "over_to_you"     // ends a batch and asks for the answer
-	messageTarget    = "target_instance" // names the instance that the next messages are for
-	messageConfigure = "configure"       // starts an instance
-	messageRemove    = "down"            // removes an instance
-	messageRoster    = "roster"          // an endpoint list, followed by its rows
-	messageRosterRow = "row"
+	messageBeginBatch = "mark"            // begins a batch and sets the time
+	messageEndBatch   = "over_to_you"     // ends a batch and requests the actions
+	messageTarget     = "target_instance" // names the instance that the next messages are for
+	messageConfigure  = "configure"       // creates the target instance
+	messageRemove     = "down"            // removes the target instance
+	messageRoster     = "roster"          // an endpoint list, followed by its rows
+	messageRosterRow  = "row"             // one endpoint
 )
 
-// Messages that are events of an instance.
+// Messages that are events of the target instance.
 const (
 	messageArrived         = "ingress"
 	messageAttemptEnded    = "finished"
@@ -28,11 +28,11 @@
 	messageDisconnected    = "expired"
 	messageTimer           = "fired"
 	messageEndpoints       = "discovery"
-	messageMemo            = "memo"         // not used by the module
-	messageHealthCheck     = "probe_result" // not used by the module
+	messageMemo            = "memo"         // its content is not used by the module
+	messageHealthCheck     = "probe_result" // its content is not used by the module
 )
 
-// outcomes maps the field rc of an ended attempt.
+// outcomes maps the values of the field rc of an ended attempt.
 var outcomes = map[string]decision.Outcome{
 	"served":          decision.Served,
 	"server_error":    decision.NodeError,
@@ -44,7 +44,7 @@
 	"not_sent":        decision.NotAttempted,
 }
 
-// endpointStates maps the field readiness of a row.
+// endpointStates maps the values of the field readiness of a roster row.
 var endpointStates = map[string]decision.EndpointState{
 	"":         decision.Ready,
 	"ready":    decision.Ready,
@@ -52,7 +52,7 @@
 	"gone":     decision.Removed,
 }
 
-// endpointEvents maps the field scope of a discovery message.
+// endpointEvents maps the values of the field scope of a discovery message.
 var endpointEvents = map[string]decision.EventKind{
 	"D": decision.EndpointsChanged,
 	"F": decision.EndpointsReplaced,
@@ -60,7 +60,7 @@
 	"X": decision.EndpointWatchFailed,
 }
 
-// event decodes a message into an event.
+// event decodes a message for the target instance.
 func (h *host) event(name string, f *fields) (decision.Event, error) {
 	f.parse()
 	ev := decision.Event{ID: f.uint("call"), Attempt: int(f.int("seq_no")), Node: f.str("target")}
@@ -79,7 +79,7 @@
 		ev.Kind = decision.TimerFired
 		ev.Token = f.uint("label")
 	case messageMemo, messageHealthCheck:
-		ev.Kind = decision.TimerFired // steps the instance without news
+		ev.Kind = decision.TimerFired // only makes the instance run a step
 	case messageEndpoints:
 		err = h.decodeEndpoints(f, &ev)
 	default:
@@ -117,13 +117,14 @@
 	ev.Outcome = outcome
 	ev.Final = f.int("final") == 1
 	ev.UnitsElsewhere = f.float("others_got")
-	// The field is 1 more than the percentage, and 0 or absent where that is unknown.
+	// The field holds the percentage plus 1, and is 0 or absent if the usage is unknown.
 	if usage := int(f.int("volume_use")); usage > 0 {
 		ev.Usage = decision.VolumeUsage{Known: true, Percent: usage - 1}
 	}
 	return nil
 }
 
+// decodeEndpoints decodes a change of the endpoint list.
 func (h *host) decodeEndpoints(f *fields, ev *decision.Event) error {
 	kind, ok := endpointEvents[f.str("scope")]
 	if !ok {
@@ -139,12 +140,12 @@
 	return nil
 }
 
-// decodeEndpoint decodes a row of a roster.
+// decodeEndpoint decodes a roster row.
 func decodeEndpoint(f *fields) (decision.Endpoint, error) {
 	f.parse()
 	state, ok := endpointStates[f.str("readiness")]
 	if !ok {
-		return decision.Endpoint{}, fmt.Errorf("unknown readiness %q", f.str("readiness"))
+		return decision.Endpoint{}, fmt.Errorf("roster row: unknown readiness %q", f.str("readiness"))
 	}
 	e := decision.Endpoint{
 		Node:      f.str("target"),
@@ -157,12 +158,12 @@
 		return decision.Endpoint{}, f.err
 	}
 	if e.Node == "" {
-		return decision.Endpoint{}, errors.New("a row without a target")
+		return decision.Endpoint{}, errors.New("roster row without a target")
 	}
 	return e, nil
 }
 
-// appendAction appends the line of an action.
+// appendAction appends the line that encodes an action.
 func appendAction(b []byte, a *decision.Action) []byte {
 	switch a.Kind {
 	case decision.Forward:
@@ -190,14 +191,14 @@
 	return append(b, '\n')
 }
 
-// appendCall appends the start of an action on a request.
+// appendCall appends the beginning of the line of an action on the request id.
 func appendCall(b []byte, message string, id uint64) []byte {
 	b = append(b, message...)
 	b = append(b, " call="...)
 	return strconv.AppendUint(b, id, 10)
 }
 
-// appendDuration appends a field in nanoseconds.
+// appendDuration appends a field, given with its separator and equals sign, and its value in nanoseconds.
 func appendDuration(b []byte, field string, d time.Duration) []byte {
 	return strconv.AppendInt(append(b, field...), d.Nanoseconds(), 10)
 }
