--- a/internal/backend/blockstore/client_test.go
+++ b/internal/backend/blockstore/client_test.go
@@ -17,9 +17,10 @@
 	"poppyarch/internal/transport/pool"
 )
 
-// testTimeout is how long a test waits for what must happen.
+// testTimeout is how long a test waits for an expected event.
 const testTimeout = 30 * time.Second
 
+// Replies with the values v and w.
 const (
 	servedV = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"
 	servedW = "*3\r\n$1\r\nw\r\n$-1\r\n$-1\r\n"
@@ -37,7 +38,7 @@
 	}
 }
 
-// startNode accepts connections and calls serve for each with its number. It returns its address.
+// startNode starts a node and returns its address. It calls serve for each connection; n counts connections from 0.
 func startNode(t *testing.T, serve func(n int, c net.Conn, r *bufio.Reader)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -76,19 +77,19 @@
 	return ln.Addr().String()
 }
 
-// closeConn closes what may be closed already.
+// closeConn closes a connection or listener. It ignores errors, since it may be closed already.
 func closeConn(c io.Closer) { _ = c.Close() }
 
-// send writes a node's reply. A failed write shows in the attempt's outcome.
+// send writes a node's reply. It ignores errors: a failed write changes the attempt's outcome.
 func send(c io.Writer, reply string) { _, _ = io.WriteString(c, reply) }
 
-// awaitByteOrEnd waits until the client sends something or closes the connection.
+// awaitByteOrEnd waits until the client sends a byte or closes the connection.
 func awaitByteOrEnd(r io.ByteReader) { _, _ = r.ReadByte() }
 
-// awaitCommand reads one command, of which the test needs nothing.
+// awaitCommand reads one command and discards it.
 func awaitCommand(r *bufio.Reader) { _, _ = readCommand(r) }
 
-// readCommand reads one whole command.
+// readCommand reads one complete command and returns its arguments, each followed by a space.
 func readCommand(r *bufio.Reader) (string, error) {
 	line, err := r.ReadString('\n')
 	if err != nil {
@@ -124,26 +125,26 @@
 	}
 }
 
-// rig is a client on a pool of its own.
-type rig struct {
+// fixture is a client with its own pool.
+type fixture struct {
 	pool   *pool.Pool
 	client *Client
 	clock  *clock.Clock
 }
 
-func newRig(lim *limits.Limits) *rig {
+func newFixture(lim *limits.Limits) *fixture {
 	c := clock.New()
 	p := pool.New(lim, lim.NodeConns, c)
-	return &rig{pool: p, client: New(p, c, lim), clock: c}
+	return &fixture{pool: p, client: New(p, c, lim), clock: c}
 }
 
-// attempt returns an attempt of a command that is not idempotent.
-func (r *rig) attempt(addr string, timeout time.Duration) core.Attempt[*Command] {
+// attempt returns an attempt at a node, of a command that is not idempotent.
+func (f *fixture) attempt(addr string, timeout time.Duration) core.Attempt[*Command] {
 	return core.Attempt[*Command]{
 		Node:          core.Node{ID: "a", Addr: addr},
 		Work:          testCommand(),
 		NotIdempotent: true,
-		Deadline:      r.clock.Now() + clock.FromDuration(timeout),
+		Deadline:      f.clock.Now() + clock.FromDuration(timeout),
 		MayStart:      func() bool { return true },
 	}
 }
@@ -163,8 +164,8 @@
 		{"unexpected type", "+OK\r\n", "", core.MalformedResponse},
 		{"unknown error", "-\x01\x02\r\n", "", core.MalformedResponse},
 		{"null array", "*-1\r\n", "", core.MalformedResponse},
-		{"value longer than it says", "*3\r\n$2\r\nvalue\r\n$-1\r\n$-1\r\n", "", core.MalformedResponse},
-		{"value shorter than it says", "*3\r\n$7\r\nvalue\r\n$-1\r\n$-1\r\n", "", core.MalformedResponse},
+		{"value longer than its length", "*3\r\n$2\r\nvalue\r\n$-1\r\n$-1\r\n", "", core.MalformedResponse},
+		{"value shorter than its length", "*3\r\n$7\r\nvalue\r\n$-1\r\n$-1\r\n", "", core.MalformedResponse},
 		{"unterminated line", strings.Repeat("x", 8192), "", core.MalformedResponse},
 		{"connection lost", "", "", core.ConnectionLost},
 		{"connection lost within the reply", "*3\r\n$4\r\nv", "", core.ConnectionLost},
@@ -176,50 +177,51 @@
 		t.Run(x.name, func(t *testing.T) {
 			got := make(chan string, 1)
 			addr := startNode(t, func(_ int, c net.Conn, r *bufio.Reader) {
-				cmd, _ := readCommand(r) // an incomplete one shows as a wrong command
+				cmd, _ := readCommand(r) // an incomplete command fails the comparison below
 				got <- cmd
 				send(c, x.reply)
 			})
-			r := newRig(testLimits())
-			v, out := r.client.Attempt(t.Context(), r.attempt(addr, testTimeout))
+			f := newFixture(testLimits())
+			v, out := f.client.Attempt(t.Context(), f.attempt(addr, testTimeout))
 			if out != x.want || string(v) != x.value {
-				t.Errorf("%d %q, want %d %q", out, v, x.want, x.value)
+				t.Errorf("outcome %d, value %q, want %d, %q", out, v, x.want, x.value)
 			}
-			// All parameters are passed on unchanged and in order, except d, which is the time left.
+			// All parameters are forwarded unchanged and in order, except d, which is the time left.
 			if cmd := <-got; !strings.HasPrefix(cmd, "BLK.WRITE 7f3a9c21e0b4d655 id1 c=w,d=") ||
 				!strings.HasSuffix(cmd, ",k=z,volume=00 a\r\nb ") || strings.Contains(cmd, "d=480,") {
-				t.Errorf("the node got %q", cmd)
+				t.Errorf("the node received %q", cmd)
 			}
 		})
 	}
 }
 
-// If the connection breaks before the last byte is written, or is refused, nothing was executed.
+// An attempt whose connection breaks before the last byte is written, or is refused, has an outcome that tells that
+// nothing was executed.
 func TestAttemptThatWasNotSentCompletely(t *testing.T) {
 	addr := startNode(t, func(_ int, c net.Conn, r *bufio.Reader) {
-		awaitByteOrEnd(r) // a connection reset earlier would not be used
+		awaitByteOrEnd(r) // the client would not use a connection that is reset earlier
 		if err := c.(*net.TCPConn).SetLinger(0); err != nil {
 			t.Error(err)
 		}
 		closeConn(c)
 	})
-	r := newRig(testLimits())
-	a := r.attempt(addr, testTimeout)
-	a.Work.Body = make([]byte, 64<<20) // more than any socket buffer takes
-	if _, out := r.client.Attempt(t.Context(), a); out != core.SendIncomplete {
-		t.Errorf("outcome %d", out)
+	f := newFixture(testLimits())
+	a := f.attempt(addr, testTimeout)
+	a.Work.Body = make([]byte, 64<<20) // larger than any socket buffer
+	if _, out := f.client.Attempt(t.Context(), a); out != core.SendIncomplete {
+		t.Errorf("outcome %d, want %d", out, core.SendIncomplete)
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	closeConn(ln)
-	if _, out := r.client.Attempt(t.Context(), r.attempt(ln.Addr().String(), testTimeout)); out != core.ConnectFailed {
-		t.Errorf("connection refused: outcome %d", out)
+	if _, out := f.client.Attempt(t.Context(), f.attempt(ln.Addr().String(), testTimeout)); out != core.ConnectFailed {
+		t.Errorf("connection refused: outcome %d, want %d", out, core.ConnectFailed)
 	}
 }
 
-// An attempt that times out or is cancelled closes its connection, and nothing is written again.
+// An attempt that times out or is cancelled closes its connection, and the command is not sent again.
 func TestAbortedAttemptClosesItsConnection(t *testing.T) {
 	for _, disconnect := range []bool{false, true} {
 		var conns atomic.Int32
@@ -232,7 +234,7 @@
 			awaitByteOrEnd(r)
 			closed <- struct{}{}
 		})
-		r := newRig(testLimits())
+		f := newFixture(testLimits())
 		ctx, cancel := context.WithCancel(t.Context())
 		timeout := 50 * time.Millisecond
 		want := core.TimedOut
@@ -244,39 +246,39 @@
 				cancel()
 			}()
 		}
-		if _, out := r.client.Attempt(ctx, r.attempt(addr, timeout)); out != want && out != core.NotAttempted {
+		if _, out := f.client.Attempt(ctx, f.attempt(addr, timeout)); out != want && out != core.NotAttempted {
 			t.Errorf("outcome %d, want %d", out, want)
 		}
 		<-closed
 		cancel()
 		if n := conns.Load(); n != 1 {
-			t.Errorf("%d connections", n)
+			t.Errorf("%d connections, want 1", n)
 		}
 	}
 }
 
-// A node that has begun to drain while the connection was established gets nothing, nor does one after the deadline.
+// Nothing is sent to a node that has begun to drain while the connection was established, nor after the deadline.
 func TestAttemptThatMayNotStartIsNotSent(t *testing.T) {
 	got := make(chan string, 1)
 	addr := startNode(t, func(_ int, c net.Conn, r *bufio.Reader) {
-		cmd, _ := readCommand(r) // an incomplete one shows as a wrong command
+		cmd, _ := readCommand(r) // an incomplete command is an error, too
 		got <- cmd
 	})
-	r := newRig(testLimits())
-	a := r.attempt(addr, testTimeout)
+	f := newFixture(testLimits())
+	a := f.attempt(addr, testTimeout)
 	a.MayStart = func() bool { return false }
-	if _, out := r.client.Attempt(t.Context(), a); out != core.NotAttempted {
-		t.Errorf("outcome %d", out)
+	if _, out := f.client.Attempt(t.Context(), a); out != core.NotAttempted {
+		t.Errorf("may not start: outcome %d, want %d", out, core.NotAttempted)
 	}
-	r.pool.CloseExpired()
+	f.pool.CloseExpired()
 	a.MayStart = func() bool { return true }
-	a.Deadline = r.clock.Now() - 1
-	if _, out := r.client.Attempt(t.Context(), a); out != core.NotAttempted {
-		t.Errorf("late: outcome %d", out)
+	a.Deadline = f.clock.Now() - 1
+	if _, out := f.client.Attempt(t.Context(), a); out != core.NotAttempted {
+		t.Errorf("after the deadline: outcome %d, want %d", out, core.NotAttempted)
 	}
 	select {
 	case cmd := <-got:
-		t.Errorf("the node got %q", cmd)
+		t.Errorf("the node received %q", cmd)
 	default:
 	}
 }
@@ -292,19 +294,19 @@
 			send(c, servedV)
 		}
 	})
-	r := newRig(testLimits())
+	f := newFixture(testLimits())
 	for range 5 {
-		if _, out := r.client.Attempt(t.Context(), r.attempt(addr, testTimeout)); out != core.Served {
-			t.Fatalf("outcome %d", out)
+		if _, out := f.client.Attempt(t.Context(), f.attempt(addr, testTimeout)); out != core.Served {
+			t.Fatalf("outcome %d, want %d", out, core.Served)
 		}
 	}
 	if n := conns.Load(); n != 1 {
-		t.Errorf("%d connections for attempts in a row", n)
+		t.Errorf("%d connections for consecutive attempts, want 1", n)
 	}
 }
 
-// A reply that begins and stalls is malformed well before the attempt's deadline; if it stalls after the value, only the
-// connection is lost. A node that sends nothing has timed out.
+// A reply that stalls before its value is complete is malformed, well before the attempt's deadline. If it stalls after
+// the value, only the connection is lost. An attempt at a node that sends nothing times out.
 func TestStalledReplies(t *testing.T) {
 	for _, x := range []struct {
 		reply string
@@ -328,15 +330,15 @@
 		if x.want == core.TimedOut {
 			timeout = time.Second
 		}
-		r := newRig(lim)
-		if _, out := r.client.Attempt(t.Context(), r.attempt(addr, timeout)); out != x.want {
+		f := newFixture(lim)
+		if _, out := f.client.Attempt(t.Context(), f.attempt(addr, timeout)); out != x.want {
 			t.Errorf("%q: outcome %d, want %d", x.reply, out, x.want)
 		}
 		<-closed
 	}
 }
 
-// A connection on which more than a reply has come is not reused: the next attempt gets another one, and its own reply.
+// A connection with input after the reply is not reused: the next attempt gets another connection and its own reply.
 func TestConnectionWithUnrequestedInputIsNotReused(t *testing.T) {
 	for _, reply := range []string{servedV + servedV, servedV + "noise", "*3\r\n$1\r\nv\r\n$-1\r\n!\r\n", "hello\r\n", "*1\r\n$-1\r\n"} {
 		var conns atomic.Int32
@@ -352,11 +354,11 @@
 			awaitByteOrEnd(r)
 			closed <- struct{}{}
 		})
-		r := newRig(testLimits())
-		r.client.Attempt(t.Context(), r.attempt(addr, testTimeout))
+		f := newFixture(testLimits())
+		f.client.Attempt(t.Context(), f.attempt(addr, testTimeout))
 		<-closed
-		if v, out := r.client.Attempt(t.Context(), r.attempt(addr, testTimeout)); out != core.Served || string(v) != "w" {
-			t.Errorf("after %q: %d %q", reply, out, v)
+		if v, out := f.client.Attempt(t.Context(), f.attempt(addr, testTimeout)); out != core.Served || string(v) != "w" {
+			t.Errorf("after %q: outcome %d, value %q, want %d, \"w\"", reply, out, v, core.Served)
 		}
 		if n := conns.Load(); n != 2 {
 			t.Errorf("after %q: %d connections, want 2", reply, n)
--- a/internal/backend/blockstore/command.go
+++ b/internal/backend/blockstore/command.go
@@ -9,7 +9,8 @@
 // paramTimeout is the wire name of the parameter that holds the time left for a command, in milliseconds.
 const paramTimeout = "d"
 
-// Command is a client's command. It is sent to nodes as it was received, except for the time left.
+// Command is a client's command. It is sent to nodes as it was received, except that the parameter for the time left is
+// updated.
 type Command struct {
 	Name      []byte
 	BlockID   []byte
@@ -25,7 +26,7 @@
 	Value string
 }
 
-// encode returns the command in RESP2, with timeout as the time left, in whole milliseconds and at least 1.
+// encode returns the command in RESP2. timeout is the time left, which is sent in whole milliseconds and as at least 1.
 func (c *Command) encode(timeout clock.Micros) []byte {
 	args := [][]byte{c.Name, c.BlockID, c.RequestID, c.encodeParams(timeout)}
 	if c.HasBody {
--- a/internal/backend/blockstore/reply.go
+++ b/internal/backend/blockstore/reply.go
@@ -12,24 +12,24 @@
 	"poppyarch/internal/broker/core"
 )
 
-// errMalformedReply reports that a node has sent what is not a reply. Its connection must not be used again.
+// errMalformedReply reports that a node has sent something other than a valid reply. The connection must not be reused.
 var errMalformedReply = errors.New("blockstore: malformed reply")
 
-// Limits on replies, so that a node cannot make the reader hold much more than one value.
+// Limits on replies. They keep a node from making the reader buffer much more than one value.
 const (
 	maxLineBytes = 256
-	maxItems     = 16 // of an array
-	maxDepth     = 4  // of nested arrays
+	maxItems     = 16 // per array
+	maxDepth     = 4  // nesting levels of arrays
 )
 
-// reply is a node's reply, as far as it is used.
+// reply holds the parts of a node's reply that are used.
 type reply struct {
 	value    []byte // the first item of an array; nil for an error reply
 	err      string // the text of an error reply
-	complete bool   // all of it was read; if not, the connection must not be used again
+	complete bool   // the reply was read completely; if not, the connection must not be reused
 }
 
-// outcome is the outcome of an attempt with this reply.
+// outcome returns the outcome of an attempt that got this reply.
 func (r *reply) outcome() core.Outcome {
 	switch {
 	case r.value != nil:
@@ -40,8 +40,8 @@
 	return core.NodeError
 }
 
-// readReply reads one reply: an error, or an array that begins with a value of at most maxValue bytes. Anything else is
-// an errMalformedReply.
+// readReply reads one reply: an error, or an array that begins with a value of at most maxValue bytes. It returns
+// errMalformedReply for anything else.
 func readReply(r *bufio.Reader, maxValue int) (reply, error) {
 	line, err := readLine(r)
 	if err != nil {
@@ -53,66 +53,66 @@
 	case '*':
 		return readArrayReply(r, line, maxValue)
 	}
-	return reply{}, fmt.Errorf("%w: %q is not a reply", errMalformedReply, line)
+	return reply{}, fmt.Errorf("%w: expected an error or an array, got %q", errMalformedReply, line)
 }
 
-// parseErrorReply checks that an error is one that nodes send.
+// parseErrorReply parses an error reply and checks that its kind is one that nodes send.
 func parseErrorReply(text string) (reply, error) {
 	kind, _, _ := strings.Cut(text, " ")
 	switch kind {
 	case "ERR", "BUSY", "SYNTAX", "NOPERM":
 		return reply{err: text, complete: true}, nil
 	}
-	return reply{}, fmt.Errorf("%w: unknown error %q", errMalformedReply, text)
+	return reply{}, fmt.Errorf("%w: unknown kind of error %q", errMalformedReply, text)
 }
 
-// readArrayReply reads the items of an array whose first line is given. The items after the value, usage figures and a
-// load report, are not used: if one of them is malformed the connection is lost, but not the value.
+// readArrayReply reads the items of an array whose first line is given. The items after the value (usage figures and a
+// load report) are not used: if one of them is malformed, the connection is not reused, but the value is returned.
 func readArrayReply(r *bufio.Reader, line []byte, maxValue int) (reply, error) {
 	count, err := parseLength(line, maxItems)
 	if err != nil {
 		return reply{}, err
 	}
 	if count <= 0 {
-		return reply{}, fmt.Errorf("%w: array of %d items", errMalformedReply, count)
+		return reply{}, fmt.Errorf("%w: expected an array of at least 1 item, got %d", errMalformedReply, count)
 	}
 	if line, err = readLine(r); err != nil {
 		return reply{}, err
 	}
 	if line[0] != '$' {
-		return reply{}, fmt.Errorf("%w: %q in place of a value", errMalformedReply, line)
+		return reply{}, fmt.Errorf("%w: expected a bulk string as the value, got %q", errMalformedReply, line)
 	}
 	value, err := readBulk(r, line, maxValue)
 	if err != nil {
 		return reply{}, err
 	}
 	if value == nil {
-		return reply{}, fmt.Errorf("%w: null in place of a value", errMalformedReply)
+		return reply{}, fmt.Errorf("%w: expected a bulk string as the value, got null", errMalformedReply)
 	}
 	err = skipItems(r, count-1, maxValue, 1)
 	return reply{value: value, complete: err == nil}, nil
 }
 
-// readLine reads a line, which is never empty, and returns it without its CRLF.
+// readLine reads a line and returns it without its CRLF. An empty line is malformed.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		return nil, fmt.Errorf("%w: line over %d bytes", errMalformedReply, len(line))
+		return nil, fmt.Errorf("%w: line does not end within %d bytes", errMalformedReply, len(line))
 	}
 	if err != nil {
 		return nil, err
 	}
 	if len(line) > maxLineBytes || len(line) < 3 || line[len(line)-2] != '\r' {
-		return nil, fmt.Errorf("%w: line of %d bytes", errMalformedReply, len(line))
+		return nil, fmt.Errorf("%w: line of %d bytes, expected 3 to %d that end in CRLF", errMalformedReply, len(line), maxLineBytes)
 	}
 	return bytes.Clone(line[:len(line)-2]), nil
 }
 
-// parseLength parses the number after a type byte: from -1, for null, to maxLength.
+// parseLength parses the length after a type byte. It must be at most maxLength and at least -1, which means null.
 func parseLength(line []byte, maxLength int) (int, error) {
 	n, err := strconv.Atoi(string(line[1:]))
 	if err != nil || n < -1 || n > maxLength || line[1] == '+' {
-		return 0, fmt.Errorf("%w: length %q", errMalformedReply, line)
+		return 0, fmt.Errorf("%w: invalid length in %q, expected -1 to %d", errMalformedReply, line, maxLength)
 	}
 	return n, nil
 }
@@ -128,12 +128,12 @@
 		return nil, err
 	}
 	if b[n] != '\r' || b[n+1] != '\n' {
-		return nil, fmt.Errorf("%w: bulk string longer than announced", errMalformedReply)
+		return nil, fmt.Errorf("%w: bulk string of %d bytes is not followed by CRLF", errMalformedReply, n)
 	}
 	return b[:n], nil
 }
 
-// skipItems reads past so many items of an array.
+// skipItems reads past the next count items of an array.
 func skipItems(r *bufio.Reader, count, maxValue, depth int) error {
 	for range count {
 		line, err := readLine(r)
@@ -154,7 +154,7 @@
 		return nil
 	case ':':
 		if _, err := strconv.ParseInt(string(line[1:]), 10, 64); err != nil {
-			return fmt.Errorf("%w: integer %q", errMalformedReply, line)
+			return fmt.Errorf("%w: invalid integer %q", errMalformedReply, line)
 		}
 		return nil
 	case '$':
@@ -170,5 +170,5 @@
 		}
 		return skipItems(r, count, maxValue, depth+1)
 	}
-	return fmt.Errorf("%w: item %q", errMalformedReply, line)
+	return fmt.Errorf("%w: unknown type of array item %q", errMalformedReply, line)
 }
--- a/internal/backend/objectstore/client.go
+++ b/internal/backend/objectstore/client.go
@@ -1,5 +1,5 @@
-// Package objectstore makes attempts at object servers: one HTTP/1.1 exchange on a connection of the broker's own pool.
-// It does not use the Transport of net/http, which resends requests by itself.
+// Package objectstore sends attempts to object servers. An attempt is one HTTP/1.1 exchange on a connection of the
+// broker's own pool. The package does not use the Transport of net/http, which resends requests by itself.
 package objectstore
 
 import (
@@ -16,20 +16,20 @@
 	"poppyarch/internal/transport/socket"
 )
 
-// Client makes attempts at object servers.
+// Client sends attempts to object servers.
 type Client struct {
 	pool  *pool.Pool
 	clock *clock.Clock
 	lim   *limits.Limits
 }
 
-// New returns a client that uses the connections of a pool.
+// New returns a client that takes its connections from a pool.
 func New(p *pool.Pool, c *clock.Clock, lim *limits.Limits) *Client {
 	return &Client{pool: p, clock: c, lim: lim}
 }
 
-// Attempt makes one attempt: one exchange, whose request is written once. With an outcome other than Served there may be
-// an incomplete response, of which only Streamed and Truncated matter.
+// Attempt makes one attempt. The request is written once. If the outcome is not Served, the response may be nil or
+// incomplete, and only its fields Streamed and Truncated are meaningful.
 func (c *Client) Attempt(ctx context.Context, a core.Attempt[*Request]) (*Response, core.Outcome) {
 	conn, outcome := c.pool.Acquire(ctx, a.Node.ObjectAddr, a.NotIdempotent, a.Deadline, a.MayStart)
 	if conn == nil {
@@ -47,7 +47,7 @@
 	if err == nil && reusable && stopInterrupt() {
 		c.pool.Put(conn)
 	} else {
-		c.pool.Discard(conn) // which aborts the attempt at the node
+		c.pool.Discard(conn) // closing the connection aborts the attempt at the node
 	}
 	if err == nil {
 		return resp, outcomeOfStatus(resp.Status, a.NotIdempotent)
@@ -55,7 +55,7 @@
 	return resp, c.outcomeOfError(ctx, a.Node.ObjectAddr, sentAt, err)
 }
 
-// send writes a request. After an error its last byte was not sent, so that nothing was executed.
+// send writes a request. If it returns an error, the last byte of the request was not sent, and nothing was executed.
 func send(conn *pool.Conn, request *wireRequest, host string) error {
 	encoded, err := request.encode(host)
 	if err != nil {
@@ -65,9 +65,9 @@
 	return err
 }
 
-// outcomeOfStatus is the outcome of an attempt with a complete response. Whatever the server has decided, success or
-// error, is a response; what it was unable to do is a node error. A server that is busy says so before it executes
-// anything, but for requests that are not idempotent that is not relied upon.
+// outcomeOfStatus returns the outcome of an attempt with a complete response. A result that the server has decided on,
+// success or error, counts as Served, as does 501 (not implemented); other server errors count as NodeError. A busy
+// server rejects a request before executing it, but this is not relied upon for requests that are not idempotent.
 func outcomeOfStatus(status int, notIdempotent bool) core.Outcome {
 	busy := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 	switch {
@@ -79,7 +79,7 @@
 	return core.Served
 }
 
-// outcomeOfError is the outcome of an attempt whose response could not be read.
+// outcomeOfError returns the outcome of an attempt whose response could not be read.
 func (c *Client) outcomeOfError(ctx context.Context, addr string, sentAt clock.Micros, err error) core.Outcome {
 	if ctx.Err() != nil {
 		return core.OutcomeOf(ctx)
--- a/internal/backend/objectstore/request.go
+++ b/internal/backend/objectstore/request.go
@@ -8,27 +8,28 @@
 	"strings"
 )
 
-// Request is a request for an object server. It keeps the beginning of a response that broke, so that the next attempt
-// of a read continues there, with the version of the object that the earlier one has read.
+// Request is a request to an object server. It keeps the beginning of a response whose connection broke, so that the
+// next attempt at the read continues there, with the same version of the object.
 type Request struct {
 	Method string
 	Target string // escaped path and query
 	Header http.Header
 	Body   []byte
-	// Stream, if it is not nil, is called for a successful response that does not fit the buffer. It gets its status and
-	// header and returns where the body is written. The response has begun then, and no other attempt is made.
+	// Stream, if it is not nil, is called for a successful response that does not fit the buffer. It is passed the status
+	// and header and returns the writer for the body. The response to the client has then begun, and no other attempt is
+	// made.
 	Stream func(*Response) io.Writer
 
-	partial *partialResponse // nil: none
+	partial *partialResponse // nil if there is none
 }
 
 // Response is an object server's response.
 type Response struct {
 	Status    int
 	Header    http.Header
-	Body      []byte // complete, unless Streamed
+	Body      []byte // the complete body, unless Streamed
 	Streamed  bool   // the body was written to the stream
-	Truncated bool   // it was streamed, and broke before its end
+	Truncated bool   // it was streamed, and the connection broke before its end
 }
 
 // wireRequest is what is sent to the object server in one attempt.
@@ -39,14 +40,14 @@
 	body   []byte
 }
 
-// wireRequest returns what to send in the next attempt. If there is a partial response, that is a request for the rest
-// of the same version.
+// wireRequest returns the request to send in the next attempt. If there is a partial response, it requests the rest of
+// the same version.
 func (r *Request) wireRequest() wireRequest {
 	if r.partial == nil {
 		return wireRequest{method: r.Method, target: r.Target, header: r.Header, body: r.Body}
 	}
 	header := r.Header.Clone()
-	// These conditions were evaluated when the response began.
+	// The server evaluated these conditions for the first part of the response.
 	for _, name := range []string{"If-Range", "If-None-Match", "If-Modified-Since", "If-Unmodified-Since"} {
 		header.Del(name)
 	}
@@ -55,7 +56,7 @@
 	return wireRequest{method: r.Method, target: r.Target, header: header}
 }
 
-// encode returns the request in HTTP/1.1. host names the node.
+// encode returns the request in HTTP/1.1. host is the value of the Host header.
 func (r *wireRequest) encode(host string) ([]byte, error) {
 	var b bytes.Buffer
 	b.Grow(512 + len(r.body))
@@ -63,7 +64,7 @@
 	if len(r.body) > 0 || r.method == http.MethodPut || r.method == http.MethodPost {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(r.body)) + "\r\n")
 	}
-	if err := r.header.Write(&b); err != nil { // it replaces line ends in values
+	if err := r.header.Write(&b); err != nil { // Write replaces line breaks in values
 		return nil, err
 	}
 	b.WriteString("\r\n")
@@ -71,19 +72,19 @@
 	return b.Bytes(), nil
 }
 
-// partialResponse is the beginning of a response whose rest was lost.
+// partialResponse is the beginning of a response whose rest was not received.
 type partialResponse struct {
 	status int
 	header http.Header
 	etag   string
-	start  int64 // of the response in the object
-	end    int64 // exclusive
-	body   []byte
+	start  int64  // offset of the response's first byte in the object
+	end    int64  // offset after its last byte
+	body   []byte // received so far
 }
 
-// newPartialResponse returns the start of a response whose body will now be read; nil if it cannot be continued after a
-// failure. That requires a read with a strong entity tag, which proves that the rest belongs to the same version, and
-// one range of known length.
+// newPartialResponse returns a partialResponse with an empty body, or nil if the response cannot be continued after a
+// failure. Continuing requires a GET response with a strong entity tag, which proves that the rest belongs to the same
+// version, and with a single range of known length.
 func newPartialResponse(method string, resp *http.Response) *partialResponse {
 	etag := resp.Header.Get("ETag")
 	if method != http.MethodGet || resp.ContentLength <= 0 || !strings.HasPrefix(etag, `"`) {
@@ -106,13 +107,13 @@
 	return nil
 }
 
-// missingRange is the Range header for the rest.
+// missingRange returns the Range header that requests the rest.
 func (p *partialResponse) missingRange() string {
 	first := p.start + int64(len(p.body))
 	return "bytes=" + strconv.FormatInt(first, 10) + "-" + strconv.FormatInt(p.end-1, 10)
 }
 
-// isContinuedBy reports whether a response is the rest, of the same version.
+// isContinuedBy reports whether a response is the rest of the same version.
 func (p *partialResponse) isContinuedBy(resp *http.Response) bool {
 	start, end, ok := parseContentRange(resp.Header.Get("Content-Range"))
 	return ok && resp.StatusCode == http.StatusPartialContent && resp.Header.Get("ETag") == p.etag &&
--- a/internal/backend/objectstore/response.go
+++ b/internal/backend/objectstore/response.go
@@ -18,14 +18,14 @@
 )
 
 var (
-	// errResponseTooLong reports a response that must be complete before it is passed on and exceeds its limit.
-	errResponseTooLong = errors.New("objectstore: response too long")
-	// errVersionChanged reports that the rest of a response belongs to another version of the object.
+	// errResponseTooLong reports a response that has to be buffered completely and exceeds the size limit.
+	errResponseTooLong = errors.New("objectstore: response exceeds the limit on buffered responses")
+	// errVersionChanged reports that the rest of a response does not belong to the same version of the object.
 	errVersionChanged = errors.New("objectstore: object changed between two attempts")
 )
 
-// readResponse reads a response and reports whether its connection can be used again. An error with a Response means
-// that the response broke after it had begun to be sent to the client.
+// readResponse reads a response and reports whether its connection can be reused. If it returns both an error and a
+// streamed Response, the connection broke after the response to the client had begun.
 func (c *Client) readResponse(ctx context.Context, conn *pool.Conn, a *core.Attempt[*Request]) (resp *Response, reusable bool, err error) {
 	r := a.Work
 	httpResp, err := readHeader(conn, r.Method, int64(c.lim.MaxHeaderBytes))
@@ -65,7 +65,7 @@
 	return resp, reusable, err
 }
 
-// continueWith checks that a response continues the partial one. If there is none, it begins one.
+// continueWith checks that a response continues the partial response. If there is none, it starts one.
 func (r *Request) continueWith(httpResp *http.Response) error {
 	if r.partial == nil {
 		r.partial = newPartialResponse(r.Method, httpResp)
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// readHeader reads status and header, after any interim responses.
+// readHeader reads the status and the header, and skips interim (1xx) responses.
 func readHeader(conn *pool.Conn, method string, maxBytes int64) (*http.Response, error) {
 	conn.SetReadLimit(maxBytes)
 	defer conn.ClearReadLimit()
@@ -93,7 +93,8 @@
 	}
 }
 
-// readUpTo appends to buf until r ends, which makes it complete, or buf holds at least maxBytes and one more byte was read.
+// readUpTo appends the bytes of r to buf until r ends, in which case complete is true, or until buf holds at least
+// maxBytes and one more byte was read.
 func readUpTo(r io.Reader, buf []byte, maxBytes int) (_ []byte, complete bool, err error) {
 	chunk := make([]byte, readChunkBytes)
 	for len(buf) < maxBytes {
@@ -114,8 +115,8 @@
 	return buf, false, err
 }
 
-// readRest reads the rest of a response that is not streamed. Only objects are long: any other long response is an
-// errResponseTooLong.
+// readRest reads the rest of a response that is not streamed. Only objects may be long: it returns errResponseTooLong
+// if the body exceeds Limits.MaxCompletionBytes.
 func (c *Client) readRest(r io.Reader, buf []byte) ([]byte, error) {
 	body, complete, err := readUpTo(r, buf, int(c.lim.MaxCompletionBytes))
 	if err == nil && !complete {
@@ -125,7 +126,7 @@
 }
 
 // stream writes the buffered beginning and the rest of a body to the client. The request's deadline no longer applies,
-// but a body that stalls for Limits.ObjectStallTimeout is given up.
+// but streaming fails if the node stalls for longer than Limits.ObjectStallTimeout.
 func (c *Client) stream(ctx context.Context, conn *pool.Conn, w io.Writer, buffered []byte, rest io.Reader) error {
 	if _, err := w.Write(buffered); err != nil {
 		return err
@@ -134,7 +135,7 @@
 	for {
 		deadline := time.Now().Add(clock.Duration(c.lim.ObjectStallTimeout))
 		_ = conn.SetDeadline(deadline) // a broken connection fails when it is read
-		// The deadline that InterruptOnDone sets may just have been overwritten.
+		// The call above may have overwritten the deadline that InterruptOnDone sets.
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
--- a/internal/backend/objectstore/response_test.go
+++ b/internal/backend/objectstore/response_test.go
@@ -26,12 +26,12 @@
 	} {
 		got, complete, err := readUpTo(iotest.OneByteReader(strings.NewReader(x.body)), []byte(x.buffered), 4)
 		if string(got) != x.want || complete != x.complete || err != nil {
-			t.Errorf("%s: %q, %v, %v, want %q, %v", x.name, got, complete, err, x.want, x.complete)
+			t.Errorf("%s: read %q, complete %v, error %v, want %q, %v", x.name, got, complete, err, x.want, x.complete)
 		}
 	}
 	broken := errors.New("broken")
 	if _, _, err := readUpTo(iotest.ErrReader(broken), nil, 4); !errors.Is(err, broken) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want %v", err, broken)
 	}
 }
 
