--- a/internal/frontend/block/command.go
+++ b/internal/frontend/block/command.go
@@ -17,15 +17,15 @@
 	readCommandArgs   = 4
 	writeCommandArgs  = 5
 	maxDeadlineMillis = 1e8
-	maxDecimalLen     = 16 // digits and point
-	maxQuotedInputLen = 32 // bytes of a client's input in an error
+	maxDecimalLen     = 16 // digits and decimal point
+	maxQuotedInputLen = 32 // bytes of a client's input that an error quotes
 )
 
-// The parameters of a command, by their names on the wire.
+// Names of a command's parameters on the wire.
 const (
 	paramClass    = "c"
 	paramPlan     = "t"
-	paramDeadline = "d" // milliseconds
+	paramDeadline = "d" // time left, in milliseconds
 	paramVolume   = "volume"
 	paramUnits    = "units"
 	paramShard    = "shard"
@@ -34,13 +34,13 @@
 
 var requiredParams = []string{paramClass, paramPlan, paramDeadline, paramVolume, paramUnits, paramShard}
 
-// Schema is what the settings allow in a command. Classes and plans are numbered in the order of the settings.
+// Schema describes the commands that the settings allow. Classes and plans are numbered in the order of the settings.
 type Schema struct {
-	classes       map[string]int // class names
-	plans         map[string]int // plan names
-	notIdempotent []bool         // by class: a request must not be executed twice
-	shards        int            // 0: unknown
-	maxUnits      float64        // 0: no limit
+	classes       map[string]int // class numbers by name
+	plans         map[string]int // plan numbers by name
+	notIdempotent []bool         // by class number: a request must not be executed twice
+	shards        int            // number of shards; 0 if unknown
+	maxUnits      float64        // limit on a request's units; 0 if there is none
 
 	lim *limits.Limits
 }
@@ -65,9 +65,9 @@
 	return s
 }
 
-// commandError reports a command that cannot be a request. Its text is sent to the client.
+// commandError reports a command that is not a valid request. Its text is sent to the client.
 type commandError struct {
-	part    string // of the command
+	part    string // the invalid part of the command
 	problem string
 }
 
@@ -83,9 +83,9 @@
 
 type request = core.Request[*blockstore.Command]
 
-// parseCommand returns the request of a BLK command that arrived at now. The deadline counts from when the client sent
-// the command, of which its arrival is the best estimate. Everything is checked here: a node would reject a malformed
-// command at the cost of an attempt, or close its connection.
+// parseCommand returns the request of a BLK command that arrived at time now. The deadline counts from when the client
+// sent the command, for which the time of arrival is the best estimate. Every part of the command is checked here: a
+// node would reject a malformed command at the cost of an attempt, or close its connection.
 func parseCommand(args [][]byte, schema *Schema, now clock.Micros) (request, error) {
 	isWrite := bytes.EqualFold(args[0], []byte("BLK.WRITE"))
 	if err := checkArgs(args, isWrite, schema.lim); err != nil {
@@ -109,7 +109,7 @@
 	return req, nil
 }
 
-// checkArgs checks the arguments of a command, except for what its parameters say.
+// checkArgs checks the arguments of a command, except for the contents of its parameter list.
 func checkArgs(args [][]byte, isWrite bool, lim *limits.Limits) error {
 	want := readCommandArgs
 	if isWrite {
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// parseParams sets a request's attributes from a list of the form name=value,name=value.
+// parseParams sets a request's attributes from a parameter list of the form name=value,name=value.
 func parseParams(req *request, list string, schema *Schema, now clock.Micros) error {
 	seen := map[string]bool{}
 	for _, param := range strings.Split(list, ",") {
@@ -152,8 +152,8 @@
 	return nil
 }
 
-// setParam sets the attribute of one parameter and reports whether its value is valid. Unknown parameters are valid and
-// passed on to the node.
+// setParam sets the request attribute of one parameter and reports whether its value is valid. Unknown parameters are
+// valid; they are forwarded to the node.
 func setParam(req *request, name, value string, schema *Schema, now clock.Micros) (ok bool) {
 	switch name {
 	case paramClass:
@@ -183,14 +183,14 @@
 	return ok
 }
 
-// parseInt parses an integer without a plus sign.
+// parseInt parses an integer. A plus sign is invalid.
 func parseInt(s string) (n int, ok bool) {
 	n, err := strconv.Atoi(s)
 	return n, err == nil && !strings.HasPrefix(s, "+")
 }
 
-// parseDecimal parses digits with an optional fraction. The other forms that ParseFloat accepts are not part of the
-// protocol.
+// parseDecimal parses a number of digits with an optional fraction. The other forms that ParseFloat accepts are not
+// part of the protocol.
 func parseDecimal(s string) (v float64, ok bool) {
 	if strings.Trim(s, "0123456789.") != "" || len(s) > maxDecimalLen {
 		return 0, false
@@ -224,9 +224,9 @@
 	if len(s) != 16 {
 		return false
 	}
-	_, err := strconv.ParseUint(s, 16, 64) // accepts no sign
+	_, err := strconv.ParseUint(s, 16, 64) // ParseUint accepts no sign
 	return err == nil
 }
 
-// clip shortens a client's input for an error.
+// clip returns the beginning of a client's input, for quoting in an error.
 func clip(s string) string { return s[:min(len(s), maxQuotedInputLen)] }
--- a/internal/frontend/block/command_test.go
+++ b/internal/frontend/block/command_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// FuzzCommand checks that no input makes the parser panic and that parsed requests are within the limits.
+// FuzzCommand checks that no input makes parseCommand panic and that parsed requests are within the limits.
 func FuzzCommand(f *testing.F) {
 	f.Add("BLK.READ", testBlockID, "id", testParams)
 	f.Add("BLK.WRITE", testBlockID, "", "c=new,,=,d=1e99")
@@ -10,10 +10,10 @@
 	lim := testLimits()
 	schema := testSchema(lim)
 	f.Fuzz(func(t *testing.T, name, blockID, id, params string) {
-		q, err := parseCommand([][]byte{[]byte(name), []byte(blockID), []byte(id), []byte(params)}, schema, 1000)
-		if err == nil && (q.Deadline <= 1000 || q.Units <= 0 || q.Units > 8 || q.Class < 0 || q.Class > 1 || q.Shard < -1 ||
-			q.Shard > 9 || id == "" || len(id) > lim.MaxID || len(params) > lim.MaxParams) {
-			t.Errorf("%+v", q.RequestInfo)
+		req, err := parseCommand([][]byte{[]byte(name), []byte(blockID), []byte(id), []byte(params)}, schema, 1000)
+		if err == nil && (req.Deadline <= 1000 || req.Units <= 0 || req.Units > 8 || req.Class < 0 || req.Class > 1 || req.Shard < -1 ||
+			req.Shard > 9 || id == "" || len(id) > lim.MaxID || len(params) > lim.MaxParams) {
+			t.Errorf("parsed request exceeds a limit: %+v", req.RequestInfo)
 		}
 	})
 }
--- a/internal/frontend/block/conn.go
+++ b/internal/frontend/block/conn.go
@@ -17,16 +17,16 @@
 	"poppyarch/internal/transport/socket"
 )
 
-// deliveryTime is how long a written reply may take to arrive, where the system does not report what it still holds.
+// deliveryTime is the time allowed for a written reply to arrive if the system does not report its unsent bytes.
 const deliveryTime clock.Micros = 1_000_000
 
-// errQuit ends a connection on its client's QUIT, after the pending replies.
+// errQuit ends a connection after its client has sent QUIT and the pending replies were sent.
 var errQuit = errors.New("client quit")
 
-// conn is one client connection. Reads go through its commandReader, everything else to the network connection.
+// conn is one client connection. Reads go through its commandReader, all other calls to the network connection.
 //
-// Three kinds of goroutines work on it: the one that runs serve reads commands, one for each request waits for its
-// response, and one writes replies in the order of the commands. serve waits for the others.
+// A connection uses several goroutines: the one that runs serve reads commands, one per request waits for the response,
+// and one writes replies in the order of the commands. serve waits for the others to end.
 type conn struct {
 	net.Conn
 	activity
@@ -53,26 +53,26 @@
 
 // reply is the pending reply to one command.
 type reply struct {
-	encoded   chan []byte // holds one
-	requestID string      // empty for commands that are no requests
-	bytes     atomic.Int64
+	encoded   chan []byte  // receives the encoded reply; buffer of one
+	requestID string       // empty for commands that are not requests
+	bytes     atomic.Int64 // of the command and the reply, as counted in inFlight
 }
 
-// enqueue adds a pending reply. Where too many are pending it blocks, and no more commands are read.
+// enqueue adds a pending reply. It blocks while too many replies are pending, so that no more commands are read.
 func (c *conn) enqueue(r *reply) {
 	r.encoded = make(chan []byte, 1)
 	c.pending.Add(1)
 	c.replies <- r
 }
 
-// replyNow enqueues a reply that is known already.
-func (c *conn) replyNow(encoded []byte) {
+// enqueueEncoded adds a reply that is already encoded.
+func (c *conn) enqueueEncoded(encoded []byte) {
 	r := &reply{}
 	c.enqueue(r)
 	r.encoded <- encoded
 }
 
-// serve executes the commands of a connection, of which redcon has read the first, until the connection ends.
+// serve executes the commands of a connection until the connection ends. redcon has already read the first command.
 func (c *conn) serve(first redcon.Command, commands redcon.DetachedConn) {
 	ctx, cancel := context.WithCancelCause(c.server.drain.base)
 	var requests, writer sync.WaitGroup
@@ -84,7 +84,7 @@
 	protocolFailure := isProtocolError(err)
 	switch {
 	case protocolFailure:
-		c.replyNow([]byte("-ERR " + err.Error() + "\r\n"))
+		c.enqueueEncoded([]byte("-ERR " + err.Error() + "\r\n"))
 	case !errors.Is(err, errIdle) && !errors.Is(err, errQuit):
 		cancel(core.ErrClientDisconnected) // end of stream or reset
 	}
@@ -96,7 +96,7 @@
 	}
 }
 
-// executeAll starts commands until the connection ends, and returns why it ends.
+// executeAll starts commands until the connection ends, and returns the reason as an error.
 func (c *conn) executeAll(ctx context.Context, first redcon.Command, commands redcon.DetachedConn, requests *sync.WaitGroup) error {
 	cmd := first
 	for {
@@ -110,58 +110,58 @@
 	}
 }
 
-// execute starts one command. An error ends the connection after the pending replies.
+// execute starts one command. If it returns an error, the connection ends after the pending replies.
 func (c *conn) execute(ctx context.Context, cmd redcon.Command, requests *sync.WaitGroup) error {
 	switch strings.ToUpper(string(cmd.Args[0])) {
 	case "PING":
 		if len(cmd.Args) > 1 {
-			c.replyNow(bulkString(cmd.Args[1]))
+			c.enqueueEncoded(bulkString(cmd.Args[1]))
 		} else {
-			c.replyNow([]byte(replyPong))
+			c.enqueueEncoded([]byte(replyPong))
 		}
 	case "QUIT":
-		c.replyNow([]byte(replyOK))
+		c.enqueueEncoded([]byte(replyOK))
 		return errQuit
 	case "BLK.READ", "BLK.WRITE":
 		return c.startRequest(ctx, cmd, requests)
 	default:
-		c.replyNow([]byte(replyUnknownCommand))
+		c.enqueueEncoded([]byte(replyUnknownCommand))
 	}
 	return nil
 }
 
-// startRequest hands a request to the broker, or rejects it. It returns core.ErrClientDisconnected if the client has
-// gone.
+// startRequest passes a request to the broker, or rejects it. It returns core.ErrClientDisconnected if the client has
+// disconnected.
 func (c *conn) startRequest(ctx context.Context, cmd redcon.Command, requests *sync.WaitGroup) error {
 	s := c.server
 	req, err := parseCommand(cmd.Args, s.schema, s.clock.Now())
 	if err != nil {
-		c.replyNow(errorReply(err))
+		c.enqueueEncoded(errorReply(err))
 		return nil
 	}
 	if !s.drain.limitDeadline(&req.Deadline, s.clock.Now()) {
-		c.replyNow(busyReply(s.lim.BusyRetryAfter))
+		c.enqueueEncoded(busyReply(s.lim.BusyRetryAfter))
 		return nil
 	}
-	// Commands that a client sent before it disconnected can still be read afterwards, if this process was late or
-	// several commands arrived at once.
+	// Commands that a client sent before it disconnected may be read after the disconnect, if this process was delayed
+	// or several commands arrived together.
 	req.ClientGone = func() bool { return socket.PeerClosed(c.Conn) }
 	if (!c.hasRequested.Load() || c.pending.Load() > 0) && req.ClientGone() {
 		return core.ErrClientDisconnected
 	}
 	r := &reply{requestID: string(req.Work.RequestID)}
 	if !s.inFlight.addID(r.requestID) {
-		c.replyNow([]byte(replyDuplicateID))
+		c.enqueueEncoded([]byte(replyDuplicateID))
 		return nil
 	}
 	if !s.inFlight.reserve(r, int64(len(cmd.Raw))) {
 		s.inFlight.remove(r)
-		c.replyNow(busyReply(s.lim.BusyRetryAfter))
+		c.enqueueEncoded(busyReply(s.lim.BusyRetryAfter))
 		return nil
 	}
 	c.enqueue(r)
 	if !c.hasRequested.Swap(true) {
-		s.conns.countRequesting()
+		s.conns.countRequestConn()
 		s.conns.evictSurplus()
 	}
 	requests.Go(func() {
@@ -172,7 +172,7 @@
 	return nil
 }
 
-// writeReplies sends the replies in the order of their commands. After a failed write the rest is discarded.
+// writeReplies sends the replies in the order of their commands. After a failed write it discards the remaining ones.
 func (c *conn) writeReplies(cancel context.CancelCauseFunc) {
 	s := c.server
 	writeFailed := false
@@ -182,7 +182,7 @@
 			if err := c.write(encoded); err != nil {
 				writeFailed = true
 				cancel(core.ErrClientDisconnected)
-				_ = c.Close() // ends the reader; the write has failed already
+				_ = c.Close() // ends the reader; its error adds nothing to that of the write
 			}
 		}
 		s.inFlight.remove(r)
@@ -191,12 +191,12 @@
 			if s.drain.listenerClosed.Load() {
 				c.reader.wake()
 			}
-			s.conns.evictSurplus() // all may have been busy before
+			s.conns.evictSurplus() // earlier calls may have found all connections busy
 		}
 	}
 }
 
-// write sends one reply, within the client's write timeout.
+// write sends one reply within Limits.ClientWriteTimeout.
 func (c *conn) write(encoded []byte) error {
 	timeout := clock.Duration(c.server.lim.ClientWriteTimeout)
 	if err := c.SetWriteDeadline(time.Now().Add(timeout)); err != nil {
@@ -206,7 +206,7 @@
 	return err
 }
 
-// replyInTransit reports whether the client's system may lack a part of the last reply.
+// replyInTransit reports whether the client's system may not yet have received all of the last reply.
 func (c *conn) replyInTransit() bool {
 	if n, ok := socket.UnsentBytes(c.Conn); ok {
 		return n > 0
@@ -214,12 +214,12 @@
 	return c.server.clock.Now()-c.idleSince.Load() < deliveryTime
 }
 
-// lingerClose closes the sending side and waits a moment for the client to close its own. Closing a connection with
-// unread input resets it, and the client loses the replies that it has not read. Input that arrives meanwhile is
-// discarded: none of it was executed, and the client sends it again elsewhere.
+// lingerClose closes the sending side and waits for up to Limits.ClientLingerTimeout for the client to close its side.
+// Closing a connection with unread input would reset it, and the client would lose the replies that it has not read.
+// Input that arrives meanwhile is discarded: none of it was executed, and the client sends it to another broker.
 func (c *conn) lingerClose() {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		_ = half.CloseWrite() // the connection is closed in any case
+		_ = half.CloseWrite() // on an error, the connection is still closed below
 	}
 	deadline := time.Now().Add(clock.Duration(c.server.lim.ClientLingerTimeout))
 	buf := make([]byte, 4096)
@@ -229,7 +229,7 @@
 		}
 		n, err := c.Conn.Read(buf)
 		left -= n
-		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) { // wake ends a read before the deadline
+		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) { // wake may end a read before the deadline
 			return
 		}
 	}
--- a/internal/frontend/block/drain.go
+++ b/internal/frontend/block/drain.go
@@ -9,21 +9,21 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// drainCheckInterval is how often Drain looks at the connections.
+// drainCheckInterval is how often Drain checks the connections.
 const drainCheckInterval = 20 * time.Millisecond
 
-// drainState is how far a graceful shutdown has come.
+// drainState is the state of a graceful shutdown.
 type drainState struct {
-	base   context.Context // of all requests
-	expire context.CancelCauseFunc
+	base   context.Context         // parent context of all requests
+	expire context.CancelCauseFunc // cancels base
 
-	deadline       clock.AtomicMicros // when all requests must be answered; 0 before the drain
+	deadline       clock.AtomicMicros // when all requests must have been answered; 0 before the drain
 	listenerClosed atomic.Bool
 	done           chan struct{} // closed when Drain returns
 }
 
-// limitDeadline brings a request's deadline forward to that of the drain, after which the process may be killed. It
-// reports false if that has passed.
+// limitDeadline limits a request's deadline to the drain deadline, after which the process may be killed. It returns
+// false if the drain deadline has passed.
 func (d *drainState) limitDeadline(deadline *clock.Micros, now clock.Micros) bool {
 	drainDeadline := d.deadline.Load()
 	if drainDeadline == 0 {
@@ -33,20 +33,21 @@
 	return now < drainDeadline
 }
 
-// Drain shuts the server down gracefully. It goes on serving for Limits.DrainServeTime, since clients learn of a restart
-// late and would be without a broker until the next one is up. Then it closes the listener, ends connections as soon as
-// they have no reply pending, and returns when none is left. All requests are answered within Limits.DrainAnswerTime of
-// the call, however long their clients would wait: the process may be killed after that. The error is ctx's, if it is
-// done earlier.
+// Drain shuts the server down gracefully. It continues to accept clients and serve requests for Limits.DrainServeTime,
+// because clients learn of a restart late and would have no broker until the next one has started. Without any
+// connections, it stops accepting after Limits.DrainAcceptTime. Then it closes the listener, closes each connection as
+// soon as it has no pending reply, and returns when no connection is left. All requests are answered within
+// Limits.DrainAnswerTime of the call, even if their clients would wait longer: the process may be killed after that. If
+// ctx is done earlier, Drain returns its error.
 func (s *Server) Drain(ctx context.Context) error {
-	began := s.clock.Now()
-	s.drain.deadline.Store(began + s.lim.DrainAnswerTime)
+	start := s.clock.Now()
+	s.drain.deadline.Store(start + s.lim.DrainAnswerTime)
 	s.conns.draining.Store(true)
 	defer close(s.drain.done)
 	expiry := time.AfterFunc(clock.Duration(s.lim.DrainAnswerTime), func() { s.drain.expire(core.ErrDeadlineExceeded) })
 	defer expiry.Stop()
 	for {
-		elapsed := s.clock.Now() - began
+		elapsed := s.clock.Now() - start
 		if elapsed >= s.lim.DrainServeTime || elapsed >= s.lim.DrainAcceptTime && s.conns.count() == 0 {
 			s.closeListener()
 		}
@@ -56,7 +57,7 @@
 				return nil
 			}
 		}
-		select { // not on conns.freed, which would take the signal away from makeRoom
+		select { // conns.freed is not received from here, because freeSlot would miss the signal
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(drainCheckInterval):
--- a/internal/frontend/block/eviction.go
+++ b/internal/frontend/block/eviction.go
@@ -9,24 +9,24 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// makeRoomInterval is how often makeRoom looks again while all connections are in use.
-const makeRoomInterval = 5 * time.Millisecond
+// freeSlotInterval is how often freeSlot checks again while all connections are in use.
+const freeSlotInterval = 5 * time.Millisecond
 
 // connTable holds the client connections and keeps their number within its limits.
 type connTable struct {
 	clock *clock.Clock
 	log   *slog.Logger
 
-	maxConns      int // connections at once
-	evictAbove    int // connections from which on idle ones are evicted for new ones
-	maxRequesting int // connections that have carried a request, at once
+	maxConns        int // maximum number of connections
+	evictAbove      int // number of connections from which idle ones are evicted for new ones
+	maxRequestConns int // maximum number of connections that have carried a request
 
-	draining atomic.Bool   // connections that have carried a request are kept while that is possible
-	freed    chan struct{} // a connection has ended; holds one
+	draining atomic.Bool   // set during a drain, when connections that have carried a request are kept if possible
+	freed    chan struct{} // signals that a connection has ended; buffer of one
 
-	mu         sync.Mutex
-	conns      map[*conn]struct{}
-	requesting int // of conns, those that have carried a request
+	mu           sync.Mutex
+	conns        map[*conn]struct{}
+	requestConns int // number of connections in conns that have carried a request
 }
 
 // add registers an accepted connection.
@@ -36,11 +36,11 @@
 	t.conns[c] = struct{}{}
 }
 
-// remove forgets a connection that has ended.
+// remove unregisters a connection that has ended.
 func (t *connTable) remove(c *conn) {
 	t.mu.Lock()
 	if _, ok := t.conns[c]; ok && c.hasRequested.Load() {
-		t.requesting--
+		t.requestConns--
 	}
 	delete(t.conns, c)
 	t.mu.Unlock()
@@ -50,24 +50,24 @@
 	}
 }
 
-// countRequesting counts a connection that has carried its first request.
-func (t *connTable) countRequesting() {
+// countRequestConn counts a connection that carries its first request.
+func (t *connTable) countRequestConn() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.requesting++
+	t.requestConns++
 }
 
-// count is how many connections there are.
+// count returns the number of connections.
 func (t *connTable) count() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.conns)
 }
 
-// crowded reports whether more than half of the connections are in use.
-func (t *connTable) crowded() bool { return t.count() > t.maxConns/2 }
+// underPressure reports whether more than half of the allowed connections are open.
+func (t *connTable) underPressure() bool { return t.count() > t.maxConns/2 }
 
-// wakeIdle wakes the readers of all connections without pending replies, which ends those connections.
+// wakeIdle wakes the readers of all connections that have no pending reply, which ends those connections.
 func (t *connTable) wakeIdle() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -78,20 +78,20 @@
 	}
 }
 
-// evictionRank orders connections by how little is lost when they are closed. Lower ranks go first.
+// evictionRank orders connections by the harm of closing them. Connections of lower ranks are evicted first.
 type evictionRank int
 
 const (
-	evictUnused          evictionRank = iota // got a protocol error, or has sent nothing for some time
-	evictStalled                             // has stopped within a command
-	evictNeverRequested                      // has only connected or sent PING
-	evictBetweenRequests                     // is between two requests
-	evictSlow                                // is far too slow within a command
-	notEvictable                             // busy, or about to end already
+	evictUnused          evictionRank = iota // has sent malformed input, or nothing at all for some time
+	evictStalled                             // has stopped sending within a command
+	evictNeverRequested                      // has carried no request, at most commands such as PING
+	evictBetweenRequests                     // has carried a request and waits for the next command
+	evictSlow                                // has been sending a single command for too long
+	notEvictable                             // is busy or about to end
 )
 
-// evictionRank is the connection's rank. One that is about to end is not evictable: had it received something
-// meanwhile, it would stay, and the wait for it would be in vain.
+// evictionRank returns the connection's rank. A connection that is about to end is not evictable: if it has received
+// input meanwhile, it stays open, and waiting for its end would be in vain.
 func (c *conn) evictionRank(now clock.Micros) evictionRank {
 	unused := c.lastReadAt.Load() == 0 && now >= c.acceptedAt+c.server.lim.ClientStallTimeout/4
 	switch {
@@ -111,8 +111,9 @@
 	return evictBetweenRequests
 }
 
-// evictionCandidate is the connection of the lowest rank, and among these the one that has been inactive for longest,
-// of those ranked from first to before end; nil if there is none. The caller holds mu.
+// evictionCandidate returns the connection of the lowest rank from first (inclusive) to end (exclusive). Among
+// connections of the same rank it returns the one that has been inactive for longest. It returns nil if there is no
+// such connection. The caller holds mu.
 func (t *connTable) evictionCandidate(first, end evictionRank) *conn {
 	var candidate *conn
 	var candidateRank evictionRank
@@ -133,10 +134,10 @@
 	return candidate
 }
 
-// makeRoom returns once another connection fits. It evicts ahead of the limit, so that new clients need not wait one by
-// one for another to end. In a drain connections that have carried a request are evicted at the limit only: their
-// clients cannot connect anew.
-func (t *connTable) makeRoom() {
+// freeSlot returns once there is a slot for another connection. It evicts connections before the limit is reached, so
+// that new clients do not have to wait one by one for an evicted connection to end. During a drain, connections that
+// have carried a request are evicted only at the limit, because their clients cannot reconnect.
+func (t *connTable) freeSlot() {
 	for {
 		t.mu.Lock()
 		count := len(t.conns)
@@ -160,12 +161,12 @@
 		}
 		select {
 		case <-t.freed:
-		case <-time.After(makeRoomInterval):
+		case <-time.After(freeSlotInterval):
 		}
 	}
 }
 
-// anyClosing reports whether some connection is about to end.
+// anyClosing reports whether any connection is about to end.
 func (t *connTable) anyClosing() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -177,16 +178,17 @@
 	return false
 }
 
-// evictSurplus evicts connections between two requests while more than maxRequesting have carried one. Clients that
-// send one request and stay would use up what the clients' hosts may hold, until nobody can connect any more, so it
-// evicts the whole surplus and not one for each new client. Connections that carry no request do not count here.
+// evictSurplus evicts connections that wait for their next request while more than maxRequestConns connections have
+// carried one. Clients that send one request and stay connected would use up the connections that the clients' hosts
+// may have open, until no client can connect. Therefore the whole surplus is evicted, not one connection per new
+// client. Connections that have carried no request are not counted.
 func (t *connTable) evictSurplus() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.requesting <= t.maxRequesting || t.draining.Load() {
+	if t.requestConns <= t.maxRequestConns || t.draining.Load() {
 		return
 	}
-	surplus := t.requesting - t.maxRequesting
+	surplus := t.requestConns - t.maxRequestConns
 	for c := range t.conns {
 		if c.hasRequested.Load() && c.isClosing() {
 			surplus--
--- a/internal/frontend/block/eviction_test.go
+++ b/internal/frontend/block/eviction_test.go
@@ -6,23 +6,24 @@
 	"testing"
 )
 
-// At the limit a connection that has stopped within a command is evicted first, then one without a request. The client that
-// connects waits for neither.
+// At the connection limit a client that has stopped sending within a command is evicted first, then one that has sent
+// nothing, to make it possible for a new client to connect. The new client does not wait for their timeouts.
+// Connections that have carried requests are kept.
 func TestStalledAndUnusedConnectionsAreEvictedFirst(t *testing.T) {
-	r := newRig(t, testLimits(), 3)
-	used, usedIn := r.dial()
-	r.roundTrip(used, usedIn)
-	_, silentIn := r.dial()
-	r.waitUntil("the silent client is there", func() bool { return len(r.server.conns.conns) == 2 })
-	if now := r.server.clock.Now(); (&conn{server: r.server, activity: activity{acceptedAt: now - hour}}).evictionRank(now) != evictUnused {
-		t.Error("a client that has sent nothing for long is not evicted first")
+	h := newHarness(t, testLimits(), 3)
+	used, usedIn := h.dial()
+	h.roundTrip(used, usedIn)
+	_, silentIn := h.dial()
+	h.waitUntil("the silent client is connected", func() bool { return len(h.server.conns.conns) == 2 })
+	if now := h.server.clock.Now(); (&conn{server: h.server, activity: activity{acceptedAt: now - hour}}).evictionRank(now) != evictUnused {
+		t.Error("a client that has sent nothing for an hour does not have the lowest eviction rank")
 	}
-	half, halfIn := r.dial()
+	half, halfIn := h.dial()
 	send(half, "*1\r\n")
-	r.waitUntil("the half command is read", func() bool {
-		for served := range r.server.conns.conns {
-			if served.inCommand.Load() {
-				served.lastReadAt.Add(-hour / 2) // as if it had stopped half an hour ago
+	h.waitUntil("the incomplete command is read", func() bool {
+		for serverConn := range h.server.conns.conns {
+			if serverConn.inCommand.Load() {
+				serverConn.lastReadAt.Add(-hour / 2) // as if it had stopped sending half an hour ago
 				return true
 			}
 		}
@@ -32,130 +33,131 @@
 		in   *bufio.Reader
 		text string
 	}{{halfIn, "-ERR Protocol error: the command did not come to its end in time\r\n"}, {silentIn, ""}} {
-		next, nextIn := r.dial()
+		next, nextIn := h.dial()
 		send(next, readCommand("a"))
 		expectText(t, x.in, x.text)
-		expectEnd(t, x.in)
-		<-r.broker.requests
-		r.broker.response("a") <- success("v")
+		expectClosed(t, x.in)
+		<-h.broker.requests
+		h.broker.response("a") <- success("v")
 		expectText(t, nextIn, "$1\r\nv\r\n")
-		r.waitUntilIdle(next)
+		h.waitUntilIdle(next)
 	}
-	r.roundTrip(used, usedIn)
+	h.roundTrip(used, usedIn)
 }
 
-func TestLongestIdleConnectionIsEvictedAheadOfTheLimit(t *testing.T) {
-	r := newRig(t, testLimits(), 16)
+func TestLongestIdleConnectionIsEvictedBeforeTheLimit(t *testing.T) {
+	h := newHarness(t, testLimits(), 16)
 	var first *bufio.Reader
 	for i := range 15 {
-		c, in := r.dial()
-		r.ping(c, in)
+		c, in := h.dial()
+		h.ping(c, in)
 		if i == 0 {
 			first = in
 		}
 	}
-	expectEnd(t, first)
+	expectClosed(t, first)
 }
 
-// Connections that have carried a request are evicted down to their limit once they are idle. Others do not count.
+// Once idle, connections that have carried a request are evicted down to ClientIdleConns. Other connections are not
+// counted.
 func TestSurplusOfRequestingConnectionsIsEvicted(t *testing.T) {
 	lim := testLimits()
 	lim.ClientIdleConns = 2
-	r := newRig(t, lim, 100)
-	ping, pingIn := r.dial()
-	r.ping(ping, pingIn)
+	h := newHarness(t, lim, 100)
+	ping, pingIn := h.dial()
+	h.ping(ping, pingIn)
 	var ins []*bufio.Reader
-	for i := range 6 { // all busy at once: none can be evicted
-		c, in := r.dial()
+	for i := range 6 { // all are busy at the same time, so none can be evicted
+		c, in := h.dial()
 		send(c, readCommand(fmt.Sprint(i)))
-		<-r.broker.requests
+		<-h.broker.requests
 		ins = append(ins, in)
 	}
 	for i, in := range ins {
-		r.broker.response(fmt.Sprint(i)) <- success("v")
+		h.broker.response(fmt.Sprint(i)) <- success("v")
 		expectText(t, in, "$1\r\nv\r\n")
 	}
-	r.waitUntil("the surplus is evicted", func() bool { return r.server.conns.requesting == 2 && len(r.server.conns.conns) == 3 })
-	r.ping(ping, pingIn)
+	h.waitUntil("the surplus connections are evicted", func() bool { return h.server.conns.requestConns == 2 && len(h.server.conns.conns) == 3 })
+	h.ping(ping, pingIn)
 }
 
-// In a drain no connection that has carried a request is evicted for a new one; others are, ahead of the limit.
+// During a drain, connections that have carried a request are not evicted before the limit is reached; others are.
 func TestDrainKeepsConnectionsThatHaveRequested(t *testing.T) {
 	lim := testLimits()
 	lim.ClientIdleConns = 2
-	r := newRig(t, lim, 8)
-	r.server.conns.draining.Store(true)
-	t.Cleanup(func() { close(r.server.drain.done) }) // as Drain does, which Serve waits for
-	first, firstIn := r.dial()
-	r.roundTrip(first, firstIn)
-	c, in := r.dial()
-	r.roundTrip(c, in)
-	c, in = r.dial()
-	r.roundTrip(c, in)
-	var ended *bufio.Reader
+	h := newHarness(t, lim, 8)
+	h.server.conns.draining.Store(true)
+	t.Cleanup(func() { close(h.server.drain.done) }) // Serve waits for this, which Drain normally does
+	first, firstIn := h.dial()
+	h.roundTrip(first, firstIn)
+	c, in := h.dial()
+	h.roundTrip(c, in)
+	c, in = h.dial()
+	h.roundTrip(c, in)
+	var firstUnused *bufio.Reader
 	for i := range 5 {
-		c, in = r.dial()
-		r.ping(c, in)
+		c, in = h.dial()
+		h.ping(c, in)
 		if i == 0 {
-			ended = in
+			firstUnused = in
 		}
 	}
-	expectEnd(t, ended)
-	r.roundTrip(first, firstIn)
+	expectClosed(t, firstUnused)
+	h.roundTrip(first, firstIn)
 }
 
 func TestIdleConnectionIsEvictedAtTheLimitAndABusyOneIsNot(t *testing.T) {
-	r := newRig(t, testLimits(), 2)
-	busy, busyIn := r.dial()
+	h := newHarness(t, testLimits(), 2)
+	busy, busyIn := h.dial()
 	send(busy, readCommand("a"))
-	<-r.broker.requests
-	idle, idleIn := r.dial()
-	r.ping(idle, idleIn)
-	next, nextIn := r.dial()
-	r.ping(next, nextIn)
-	expectEnd(t, idleIn)
-	r.broker.response("a") <- success("v")
+	<-h.broker.requests
+	idle, idleIn := h.dial()
+	h.ping(idle, idleIn)
+	next, nextIn := h.dial()
+	h.ping(next, nextIn)
+	expectClosed(t, idleIn)
+	h.broker.response("a") <- success("v")
 	expectText(t, busyIn, "$1\r\nv\r\n")
 }
 
-// Clients that keep sending within one command for far too long are evicted, but only after idle ones.
+// Clients that have been sending one command for too long are evicted, but only after idle clients.
 func TestSlowConnectionsAreEvictedLast(t *testing.T) {
 	lim := testLimits()
 	lim.ClientStallTimeout = 1000 * millisecond
-	r := newRig(t, lim, 3)
-	idle, idleIn := r.dial()
-	r.ping(idle, idleIn)
+	h := newHarness(t, lim, 3)
+	idle, idleIn := h.dial()
+	h.ping(idle, idleIn)
 	for i := range 2 {
-		c, _ := r.dial()
+		c, _ := h.dial()
 		send(c, "*1\r\n")
-		r.waitUntil("its half command is read", func() bool {
+		h.waitUntil("the incomplete command is read by the server", func() bool {
 			n := 0
-			for served := range r.server.conns.conns {
-				if served.inCommand.Load() {
+			for serverConn := range h.server.conns.conns {
+				if serverConn.inCommand.Load() {
 					n++
 				}
 			}
 			return n == i+1
 		})
 	}
-	r.server.conns.mu.Lock()
-	for served := range r.server.conns.conns {
-		served.commandStartedAt.Add(-2 * lim.ClientStallTimeout) // as if it had gone on for so long
-		served.lastReadAt.Store(r.server.clock.Now() + hour)
+	h.server.conns.mu.Lock()
+	for serverConn := range h.server.conns.conns {
+		serverConn.commandStartedAt.Add(-2 * lim.ClientStallTimeout) // as if the command had begun that long ago
+		serverConn.lastReadAt.Store(h.server.clock.Now() + hour)
 	}
-	r.server.conns.mu.Unlock()
-	c, in := r.dial()
-	r.ping(c, in)
-	expectEnd(t, idleIn)
-	r.waitUntil("both slow ones are there", func() bool { return len(r.server.conns.conns) == 3 })
-	r.roundTrip(c, in)
-	r.server.conns.mu.Lock()
-	for served := range r.server.conns.conns {
-		if !served.inCommand.Load() {
-			served.pending.Add(1) // as if it waited for a reply
+	h.server.conns.mu.Unlock()
+	c, in := h.dial()
+	h.ping(c, in)
+	expectClosed(t, idleIn)
+	h.waitUntil("both slow clients and the new one are connected", func() bool { return len(h.server.conns.conns) == 3 })
+	h.roundTrip(c, in)
+	h.server.conns.mu.Lock()
+	for serverConn := range h.server.conns.conns {
+		if !serverConn.inCommand.Load() {
+			serverConn.pending.Add(1) // as if it waited for a reply
 		}
 	}
-	r.server.conns.mu.Unlock()
-	c, in = r.dial()
-	r.ping(c, in)
+	h.server.conns.mu.Unlock()
+	c, in = h.dial()
+	h.ping(c, in)
 }
--- a/internal/frontend/block/rig_test.go
+++ b/internal/frontend/block/harness_test.go
@@ -18,7 +18,7 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// testTimeout is how long a test waits for what must happen.
+// testTimeout is how long a test waits for an expected event.
 const testTimeout = 30 * time.Second
 
 const (
@@ -56,7 +56,7 @@
 	return NewSchema(cfg, 10, lim)
 }
 
-// fakeBroker responds to each request when the test says so.
+// fakeBroker responds to each request with the response that the test sends on a channel.
 type fakeBroker struct {
 	requests  chan core.Request[*blockstore.Command]
 	cancelled chan string // ids of requests whose context ended first
@@ -65,7 +65,7 @@
 	responses map[string]chan core.Response[[]byte] // by request id
 }
 
-// response is the channel on which the test sends the response to a request.
+// response returns the channel on which the test sends the response to a request.
 func (b *fakeBroker) response(id string) chan core.Response[[]byte] {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -87,22 +87,23 @@
 	}
 }
 
-// rig is a server on a loopback listener, with a fake broker behind it.
-type rig struct {
-	t        *testing.T
-	server   *Server
-	broker   *fakeBroker
-	listener net.Listener
-	served   int // requests by roundTrip
+// harness is a server on a loopback listener that passes requests to a fake broker.
+type harness struct {
+	t          *testing.T
+	server     *Server
+	broker     *fakeBroker
+	listener   net.Listener
+	roundTrips int // number of calls of roundTrip
 }
 
-func newRig(t *testing.T, lim *limits.Limits, maxConns int) *rig {
+func newHarness(t *testing.T, lim *limits.Limits, maxConns int) *harness {
 	t.Helper()
-	return newInterceptedRig(t, lim, maxConns, nil)
+	return newInterceptedHarness(t, lim, maxConns, nil)
 }
 
-// newInterceptedRig returns a rig whose server gets what intercept makes of each accepted connection, unless it is nil.
-func newInterceptedRig(t *testing.T, lim *limits.Limits, maxConns int, intercept func(*net.TCPConn) net.Conn) *rig {
+// newInterceptedHarness returns a harness whose server uses the result of intercept for each accepted connection. A nil
+// intercept changes nothing.
+func newInterceptedHarness(t *testing.T, lim *limits.Limits, maxConns int, intercept func(*net.TCPConn) net.Conn) *harness {
 	t.Helper()
 	b := &fakeBroker{
 		requests:  make(chan core.Request[*blockstore.Command], 64),
@@ -118,13 +119,13 @@
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
-		_ = s.Serve(serveOn) // returns the listener's end
+		_ = s.Serve(serveOn) // returns an error when the listener is closed
 	}()
 	t.Cleanup(func() {
 		disconnect(ln)
 		<-stopped
 	})
-	return &rig{t: t, server: s, broker: b, listener: ln}
+	return &harness{t: t, server: s, broker: b, listener: ln}
 }
 
 func listen(t *testing.T) net.Listener {
@@ -137,81 +138,81 @@
 	return ln
 }
 
-// disconnect closes a connection or listener, which may be closed already.
+// disconnect closes a connection or listener. It ignores errors, since it may be closed already.
 func disconnect(c io.Closer) { _ = c.Close() }
 
-// send writes a client's input. A failed write shows as a missing reply.
+// send writes a client's input. It ignores errors: after a failed write the reply is missing.
 func send(c io.Writer, input string) { _, _ = io.WriteString(c, input) }
 
 // dial connects a client.
-func (r *rig) dial() (net.Conn, *bufio.Reader) {
-	r.t.Helper()
-	c, err := net.Dial("tcp", r.listener.Addr().String())
+func (h *harness) dial() (net.Conn, *bufio.Reader) {
+	h.t.Helper()
+	c, err := net.Dial("tcp", h.listener.Addr().String())
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	r.t.Cleanup(func() { disconnect(c) })
+	h.t.Cleanup(func() { disconnect(c) })
 	if err := c.SetDeadline(time.Now().Add(testTimeout)); err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return c, bufio.NewReader(c)
 }
 
-// waitUntil waits for a condition on the server's connections, whose lock is held for it.
-func (r *rig) waitUntil(what string, condition func() bool) {
-	r.t.Helper()
+// waitUntil waits until condition is true. The lock of the server's connection table is held during each check.
+func (h *harness) waitUntil(what string, condition func() bool) {
+	h.t.Helper()
 	check := func() bool {
-		r.server.conns.mu.Lock()
-		defer r.server.conns.mu.Unlock()
+		h.server.conns.mu.Lock()
+		defer h.server.conns.mu.Unlock()
 		return condition()
 	}
 	for end := time.Now().Add(testTimeout); !check(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Fatalf("timed out waiting until %s", what)
+			h.t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// waitUntilIdle waits until the server has no reply pending for a client. The server counts the client as idle only
-// after the reply was written, which the client may see first; a client that connects in between would find another
-// one the longest idle, or none.
-func (r *rig) waitUntilIdle(c net.Conn) {
-	r.t.Helper()
-	r.waitUntil("the client has no reply pending", func() bool {
-		for served := range r.server.conns.conns {
-			if served.RemoteAddr().String() == c.LocalAddr().String() {
-				return served.pending.Load() == 0
+// waitUntilIdle waits until the server has no reply pending for a client. The server counts the client as idle shortly
+// after writing the reply, so the client may receive the reply earlier. If another client connected in between, the
+// server would evict a different connection, or none.
+func (h *harness) waitUntilIdle(c net.Conn) {
+	h.t.Helper()
+	h.waitUntil("the client has no reply pending", func() bool {
+		for serverConn := range h.server.conns.conns {
+			if serverConn.RemoteAddr().String() == c.LocalAddr().String() {
+				return serverConn.pending.Load() == 0
 			}
 		}
 		return true
 	})
 }
 
-// ping has a client send PING and be idle then.
-func (r *rig) ping(c net.Conn, in *bufio.Reader) {
-	r.t.Helper()
+// ping makes a client send PING, and waits until the client is idle.
+func (h *harness) ping(c net.Conn, in *bufio.Reader) {
+	h.t.Helper()
 	send(c, encodeCommand("PING"))
-	expectText(r.t, in, "+PONG\r\n")
-	r.waitUntilIdle(c)
+	expectText(h.t, in, "+PONG\r\n")
+	h.waitUntilIdle(c)
 }
 
 // serving reports whether Serve has been called.
-func (r *rig) serving() bool {
-	r.server.mu.Lock()
-	defer r.server.mu.Unlock()
-	return r.server.listener != nil
+func (h *harness) serving() bool {
+	h.server.mu.Lock()
+	defer h.server.mu.Unlock()
+	return h.server.listener != nil
 }
 
-// roundTrip has a client send one request and get its response.
-func (r *rig) roundTrip(c net.Conn, in *bufio.Reader) {
-	r.t.Helper()
-	r.served++ // an id is free only once its reply was written, which the client may see first
-	id := fmt.Sprint("q", r.served)
+// roundTrip makes a client send one request and receive its response.
+func (h *harness) roundTrip(c net.Conn, in *bufio.Reader) {
+	h.t.Helper()
+	h.roundTrips++ // a new id: the previous one may be in use until shortly after the client received its reply
+	id := fmt.Sprint("request", h.roundTrips)
 	send(c, readCommand(id))
-	<-r.broker.requests
-	r.broker.response(id) <- success("v")
-	expectText(r.t, in, "$1\r\nv\r\n")
-	r.waitUntilIdle(c)
+	<-h.broker.requests
+	h.broker.response(id) <- success("v")
+	expectText(h.t, in, "$1\r\nv\r\n")
+	h.waitUntilIdle(c)
 }
 
 func encodeCommand(args ...string) string {
@@ -231,7 +232,7 @@
 
 func success(value string) core.Response[[]byte] { return core.Response[[]byte]{Value: []byte(value)} }
 
-// expectText reads exactly what is expected.
+// expectText reads as many bytes as want has, and fails the test if they differ from want.
 func expectText(t *testing.T, r *bufio.Reader, want string) {
 	t.Helper()
 	b := make([]byte, len(want))
@@ -241,15 +242,15 @@
 	}
 }
 
-// expectEnd wants the connection closed with nothing more on it.
-func expectEnd(t *testing.T, r *bufio.Reader) {
+// expectClosed fails the test unless the connection is closed without further input.
+func expectClosed(t *testing.T, r *bufio.Reader) {
 	t.Helper()
 	if rest, err := io.ReadAll(r); err != nil || len(rest) > 0 {
-		t.Fatalf("got %q (%v), want the end", rest, err)
+		t.Fatalf("got %q (%v), want the end of the stream", rest, err)
 	}
 }
 
-// interceptingListener lets a test come between the server and the connections that it accepts.
+// interceptingListener replaces each accepted connection with the result of intercept.
 type interceptingListener struct {
 	net.Listener
 	intercept func(*net.TCPConn) net.Conn
@@ -263,7 +264,7 @@
 	return l.intercept(c.(*net.TCPConn)), nil
 }
 
-// await waits for a state of a connection that its peer brings about. It may be called from any goroutine.
+// await waits until condition is true. Unlike waitUntil it may be called from any goroutine.
 func await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
--- a/internal/frontend/block/idle.go
+++ b/internal/frontend/block/idle.go
@@ -7,31 +7,34 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// errIdle ends a connection that has been idle for too long and has no reply pending.
+// errIdle ends a connection that has been idle for too long, or is evicted, and has no pending reply.
 var errIdle = errors.New("client connection idle for too long")
 
-// errCommandStalled ends a connection whose client has stopped within a command, of which nothing was executed.
+// errCommandStalled ends a connection whose client did not complete a command in time. Nothing of it was executed.
 var errCommandStalled error = &protocolError{reason: "the command did not come to its end in time"}
 
-// largeCommandBytes is the size of redcon's first read buffer. redcon keeps a larger one until the connection ends.
+// largeCommandBytes is the initial size of redcon's read buffer. If a larger command makes the buffer grow, redcon
+// keeps it until the connection ends.
 const largeCommandBytes = 4096
 
-// activity is what a connection's timeouts and its eviction rank depend on. Times of 0 mean never. The connection's
-// reader writes the fields on received bytes, its writer those on replies; all may be read at any time.
+// activity holds the state that a connection's timeouts and its eviction rank depend on. A time of 0 means never. The
+// connection's reader sets the fields about received bytes, and its writer those about replies. All fields except
+// largeBuffer may be read by any goroutine.
 type activity struct {
 	acceptedAt   clock.Micros
-	idleSince    clock.AtomicMicros // when the last reply was sent, or the connection accepted
-	pending      atomic.Int64       // replies that are not sent
-	hasRequested atomic.Bool        // it has carried a request
-	closing      atomic.Bool        // it ends as soon as its reader returns
+	idleSince    clock.AtomicMicros // when the last reply was sent, or else when the connection was accepted
+	pending      atomic.Int64       // number of replies that are not sent yet
+	hasRequested atomic.Bool        // the connection has carried a request
+	closing      atomic.Bool        // the connection ends as soon as its reader returns
 
 	lastReadAt       clock.AtomicMicros
-	inCommand        atomic.Bool // a command has begun and is not complete
+	inCommand        atomic.Bool // a command has begun and is incomplete
 	commandStartedAt clock.AtomicMicros
-	largeBuffer      bool // it has carried a command that left a large buffer; used by the reader alone
+	largeBuffer      bool // a command has made redcon's buffer grow; used only by the reader
 }
 
-// recordRead records received bytes: whether they end within a command, and the size of the longest command so far.
+// recordRead records that bytes were received. inCommand tells whether they end within a command; largestCommand is the
+// size of the longest command so far.
 func (c *conn) recordRead(now clock.Micros, largestCommand int, inCommand bool) {
 	c.lastReadAt.Store(now)
 	if inCommand && !c.inCommand.Load() {
@@ -43,7 +46,7 @@
 	}
 }
 
-// nextIdleCheck is when the reader should check its client's timeouts next.
+// nextIdleCheck returns the time at which the reader checks the client's timeouts next.
 func (c *conn) nextIdleCheck(now clock.Micros) clock.Micros {
 	lim := c.server.lim
 	idleSince := c.idleSince.Load()
@@ -61,9 +64,10 @@
 	return min(now+lim.ClientIdleTimeoutUnderPressure/4, idleSince+lim.ClientIdleTimeout)
 }
 
-// checkIdle returns an error if the connection has to end: one of its timeouts has passed, or it was woken for
-// eviction. A connection with replies pending never has to. Unused connections occupy descriptors, incomplete commands
-// occupy a reader, and idle clients occupy memory.
+// checkIdle returns an error if the connection has to end, because one of its timeouts has passed or because it was
+// woken for eviction. A connection with pending replies does not have to end. The timeouts limit the resources that
+// clients hold: unused connections occupy file descriptors, incomplete commands occupy a reader, and idle clients
+// occupy memory.
 func (c *conn) checkIdle(now clock.Micros) error {
 	evicted := c.reader.woken.Swap(false)
 	if c.pending.Load() > 0 {
@@ -83,7 +87,7 @@
 	return errIdle
 }
 
-// commandTimedOut reports whether a client within a command has exceeded a timeout, of which those of an evicted client
+// commandTimedOut reports whether a client within a command has exceeded a timeout. The timeouts of an evicted client
 // are shorter.
 func (c *conn) commandTimedOut(now clock.Micros, evicted bool) bool {
 	return c.stalled(now, evicted) ||
@@ -91,7 +95,7 @@
 		now >= c.commandStartedAt.Load()+c.server.lim.ClientRequestTimeout
 }
 
-// idleTimedOut reports whether a client between two commands has exceeded a timeout.
+// idleTimedOut reports whether a client that is not within a command has exceeded a timeout.
 func (c *conn) idleTimedOut(now clock.Micros) bool {
 	lim := c.server.lim
 	idle := now - c.idleSince.Load()
@@ -101,19 +105,19 @@
 	case c.lastReadAt.Load() == 0:
 		return now >= c.acceptedAt+lim.ClientFirstByteTimeout
 	}
-	return idle >= lim.ClientIdleTimeoutUnderPressure && (c.largeBuffer || c.server.conns.crowded())
+	return idle >= lim.ClientIdleTimeoutUnderPressure && (c.largeBuffer || c.server.conns.underPressure())
 }
 
 // isClosing reports whether the connection is about to end.
 func (c *conn) isClosing() bool { return c.closing.Load() || c.reader.woken.Load() }
 
-// lastActivity is when the client last sent something or was sent a reply.
+// lastActivity returns the time of the last received bytes or the last sent reply, whichever is later.
 func (c *conn) lastActivity() clock.Micros {
 	return max(c.lastReadAt.Load(), c.idleSince.Load())
 }
 
-// stalled reports whether the client has stopped within a command for too long. The timeout is shorter where its
-// connection is needed for others.
+// stalled reports whether the client has sent nothing for too long within a command. The timeout is shorter if the
+// connection is needed for another client.
 func (c *conn) stalled(now clock.Micros, needed bool) bool {
 	timeout := c.server.lim.ClientStallTimeout
 	if needed {
@@ -122,8 +126,8 @@
 	return c.inCommand.Load() && now >= c.lastReadAt.Load()+timeout
 }
 
-// tooSlow reports whether the client has been within one command for so long that it may be evicted although it still
-// sends: a few hundred such clients would keep all others out.
+// tooSlow reports whether the client has been sending one command for so long that it may be evicted although it is not
+// stalled: otherwise a few hundred such clients could occupy all connections.
 func (c *conn) tooSlow(now clock.Micros) bool {
 	return c.inCommand.Load() && now >= c.commandStartedAt.Load()+2*c.server.lim.ClientStallTimeout
 }
--- a/internal/frontend/block/idle_test.go
+++ b/internal/frontend/block/idle_test.go
@@ -11,7 +11,7 @@
 	"poppyarch/internal/transport/socket"
 )
 
-// A client that sends nothing, stops within a command or stays idle is closed at its timeout.
+// The connection of a client that sends nothing, stops within a command or is idle is closed at the respective timeout.
 func TestClientsAreClosedAtTheirTimeouts(t *testing.T) {
 	const stalled = "-ERR Protocol error: the command did not come to its end in time\r\n"
 	largeArg := strings.Repeat("x", 5000)
@@ -38,11 +38,11 @@
 		t.Run(x.name, func(t *testing.T) {
 			lim := testLimits()
 			x.change(lim)
-			r := newRig(t, lim, 8)
-			c, in := r.dial()
+			h := newHarness(t, lim, 8)
+			c, in := h.dial()
 			send(c, x.in)
 			expectText(t, in, x.want)
-			expectEnd(t, in)
+			expectClosed(t, in)
 		})
 	}
 }
@@ -53,21 +53,21 @@
 	lim.ClientIdleTimeout = 5 * millisecond
 	lim.ClientStallTimeout = 5 * millisecond
 	lim.ClientFirstByteTimeout = 5 * millisecond
-	r := newRig(t, lim, 2)
-	c, in := r.dial()
+	h := newHarness(t, lim, 2)
+	c, in := h.dial()
 	send(c, readCommand("a"))
 	select {
-	case <-r.broker.requests:
+	case <-h.broker.requests:
 	case <-t.Context().Done():
 	}
-	time.Sleep(100 * time.Millisecond) // a slow machine makes this longer, never shorter
-	r.broker.response("a") <- success("v")
+	time.Sleep(100 * time.Millisecond) // longer than every timeout; a slow machine can only make it longer
+	h.broker.response("a") <- success("v")
 	expectText(t, in, "$1\r\nv\r\n")
 }
 
-// Bytes that have arrived but were not read yet are read, although the connection is about to be evicted.
+// Bytes that have arrived are read before the connection is evicted.
 func TestReceivedBytesAreReadBeforeTheConnectionIsClosed(t *testing.T) {
-	r := newRig(t, testLimits(), 4)
+	h := newHarness(t, testLimits(), 4)
 	ln := listen(t)
 	client, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
@@ -81,16 +81,16 @@
 	}
 	defer disconnect(accepted)
 	await(t, "the command's bytes", func() bool { return socket.Peek(accepted) == socket.Readable })
-	c := newConn(r.server, accepted)
-	c.acceptedAt = -1 << 60 // silent for longer than any timeout
+	c := newConn(h.server, accepted)
+	c.acceptedAt = -1 << 60 // has been silent for longer than any timeout
 	c.idleSince.Store(0)
 	c.reader.wake()
 	b := make([]byte, 4096)
 	if n, err := c.Read(b); string(b[:n]) != readCommand("a") || err != nil {
-		t.Errorf("got %q, %v", b[:n], err)
+		t.Errorf("got %q, %v, want the received command", b[:n], err)
 	}
 	c.reader.wake()
 	if n, err := c.Read(b); n != 0 || !errors.Is(err, errIdle) {
-		t.Errorf("got %q, %v, want the end", b[:n], err)
+		t.Errorf("got %q, %v, want errIdle", b[:n], err)
 	}
 }
--- a/internal/frontend/block/in_flight.go
+++ b/internal/frontend/block/in_flight.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 )
 
-// inFlight tracks the requests whose replies are not sent: their ids, and the bytes of their commands and replies.
+// inFlight tracks the requests whose replies are not sent yet: their ids and the bytes of their commands and replies.
 type inFlight struct {
 	maxBytes int64
 	bytes    atomic.Int64
@@ -14,8 +14,8 @@
 	ids map[string]struct{}
 }
 
-// addID registers a request's id until remove. It reports false if another request in flight has that id: nodes answer
-// by id, so one of two requests with the same id could get the other's answer.
+// addID registers a request's id until remove is called. It returns false if another request in flight has the same id:
+// nodes match replies to requests by id, so one request could get the reply to the other.
 func (f *inFlight) addID(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -26,7 +26,8 @@
 	return true
 }
 
-// reserve counts a command's bytes until remove. It reports false if the bytes in flight would exceed their limit.
+// reserve counts a command's bytes until remove is called. It returns false if they would exceed the limit on bytes in
+// flight.
 func (f *inFlight) reserve(r *reply, size int64) bool {
 	if f.bytes.Add(size) > f.maxBytes {
 		f.bytes.Add(-size)
@@ -36,13 +37,13 @@
 	return true
 }
 
-// addReply counts the bytes of a reply until remove. They count towards the limit but are never rejected.
+// addReply counts the bytes of a reply until remove is called. They count towards the limit but are never rejected.
 func (f *inFlight) addReply(r *reply, size int64) {
 	r.bytes.Add(size)
 	f.bytes.Add(size)
 }
 
-// remove forgets a request whose reply was sent or discarded.
+// remove unregisters a request whose reply was sent or discarded.
 func (f *inFlight) remove(r *reply) {
 	f.bytes.Add(-r.bytes.Load())
 	if r.requestID == "" {
@@ -53,7 +54,7 @@
 	f.mu.Unlock()
 }
 
-// count is how many requests are in flight.
+// count returns the number of requests in flight.
 func (f *inFlight) count() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/frontend/block/listener.go
+++ b/internal/frontend/block/listener.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// acceptRetryDelay is the pause after a failed accept, as where descriptors run out.
+// acceptRetryDelay is the delay after a failed accept, for example when the process has no file descriptors left.
 const acceptRetryDelay = 5 * time.Millisecond
 
-// listener accepts clients and keeps the number of their connections within its limit.
+// listener accepts clients and keeps the number of client connections within the limit.
 type listener struct {
 	net.Listener
 	server *Server
 }
 
-// Accept returns the next client. It retries after temporary errors, on which redcon would loop. At the limit it evicts
-// the client that has been idle for longest; if all are busy it waits.
+// Accept returns the next client. It retries after temporary errors, on which redcon would loop without a delay. At the
+// connection limit it evicts an idle client, or waits if all are busy.
 func (l *listener) Accept() (net.Conn, error) {
 	s := l.server
 	for {
 		nc, err := l.Listener.Accept()
 		if err == nil {
-			s.conns.makeRoom() // after accept: an idle client is closed only for one that is there
+			s.conns.freeSlot() // after accept: an idle client is evicted only for a client that has connected
 			c := newConn(s, nc)
 			s.conns.add(c)
 			return c, nil
--- a/internal/frontend/block/race_test.go
+++ b/internal/frontend/block/race_test.go
@@ -14,41 +14,42 @@
 	"poppyarch/internal/transport/socket"
 )
 
-// These tests force a client's step between two steps of the server: the server's side of the connection waits until the
-// client's step has arrived.
+// These tests make a client act between two steps of the server: the server's side of the connection waits until the
+// effect of the client's action has arrived.
 
-// crossedConn has its peer send more at the moment this side closes the connection.
-type crossedConn struct {
+// lateInputConn makes its peer send input immediately before this side closes the connection.
+type lateInputConn struct {
 	*net.TCPConn
-	once  sync.Once
-	cross func()
-	ended chan struct{} // closed when this side has ended the connection
+	once     sync.Once
+	sendLate func()        // makes the peer send input and waits until it has arrived
+	closed   chan struct{} // closed after this side has closed the connection or its sending side
 }
 
-func (c *crossedConn) end(how func() error) (err error) {
+// closeOnce calls closeConn after sendLate. It has no effect after the first call.
+func (c *lateInputConn) closeOnce(closeConn func() error) (err error) {
 	c.once.Do(func() {
-		c.cross()
-		err = how()
-		close(c.ended)
+		c.sendLate()
+		err = closeConn()
+		close(c.closed)
 	})
 	return err
 }
 
-func (c *crossedConn) CloseWrite() error { return c.end(c.TCPConn.CloseWrite) }
+func (c *lateInputConn) CloseWrite() error { return c.closeOnce(c.TCPConn.CloseWrite) }
 
-func (c *crossedConn) Close() error {
-	_ = c.end(c.TCPConn.Close) // returned again below
+func (c *lateInputConn) Close() error {
+	_ = c.closeOnce(c.TCPConn.Close) // the call below returns the error of a closed connection
 	return c.TCPConn.Close()
 }
 
-// A client that sends a request and disconnects before the server has read it gets no attempt.
+// A request is not executed if its client disconnects before the server reads the request.
 func TestRequestOfADisconnectedClientIsNotExecuted(t *testing.T) {
 	for _, reset := range []bool{false, true} {
-		r := newInterceptedRig(t, testLimits(), 8, func(c *net.TCPConn) net.Conn {
+		h := newInterceptedHarness(t, testLimits(), 8, func(c *net.TCPConn) net.Conn {
 			await(t, "the client's disconnect", func() bool { return socket.PeerClosed(c) })
 			return c
 		})
-		c, err := net.Dial("tcp", r.listener.Addr().String())
+		c, err := net.Dial("tcp", h.listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -59,78 +60,79 @@
 			}
 		}
 		disconnect(c)
-		// Once a later connection is over, the earlier one has been decided on.
-		r2, err := net.Dial("tcp", r.listener.Addr().String())
+		// Connections are accepted in order: once the later one has ended, the earlier one has been accepted.
+		later, err := net.Dial("tcp", h.listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		disconnect(r2)
-		r.waitUntil("both connections are over", func() bool { return len(r.server.conns.conns) == 0 && r.server.inFlight.count() == 0 })
-		if n := len(r.broker.requests); n > 0 {
-			t.Errorf("reset %v: %d requests of a disconnected client were executed", reset, n)
+		disconnect(later)
+		h.waitUntil("both connections have ended", func() bool { return len(h.server.conns.conns) == 0 && h.server.inFlight.count() == 0 })
+		if n := len(h.broker.requests); n > 0 {
+			t.Errorf("with reset %v: %d requests of a disconnected client were executed", reset, n)
 		}
 	}
 }
 
-// After QUIT or malformed input the server reads no more, so that only ClientGone can detect a disconnect.
+// After QUIT or malformed input the server reads no further input, so that only ClientGone can detect a disconnect.
 func TestDisconnectAfterTheLastCommandIsDetected(t *testing.T) {
 	for _, last := range []string{encodeCommand("QUIT"), "nonsense\r\n"} {
-		r := newRig(t, testLimits(), 4)
-		c, _ := r.dial()
+		h := newHarness(t, testLimits(), 4)
+		c, _ := h.dial()
 		send(c, readCommand("a")+last)
-		q := <-r.broker.requests
-		if q.ClientGone == nil || q.ClientGone() {
-			t.Fatalf("%q: ClientGone reports a connected client as gone", last)
+		req := <-h.broker.requests
+		if req.ClientGone == nil || req.ClientGone() {
+			t.Fatalf("%q: ClientGone is missing or reports a connected client as disconnected", last)
 		}
 		disconnect(c)
-		await(t, "the disconnect to be detected", q.ClientGone)
-		r.broker.response("a") <- success("v")
+		await(t, "the disconnect to be detected", req.ClientGone)
+		h.broker.response("a") <- success("v")
 	}
 }
 
-// The end of the stream follows commands that the server does not read while too many are in flight.
+// A disconnect is detected even if unread commands precede the end of the stream. The server does not read them while
+// too many requests are in flight.
 func TestDisconnectBehindUnreadCommandsIsDetected(t *testing.T) {
 	lim := testLimits()
 	lim.MaxPipeline = 1
-	r := newRig(t, lim, 4)
-	c, _ := r.dial()
+	h := newHarness(t, lim, 4)
+	c, _ := h.dial()
 	var all strings.Builder
 	for i := range 12 {
 		all.WriteString(readCommand(string(rune('a' + i))))
 	}
 	send(c, all.String())
-	q := <-r.broker.requests
+	req := <-h.broker.requests
 	disconnect(c)
-	await(t, "the disconnect to be detected", q.ClientGone)
+	await(t, "the disconnect to be detected", req.ClientGone)
 	for i := range 12 {
-		r.broker.response(string(rune('a' + i))) <- success("v")
+		h.broker.response(string(rune('a' + i))) <- success("v")
 	}
-	r.waitUntil("the connection is over", func() bool { return len(r.server.conns.conns) == 0 })
+	h.waitUntil("the connection has ended", func() bool { return len(h.server.conns.conns) == 0 })
 }
 
-// A request crosses the close of a connection whose client is still reading the last reply. The unread request must not
-// reset the connection, or the client would lose the rest of the reply.
+// A request arrives while the server closes a connection whose client is still reading the last reply. The unread
+// request must not reset the connection, or the client would lose the rest of the reply.
 func TestReplyIsDeliveredWhenARequestCrossesTheClose(t *testing.T) {
 	var client net.Conn
-	cross, over := make(chan struct{}), make(chan struct{})
-	r := newInterceptedRig(t, testLimits(), 8, func(c *net.TCPConn) net.Conn {
+	mayClose, closed := make(chan struct{}), make(chan struct{})
+	h := newInterceptedHarness(t, testLimits(), 8, func(c *net.TCPConn) net.Conn {
 		if err := c.SetWriteBuffer(1 << 20); err != nil {
 			t.Error(err)
 		}
-		return &crossedConn{TCPConn: c, ended: over, cross: func() {
-			<-cross
+		return &lateInputConn{TCPConn: c, closed: closed, sendLate: func() {
+			<-mayClose
 			send(client, readCommand("late"))
-			await(t, "the request that crosses", func() bool { return socket.Peek(c) == socket.Readable })
+			await(t, "the late request", func() bool { return socket.Peek(c) == socket.Readable })
 		}}
 	})
-	slow := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
+	smallBuffer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 		var setErr error
 		err := raw.Control(func(fd uintptr) {
 			setErr = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096)
 		})
 		return errors.Join(err, setErr)
 	}}
-	client, err := slow.Dial("tcp", r.listener.Addr().String())
+	client, err := smallBuffer.Dial("tcp", h.listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,29 +140,29 @@
 	if err := client.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	big := strings.Repeat("x", 60_000)
+	value := strings.Repeat("x", 60_000)
 	send(client, readCommand("a"))
-	<-r.broker.requests
-	r.broker.response("a") <- success(big)
-	r.waitUntil("the reply counts as sent", func() bool {
-		for served := range r.server.conns.conns {
-			return served.hasRequested.Load() && served.pending.Load() == 0
+	<-h.broker.requests
+	h.broker.response("a") <- success(value)
+	h.waitUntil("the reply counts as sent", func() bool {
+		for serverConn := range h.server.conns.conns {
+			return serverConn.hasRequested.Load() && serverConn.pending.Load() == 0
 		}
 		return false
 	})
-	close(cross)
-	ended := make(chan error, 1)
-	go func() { ended <- r.server.Drain(context.Background()) }()
-	<-over // only now does the client read what does not fit its receive buffer
+	close(mayClose)
+	drained := make(chan error, 1)
+	go func() { drained <- h.server.Drain(context.Background()) }()
+	<-closed // until now the client has not read the part of the reply that exceeds its receive buffer
 	got, err := io.ReadAll(client)
-	if want := "$60000\r\n" + big + "\r\n"; err != nil || string(got) != want {
-		t.Errorf("the client got %d of %d bytes, then %v", len(got), len(want), err)
+	if want := "$60000\r\n" + value + "\r\n"; err != nil || string(got) != want {
+		t.Errorf("the client received %d of %d bytes, then error %v", len(got), len(want), err)
 	}
 	disconnect(client)
-	if err := <-ended; err != nil {
+	if err := <-drained; err != nil {
 		t.Error(err)
 	}
-	if n := len(r.broker.requests); n > 0 {
-		t.Errorf("%d requests that crossed the close were executed", n)
+	if n := len(h.broker.requests); n > 0 {
+		t.Errorf("%d requests that arrived during the close were executed", n)
 	}
 }
--- a/internal/frontend/block/reply.go
+++ b/internal/frontend/block/reply.go
@@ -17,7 +17,7 @@
 	replyDuplicateID    = "-ERR id: a request of that id is open\r\n"
 )
 
-// encodeResponse returns the RESP2 reply for a response. A value is passed on byte for byte as its node sent it.
+// encodeResponse returns the RESP2 reply for a response. A value is forwarded exactly as the node sent it.
 func encodeResponse(r core.Response[[]byte]) []byte {
 	switch r.Status {
 	case core.Success:
@@ -41,7 +41,7 @@
 	return append(out, "\r\n"...)
 }
 
-// busyReply returns a rejection. A retryAfter above 0 is sent along in whole milliseconds, rounded up.
+// busyReply returns the reply for a rejection. A retryAfter above 0 is included in milliseconds, rounded up.
 func busyReply(retryAfter clock.Micros) []byte {
 	if retryAfter <= 0 {
 		return []byte("-BUSY\r\n")
@@ -50,12 +50,12 @@
 	return []byte("-BUSY " + strconv.FormatInt(ms, 10) + "\r\n")
 }
 
-// errorReply returns an error whose text may contain bytes of the client.
+// errorReply returns an error reply. The text may contain bytes that the client has sent.
 func errorReply(err error) []byte {
 	return []byte("-ERR " + printable(err.Error()) + "\r\n")
 }
 
-// printable replaces control characters, which could end the line of an error.
+// printable replaces control characters, because a line break in the text would end the error reply.
 func printable(s string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f {
--- a/internal/frontend/block/scanner.go
+++ b/internal/frontend/block/scanner.go
@@ -24,22 +24,22 @@
 	return errors.As(err, &e)
 }
 
-// scanner validates a stream of RESP2 commands without buffering it. redcon's reader allocates whatever length a
-// client announces and discards complete commands that precede a malformed one, so it is given validated bytes only.
+// scanner validates a stream of RESP2 commands without buffering it. redcon's reader allocates any length that a client
+// announces, and discards complete commands that precede a malformed one. Therefore it is given only validated bytes.
 type scanner struct {
 	lim   *limits.Limits
 	state scanState
 
-	length    int  // the length being read
-	hasDigits bool // length has at least one digit
+	length    int  // the current length, as far as it has been read
+	hasDigits bool // at least one digit of the length has been read
 
-	argsLeft    int // bulk strings of the command that are still to come
-	bodyLeft    int // bytes of the current bulk string that are still to come
-	commandSize int // bytes of the current command so far
-	maxCommand  int // bytes of the longest complete command
+	argsLeft    int // bulk strings of the current command that are not complete
+	bodyLeft    int // bytes of the current bulk string that have not been read
+	commandSize int // bytes of the current command that have been read
+	maxCommand  int // size of the longest complete command, in bytes
 }
 
-// scanState is the element of a command that the next byte belongs to.
+// scanState is the part of a command that the next byte belongs to.
 type scanState uint8
 
 const (
@@ -54,8 +54,8 @@
 	scanBodyLF                        // the '\n' after that
 )
 
-// scan validates the next bytes of the stream. It returns how many of them end with a complete command. After an
-// error the scanner is of no further use.
+// scan validates the next bytes of the stream. complete is the number of bytes up to the end of the last complete
+// command. After an error the scanner must not be used again.
 func (s *scanner) scan(b []byte) (complete int, err error) {
 	for i := 0; i < len(b); {
 		n := 1
@@ -82,10 +82,10 @@
 // atCommandStart reports whether the last byte ended a command.
 func (s *scanner) atCommandStart() bool { return s.state == scanCommandType }
 
-// largestCommand is the size of the longest command so far, the current one included, in bytes.
+// largestCommand returns the size of the longest command so far in bytes, including the current incomplete one.
 func (s *scanner) largestCommand() int { return max(s.maxCommand, s.commandSize) }
 
-// skipBody passes over n bytes of a bulk string.
+// skipBody skips n bytes of a bulk string.
 func (s *scanner) skipBody(n int) {
 	s.bodyLeft -= n
 	if s.bodyLeft == 0 {
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// expectType accepts the type byte in front of a length.
+// expectType accepts the type byte before a length.
 func (s *scanner) expectType(c, want byte, next scanState) error {
 	if c != want {
 		return protocolErrorf("expected '%c'", want)
--- a/internal/frontend/block/server.go
+++ b/internal/frontend/block/server.go
@@ -1,4 +1,4 @@
-// Package block serves the platform's block protocol to clients: RESP2 commands, read by redcon.
+// Package block serves the platform's block protocol to clients. Its commands are in RESP2 and are parsed by redcon.
 package block
 
 import (
@@ -15,16 +15,16 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// Broker carries out requests. Handle returns each request's one final response.
+// Broker executes requests. Handle returns the single, final response to a request.
 type Broker interface {
 	Handle(ctx context.Context, r core.Request[*blockstore.Command]) core.Response[[]byte]
 }
 
 // Server serves clients.
 //
-// redcon calls its handler on the connection's own goroutine. A handler that waited there for a response could neither
-// notice that the client disconnects nor start pipelined commands. So the first command detaches the connection from
-// redcon's loop, and the handler serves it to its end; see conn.
+// redcon calls its handler on the goroutine that reads the connection. A handler that waited there for a response could
+// neither detect that the client disconnects nor start pipelined commands. Therefore the first command detaches the
+// connection from redcon's loop, and the handler serves the connection until it ends; see conn.
 type Server struct {
 	broker   Broker
 	schema   *Schema
@@ -39,12 +39,12 @@
 	listener net.Listener // nil before Serve
 }
 
-// New returns a server for at most maxConns clients at once.
+// New returns a server for at most maxConns simultaneous clients.
 func New(b Broker, schema *Schema, maxConns int, c *clock.Clock, lim *limits.Limits, log *slog.Logger) *Server {
 	evictAbove := maxConns - maxConns/8
-	maxRequesting := evictAbove
+	maxRequestConns := evictAbove
 	if lim.ClientIdleConns > 0 {
-		maxRequesting = min(maxRequesting, lim.ClientIdleConns)
+		maxRequestConns = min(maxRequestConns, lim.ClientIdleConns)
 	}
 	s := &Server{
 		broker: b,
@@ -53,13 +53,13 @@
 		lim:    lim,
 		log:    log,
 		conns: connTable{
-			clock:         c,
-			log:           log,
-			maxConns:      maxConns,
-			evictAbove:    evictAbove,
-			maxRequesting: maxRequesting,
-			freed:         make(chan struct{}, 1),
-			conns:         map[*conn]struct{}{},
+			clock:           c,
+			log:             log,
+			maxConns:        maxConns,
+			evictAbove:      evictAbove,
+			maxRequestConns: maxRequestConns,
+			freed:           make(chan struct{}, 1),
+			conns:           map[*conn]struct{}{},
 		},
 		inFlight: inFlight{maxBytes: lim.MaxBodyBytes, ids: map[string]struct{}{}},
 		drain:    drainState{done: make(chan struct{})},
@@ -76,13 +76,13 @@
 	return redcon.Serve(&listener{Listener: ln, server: s}, handle, nil, handleClosed)
 }
 
-// handle serves a connection from its first command to its end.
+// handle serves a connection from its first command until the connection ends.
 func handle(rc redcon.Conn, first redcon.Command) {
 	c := rc.NetConn().(*conn)
 	c.serve(first, rc.Detach())
 }
 
-// handleClosed is called by redcon once it is done with a connection.
+// handleClosed is called by redcon after a connection has ended.
 func handleClosed(rc redcon.Conn, _ error) {
 	c, ok := rc.NetConn().(*conn)
 	if !ok {
--- a/internal/frontend/block/server_test.go
+++ b/internal/frontend/block/server_test.go
@@ -8,48 +8,48 @@
 	"poppyarch/internal/broker/core"
 )
 
-// Pipelined commands are all started at once and answered in their order, whichever response is ready first.
+// Pipelined commands run concurrently and are answered in the order of the commands, whichever response comes first.
 func TestPipelinedCommandsAreAnsweredInOrder(t *testing.T) {
-	r := newRig(t, testLimits(), 4)
-	c, in := r.dial()
+	h := newHarness(t, testLimits(), 4)
+	c, in := h.dial()
 	send(c, readCommand("a")+encodeCommand("PING")+readCommand("b")+readCommand("c"))
 	for range 3 {
-		<-r.broker.requests
+		<-h.broker.requests
 	}
-	r.broker.response("c") <- core.Response[[]byte]{Status: core.Rejection, RetryAfter: 1500}
-	r.broker.response("b") <- core.Response[[]byte]{Status: core.Failure}
-	r.broker.response("a") <- success("v\r\n1")
+	h.broker.response("c") <- core.Response[[]byte]{Status: core.Rejection, RetryAfter: 1500}
+	h.broker.response("b") <- core.Response[[]byte]{Status: core.Failure}
+	h.broker.response("a") <- success("v\r\n1")
 	expectText(t, in, "$4\r\nv\r\n1\r\n+PONG\r\n-ERR failed\r\n-BUSY 2\r\n")
 }
 
 func TestCommandParametersReachTheBroker(t *testing.T) {
-	r := newRig(t, testLimits(), 4)
-	c, in := r.dial()
+	h := newHarness(t, testLimits(), 4)
+	c, in := h.dial()
 	send(c, encodeCommand("blk.write", testBlockID, "id9", strings.Replace(testParams, "c=read", "c=new", 1), "b\r\ny"))
-	q := <-r.broker.requests
-	left := q.Deadline - r.server.clock.Now()
-	if q.Class != 1 || !q.NotIdempotent || q.Plan != 0 || q.Volume != "00000003b4d60021" || q.Key != testBlockID ||
-		q.Units != 2 || q.Shard != 5 || q.Brokers != 3 || left > 480_000 || string(q.Work.Body) != "b\r\ny" ||
-		len(q.Work.Params) != 8 || q.Work.Params[7] != (blockstore.Param{Name: "k", Value: "x"}) {
-		t.Errorf("%+v, %+v", q.RequestInfo, q.Work)
+	req := <-h.broker.requests
+	timeLeft := req.Deadline - h.server.clock.Now()
+	if req.Class != 1 || !req.NotIdempotent || req.Plan != 0 || req.Volume != "00000003b4d60021" || req.Key != testBlockID ||
+		req.Units != 2 || req.Shard != 5 || req.Brokers != 3 || timeLeft > 480_000 || string(req.Work.Body) != "b\r\ny" ||
+		len(req.Work.Params) != 8 || req.Work.Params[7] != (blockstore.Param{Name: "k", Value: "x"}) {
+		t.Errorf("the broker received %+v, %+v", req.RequestInfo, req.Work)
 	}
-	r.broker.response("id9") <- core.Response[[]byte]{Status: core.Rejection}
+	h.broker.response("id9") <- core.Response[[]byte]{Status: core.Rejection}
 	expectText(t, in, "-BUSY\r\n")
 }
 
 func TestDisconnectCancelsRequestsInFlight(t *testing.T) {
-	r := newRig(t, testLimits(), 4)
-	c, _ := r.dial()
+	h := newHarness(t, testLimits(), 4)
+	c, _ := h.dial()
 	send(c, readCommand("a")+readCommand("b"))
-	<-r.broker.requests
-	<-r.broker.requests
+	<-h.broker.requests
+	<-h.broker.requests
 	disconnect(c)
-	if ids := <-r.broker.cancelled + <-r.broker.cancelled; ids != "ab" && ids != "ba" {
-		t.Errorf("cancelled: %q", ids)
+	if ids := <-h.broker.cancelled + <-h.broker.cancelled; ids != "ab" && ids != "ba" {
+		t.Errorf("cancelled requests: %q, want a and b", ids)
 	}
 }
 
-func TestMalformedInputGetsAnErrorAndClosesTheConnection(t *testing.T) {
+func TestMalformedInputIsAnsweredWithAnErrorAndClosesTheConnection(t *testing.T) {
 	for _, x := range []struct{ in, want string }{
 		{"GET / HTTP/1.1\r\n", "-ERR Protocol error: expected '*'\r\n"},
 		{"*2\r\n:1\r\n", "-ERR Protocol error: expected '$'\r\n"},
@@ -63,27 +63,27 @@
 		{encodeCommand("PING") + "x", "+PONG\r\n-ERR Protocol error: expected '*'\r\n"},
 		{encodeCommand("PING") + encodeCommand("PING") + "*x\r\n", "+PONG\r\n+PONG\r\n-ERR Protocol error: bad length\r\n"},
 	} {
-		r := newRig(t, testLimits(), 4)
-		c, in := r.dial()
+		h := newHarness(t, testLimits(), 4)
+		c, in := h.dial()
 		send(c, x.in)
 		expectText(t, in, x.want)
-		expectEnd(t, in)
+		expectClosed(t, in)
 	}
 }
 
 func TestMalformedInputIsAnsweredAfterPendingReplies(t *testing.T) {
-	r := newRig(t, testLimits(), 4)
-	c, in := r.dial()
+	h := newHarness(t, testLimits(), 4)
+	c, in := h.dial()
 	send(c, readCommand("a")+"garbage")
-	<-r.broker.requests
-	r.broker.response("a") <- success("v")
+	<-h.broker.requests
+	h.broker.response("a") <- success("v")
 	expectText(t, in, "$1\r\nv\r\n-ERR Protocol error: expected '*'\r\n")
-	expectEnd(t, in)
+	expectClosed(t, in)
 }
 
-func TestInvalidCommandsKeepTheConnection(t *testing.T) {
-	r := newRig(t, testLimits(), 4)
-	c, in := r.dial()
+func TestInvalidCommandsDoNotCloseTheConnection(t *testing.T) {
+	h := newHarness(t, testLimits(), 4)
+	c, in := h.dial()
 	for _, x := range []struct{ in, want string }{
 		{encodeCommand("FLUSHALL"), "-ERR unknown command\r\n"},
 		{encodeCommand("BLK.READ", "x"), "-ERR BLK.READ takes 4 words, got 2\r\n"},
@@ -112,41 +112,42 @@
 func TestRequestBeyondTheLimitOnBytesInFlightIsRejected(t *testing.T) {
 	lim := testLimits()
 	lim.MaxBodyBytes = int64(len(readCommand("a"))) + 10
-	r := newRig(t, lim, 4)
-	c, in := r.dial()
+	h := newHarness(t, lim, 4)
+	c, in := h.dial()
 	send(c, readCommand("a"))
-	<-r.broker.requests
-	other, otherIn := r.dial()
+	<-h.broker.requests
+	other, otherIn := h.dial()
 	send(other, readCommand("b"))
 	expectText(t, otherIn, "-BUSY 150\r\n")
-	r.broker.response("a") <- success("v")
+	h.broker.response("a") <- success("v")
 	expectText(t, in, "$1\r\nv\r\n")
-	r.waitUntil("no bytes are in flight", func() bool { return r.server.inFlight.bytes.Load() == 0 })
+	h.waitUntil("no bytes are in flight", func() bool { return h.server.inFlight.bytes.Load() == 0 })
 }
 
 func TestRequestIDIsRejectedWhileInFlightAndFreeAfterwards(t *testing.T) {
-	r := newRig(t, testLimits(), 4)
-	c, in := r.dial()
+	h := newHarness(t, testLimits(), 4)
+	c, in := h.dial()
 	send(c, readCommand("a"))
-	<-r.broker.requests
-	other, otherIn := r.dial()
+	<-h.broker.requests
+	other, otherIn := h.dial()
 	send(other, readCommand("a")+readCommand("b"))
-	if q := <-r.broker.requests; string(q.Work.RequestID) != "b" {
-		t.Errorf("the broker got %s", q.Work.RequestID)
+	if req := <-h.broker.requests; string(req.Work.RequestID) != "b" {
+		t.Errorf("the broker received request %s, want b", req.Work.RequestID)
 	}
-	r.broker.response("b") <- success("w")
+	h.broker.response("b") <- success("w")
 	expectText(t, otherIn, "-ERR id: a request of that id is open\r\n$1\r\nw\r\n")
-	r.broker.response("a") <- success("v")
+	h.broker.response("a") <- success("v")
 	expectText(t, in, "$1\r\nv\r\n")
-	r.waitUntil("the id is free", func() bool { return r.server.inFlight.count() == 0 }) // the client may see its reply sooner
+	// The client may receive its reply before the id is free.
+	h.waitUntil("the id is free", func() bool { return h.server.inFlight.count() == 0 })
 	send(other, encodeCommand("PING")+readCommand("a"))
-	<-r.broker.requests
-	r.broker.response("a") <- success("x")
+	<-h.broker.requests
+	h.broker.response("a") <- success("x")
 	expectText(t, otherIn, "+PONG\r\n$1\r\nx\r\n")
-	leaving, _ := r.dial() // a disconnect frees the id, too
+	leaving, _ := h.dial() // a disconnect also frees the id
 	send(leaving, readCommand("c"))
-	<-r.broker.requests
+	<-h.broker.requests
 	disconnect(leaving)
-	<-r.broker.cancelled
-	r.waitUntil("no id is in flight", func() bool { return r.server.inFlight.count() == 0 })
+	<-h.broker.cancelled
+	h.waitUntil("no id is in flight", func() bool { return h.server.inFlight.count() == 0 })
 }
--- a/internal/frontend/object/backend.go
+++ b/internal/frontend/object/backend.go
@@ -13,19 +13,19 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// requestHeaders are passed on to the object server, besides the object's metadata.
+// requestHeaders are forwarded to the object server, in addition to the object's metadata.
 var requestHeaders = []string{
 	"Range", "If-Range", "If-Match", "If-None-Match", "If-Modified-Since", "If-Unmodified-Since", "Content-Type",
 	"Content-Md5", "Content-Encoding", "Content-Language", "Content-Disposition", "Cache-Control", "Expires",
 }
 
-// responseHeaders are passed on to the client, besides the object's metadata.
+// responseHeaders are forwarded to the client, in addition to the object's metadata.
 var responseHeaders = []string{
 	"Content-Type", "Content-Range", "Content-Encoding", "Content-Language", "Content-Disposition", "Etag",
 	"Last-Modified", "Accept-Ranges", "Cache-Control", "Expires", "Vary",
 }
 
-// copyHeaders copies the named headers and the object's metadata.
+// copyHeaders copies the named headers and the headers of the object's metadata.
 func copyHeaders(dst, src http.Header, names []string) {
 	for _, name := range names {
 		if values := src.Values(name); len(values) > 0 {
@@ -39,7 +39,7 @@
 	}
 }
 
-// backendRequest returns the request of a class for the broker and the object server.
+// backendRequest returns the request of the given class that the broker forwards to an object server.
 func (x *exchange) backendRequest(class, shard int, method, query string, deadline clock.Micros) core.Request[*objectstore.Request] {
 	cfg := x.server.cfg
 	header := http.Header{}
@@ -74,8 +74,8 @@
 	}
 }
 
-// isValidRange reports whether a Range header is well-formed. RFC 9110 requires servers to ignore a malformed one, which
-// not all object servers do.
+// isValidRange reports whether a Range header is well-formed. RFC 9110 requires servers to ignore a malformed one, but
+// not all object servers do so.
 func isValidRange(header string) bool {
 	ranges, ok := strings.CutPrefix(header, "bytes=")
 	if !ok {
@@ -106,8 +106,8 @@
 	return firstErr == nil && lastErr == nil && first <= last
 }
 
-// units is the size of a request in units, from its body or from the one range that it names. The size of a whole object
-// is not known before it is read; it counts as one unit.
+// units returns the size of a request in units. It is the size of the request's body, or of its range if the request
+// has a single one. The size of a complete object is not known before it is read; such a request counts as one unit.
 func (x *exchange) units() float64 {
 	size := int64(len(x.body))
 	if size == 0 {
@@ -121,7 +121,7 @@
 	return max(units, 1)
 }
 
-// rangeLength is the length of a Range header's one range in bytes; 0 if it is not known.
+// rangeLength returns the length in bytes of a Range header's single range, or 0 if the length is not known.
 func rangeLength(header string) int64 {
 	r, ok := strings.CutPrefix(header, "bytes=")
 	if !ok {
--- a/internal/frontend/object/complete.go
+++ b/internal/frontend/object/complete.go
@@ -9,9 +9,9 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// completeUpload makes the object of its parts. The request is not sent a second time once it may have been executed.
-// Where its result is unknown, or the upload is gone because an earlier request completed it, the object is read back:
-// its entity tag says whether it was made of these parts.
+// completeUpload creates the object from the parts of an upload. The request is not resent once it may have been
+// executed. If its result is unknown, or the upload does not exist any more because an earlier request has completed
+// it, the object is read back: its entity tag shows whether it was created from these parts.
 func (x *exchange) completeUpload() error {
 	upload, err := x.uploadID()
 	if err != nil {
@@ -24,7 +24,7 @@
 	if err != nil {
 		return err
 	}
-	// A part of the client's time is reserved for reading back.
+	// A part of the time until the client's deadline is reserved for reading back.
 	now := x.server.clock.Now()
 	deadline := x.deadline - min(x.server.lim.ReadBackTime, (x.deadline-now)/3)
 	resp, err := x.forward(x.backendRequest(x.class, upload.shard, http.MethodPost, "?"+upload.nodeQuery(), deadline))
@@ -41,8 +41,9 @@
 	return x.writeResponse(resp)
 }
 
-// readBackCompletion looks whether the object has the entity tag of a completion, which ended with resp (the upload is
-// not found) or completionErr (it may still be in progress at the node, and is looked for until the deadline).
+// readBackCompletion checks whether the object has the entity tag that the completion gives it. The completion has
+// ended with resp if the upload was not found, or else with completionErr. In that case it may still be in progress at
+// the node, and the check is repeated until the deadline.
 func (x *exchange) readBackCompletion(shard int, wantETag string, resp *objectstore.Response, completionErr error) error {
 	s := x.server
 	for {
@@ -58,11 +59,11 @@
 				ETag:     wantETag,
 			})
 		}
-		if completionErr == nil { // the upload is gone, and the object was not made of these parts
+		if completionErr == nil { // the upload does not exist, and the object was not created from these parts
 			return x.writeResponse(resp)
 		}
 		if s.clock.Now()+s.lim.ReadBackInterval >= x.deadline {
-			x.w.Header().Del("Retry-After") // a retry is not known to be harmless
+			x.w.Header().Del("Retry-After") // a retry may not be safe
 			return completionErr
 		}
 		select {
@@ -73,7 +74,7 @@
 	}
 }
 
-// readBack requests the object's header and reports whether it has the entity tag.
+// readBack requests the object's header and reports whether the object exists and has the entity tag.
 func (x *exchange) readBack(shard int, wantETag string) (*objectstore.Response, bool) {
 	cfg := x.server.cfg
 	readClass := cfg.ClassIndex(cfg.Object.ReadClass)
--- a/internal/frontend/object/complete_test.go
+++ b/internal/frontend/object/complete_test.go
@@ -19,7 +19,7 @@
 
 const emptyMD5 = "d41d8cd98f00b204e9800998ecf8427e"
 
-// scriptedBroker gives the next response of a list and keeps the requests.
+// scriptedBroker returns the responses of a list in order and records the requests.
 type scriptedBroker struct {
 	responses []core.Response[*objectstore.Response]
 	requests  []core.Request[*objectstore.Request]
@@ -63,8 +63,8 @@
 	return New(b, cfg, 4, clock.New(), slog.New(slog.DiscardHandler))
 }
 
-// complete sends a request that completes upload 1-u with one empty part.
-func complete(s *Server) *httptest.ResponseRecorder {
+// sendCompletion sends a request that completes upload 1-u with one empty part.
+func sendCompletion(s *Server) *httptest.ResponseRecorder {
 	body := "<CompleteMultipartUpload><Part><PartNumber>1</PartNumber><ETag>" + emptyMD5 + "</ETag></Part></CompleteMultipartUpload>"
 	r := httptest.NewRequest(http.MethodPost, "/bucket/key?uploadId=1-u", strings.NewReader(body))
 	w := httptest.NewRecorder()
@@ -72,14 +72,14 @@
 	return w
 }
 
-// The object is read back as a request of its own: of the read class, which may be retried, without the body.
+// The object is read back by a separate request of the read class, which may be retried, without the completion's body.
 func TestCompletionWithUnknownResultIsReadBackWithTheReadClass(t *testing.T) {
 	const etag = `"59adb24ef3cdbe0297f05b395827453f-1"` // MD5 of the MD5 of nothing
 	b := &scriptedBroker{responses: []core.Response[*objectstore.Response]{
 		{Status: core.Failure},
 		{Status: core.Success, Value: &objectstore.Response{Status: http.StatusOK, Header: http.Header{"Etag": {etag}}}},
 	}}
-	w := complete(testServer(b))
+	w := sendCompletion(testServer(b))
 	if w.Code != http.StatusOK || !strings.Contains(w.Body.String(), "<CompleteMultipartUploadResult") {
 		t.Errorf("status %d: %s", w.Code, w.Body)
 	}
@@ -87,22 +87,22 @@
 		t.Fatalf("%d requests, want 2", len(b.requests))
 	}
 	if r := b.requests[0]; r.Class != 2 || !r.NotIdempotent || r.Work.Method != http.MethodPost || r.Work.Target != "/bucket/key?uploadId=u" {
-		t.Errorf("completion: class %d, not idempotent %v, %s %s", r.Class, r.NotIdempotent, r.Work.Method, r.Work.Target)
+		t.Errorf("completion request: class %d, not idempotent %v, %s %s", r.Class, r.NotIdempotent, r.Work.Method, r.Work.Target)
 	}
 	r := b.requests[1]
 	if r.Class != 0 || r.NotIdempotent || r.Work.Method != http.MethodHead || r.Work.Target != "/bucket/key" {
-		t.Errorf("read back: class %d, not idempotent %v, %s %s", r.Class, r.NotIdempotent, r.Work.Method, r.Work.Target)
+		t.Errorf("read-back request: class %d, not idempotent %v, %s %s", r.Class, r.NotIdempotent, r.Work.Method, r.Work.Target)
 	}
 	if r.Shard != 1 || len(r.Work.Body) > 0 || len(r.Work.Header) > 0 {
-		t.Errorf("read back: shard %d, %d bytes of body, header %v", r.Shard, len(r.Work.Body), r.Work.Header)
+		t.Errorf("read-back request: shard %d, %d bytes of body, header %v", r.Shard, len(r.Work.Body), r.Work.Header)
 	}
 }
 
 // A rejected completion was not executed, so there is nothing to read back.
 func TestRejectedCompletionIsNotReadBack(t *testing.T) {
 	b := &scriptedBroker{responses: []core.Response[*objectstore.Response]{{Status: core.Rejection, RetryAfter: 1_500_000}}}
-	w := complete(testServer(b))
+	w := sendCompletion(testServer(b))
 	if w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") != "2" || len(b.requests) != 1 {
-		t.Errorf("status %d, Retry-After %q, %d requests", w.Code, w.Header().Get("Retry-After"), len(b.requests))
+		t.Errorf("status %d, Retry-After %q, %d requests, want 503, \"2\", 1", w.Code, w.Header().Get("Retry-After"), len(b.requests))
 	}
 }
--- a/internal/frontend/object/documents.go
+++ b/internal/frontend/object/documents.go
@@ -4,7 +4,7 @@
 
 const xmlNamespace = "http://s3.amazonaws.com/doc/2006-03-01/"
 
-// createUploadResult is the response to a request that creates an upload.
+// createUploadResult is the body of the response to a request that creates an upload.
 type createUploadResult struct {
 	XMLName  xml.Name `xml:"InitiateMultipartUploadResult"`
 	Xmlns    string   `xml:"xmlns,attr,omitempty"`
@@ -13,7 +13,7 @@
 	UploadID string   `xml:"UploadId"`
 }
 
-// listPartsResult is the response to a request that lists the parts of an upload.
+// listPartsResult is the body of the response to a request that lists the parts of an upload.
 type listPartsResult struct {
 	XMLName              xml.Name     `xml:"ListPartsResult"`
 	Xmlns                string       `xml:"xmlns,attr,omitempty"`
@@ -45,7 +45,7 @@
 	ETag       string `xml:"ETag"`
 }
 
-// completeUploadResult is the response to it.
+// completeUploadResult is the body of the response to a request that completes an upload.
 type completeUploadResult struct {
 	XMLName  xml.Name `xml:"CompleteMultipartUploadResult"`
 	Xmlns    string   `xml:"xmlns,attr,omitempty"`
--- a/internal/frontend/object/errors.go
+++ b/internal/frontend/object/errors.go
@@ -7,16 +7,16 @@
 	"strconv"
 )
 
-// apiError is an error response in the terms of S3.
+// apiError is an S3 error response.
 type apiError struct {
-	status  int // of HTTP
+	status  int // HTTP status
 	code    string
 	message string
 }
 
 func (e *apiError) Error() string { return e.code + ": " + e.message }
 
-// The errors of this server. All others are passed on from the object server.
+// Errors that this server returns itself. Error responses of object servers are forwarded to the client.
 var (
 	errNoSuchUpload      = &apiError{404, "NoSuchUpload", "The specified upload does not exist."}
 	errMalformedXML      = &apiError{400, "MalformedXML", "The XML you provided was not well-formed or did not validate."}
@@ -43,7 +43,7 @@
 	RequestID string   `xml:"RequestId"`
 }
 
-// writeError answers with an error; one that is not an apiError is an internal error.
+// writeError writes an error response. An error that is not an apiError becomes an internal error.
 func writeError(w http.ResponseWriter, r *http.Request, requestID string, err error) {
 	var e *apiError
 	if !errors.As(err, &e) {
@@ -55,13 +55,13 @@
 		Resource:  r.URL.Path,
 		RequestID: requestID,
 	})
-	if err != nil { // a path that XML cannot express
+	if err != nil { // the path has characters that XML cannot represent
 		body = []byte(xml.Header + "<Error><Code>" + e.code + "</Code></Error>")
 	}
 	w.Header().Set("Content-Type", "application/xml")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(e.status)
 	if r.Method != http.MethodHead {
-		_, _ = w.Write(body) // a client that is gone needs no error
+		_, _ = w.Write(body) // a client that has disconnected needs no error
 	}
 }
--- a/internal/frontend/object/exchange.go
+++ b/internal/frontend/object/exchange.go
@@ -21,7 +21,7 @@
 const (
 	maxKeyBytes   = 1024
 	timeoutHeader = "X-Timeout-Ms"
-	// drainRetryAfter and bodyRetryAfter are Retry-After headers, in seconds.
+	// drainRetryAfter and bodyRetryAfter are values of the Retry-After header, in seconds.
 	drainRetryAfter = "1"
 	bodyRetryAfter  = "1"
 )
@@ -40,15 +40,15 @@
 	bucket string
 	key    string
 	query  url.Values
-	class  int // of the request, as the configuration numbers them
+	class  int // number of the request's class in the configuration
 	body   []byte
 
 	receivedAt      clock.Micros
 	deadline        clock.Micros
-	responseStarted atomic.Bool // the response can no longer be replaced by an error
+	responseStarted atomic.Bool // if true, the response can no longer be replaced by an error
 }
 
-// serve parses the request and carries out its operation. The error is an apiError, unless the response has begun.
+// serve parses the request and executes its operation. The error is an apiError, unless the response has begun.
 func (x *exchange) serve() error {
 	if err := x.parseURL(); err != nil {
 		return err
@@ -80,7 +80,7 @@
 		return errInvalidURI
 	}
 	if x.key == "" {
-		return errNotImplemented // buckets are set up by the operator
+		return errNotImplemented // no operations on buckets, which the operator sets up
 	}
 	query, err := url.ParseQuery(x.r.URL.RawQuery)
 	if err != nil {
@@ -90,7 +90,8 @@
 	return nil
 }
 
-// parseTimeout parses the header with which a client limits the time for its request; 0 if it is absent.
+// parseTimeout parses the header with which a client limits the duration of its request. It returns 0 if the header is
+// absent.
 func parseTimeout(header string) (clock.Micros, error) {
 	if header == "" {
 		return 0, nil
@@ -102,7 +103,7 @@
 	return clock.FromMillis(ms), nil
 }
 
-// setClass sets the request's class.
+// setClass sets the request's class according to its operation and method.
 func (x *exchange) setClass(op operation) {
 	cfg := x.server.cfg
 	name := cfg.Object.ReadClass
@@ -115,7 +116,8 @@
 	x.class = cfg.ClassIndex(name)
 }
 
-// setDeadline sets the request's deadline: that of its class, or that of the client's timeout, unless it is 0, if that is earlier.
+// setDeadline sets the request's deadline: that of its class or that of the client's timeout, whichever is earlier. A
+// timeout of 0 means that the client has set none.
 func (x *exchange) setDeadline(timeout clock.Micros) {
 	x.deadline = x.receivedAt + clock.FromDuration(x.server.cfg.Policy.Classes[x.class].Deadline)
 	if timeout != 0 {
@@ -123,14 +125,15 @@
 	}
 }
 
-// shard is where the object is stored. It depends on the object's name alone, so that all brokers agree on it.
+// shard returns the shard that stores the object. It depends only on the object's name, so that all brokers agree on
+// it.
 func (x *exchange) shard() int {
 	h := fnv.New64a()
-	_, _ = io.WriteString(h, x.bucket+"/"+x.key) // a hash returns no error
+	_, _ = io.WriteString(h, x.bucket+"/"+x.key) // writing to a hash never fails
 	return int(h.Sum64() % uint64(x.server.cfg.Object.Shards))
 }
 
-// forward carries a request out. A response that is not an object server's is returned as an apiError.
+// forward passes a request to the broker. It returns the response of an object server, or an apiError if there is none.
 func (x *exchange) forward(req core.Request[*objectstore.Request]) (*objectstore.Response, error) {
 	ctx, cancel := context.WithCancelCause(x.r.Context())
 	defer cancel(nil)
@@ -145,7 +148,7 @@
 	case resp.Status == core.Success:
 		return resp.Value, nil
 	case x.server.clock.Now() >= req.Deadline-2*x.server.lim.AnswerMargin:
-		return nil, errTimeout // however the last attempt ended, the client's deadline has passed
+		return nil, errTimeout // whatever the outcome of the last attempt, the client's deadline has passed
 	case resp.Status == core.Rejection:
 		x.w.Header().Set("Retry-After", strconv.FormatInt(retryAfterSeconds(resp.RetryAfter), 10))
 		return nil, errSlowDown
@@ -155,13 +158,14 @@
 	return nil, errInternal
 }
 
-// retryAfterSeconds rounds up to the whole seconds of a Retry-After header, at least 1.
+// retryAfterSeconds returns the value of a Retry-After header: whole seconds, rounded up, at least 1.
 func retryAfterSeconds(retryAfter clock.Micros) int64 {
 	seconds := clock.Duration(retryAfter+999_999) / time.Second
 	return max(int64(seconds), 1)
 }
 
-// readBody reads the request's body, within its limit, the limit on all bodies in flight, and the request's deadline.
+// readBody reads the request's body. It fails if the body exceeds maxBytes or the limit on all bodies in flight, or is
+// not received by the request's deadline.
 func (x *exchange) readBody(maxBytes int64) error {
 	size := x.r.ContentLength
 	if size < 0 {
@@ -177,9 +181,9 @@
 	}
 	x.body = make([]byte, size)
 	timeout := clock.Duration(x.deadline - x.server.clock.Now())
-	_ = x.control.SetReadDeadline(time.Now().Add(timeout)) // without one, the read ends with the connection
+	_ = x.control.SetReadDeadline(time.Now().Add(timeout)) // without it, the read ends with the connection
 	_, err := io.ReadFull(x.r.Body, x.body)
-	// net/http would take a read deadline that passes later for a client that disconnects.
+	// The deadline is removed because net/http would treat one that passes later as a disconnect of the client.
 	_ = x.control.SetReadDeadline(time.Time{})
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return errTimeout
@@ -190,7 +194,7 @@
 	return nil
 }
 
-// setWriteTimeout limits the time for writing to the client from now on.
+// setWriteTimeout sets the time limit for the following writes to the client.
 func (x *exchange) setWriteTimeout(timeout clock.Micros) {
-	_ = x.control.SetWriteDeadline(time.Now().Add(clock.Duration(timeout))) // fails on a connection that has ended
+	_ = x.control.SetWriteDeadline(time.Now().Add(clock.Duration(timeout))) // fails only on a closed connection
 }
--- a/internal/frontend/object/listener.go
+++ b/internal/frontend/object/listener.go
@@ -11,16 +11,16 @@
 	"poppyarch/internal/transport/socket"
 )
 
-// listener keeps the number of client connections within a limit. At the limit a new client takes the place of the
-// longest idle one, so that idle clients cannot keep others out.
+// listener keeps the number of client connections within a limit. At the limit it closes the connection that has been
+// idle for longest to accept a new one, so that idle clients cannot block others.
 type listener struct {
 	net.Listener
-	clock            *clock.Clock
-	maxConns         int
-	firstRequestTime clock.Micros // a connection that has sent no request is idle after this
+	clock               *clock.Clock
+	maxConns            int
+	firstRequestTimeout clock.Micros // time after which a connection that has sent no request counts as idle
 
 	mu      sync.Mutex
-	changed *sync.Cond // a connection has ended or changed its state, or the listener is closed
+	changed *sync.Cond // signals that a connection has ended or changed its state, or that the listener is closed
 	conns   map[*conn]struct{}
 	closed  bool
 }
@@ -35,26 +35,26 @@
 	stateSince clock.Micros
 }
 
-func newListener(ln net.Listener, maxConns int, firstRequestTime clock.Micros, c *clock.Clock) *listener {
+func newListener(ln net.Listener, maxConns int, firstRequestTimeout clock.Micros, c *clock.Clock) *listener {
 	l := &listener{
-		Listener:         ln,
-		clock:            c,
-		maxConns:         maxConns,
-		firstRequestTime: firstRequestTime,
-		conns:            map[*conn]struct{}{},
+		Listener:            ln,
+		clock:               c,
+		maxConns:            maxConns,
+		firstRequestTimeout: firstRequestTimeout,
+		conns:               map[*conn]struct{}{},
 	}
 	l.changed = sync.NewCond(&l.mu)
 	return l
 }
 
-// Accept returns the next client once there is room for it.
+// Accept returns the next client once there is a slot for its connection.
 func (l *listener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	if !l.makeRoom() {
-		_ = nc.Close() // it was not used
+	if !l.freeSlot() {
+		_ = nc.Close() // the connection was not used
 		return nil, net.ErrClosed
 	}
 	l.mu.Lock()
@@ -64,8 +64,8 @@
 	return c, nil
 }
 
-// makeRoom waits until one more connection fits. It returns false if the listener is closed meanwhile.
-func (l *listener) makeRoom() bool {
+// freeSlot waits until there is a slot for another connection. It returns false if the listener is closed meanwhile.
+func (l *listener) freeSlot() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for len(l.conns) >= l.maxConns && !l.closed {
@@ -80,13 +80,13 @@
 	return !l.closed
 }
 
-// longestIdle is the connection that has been idle for longest; nil if all are busy. One with unread input is about to
-// carry a request and not idle. The caller holds mu.
+// longestIdle returns the connection that has been idle for longest, or nil if all are busy. A connection with unread
+// input is about to carry a request and does not count as idle. The caller holds mu.
 func (l *listener) longestIdle() *conn {
 	var longest *conn
 	now := l.clock.Now()
 	for c := range l.conns {
-		unused := c.state == http.StateNew && now >= c.stateSince+l.firstRequestTime
+		unused := c.state == http.StateNew && now >= c.stateSince+l.firstRequestTimeout
 		if c.state != http.StateIdle && !unused {
 			continue
 		}
@@ -100,7 +100,7 @@
 	return longest
 }
 
-// Close closes the listener and ends a wait for room.
+// Close closes the listener and ends a wait in freeSlot.
 func (l *listener) Close() error {
 	l.mu.Lock()
 	l.closed = true
@@ -109,7 +109,7 @@
 	return l.Listener.Close()
 }
 
-// recordConnState records a connection's state. The HTTP server calls it on each change.
+// recordConnState records the state of a connection. The HTTP server calls it on each change of the state.
 func recordConnState(nc net.Conn, state http.ConnState) {
 	c, ok := nc.(*conn)
 	if !ok {
@@ -138,8 +138,9 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// clientGone returns a function that reports whether a request's client has disconnected; nil if its connection is not
-// known. The HTTP server detects that only once it has read the request's body, and not if more input follows it.
+// clientGone returns a function that reports whether a request's client has disconnected, or nil if the connection is
+// not known. The HTTP server itself detects a disconnect only after it has read the request's body, and not if more
+// input follows the body.
 func clientGone(ctx context.Context) func() bool {
 	c, ok := ctx.Value(connKey{}).(net.Conn)
 	if !ok {
--- a/internal/frontend/object/multipart.go
+++ b/internal/frontend/object/multipart.go
@@ -10,20 +10,20 @@
 	"strings"
 )
 
-// uploadID names an upload. It contains the shard that keeps the upload, so that every broker finds it, also one that
-// has started later.
+// uploadID identifies an upload. It contains the shard that stores the upload, so that every broker can find it, even
+// one that has started later.
 type uploadID struct {
 	shard  int
-	nodeID string // the id that the node has given it
+	nodeID string // the id that the storage node has assigned
 }
 
 // String returns the id in the form that clients use.
 func (u uploadID) String() string { return strconv.Itoa(u.shard) + "-" + u.nodeID }
 
-// nodeQuery is the query parameter that names the upload at its node.
+// nodeQuery returns the query parameter that identifies the upload at its storage node.
 func (u uploadID) nodeQuery() string { return queryUploadID + "=" + url.QueryEscape(u.nodeID) }
 
-// parseUploadID parses the form that clients use. The error is errNoSuchUpload.
+// parseUploadID parses an id in the form that clients use. It returns errNoSuchUpload if the id is invalid.
 func parseUploadID(id string, shards int) (uploadID, error) {
 	shardText, nodeID, ok := strings.Cut(id, "-")
 	shard, err := strconv.Atoi(shardText)
@@ -34,8 +34,9 @@
 	return u, nil
 }
 
-// parseCompletion checks the body of a request that completes an upload, and returns the entity tag that the object will
-// have: the MD5 of the parts' MD5s, with their number. It is empty if a part's tag is not an MD5.
+// parseCompletion checks the body of a request that completes an upload, and returns the entity tag that the object
+// will have: the MD5 of the parts' MD5 sums and the number of parts. The tag is empty if a part's tag is not an MD5
+// sum.
 func parseCompletion(body []byte, maxParts int) (etag string, err error) {
 	var c completeUploadRequest
 	if xml.Unmarshal(body, &c) != nil || len(c.Parts) == 0 || len(c.Parts) > maxParts {
--- a/internal/frontend/object/operation.go
+++ b/internal/frontend/object/operation.go
@@ -7,13 +7,13 @@
 	"strconv"
 )
 
-// Query parameters, by their names in the API.
+// Names of query parameters in the API.
 const (
 	queryUploadID   = "uploadId"
 	queryPartNumber = "partNumber"
 )
 
-// operation is what a request asks for.
+// operation is an operation of the API.
 type operation uint8
 
 const (
@@ -28,7 +28,7 @@
 	opListParts
 )
 
-// routes are the operations with a fixed set of query parameters.
+// routes lists the operations that have a fixed set of query parameters.
 var routes = []struct {
 	method string
 	query  []string
@@ -60,7 +60,7 @@
 	return opUnknownMethod
 }
 
-// hasExactly reports whether a query has the named parameters and no others.
+// hasExactly reports whether a query has exactly the named parameters.
 func hasExactly(query url.Values, names []string) bool {
 	for _, name := range names {
 		if !query.Has(name) {
@@ -70,7 +70,7 @@
 	return len(query) == len(names)
 }
 
-// execute carries out an operation and writes its response.
+// execute executes an operation and writes its response.
 func (x *exchange) execute(op operation) error {
 	switch op {
 	case opGetOrDeleteObject:
@@ -93,7 +93,7 @@
 	return errMethodNotAllowed
 }
 
-// getOrDelete forwards a GET, HEAD or DELETE with the given query and its response.
+// getOrDelete forwards a GET, HEAD or DELETE request with the given query, and the response to it.
 func (x *exchange) getOrDelete(shard int, query string) error {
 	req := x.backendRequest(x.class, shard, x.r.Method, query, x.deadline)
 	if x.r.Method == http.MethodGet && query == "" {
@@ -106,8 +106,8 @@
 	return x.writeResponse(resp)
 }
 
-// put stores an object, or a part if the query names one. The body is read before the broker gets the request: a node
-// does not wait for a slow client, and each attempt has the whole body.
+// put stores an object, or a part of an upload if the query names one. The body is read completely before the request
+// is passed to the broker, so that no node waits for a slow client and every attempt has the complete body.
 func (x *exchange) put(shard int, query string) error {
 	if err := x.readBody(x.server.lim.MaxObjectBytes); err != nil {
 		return err
@@ -119,7 +119,8 @@
 	return x.writeResponse(resp)
 }
 
-// createUpload opens an upload at the object's node. Its id names the node's shard from then on.
+// createUpload creates an upload at the object's storage node. The upload id that the client gets contains the node's
+// shard.
 func (x *exchange) createUpload() error {
 	shard := x.shard()
 	resp, err := x.forward(x.backendRequest(x.class, shard, http.MethodPost, "?uploads", x.deadline))
@@ -192,7 +193,7 @@
 	return x.writeDocument(resp, result)
 }
 
-// listPartsQuery returns the query of a list-parts request for the node.
+// listPartsQuery returns the query for the storage node of a request that lists parts.
 func listPartsQuery(query url.Values, upload uploadID) (url.Values, error) {
 	out := url.Values{queryUploadID: {upload.nodeID}}
 	for name, values := range query {
--- a/internal/frontend/object/operation_test.go
+++ b/internal/frontend/object/operation_test.go
@@ -32,7 +32,7 @@
 			t.Fatal(err)
 		}
 		if got := operationOf(x.method, query); got != x.want {
-			t.Errorf("%s ?%s: operation %d, want %d", x.method, x.query, got, x.want)
+			t.Errorf("%s with query %q: operation %d, want %d", x.method, x.query, got, x.want)
 		}
 	}
 }
--- a/internal/frontend/object/server.go
+++ b/internal/frontend/object/server.go
@@ -1,5 +1,5 @@
-// Package object serves the object API over HTTP to clients: objects with ranges, and multipart uploads in the terms of
-// S3. It keeps no state between requests: an upload is kept by the storage node that its id names.
+// Package object serves the object API to clients over HTTP: objects, ranges of objects and multipart uploads, as in
+// S3. It keeps no state between requests: an upload is kept by a storage node, whose shard the upload id contains.
 package object
 
 import (
@@ -20,10 +20,10 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// healthPath answers health checks without a request to the broker.
+// healthPath is the path of health checks, which are answered without a request to the broker.
 const healthPath = "/_health"
 
-// Broker carries out requests. Handle returns each request's one final response.
+// Broker executes requests. Handle returns the single, final response to a request.
 type Broker interface {
 	Handle(ctx context.Context, r core.Request[*objectstore.Request]) core.Response[*objectstore.Response]
 }
@@ -36,17 +36,17 @@
 	lim      *limits.Limits
 	log      *slog.Logger
 	http     *http.Server
-	maxConns int // client connections at once
+	maxConns int // maximum number of client connections
 
-	lastID    atomic.Uint64 // number of the last request id
-	bodyBytes atomic.Int64  // of the request bodies in flight
+	lastID    atomic.Uint64 // last number used in a request id
+	bodyBytes atomic.Int64  // size of the request bodies in flight
 
-	drainDeadline clock.AtomicMicros // when all requests must be answered; 0 before the drain
+	drainDeadline clock.AtomicMicros // when all requests must have been answered; 0 before the drain
 	base          context.Context    // done at the drain deadline
 	expire        context.CancelFunc
 }
 
-// New returns a server for at most maxConns clients at once.
+// New returns a server for at most maxConns simultaneous clients.
 func New(b Broker, cfg *config.Config, maxConns int, c *clock.Clock, log *slog.Logger) *Server {
 	s := &Server{
 		broker:   b,
@@ -78,10 +78,10 @@
 	return err
 }
 
-// Drain shuts the server down gracefully: it accepts clients for Limits.DrainAcceptTime more, closes idle connections
-// and returns when all requests are answered. Requests are answered within Limits.DrainAnswerTime of the call, unless
-// the response has begun: the process may be killed after that. If ctx is done earlier, all connections are closed and
-// its error is returned.
+// Drain shuts the server down gracefully. It continues to accept clients for Limits.DrainAcceptTime, then closes idle
+// connections, and returns when all requests have been answered. Requests whose response has not begun are answered
+// within Limits.DrainAnswerTime of the call, because the process may be killed after that. If ctx is done earlier, all
+// connections are closed and its error is returned.
 func (s *Server) Drain(ctx context.Context) error {
 	s.drainDeadline.Store(s.clock.Now() + s.lim.DrainAnswerTime)
 	expiry := time.AfterFunc(clock.Duration(s.lim.DrainAnswerTime), s.expire)
@@ -92,13 +92,13 @@
 	case <-ctx.Done():
 	}
 	if err := s.http.Shutdown(ctx); err != nil {
-		_ = s.http.Close() // the error of Shutdown says more
+		_ = s.http.Close() // the error of Shutdown is more specific
 		return err
 	}
 	return nil
 }
 
-// drainDeadlinePassed reports whether the drain deadline has passed, after which no request is carried out.
+// drainDeadlinePassed reports whether the drain deadline has passed, after which no request is executed.
 func (s *Server) drainDeadlinePassed() bool {
 	deadline := s.drainDeadline.Load()
 	return deadline > 0 && s.clock.Now() >= deadline
@@ -110,7 +110,7 @@
 	w.Header().Set("X-Amz-Request-Id", x.id)
 	if r.URL.Path == healthPath {
 		w.Header().Set("Content-Type", "text/plain")
-		_, _ = io.WriteString(w, "ok\n") // a client that is gone needs no reply
+		_, _ = io.WriteString(w, "ok\n") // a client that has disconnected needs no reply
 		return
 	}
 	err := x.serve()
@@ -125,7 +125,7 @@
 	writeError(w, r, x.id, err)
 }
 
-// newExchange returns the exchange of a request that has just arrived.
+// newExchange returns the exchange for a request that has just arrived.
 func (s *Server) newExchange(w http.ResponseWriter, r *http.Request) *exchange {
 	now := s.clock.Now()
 	return &exchange{
