--- a/internal/textoutput/textoutput.go
+++ b/internal/textoutput/textoutput.go
@@ -1,5 +1,5 @@
-// Package textoutput prints text for people. Printers keep the first error, so that a command can report output that was
-// cut off, by a full disk for example, without a check at each line.
+// Package textoutput writes human-readable command output. A printer keeps its first write error, so that a command can
+// report truncated output (on a full disk, for example) without checking every line.
 package textoutput
 
 import (
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 )
 
-// Printer writes lines. After an error it writes nothing more.
+// Printer writes text. After an error it writes nothing more.
 type Printer struct {
 	out io.Writer
 	err error
@@ -32,7 +32,7 @@
 	}
 }
 
-// Section has a function print a part of the output.
+// Section calls print to write a part of the output.
 func (p *Printer) Section(print func(io.Writer) error) {
 	if p.err == nil {
 		p.err = print(p.out)
@@ -47,13 +47,13 @@
 	columnPadding = 2 // characters between columns
 )
 
-// Table prints aligned columns, which are separated by tabs in what is printed.
+// Table prints aligned columns. In the text that is printed to it, tabs separate the columns.
 type Table struct {
 	Printer
 	columns *tabwriter.Writer
 }
 
-// NewTable starts a table with the titles of its columns, if there are any.
+// NewTable starts a table, with a row of column titles if any are given.
 func NewTable(out io.Writer, titles ...string) *Table {
 	columns := tabwriter.NewWriter(out, 0, tabWidth, columnPadding, ' ', 0)
 	t := &Table{Printer: Printer{out: columns}, columns: columns}
--- a/internal/textoutput/textoutput_test.go
+++ b/internal/textoutput/textoutput_test.go
@@ -9,26 +9,26 @@
 
 var errFull = errors.New("disk full")
 
-// limitedWriter fails after so many calls.
-type limitedWriter struct{ calls int }
+// limitedWriter fails once no calls remain.
+type limitedWriter struct{ remainingCalls int }
 
 func (w *limitedWriter) Write(b []byte) (int, error) {
-	if w.calls == 0 {
+	if w.remainingCalls == 0 {
 		return 0, errFull
 	}
-	w.calls--
+	w.remainingCalls--
 	return len(b), nil
 }
 
 func TestPrinterKeepsTheFirstError(t *testing.T) {
-	p := NewPrinter(&limitedWriter{calls: 1})
+	p := NewPrinter(&limitedWriter{remainingCalls: 1})
 	p.Printf("%d", 1)
 	if p.Err() != nil {
 		t.Fatalf("error before the limit: %v", p.Err())
 	}
 	p.Println("lost")
 	p.Section(func(io.Writer) error {
-		t.Error("a section was printed after an error")
+		t.Error("Section called its function after an error")
 		return nil
 	})
 	if !errors.Is(p.Err(), errFull) {
--- a/internal/tomlerror/tomlerror.go
+++ b/internal/tomlerror/tomlerror.go
@@ -1,4 +1,4 @@
-// Package tomlerror says where in a TOML file something is wrong.
+// Package tomlerror adds the file, line and key to errors in TOML files.
 package tomlerror
 
 import (
@@ -9,22 +9,23 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Error names the file, the line and the key of an error of the library's.
+// Error adds the file's path to an error of the TOML library, and the line and the key if the error has them. Of several
+// unknown keys it reports the first.
 func Error(path string, err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
-		e := strict.Errors[0]
-		line, _ := e.Position()
-		return fmt.Errorf("%s:%d: %s: unknown key", path, line, strings.Join(e.Key(), "."))
+		unknown := strict.Errors[0]
+		line, _ := unknown.Position()
+		return fmt.Errorf("%s:%d: %s: unknown key", path, line, strings.Join(unknown.Key(), "."))
 	}
-	var de *toml.DecodeError
-	if errors.As(err, &de) {
-		line, _ := de.Position()
-		key := strings.Join(de.Key(), ".")
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		line, _ := decodeErr.Position()
+		key := strings.Join(decodeErr.Key(), ".")
 		if key != "" {
 			key += ": "
 		}
-		return fmt.Errorf("%s:%d: %s%s", path, line, key, strings.TrimPrefix(de.Error(), "toml: "))
+		return fmt.Errorf("%s:%d: %s%s", path, line, key, strings.TrimPrefix(decodeErr.Error(), "toml: "))
 	}
 	return fmt.Errorf("%s: %w", path, err)
 }
--- a/internal/yamltree/yamltree.go
+++ b/internal/yamltree/yamltree.go
@@ -1,5 +1,5 @@
-// Package yamltree walks YAML documents whose faults are reported with their position. The caller decides whether a fault
-// ends the walk or only skips what is faulty.
+// Package yamltree walks the mappings of YAML documents and reports faults with their position. The caller decides whether
+// a fault ends the walk or only skips the faulty pair.
 package yamltree
 
 import (
@@ -9,27 +9,27 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Fault is something in a mapping that cannot be used.
+// Fault is a kind of invalid content that EachPair reports.
 type Fault uint8
 
-// The faults.
+// Kinds of faults.
 const (
 	NotMapping  Fault = iota // the node is not a mapping
-	KeyNotPlain              // a key is not a plain scalar
-	KeyRepeated              // a key is repeated
+	KeyNotPlain              // a key is not a scalar, or is a merge key
+	KeyRepeated              // a key occurs more than once in the mapping
 )
 
 // Visitor is called by EachPair. An error that one of its functions returns ends the walk.
 type Visitor struct {
 	// Pair is called for each pair of a key and a value.
 	Pair func(key string, keyNode, value *yaml.Node) error
-	// Fault is called at the faulty node. key is that of a repeated key and else empty. Where it returns nil, the walk goes on
-	// behind the faulty pair.
+	// Fault is called with the faulty node. key is the repeated key for KeyRepeated and empty for other faults. If Fault
+	// returns nil, the walk continues after the faulty pair.
 	Fault func(f Fault, at *yaml.Node, key string) error
 }
 
-// EachPair calls v for the pairs of a mapping, in the order of the document. A null, as in "hosts:" with nothing behind it, is
-// an empty mapping.
+// EachPair calls v for the pairs of a mapping, in the order of the document. A null value, as in "hosts:" without content,
+// counts as an empty mapping.
 func EachPair(n *yaml.Node, v Visitor) error {
 	n = Resolve(n)
 	if IsNull(n) {
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// Resolve returns the node that an alias stands for, and any other node as it is.
+// Resolve returns the node that an alias refers to, and any other node unchanged.
 func Resolve(n *yaml.Node) *yaml.Node {
 	if n.Kind == yaml.AliasNode {
 		return n.Alias
@@ -71,7 +71,8 @@
 
 var lineInError = regexp.MustCompile(`line (\d+)`)
 
-// ErrorLine is the line that an error of the YAML library names. The library leaves out line 1.
+// ErrorLine returns the line number in an error message of the YAML library. It returns 1 if the message has none, since
+// the library leaves out the number of line 1.
 func ErrorLine(err error) int {
 	if m := lineInError.FindStringSubmatch(err.Error()); m != nil {
 		if line, err := strconv.Atoi(m[1]); err == nil {
--- a/internal/yamltree/yamltree_test.go
+++ b/internal/yamltree/yamltree_test.go
@@ -9,7 +9,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-func TestEachPairReportsFaultsAndGoesOn(t *testing.T) {
+func TestEachPairReportsFaultsAndContinues(t *testing.T) {
 	for _, tc := range []struct {
 		name, text string
 		want       []string
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestEachPairEndsAtError(t *testing.T) {
+func TestEachPairStopsAtFirstError(t *testing.T) {
 	var doc yaml.Node
 	if err := yaml.Unmarshal([]byte("a: 1\nb: 2\n"), &doc); err != nil {
 		t.Fatal(err)
@@ -59,7 +59,7 @@
 		return stop
 	}})
 	if !errors.Is(err, stop) || calls != 1 {
-		t.Errorf("%v after %d calls", err, calls)
+		t.Errorf("got %v after %d calls, want %v after 1 call", err, calls, stop)
 	}
 }
 
@@ -68,7 +68,7 @@
 		var doc yaml.Node
 		err := yaml.Unmarshal([]byte(text), &doc)
 		if err == nil {
-			t.Fatalf("%q is valid", text)
+			t.Fatalf("%q: parsed without an error", text)
 		}
 		if got := ErrorLine(err); got != want {
 			t.Errorf("%q: line %d, want %d (%v)", text, got, want, err)
