--- a/internal/host/process/broker.go
+++ b/internal/host/process/broker.go
@@ -11,21 +11,23 @@
 // configVariable is the environment variable that names a broker's configuration file.
 const configVariable = "LB_CONFIG"
 
-// overridingVariables override settings of a broker's configuration file, and so are not inherited.
+// overridingVariables override settings in a broker's configuration file, so a broker does not inherit them from its
+// parent.
 var overridingVariables = []string{"LB_NAME", "LB_LISTEN", "LB_DISCOVERY"}
 
-// Broker describes the process of a broker.
+// Broker describes a broker process to start.
 type Broker struct {
-	Program string   // path of poppyarch
-	Args    []string // that make it a broker; nil: serve
-	Env     []string // besides the parent's environment
-	Dir     string   // of the configuration and the log
-	Name    string   // of the instance; names the files
+	Program string   // path of the poppyarch executable
+	Args    []string // command line that runs a broker; nil stands for "serve"
+	Env     []string // variables to add to the parent's environment
+	Dir     string   // directory of the configuration and log files
+	Name    string   // of the instance; base name of both files
 	Config  []byte   // content of the configuration file
 }
 
-// Command writes the broker's configuration file, and returns the command that starts it, with its output appended to the
-// log file. release closes the parent's descriptor of that file once the command has been started.
+// Command writes the broker's configuration file and returns the command that starts the broker, with its output
+// appended to the log file. The caller calls release once the command has been started, to close the parent's
+// descriptor of the log file.
 func (b *Broker) Command() (cmd *exec.Cmd, release func(), err error) {
 	configPath := filepath.Join(b.Dir, b.Name+".json")
 	if err := os.WriteFile(configPath, b.Config, 0o600); err != nil {
@@ -43,7 +45,7 @@
 	cmd.Stdout = log
 	cmd.Stderr = log
 	cmd.Env = append(b.environment(), configVariable+"="+configPath)
-	return cmd, func() { _ = log.Close() }, nil // nothing was written through this descriptor
+	return cmd, func() { _ = log.Close() }, nil // the parent has written nothing that a failed close could lose
 }
 
 // environment returns the parent's environment without the variables that would override the broker's configuration.
--- a/internal/host/process/identity.go
+++ b/internal/host/process/identity.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// ErrExited is the error of a call for a process that has ended, whichever process has its pid now.
+// ErrExited reports that a process has ended, even if another process has its pid now.
 var ErrExited = errors.New("process has ended")
 
-// Identity names one process: no other one, on any boot of any machine, has the same.
+// Identity identifies a process uniquely, across reuse of its pid, reboots and machines.
 type Identity struct {
 	PID        int    `json:"pid"`
-	StartTicks uint64 `json:"start"` // start time in the kernel's ticks since boot
-	BootID     string `json:"boot"`  // of the machine
+	StartTicks uint64 `json:"start"` // start time in clock ticks since the machine's boot
+	BootID     string `json:"boot"`  // id of the boot of the machine that the process belongs to
 }
 
 // Identify returns the identity of a running process, or ErrExited.
@@ -37,16 +37,16 @@
 	return Identity{PID: pid, StartTicks: status.startTicks, BootID: strings.TrimSpace(string(bootID))}, nil
 }
 
-// kernelStatus is the part of /proc/PID/stat that identifies a process.
+// kernelStatus holds the fields of /proc/PID/stat that this package uses.
 type kernelStatus struct {
 	state      byte
 	startTicks uint64
 }
 
-// ended reports whether the process is dead, and at most not reaped yet.
+// ended reports whether the process is dead, including a zombie that has not been reaped yet.
 func (s kernelStatus) ended() bool { return s.state == 'Z' || s.state == 'X' }
 
-// Fields of /proc/PID/stat, counted after the name.
+// Indices of fields in /proc/PID/stat, counted from the first field after the process name.
 const (
 	stateField     = 0
 	startTimeField = 19
@@ -61,14 +61,14 @@
 	if err != nil {
 		return kernelStatus{}, err
 	}
-	// The name is in parentheses and may hold any character, so the fields count from the last ')'.
+	// The name is in parentheses and may contain any character, so fields are counted from the last ')'.
 	fields := strings.Fields(string(content[bytes.LastIndexByte(content, ')')+1:]))
 	if len(fields) <= startTimeField {
-		return kernelStatus{}, fmt.Errorf("%s: %d fields", path, len(fields))
+		return kernelStatus{}, fmt.Errorf("%s: got %d fields after the process name, want more than %d", path, len(fields), startTimeField)
 	}
 	startTicks, err := strconv.ParseUint(fields[startTimeField], 10, 64)
 	if err != nil {
-		return kernelStatus{}, fmt.Errorf("%s: start time: %w", path, err)
+		return kernelStatus{}, fmt.Errorf("%s: invalid start time: %w", path, err)
 	}
 	return kernelStatus{state: fields[stateField][0], startTicks: startTicks}, nil
 }
@@ -76,16 +76,16 @@
 // ticksPerSecond is USER_HZ, the same on all Linux platforms that Go supports.
 const ticksPerSecond = 100
 
-// Uptime returns for how long the process has been running. It is for display only, as it follows the wall clock.
+// Uptime returns how long the process has been running. Use it for display only: it follows the wall clock.
 func (i Identity) Uptime() (time.Duration, error) {
 	content, err := os.ReadFile("/proc/uptime")
 	if err != nil {
 		return 0, err
 	}
-	var machineSeconds float64
-	if _, err := fmt.Sscan(string(content), &machineSeconds); err != nil {
+	var machineUptime float64 // in seconds
+	if _, err := fmt.Sscan(string(content), &machineUptime); err != nil {
 		return 0, fmt.Errorf("/proc/uptime: %w", err)
 	}
-	seconds := machineSeconds - float64(i.StartTicks)/ticksPerSecond
+	seconds := machineUptime - float64(i.StartTicks)/ticksPerSecond
 	return time.Duration(seconds * float64(time.Second)), nil
 }
--- a/internal/host/process/pidfd.go
+++ b/internal/host/process/pidfd.go
@@ -30,7 +30,7 @@
 	return unix.PidfdSendSignal(fd, signal, nil, 0)
 }
 
-// Wait returns nil once the process has ended, or the error of ctx once that is done. It does not reap the process.
+// Wait returns nil once the process has ended, or the error of ctx if ctx is done first. It does not reap the process.
 func (i Identity) Wait(ctx context.Context) error {
 	fd, err := i.openPidfd()
 	if errors.Is(err, ErrExited) {
@@ -40,23 +40,24 @@
 		return err
 	}
 	defer closeDescriptor(fd)
-	cancelled, err := unix.Eventfd(0, unix.EFD_CLOEXEC)
+	cancelFD, err := unix.Eventfd(0, unix.EFD_CLOEXEC)
 	if err != nil {
 		return fmt.Errorf("eventfd: %w", err)
 	}
-	defer closeDescriptor(cancelled)
+	defer closeDescriptor(cancelFD)
 	written := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
 		defer close(written)
-		// The write cannot fail: the descriptor is open until written is closed, and its counter has space.
-		_, _ = unix.Write(cancelled, binary.NativeEndian.AppendUint64(nil, 1))
+		// The write cannot fail: the descriptor stays open until written is closed, and the counter of the eventfd has
+		// space.
+		_, _ = unix.Write(cancelFD, binary.NativeEndian.AppendUint64(nil, 1))
 	})
 	defer func() {
 		if !stop() {
 			<-written
 		}
 	}()
-	ended, err := pollFirst(fd, cancelled)
+	ended, err := pollFirst(fd, cancelFD)
 	if err != nil || ended {
 		return err
 	}
@@ -90,7 +91,7 @@
 	if err != nil {
 		return 0, fmt.Errorf("pidfd of pid %d: %w", i.PID, err)
 	}
-	// While the pidfd is open the pid stays with its process, so the comparison holds from now on.
+	// An open pidfd refers to the same process until it is closed, so the result of the comparison stays valid.
 	current, err := Identify(i.PID)
 	if err == nil && current != i {
 		err = ErrExited
@@ -102,5 +103,5 @@
 	return fd, nil
 }
 
-// closeDescriptor closes a descriptor that has nothing to flush, so that closing cannot fail.
+// closeDescriptor closes a descriptor without buffered data, so that closing it cannot fail.
 func closeDescriptor(fd int) { _ = unix.Close(fd) }
--- a/internal/host/process/process_test.go
+++ b/internal/host/process/process_test.go
@@ -15,8 +15,10 @@
 )
 
 const (
-	sleepVariable  = "POPPYARCH_TEST_SLEEP"  // has the test binary sleep until it is killed
-	parentVariable = "POPPYARCH_TEST_PARENT" // has it start a sleeper first, and print its pid
+	// sleepVariable makes the test binary sleep until it is killed.
+	sleepVariable = "POPPYARCH_TEST_SLEEP"
+	// parentVariable makes the test binary start a sleeping child, print the child's pid and sleep.
+	parentVariable = "POPPYARCH_TEST_PARENT"
 )
 
 func TestMain(m *testing.M) {
@@ -41,7 +43,7 @@
 	return cmd
 }
 
-// startSleeper starts a process that sleeps, and kills it at the end of the test.
+// startSleeper starts a process that sleeps and is killed at the end of the test.
 func startSleeper(t *testing.T, launchID string) (id Identity, exited <-chan error) {
 	t.Helper()
 	cmd := sleepCommand()
@@ -49,35 +51,35 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = cmd.Process.Kill() }) // fails where the test has killed it
+	t.Cleanup(func() { _ = cmd.Process.Kill() }) // fails if the test has already killed it
 	return id, exited
 }
 
 func TestProcessIsFoundByItsLaunchID(t *testing.T) {
 	id, _ := startSleeper(t, "launch-1")
 	if found, ok := FindByLaunchID("launch-1"); !ok || found != id {
-		t.Errorf("found %+v %v, is %+v", found, ok, id)
+		t.Errorf("found %+v, %v; want %+v", found, ok, id)
 	}
 	if _, ok := FindByLaunchID("launch-2"); ok {
 		t.Error("found a launch id that no process has")
 	}
 }
 
-func TestIdentityDiffersFromThatOfAnotherProcessWithThePid(t *testing.T) {
+func TestIdentityDoesNotMatchAnotherProcessWithItsPID(t *testing.T) {
 	id, _ := startSleeper(t, "launch-3")
 	reusedPID := id
 	reusedPID.StartTicks++
 	if err := reusedPID.CheckRunning(); !errors.Is(err, ErrExited) {
-		t.Errorf("another start time: %v", err)
+		t.Errorf("process with another start time: got %v, want %v", err, ErrExited)
 	}
 	rebooted := id
 	rebooted.BootID = "another boot"
 	if err := rebooted.CheckRunning(); !errors.Is(err, ErrExited) {
-		t.Errorf("another boot: %v", err)
+		t.Errorf("process of another boot: got %v, want %v", err, ErrExited)
 	}
 }
 
-func TestProcessIsSignalledAndAwaitedUntilItHasEnded(t *testing.T) {
+func TestSignalAndWaitUntilProcessHasEnded(t *testing.T) {
 	id, exited := startSleeper(t, "launch-4")
 	if err := id.CheckRunning(); err != nil {
 		t.Fatal(err)
@@ -85,7 +87,7 @@
 	expired, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer cancel()
 	if err := id.Wait(expired); !errors.Is(err, context.DeadlineExceeded) {
-		t.Fatalf("waited for a running process: %v", err)
+		t.Fatalf("Wait for a running process: got %v, want %v", err, context.DeadlineExceeded)
 	}
 	waited := make(chan error, 1)
 	go func() { waited <- id.Wait(t.Context()) }()
@@ -93,19 +95,19 @@
 		t.Fatal(err)
 	}
 	if err := <-waited; err != nil {
-		t.Errorf("waited for the end: %v", err)
+		t.Errorf("Wait for a killed process: %v", err)
 	}
 	if err := <-exited; err == nil {
-		t.Error("a killed process has no error")
+		t.Error("the result of a killed process is nil, want an error")
 	}
 	if err := id.Signal(syscall.SIGKILL); !errors.Is(err, ErrExited) {
-		t.Errorf("a signal after the end: %v", err)
+		t.Errorf("Signal to a process that has ended: got %v, want %v", err, ErrExited)
 	}
 	if err := id.CheckRunning(); !errors.Is(err, ErrExited) {
-		t.Errorf("a check after the end: %v", err)
+		t.Errorf("CheckRunning of a process that has ended: got %v, want %v", err, ErrExited)
 	}
 	if err := id.Wait(t.Context()); err != nil {
-		t.Errorf("waited after the end: %v", err)
+		t.Errorf("Wait for a process that has ended: %v", err)
 	}
 }
 
@@ -115,7 +117,7 @@
 		t.Fatal(err)
 	}
 	if uptime, err := id.Uptime(); err != nil || uptime < 0 || uptime > 24*time.Hour {
-		t.Errorf("up for %v, %v", uptime, err)
+		t.Errorf("uptime is %v, %v; want 0 to 24 hours", uptime, err)
 	}
 }
 
@@ -129,10 +131,10 @@
 		t.Error(err)
 	}
 	if err := <-exited; err == nil {
-		t.Error("a killed process has no error")
+		t.Error("the result of a killed process is nil, want an error")
 	}
-	if _, err := StartBound(exec.Command(filepath.Join(t.TempDir(), "none"))); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a program that does not exist: %v", err)
+	if _, err := StartBound(exec.Command(filepath.Join(t.TempDir(), "missing"))); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("start of a program that does not exist: got %v, want %v", err, os.ErrNotExist)
 	}
 }
 
@@ -153,23 +155,23 @@
 		t.Error(err)
 	}
 	if err := parent.Wait(); err == nil {
-		t.Error("a killed parent has no error")
+		t.Error("the result of a killed parent is nil, want an error")
 	}
 	if scanErr != nil || err != nil {
-		t.Fatalf("the child %d of the parent: %v, %v", pid, scanErr, err)
+		t.Fatalf("child with pid %d: read its pid: %v, identify it: %v", pid, scanErr, err)
 	}
-	patience, cancel := context.WithTimeout(t.Context(), 30*time.Second)
+	waitCtx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
-	if err := id.Wait(patience); err != nil {
-		t.Errorf("the child still runs: %v; killed: %v", err, id.Signal(syscall.SIGKILL))
+	if err := id.Wait(waitCtx); err != nil {
+		t.Errorf("the child is still running: %v; kill it: %v", err, id.Signal(syscall.SIGKILL))
 	}
 }
 
-func TestBrokerCommandUsesItsConfigurationAlone(t *testing.T) {
+func TestBrokerCommandIgnoresParentConfiguration(t *testing.T) {
 	for _, key := range overridingVariables {
-		t.Setenv(key, "of the parent")
+		t.Setenv(key, "from the parent")
 	}
-	t.Setenv(configVariable, "of the parent")
+	t.Setenv(configVariable, "from the parent")
 	t.Setenv("POPPYARCH_TEST_INHERITED", "1")
 	dir := t.TempDir()
 	broker := &Broker{Program: "poppyarch", Env: []string{"ADDED=1"}, Dir: dir, Name: "b1", Config: []byte("{}")}
@@ -190,13 +192,13 @@
 			t.Errorf("%s is not in the environment", variable)
 		}
 	}
-	if slices.Contains(env, configVariable+"=of the parent") {
+	if slices.Contains(env, configVariable+"=from the parent") {
 		t.Error("the parent's configuration is inherited")
 	}
 	if content, err := os.ReadFile(configPath); err != nil || string(content) != "{}" {
-		t.Errorf("the configuration is %q, %v", content, err)
+		t.Errorf("the configuration file contains %q, %v; want {}", content, err)
 	}
 	if !slices.Equal(cmd.Args, []string{"poppyarch", "serve"}) {
-		t.Errorf("the command is %q", cmd.Args)
+		t.Errorf("the command is %q, want poppyarch serve", cmd.Args)
 	}
 }
--- a/internal/yamltree/yamltree.go
+++ b/internal/yamltree/yamltree.go
@@ -1,5 +1,5 @@
-// Package yamltree walks the mappings of YAML documents and reports faults with their position. The caller decides whether
-// a fault ends the walk or only skips the faulty pair.
+// Package yamltree walks the mappings of YAML documents and reports faults with their position. The caller decides
+// whether a fault ends the walk or only skips the faulty pair.
 package yamltree
 
 import (
@@ -23,13 +23,13 @@
 type Visitor struct {
 	// Pair is called for each pair of a key and a value.
 	Pair func(key string, keyNode, value *yaml.Node) error
-	// Fault is called with the faulty node. key is the repeated key for KeyRepeated and empty for other faults. If Fault
-	// returns nil, the walk continues after the faulty pair.
+	// Fault is called with the faulty node. key is the repeated key for KeyRepeated and empty for other faults. If
+	// Fault returns nil, the walk continues after the faulty pair.
 	Fault func(f Fault, at *yaml.Node, key string) error
 }
 
-// EachPair calls v for the pairs of a mapping, in the order of the document. A null value, as in "hosts:" without content,
-// counts as an empty mapping.
+// EachPair calls v for the pairs of a mapping, in the order of the document. A null value, as in "hosts:" without
+// content, counts as an empty mapping.
 func EachPair(n *yaml.Node, v Visitor) error {
 	n = Resolve(n)
 	if IsNull(n) {
@@ -71,8 +71,8 @@
 
 var lineInError = regexp.MustCompile(`line (\d+)`)
 
-// ErrorLine returns the line number in an error message of the YAML library. It returns 1 if the message has none, since
-// the library leaves out the number of line 1.
+// ErrorLine returns the line number in an error message of the YAML library. It returns 1 if the message has none,
+// since the library leaves out the number of line 1.
 func ErrorLine(err error) int {
 	if m := lineInError.FindStringSubmatch(err.Error()); m != nil {
 		if line, err := strconv.Atoi(m[1]); err == nil {
