--- a/internal/host/inventory/csv.go
+++ b/internal/host/inventory/csv.go
@@ -11,7 +11,7 @@
 
 const nameColumn = "name"
 
-// parseCSV reads a header and a row for each instance. An empty cell sets nothing.
+// parseCSV reads a header and one row for each instance. An empty cell leaves its setting unset.
 func parseCSV(path string, text []byte) ([]host, error) {
 	r := csv.NewReader(bytes.NewReader(text))
 	r.TrimLeadingSpace = true
@@ -31,7 +31,7 @@
 			return nil, csvError(path, err)
 		}
 		line, _ := r.FieldPos(0)
-		h := hostOfRow(header, row, line)
+		h := hostFromRow(header, row, line)
 		if seen[h.name] {
 			return nil, &Error{File: path, Line: line, Key: h.name, Err: errors.New("instance given twice")}
 		}
@@ -40,7 +40,7 @@
 	}
 }
 
-// readHeader reads and checks the names of the columns.
+// readHeader reads and checks the column names.
 func readHeader(path string, r *csv.Reader) ([]string, error) {
 	header, err := r.Read()
 	if errors.Is(err, io.EOF) {
@@ -69,7 +69,7 @@
 	return header, nil
 }
 
-func hostOfRow(header, row []string, line int) host {
+func hostFromRow(header, row []string, line int) host {
 	h := host{line: line, settings: map[string]value{}}
 	for i, cell := range row {
 		cell = strings.TrimSpace(cell)
--- a/internal/host/inventory/errors.go
+++ b/internal/host/inventory/errors.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// Reasons that an Error may wrap.
+// Errors that an Error may wrap.
 var (
 	ErrUnknownKey    = errors.New("unknown key")
 	ErrMissing       = errors.New("missing")
@@ -15,24 +15,24 @@
 	ErrUnknownFormat = errors.New("an inventory ends in .csv, .yaml or .yml")
 )
 
-// Error names the file, line and key of what is wrong.
+// Error is a fault in an inventory, with its position.
 type Error struct {
 	File string
-	Line int    // 0: the file as a whole
-	Key  string // empty: not of one key
+	Line int    // 0 if the error concerns the whole file
+	Key  string // empty if the error does not concern a single key
 	Err  error
 }
 
 func (e *Error) Error() string {
-	at := e.File
+	position := e.File
 	if e.Line > 0 {
-		at += ":" + strconv.Itoa(e.Line)
+		position += ":" + strconv.Itoa(e.Line)
 	}
 	if e.Key != "" {
-		at += ": " + e.Key
+		position += ": " + e.Key
 	}
-	return at + ": " + e.Err.Error()
+	return position + ": " + e.Err.Error()
 }
 
-// Unwrap returns the reason.
+// Unwrap returns the error without its position.
 func (e *Error) Unwrap() error { return e.Err }
--- a/internal/host/inventory/settings.go
+++ b/internal/host/inventory/settings.go
@@ -14,7 +14,7 @@
 	maxCores     = 1024
 )
 
-// setters check the text of a setting and take it over. A key that is not here is unknown.
+// setters check the text of a setting and store it in an instance. A key without a setter is unknown.
 var setters = map[string]func(*Instance, string) error{
 	"config":        func(i *Instance, s string) error { i.Config = s; return nil },
 	"listen":        func(i *Instance, s string) error { i.Listen = s; return checkAddress(s) },
@@ -31,7 +31,7 @@
 	"max_open":      func(i *Instance, s string) error { return parsePositive(s, &i.MaxInFlight) },
 }
 
-// checkKey reports an unknown key, whose full name is prefix and key.
+// checkKey returns an error if a key is unknown. The error names the key with its prefix.
 func checkKey(path string, line int, prefix, key string) error {
 	if _, ok := setters[key]; !ok {
 		return &Error{File: path, Line: line, Key: prefix + key, Err: ErrUnknownKey}
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// ParseLabels reads KEY=VALUE, separated by commas.
+// ParseLabels parses KEY=VALUE pairs that are separated by commas.
 func ParseLabels(s string) (map[string]string, error) {
 	out := map[string]string{}
 	for part := range strings.SplitSeq(s, ",") {
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// validName accepts names that are fit for file names and commands.
+// validName reports whether a name can be used in file names and in commands.
 func validName(s string) bool {
 	for i, r := range s {
 		alphanumeric := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
--- a/internal/host/inventory/yaml_resolve.go
+++ b/internal/host/inventory/yaml_resolve.go
@@ -7,8 +7,9 @@
 	"sort"
 )
 
-// resolve returns the hosts with their effective settings: those of the groups that contain the host, directly or through
-// children, and last its own. A later one wins; groups are applied by depth, and those of one depth by name.
+// resolve returns the hosts with their effective settings. These are the vars of the groups that contain the host,
+// directly or through child groups, and then the host's own settings; a later value overrides an earlier one. Groups
+// are applied in order of depth, and groups of the same depth in order of name.
 func (d *document) resolve() ([]host, error) {
 	all := d.group(groupAll)
 	d.adoptTopLevelGroups(all)
@@ -27,7 +28,7 @@
 	return out, nil
 }
 
-// adoptTopLevelGroups makes groups that no group contains the children of all.
+// adoptTopLevelGroups makes the groups without a parent children of all.
 func (d *document) adoptTopLevelGroups(all *group) {
 	contained := map[string]bool{groupAll: true}
 	for _, g := range d.groups {
@@ -43,7 +44,7 @@
 	sort.Strings(all.children)
 }
 
-// setDepths sets the depths of a group and of all below it. It is an error where a group is among its own ancestors.
+// setDepths sets the depth of a group and of its descendants. It returns an error if a group is its own ancestor.
 func (d *document) setDepths(g *group, depth int, ancestors map[string]bool) error {
 	if ancestors[g.name] {
 		return &Error{File: d.path, Key: g.name, Err: ErrGroupCycle}
@@ -59,7 +60,7 @@
 	return nil
 }
 
-// memberships returns the groups that name each host.
+// memberships maps each host to the groups that list it directly.
 func (d *document) memberships() map[string][]*group {
 	out := map[string][]*group{}
 	for _, g := range d.groups {
@@ -70,12 +71,12 @@
 	return out
 }
 
-// addWithAncestors adds a group and all groups that contain it.
-func (d *document) addWithAncestors(g *group, to map[*group]bool) {
-	to[g] = true
+// addWithAncestors adds a group and all groups that contain it to a set.
+func (d *document) addWithAncestors(g *group, set map[*group]bool) {
+	set[g] = true
 	for _, parent := range d.groups {
-		if !to[parent] && slices.Contains(parent.children, g.name) {
-			d.addWithAncestors(parent, to)
+		if !set[parent] && slices.Contains(parent.children, g.name) {
+			d.addWithAncestors(parent, set)
 		}
 	}
 }
@@ -87,7 +88,7 @@
 	})
 }
 
-// resolveHost applies the settings of groups, in this order, and then the host's own.
+// resolveHost applies the vars of the groups in the given order, and then the host's own settings.
 func resolveHost(own *host, groups []*group) host {
 	h := host{name: own.name, line: own.line, settings: map[string]value{}}
 	for _, g := range groups {
