--- a/internal/host/agent/agent.go
+++ b/internal/host/agent/agent.go
@@ -12,19 +12,19 @@
 	"poppyarch/internal/host/inventory"
 )
 
-// ErrUnknownInstance says that the inventory has no such instance.
+// ErrUnknownInstance reports that the inventory does not contain an instance.
 var ErrUnknownInstance = errors.New("no such instance")
 
-// Agent runs instances. Operations that change something are carried out one at a time.
+// Agent runs the instances of an inventory. Operations that change instances are carried out one at a time.
 type Agent struct {
 	load     func() ([]inventory.Instance, error)
 	launcher Launcher
 	timing   Timing
 	log      *slog.Logger
 
-	ctx     context.Context // of all runners; Close ends it
+	ctx     context.Context // parent of the runners' contexts; cancelled by Close
 	cancel  context.CancelFunc
-	running sync.WaitGroup // the runners' goroutines
+	running sync.WaitGroup // counts the runners' goroutines
 
 	operation sync.Mutex // held by the operation in progress
 	mu        sync.Mutex // guards runners
@@ -45,7 +45,8 @@
 	}
 }
 
-// Start starts instances, or where names is empty all that the inventory enables. It does not wait for them.
+// Start starts the named instances, or all that the inventory enables if names is empty. It does not wait until they
+// are ready.
 func (a *Agent) Start(_ context.Context, names []string) error {
 	a.operation.Lock()
 	defer a.operation.Unlock()
@@ -61,7 +62,7 @@
 	return nil
 }
 
-// Stop drains instances, or where names is empty all, at the same time. It returns when they have ended.
+// Stop drains the named instances, or all if names is empty, concurrently. It returns when they have stopped.
 func (a *Agent) Stop(ctx context.Context, names []string) error {
 	a.operation.Lock()
 	defer a.operation.Unlock()
@@ -80,9 +81,9 @@
 	return nil
 }
 
-// Restart drains and starts instances one at a time, each once the previous one is ready. It ends with an error at the
-// first that does not become ready, so that a faulty change takes down one instance and not all. Where names is empty, it
-// restarts those that run.
+// Restart drains and starts the named instances one at a time, each once the previous one is ready. If names is empty,
+// it restarts all instances that should be running. It returns an error at the first instance that does not become
+// ready, so that a faulty change takes down one instance and not all.
 func (a *Agent) Restart(ctx context.Context, names []string) error {
 	a.operation.Lock()
 	defer a.operation.Unlock()
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// Status lists the instances by name.
+// Status returns the status of all instances, sorted by name.
 func (a *Agent) Status() []Status {
 	out := []Status{}
 	for _, name := range a.names() {
@@ -113,13 +114,13 @@
 	return out
 }
 
-// Close drains all instances and returns when they have ended.
+// Close drains all instances and returns when they have stopped.
 func (a *Agent) Close() {
 	a.cancel()
 	a.running.Wait()
 }
 
-// selectRunners returns the runners of the named instances, or all by name where names is empty.
+// selectRunners returns the runners of the named instances, or all runners sorted by name if names is empty.
 func (a *Agent) selectRunners(names []string) ([]*runner, error) {
 	if len(names) == 0 {
 		names = a.names()
--- a/internal/host/agent/agent_test.go
+++ b/internal/host/agent/agent_test.go
@@ -16,11 +16,11 @@
 	"poppyarch/internal/host/inventory"
 )
 
-// fakeLauncher starts processes that live in memory.
+// fakeLauncher simulates processes in memory.
 type fakeLauncher struct {
 	mu         sync.Mutex
 	events     []string // starts, drains and kills, in order
-	live       map[string]*fakeProcess
+	running    map[string]*fakeProcess
 	neverReady map[string]bool
 	drainTime  map[string]time.Duration
 	startError map[string]error
@@ -32,19 +32,19 @@
 	name     string
 	pid      int
 	done     chan error
-	once     sync.Once
+	exitOnce sync.Once
 }
 
 func newFakeLauncher() *fakeLauncher {
 	return &fakeLauncher{
-		live:       map[string]*fakeProcess{},
+		running:    map[string]*fakeProcess{},
 		neverReady: map[string]bool{},
 		drainTime:  map[string]time.Duration{},
 		startError: map[string]error{},
 	}
 }
 
-// record is called with mu held.
+// record appends an event. The caller holds mu.
 func (l *fakeLauncher) record(format string, args ...any) {
 	l.events = append(l.events, fmt.Sprintf(format, args...))
 }
@@ -55,12 +55,12 @@
 	if err := l.startError[in.Name]; err != nil {
 		return nil, err
 	}
-	if l.live[in.Name] != nil {
+	if l.running[in.Name] != nil {
 		l.record("%s started twice", in.Name)
 	}
 	l.lastPID++
 	p := &fakeProcess{launcher: l, name: in.Name, pid: l.lastPID, done: make(chan error, 1)}
-	l.live[in.Name] = p
+	l.running[in.Name] = p
 	l.record("start %s %d", in.Name, in.MemoryMB)
 	return p, nil
 }
@@ -68,7 +68,7 @@
 func (l *fakeLauncher) Ready(_ context.Context, in inventory.Instance) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.live[in.Name] != nil && !l.neverReady[in.Name]
+	return l.running[in.Name] != nil && !l.neverReady[in.Name]
 }
 
 // setStartError makes the starts of an instance fail; nil lets them succeed again.
@@ -78,12 +78,12 @@
 	l.startError[name] = err
 }
 
-// crash ends an instance's process.
+// crash ends an instance's process with an error.
 func (l *fakeLauncher) crash(name string) {
 	l.mu.Lock()
-	p := l.live[name]
+	p := l.running[name]
 	l.mu.Unlock()
-	p.end(errors.New("exit status 2"))
+	p.exit(errors.New("exit status 2"))
 }
 
 // takeEvents returns the events since the last call.
@@ -98,10 +98,10 @@
 func (p *fakeProcess) PID() int           { return p.pid }
 func (p *fakeProcess) Done() <-chan error { return p.done }
 
-func (p *fakeProcess) end(err error) {
-	p.once.Do(func() {
+func (p *fakeProcess) exit(err error) {
+	p.exitOnce.Do(func() {
 		p.launcher.mu.Lock()
-		delete(p.launcher.live, p.name)
+		delete(p.launcher.running, p.name)
 		p.launcher.mu.Unlock()
 		p.done <- err
 	})
@@ -111,7 +111,7 @@
 	p.launcher.mu.Lock()
 	defer p.launcher.mu.Unlock()
 	p.launcher.record("drain %s", p.name)
-	time.AfterFunc(p.launcher.drainTime[p.name], func() { p.end(nil) })
+	time.AfterFunc(p.launcher.drainTime[p.name], func() { p.exit(nil) })
 	return nil
 }
 
@@ -119,12 +119,12 @@
 	p.launcher.mu.Lock()
 	p.launcher.record("kill %s", p.name)
 	p.launcher.mu.Unlock()
-	p.end(errors.New("killed"))
+	p.exit(errors.New("killed"))
 	return nil
 }
 
-// withAgent runs a test against an agent with the instances a, b and c, of which c is disabled. The inventory is invalid
-// while list is nil.
+// withAgent runs a test with an agent that has the instances a, b and c, of which c is disabled. Reading the inventory
+// fails while list is nil.
 func withAgent(t *testing.T, f func(t *testing.T, a *Agent, l *fakeLauncher, list *[]inventory.Instance)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -141,35 +141,35 @@
 		if _, err := a.Reload(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		settle()
+		waitUntilSettled()
 		l.takeEvents()
 		f(t, a, l, &list)
 	})
 }
 
-// settle waits until the runners have reached the desired state.
-func settle() {
+// waitUntilSettled waits until the runners have reached the desired state.
+func waitUntilSettled() {
 	time.Sleep(100 * time.Millisecond)
 	synctest.Wait()
 }
 
-func states(a *Agent) (out []State) {
+func instanceStates(a *Agent) (out []State) {
 	for _, s := range a.Status() {
 		out = append(out, s.State)
 	}
 	return out
 }
 
-func expect[T comparable](t *testing.T, what string, got, want []T) {
+func expectEqual[T comparable](t *testing.T, label string, got, want []T) {
 	t.Helper()
 	if !slices.Equal(got, want) {
-		t.Errorf("%s: got %v, want %v", what, got, want)
+		t.Errorf("%s: got %v, want %v", label, got, want)
 	}
 }
 
 func TestEnabledInstancesAreStarted(t *testing.T) {
 	withAgent(t, func(t *testing.T, a *Agent, _ *fakeLauncher, _ *[]inventory.Instance) {
-		expect(t, "states", states(a), []State{Running, Running, Stopped})
+		expectEqual(t, "states", instanceStates(a), []State{Running, Running, Stopped})
 	})
 }
 
@@ -177,45 +177,45 @@
 	withAgent(t, func(t *testing.T, a *Agent, l *fakeLauncher, _ *[]inventory.Instance) {
 		var waits []time.Duration
 		for range 8 {
-			began := time.Now()
+			crashedAt := time.Now()
 			l.crash("a")
 			for len(l.takeEvents()) == 0 {
 				time.Sleep(10 * time.Millisecond)
 			}
-			waits = append(waits, time.Since(began).Round(100*time.Millisecond))
+			waits = append(waits, time.Since(crashedAt).Round(100*time.Millisecond))
 		}
 		const ms = time.Millisecond
-		expect(t, "waits", waits, []time.Duration{500 * ms, 1000 * ms, 2000 * ms, 4000 * ms, 8000 * ms, 16000 * ms, 30000 * ms,
+		expectEqual(t, "waits", waits, []time.Duration{500 * ms, 1000 * ms, 2000 * ms, 4000 * ms, 8000 * ms, 16000 * ms, 30000 * ms,
 			30000 * ms})
-		settle()
+		waitUntilSettled()
 		if st := a.Status()[0]; st.Restarts != 8 || st.Error != "exit status 2" {
-			t.Errorf("%+v", st)
+			t.Errorf("got %+v, want 8 restarts and the error of the last exit", st)
 		}
-		time.Sleep(2 * time.Minute) // a long run ends the doubling
+		time.Sleep(2 * time.Minute) // longer than StableAfter, which resets the backoff
 		l.crash("a")
 		time.Sleep(600 * time.Millisecond)
-		expect(t, "after a long run", l.takeEvents(), []string{"start a 0"})
+		expectEqual(t, "events after a long run", l.takeEvents(), []string{"start a 0"})
 	})
 }
 
 func TestStoppedInstanceDrainsAndStaysStopped(t *testing.T) {
 	withAgent(t, func(t *testing.T, a *Agent, l *fakeLauncher, _ *[]inventory.Instance) {
 		l.drainTime["a"] = 3 * time.Second
-		began := time.Now()
+		startedAt := time.Now()
 		if err := a.Stop(t.Context(), []string{"a"}); err != nil {
 			t.Fatal(err)
 		}
-		if took := time.Since(began); took != 3*time.Second {
-			t.Errorf("stop returned after %v, the drain takes 3 s", took)
+		if elapsed := time.Since(startedAt); elapsed != 3*time.Second {
+			t.Errorf("Stop returned after %v, want 3 s, the time of the drain", elapsed)
 		}
 		time.Sleep(time.Hour)
-		expect(t, "events", l.takeEvents(), []string{"drain a"})
-		expect(t, "states", states(a), []State{Stopped, Running, Stopped})
+		expectEqual(t, "events", l.takeEvents(), []string{"drain a"})
+		expectEqual(t, "states", instanceStates(a), []State{Stopped, Running, Stopped})
 		if err := a.Start(t.Context(), []string{"a", "c"}); err != nil {
 			t.Fatal(err)
 		}
-		settle()
-		expect(t, "states", states(a), []State{Running, Running, Running})
+		waitUntilSettled()
+		expectEqual(t, "states", instanceStates(a), []State{Running, Running, Running})
 	})
 }
 
@@ -225,7 +225,7 @@
 		if err := a.Stop(t.Context(), []string{"a"}); err != nil {
 			t.Fatal(err)
 		}
-		expect(t, "events", l.takeEvents(), []string{"drain a", "kill a"})
+		expectEqual(t, "events", l.takeEvents(), []string{"drain a", "kill a"})
 	})
 }
 
@@ -237,7 +237,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(time.Hour)
-		expect(t, "events", l.takeEvents(), nil)
+		expectEqual(t, "events", l.takeEvents(), nil)
 	})
 }
 
@@ -246,14 +246,14 @@
 		if err := a.Restart(t.Context(), nil); err != nil {
 			t.Fatal(err)
 		}
-		expect(t, "events", l.takeEvents(), []string{"drain a", "start a 0", "drain b", "start b 0"})
-		expect(t, "states", states(a), []State{Running, Running, Stopped})
-		l.neverReady["a"] = true // a bad change: the first does not come up, the second must be left alone
+		expectEqual(t, "events", l.takeEvents(), []string{"drain a", "start a 0", "drain b", "start b 0"})
+		expectEqual(t, "states", instanceStates(a), []State{Running, Running, Stopped})
+		l.neverReady["a"] = true // simulates a faulty change: a does not become ready, so b must not be restarted
 		if err := a.Restart(t.Context(), nil); err == nil {
-			t.Error("no error though a does not answer")
+			t.Error("Restart returned no error although a does not become ready")
 		}
-		expect(t, "events", l.takeEvents(), []string{"drain a", "start a 0"})
-		expect(t, "states", states(a), []State{Starting, Running, Stopped})
+		expectEqual(t, "events", l.takeEvents(), []string{"drain a", "start a 0"})
+		expectEqual(t, "states", instanceStates(a), []State{Starting, Running, Stopped})
 	})
 }
 
@@ -262,36 +262,36 @@
 		old := *list
 		*list = nil
 		if _, err := a.Reload(t.Context()); err == nil {
-			t.Error("a faulty inventory was taken")
+			t.Error("Reload accepted an invalid inventory")
 		}
-		expect(t, "after a faulty inventory", l.takeEvents(), nil)
+		expectEqual(t, "events after an invalid inventory", l.takeEvents(), nil)
 		*list = []inventory.Instance{{Name: "b", Enabled: true, MemoryMB: 64}, old[2], {Name: "d", Enabled: true}}
 		c, err := a.Reload(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
-		expect(t, "added", c.Added, []string{"d"})
-		expect(t, "removed", c.Removed, []string{"a"})
-		expect(t, "restarted", c.Restarted, []string{"b"})
-		settle()
+		expectEqual(t, "added", c.Added, []string{"d"})
+		expectEqual(t, "removed", c.Removed, []string{"a"})
+		expectEqual(t, "restarted", c.Restarted, []string{"b"})
+		waitUntilSettled()
 		events := l.takeEvents()
 		slices.Sort(events)
-		expect(t, "events", events, []string{"drain a", "drain b", "start b 64", "start d 0"})
-		expect(t, "states", states(a), []State{Running, Stopped, Running})
+		expectEqual(t, "events", events, []string{"drain a", "drain b", "start b 64", "start d 0"})
+		expectEqual(t, "states", instanceStates(a), []State{Running, Stopped, Running})
 		c, err = a.Reload(t.Context())
 		if err != nil || c.Unchanged != 3 {
-			t.Errorf("%+v %v", c, err)
+			t.Errorf("reload without changes: got %+v, %v; want 3 unchanged instances", c, err)
 		}
-		expect(t, "after a reload without changes", l.takeEvents(), nil)
+		expectEqual(t, "events after a reload without changes", l.takeEvents(), nil)
 	})
 }
 
 func TestUnknownNameChangesNothing(t *testing.T) {
 	withAgent(t, func(t *testing.T, a *Agent, l *fakeLauncher, _ *[]inventory.Instance) {
 		if err := a.Stop(t.Context(), []string{"a", "x"}); !errors.Is(err, ErrUnknownInstance) {
-			t.Errorf("got %v", err)
+			t.Errorf("got %v, want %v", err, ErrUnknownInstance)
 		}
-		expect(t, "events", l.takeEvents(), nil)
+		expectEqual(t, "events", l.takeEvents(), nil)
 	})
 }
 
@@ -301,20 +301,20 @@
 		if err := a.Start(t.Context(), []string{"c"}); err != nil {
 			t.Fatal(err)
 		}
-		settle()
+		waitUntilSettled()
 		if st := a.Status()[2]; st.State != Backoff || st.Error != "no such file" {
-			t.Errorf("%+v", st)
+			t.Errorf("got %+v, want state %s and the error of the start", st, Backoff)
 		}
 		l.setStartError("c", nil)
 		time.Sleep(time.Second)
-		expect(t, "states", states(a), []State{Running, Running, Running})
+		expectEqual(t, "states", instanceStates(a), []State{Running, Running, Running})
 	})
 }
 
-func TestCallOverSocketThatAKilledAgentLeft(t *testing.T) {
+func TestCallOverSocketLeftByKilledAgent(t *testing.T) {
 	path := t.TempDir() + "/agent.sock"
 	if _, err := Call(t.Context(), path, "GET", "status", Request{}); !errors.Is(err, ErrNoAgent) {
-		t.Errorf("got %v", err)
+		t.Errorf("call without an agent: got %v, want %v", err, ErrNoAgent)
 	}
 	for range 2 {
 		ln, err := Listen(path)
@@ -322,36 +322,37 @@
 			t.Fatal(err)
 		}
 		if _, err := Listen(path); !errors.Is(err, ErrAgentRunning) {
-			t.Fatalf("two agents on one socket: %v", err)
+			t.Fatalf("second agent on the socket: got %v, want %v", err, ErrAgentRunning)
 		}
 		load := func() ([]inventory.Instance, error) { return []inventory.Instance{{Name: "c"}}, nil }
 		a := New(load, newFakeLauncher(), DefaultTiming(), slog.New(slog.DiscardHandler))
-		kill := serve(t, ln, a)
+		kill := serveAgent(t, ln, a)
 		r, err := Call(t.Context(), path, "POST", "reload", Request{})
 		if err != nil || len(r.Changes.Added) != 1 || len(r.Instances) != 1 {
-			t.Errorf("%+v %v", r, err)
+			t.Errorf("reload: got %+v, %v; want one instance, added", r, err)
 		}
 		if _, err := Call(t.Context(), path, "POST", "start", Request{Names: []string{"x"}}); !errors.Is(err, ErrUnknownInstance) {
-			t.Errorf("got %v", err)
+			t.Errorf("start of an unknown instance: got %v, want %v", err, ErrUnknownInstance)
 		}
 		kill()
 		a.Close()
 	}
 }
 
-// serve answers calls on ln. The function that it returns ends that and leaves the socket behind, as a kill does.
-func serve(t *testing.T, ln net.Listener, a *Agent) (kill func()) {
+// serveAgent handles calls on ln. The returned function stops the server and leaves the socket file behind, as a killed
+// agent does.
+func serveAgent(t *testing.T, ln net.Listener, a *Agent) (kill func()) {
 	t.Helper()
 	ln.(*net.UnixListener).SetUnlinkOnClose(false)
 	srv := &http.Server{Handler: Handler(a)}
-	ended := make(chan error, 1)
-	go func() { ended <- srv.Serve(ln) }()
+	served := make(chan error, 1)
+	go func() { served <- srv.Serve(ln) }()
 	return func() {
 		t.Helper()
 		if err := srv.Close(); err != nil {
 			t.Error(err)
 		}
-		if err := <-ended; !errors.Is(err, http.ErrServerClosed) {
+		if err := <-served; !errors.Is(err, http.ErrServerClosed) {
 			t.Error(err)
 		}
 	}
--- a/internal/host/agent/client.go
+++ b/internal/host/agent/client.go
@@ -10,11 +10,11 @@
 	"net/http"
 )
 
-// ErrNoAgent says that nobody listens on the socket.
+// ErrNoAgent reports that no agent listens on a socket.
 var ErrNoAgent = errors.New("no agent")
 
-// Call makes one call to the agent behind a socket. Its errors match ErrNoAgent or ErrUnknownInstance where these apply.
-// The reply is valid also where the agent reports an error.
+// Call makes one call to the agent that listens on a socket. An error matches ErrNoAgent or ErrUnknownInstance if one
+// of these is the cause. If the agent reports an error, the reply is valid as well.
 func Call(ctx context.Context, socket, method, path string, request Request) (Reply, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -35,7 +35,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	var out Reply
 	if err := json.NewDecoder(resp.Body).Decode(&out); err != nil {
-		return out, fmt.Errorf("agent: %w", err)
+		return out, fmt.Errorf("decode the agent's reply: %w", err)
 	}
 	if resp.StatusCode == http.StatusNotFound {
 		return out, fmt.Errorf("%w: %s", ErrUnknownInstance, out.Error)
@@ -46,7 +46,7 @@
 	return out, nil
 }
 
-// socketClient sends every request to a Unix socket.
+// socketClient returns a client that sends all requests to a Unix socket.
 func socketClient(socket string) *http.Client {
 	var dialer net.Dialer
 	transport := &http.Transport{
--- a/internal/host/agent/compose.go
+++ b/internal/host/agent/compose.go
@@ -9,7 +9,7 @@
 	"poppyarch/internal/host/inventory"
 )
 
-// ComposeFile returns the configuration of an instance, made from the file that it names.
+// ComposeFile returns the configuration of an instance, composed from the configuration file that the instance names.
 func ComposeFile(instance inventory.Instance) ([]byte, error) {
 	text, err := os.ReadFile(instance.Config)
 	if err != nil {
@@ -18,9 +18,9 @@
 	return Compose(instance, text, nil)
 }
 
-// Compose returns the configuration of an instance: text, that of the configuration file that it names, with the
-// inventory's settings in place of those of the file. control, unless it is nil, sets up the control endpoint. The result
-// has been checked.
+// Compose returns the configuration of an instance. text is the content of the configuration file that the instance
+// names; settings of the inventory override those in text. control configures the control endpoint, unless it is nil.
+// Compose returns an error if the result is not a valid configuration.
 func Compose(instance inventory.Instance, text []byte, control *config.Control) ([]byte, error) {
 	doc, err := parseObject(text)
 	if err != nil {
@@ -52,7 +52,7 @@
 }
 
 func composeTopLevel(doc object, instance inventory.Instance) error {
-	delete(doc, "seed") // each start draws its own
+	delete(doc, "seed") // each start of the broker draws a new seed
 	if instance.Listen == "" {
 		delete(doc, "listen")
 	}
@@ -72,8 +72,8 @@
 	})
 }
 
-// composeObjectFrontend leaves out the object frontend of an instance without an address for it: the address in the file
-// would be that of every instance.
+// composeObjectFrontend sets the address of the object frontend. It removes the object frontend of an instance that has
+// no address for it, since otherwise all such instances would use the address in the file.
 func composeObjectFrontend(doc object, instance inventory.Instance) error {
 	if instance.ObjectListen == "" {
 		delete(doc, "object")
@@ -82,7 +82,7 @@
 	return doc.update("object", map[string]any{"listen": instance.ObjectListen})
 }
 
-// object is a JSON object of which only some members are read.
+// object is a JSON object, of which only some members are decoded.
 type object map[string]json.RawMessage
 
 func parseObject(text []byte) (object, error) {
@@ -93,7 +93,7 @@
 	return o, nil
 }
 
-// orNil is v, or nil where v is its type's zero value, that is not set.
+// orNil returns v, or nil if v is the zero value of its type, which means that it is not set.
 func orNil[T comparable](v T) any {
 	var zero T
 	if v == zero {
@@ -102,7 +102,7 @@
 	return v
 }
 
-// set encodes v as the member key.
+// set encodes v as the member with a key.
 func (o object) set(key string, v any) error {
 	text, err := json.Marshal(v)
 	if err != nil {
@@ -125,7 +125,8 @@
 	return nil
 }
 
-// update sets members of the object key, which is created where it is missing and left out where it stays empty.
+// update sets members of the nested object with a key. It creates the nested object if it is missing, but does not add
+// an empty one.
 func (o object) update(key string, members map[string]any) error {
 	nested := object{}
 	if o[key] != nil {
--- a/internal/host/agent/handler.go
+++ b/internal/host/agent/handler.go
@@ -9,12 +9,12 @@
 	"net/http"
 )
 
-// Request is the body of a call.
+// Request is the body of a call to the agent.
 type Request struct {
-	Names []string `json:"names,omitempty"` // of instances; empty: all
+	Names []string `json:"names,omitempty"` // names of instances; empty for all
 }
 
-// Reply answers a call.
+// Reply is the response to a call. It has the status of all instances.
 type Reply struct {
 	Instances []Status      `json:"instances,omitempty"`
 	Changes   *ReloadResult `json:"changes,omitempty"`
@@ -39,20 +39,20 @@
 	return mux
 }
 
-// serveOperation serves an operation on the instances that the request names. An empty body means all.
+// serveOperation returns a handler for an operation on the instances that a request names. An empty body selects all.
 func (a *Agent) serveOperation(operate func(ctx context.Context, names []string) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var request Request
 		body := http.MaxBytesReader(w, r.Body, maxRequestBytes)
 		if err := json.NewDecoder(body).Decode(&request); err != nil && !errors.Is(err, io.EOF) {
-			a.reply(w, nil, fmt.Errorf("request: %w", err))
+			a.reply(w, nil, fmt.Errorf("invalid request body: %w", err))
 			return
 		}
 		a.reply(w, nil, operate(r.Context(), request.Names))
 	}
 }
 
-// reply answers with the state of all instances.
+// reply sends the status of all instances, with the result or error of a call.
 func (a *Agent) reply(w http.ResponseWriter, changes *ReloadResult, err error) {
 	out := Reply{Instances: a.Status(), Changes: changes}
 	status := http.StatusOK
@@ -65,5 +65,5 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(out) // a client that has gone away asks again
+	_ = json.NewEncoder(w).Encode(out) // fails only if the client has disconnected; it can repeat its call
 }
--- a/internal/host/agent/health.go
+++ b/internal/host/agent/health.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -25,7 +24,7 @@
 	return instance.ObjectListen == "" || checkObjectFrontend(ctx, instance.ObjectListen) == nil
 }
 
-// checkBlockFrontend sends a PING.
+// checkBlockFrontend sends a PING and expects a PONG.
 func checkBlockFrontend(ctx context.Context, addr string) error {
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, "tcp", addr)
@@ -42,17 +41,17 @@
 		return err
 	}
 	const want = "+PONG\r\n"
-	answer := make([]byte, len(want))
-	if _, err := io.ReadFull(conn, answer); err != nil {
+	response := make([]byte, len(want))
+	if _, err := io.ReadFull(conn, response); err != nil {
 		return err
 	}
-	if string(answer) != want {
-		return errors.New("no PONG")
+	if string(response) != want {
+		return fmt.Errorf("response to PING is %q, want %q", response, want)
 	}
 	return nil
 }
 
-// checkObjectFrontend requests the health path.
+// checkObjectFrontend sends a request for the health path and expects status 200.
 func checkObjectFrontend(ctx context.Context, addr string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/_health", nil)
 	if err != nil {
@@ -65,7 +64,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("status %d", resp.StatusCode)
+		return fmt.Errorf("health check: status is %d, want %d", resp.StatusCode, http.StatusOK)
 	}
 	return nil
 }
--- a/internal/host/agent/launcher.go
+++ b/internal/host/agent/launcher.go
@@ -10,12 +10,12 @@
 
 // ProcessLauncher starts brokers as processes of `poppyarch serve`.
 type ProcessLauncher struct {
-	Program  string // path of poppyarch itself
-	StateDir string // for the instances' configuration files and logs
+	Program  string // path of the poppyarch executable
+	StateDir string // directory of the instances' configuration files and logs
 }
 
-// Start runs a broker for an instance. Its log is appended to a file of its own. Where the agent is killed, its brokers
-// drain instead of running on unsupervised.
+// Start starts a broker for an instance. Its output is appended to the instance's log file. If the agent is killed, its
+// brokers drain instead of continuing to run unsupervised.
 func (l *ProcessLauncher) Start(instance inventory.Instance) (Process, error) {
 	text, err := ComposeFile(instance)
 	if err != nil {
--- a/internal/host/agent/reload.go
+++ b/internal/host/agent/reload.go
@@ -6,7 +6,7 @@
 	"poppyarch/internal/host/inventory"
 )
 
-// ReloadResult says what a reload changed, by instance name.
+// ReloadResult lists the names of the instances that a reload changed, and counts the unchanged ones.
 type ReloadResult struct {
 	Added     []string `json:"added"`
 	Removed   []string `json:"removed"`
@@ -14,8 +14,8 @@
 	Unchanged int      `json:"unchanged"`
 }
 
-// Reload reads the inventory and reconciles the instances with it: removed ones are drained, new ones started, changed ones
-// restarted one at a time. An invalid inventory changes nothing.
+// Reload reads the inventory and reconciles the instances with it: it drains removed instances, starts new ones, and
+// restarts changed ones one at a time. An invalid inventory changes nothing.
 func (a *Agent) Reload(ctx context.Context) (ReloadResult, error) {
 	a.operation.Lock()
 	defer a.operation.Unlock()
@@ -35,7 +35,7 @@
 			result.Removed = append(result.Removed, name)
 		}
 	}
-	// Removals come first, since a new instance may have the address of a removed one.
+	// Removals come first, since a new instance may use the address of a removed one.
 	if err := a.remove(ctx, result.Removed); err != nil {
 		return result, err
 	}
@@ -74,7 +74,7 @@
 	a.running.Go(func() { r.run(ctx) })
 }
 
-// remove drains instances at the same time, and forgets them.
+// remove drains instances concurrently and deletes their runners.
 func (a *Agent) remove(ctx context.Context, names []string) error {
 	for _, name := range names {
 		a.runner(name).cancel()
--- a/internal/host/agent/runner.go
+++ b/internal/host/agent/runner.go
@@ -11,17 +11,17 @@
 	"poppyarch/internal/host/inventory"
 )
 
-// Timing bounds the agent's waits.
+// Timing holds the agent's timeouts and intervals.
 type Timing struct {
-	InitialBackoff time.Duration // after a crash; doubles with each further one
+	InitialBackoff time.Duration // after a crash; doubles with each further crash
 	MaxBackoff     time.Duration
-	StableAfter    time.Duration // a run of this length resets the backoff
-	DrainTimeout   time.Duration // from SIGTERM to SIGKILL
-	ReadyTimeout   time.Duration // from the start until ready, in a restart
-	PollInterval   time.Duration // between two readiness checks
+	StableAfter    time.Duration // a process that has run for this long resets the backoff
+	DrainTimeout   time.Duration // from the request to drain until the process is killed
+	ReadyTimeout   time.Duration // from the start until the instance is ready, during a restart
+	PollInterval   time.Duration // between readiness checks
 }
 
-// DefaultTiming suits brokers whose longest deadline is some seconds.
+// DefaultTiming returns values for brokers whose longest request deadline is a few seconds.
 func DefaultTiming() Timing {
 	return Timing{
 		InitialBackoff: 500 * time.Millisecond,
@@ -33,11 +33,11 @@
 	}
 }
 
-// Process is a started broker.
+// Process is a broker process that has been started.
 type Process interface {
 	PID() int
-	Done() <-chan error // delivers once how it ended
-	Terminate() error   // asks it to drain
+	Done() <-chan error // delivers the result of the process once, nil for exit code 0
+	Terminate() error   // asks the process to drain
 	Kill() error
 }
 
@@ -47,17 +47,17 @@
 	Ready(context.Context, inventory.Instance) bool
 }
 
-// errUnexpectedExit is the error of a process that exited with code 0 and was not asked to.
-var errUnexpectedExit = errors.New("ended with exit code 0 though it was not asked to")
+// errUnexpectedExit reports that a process exited with code 0 without being asked to stop.
+var errUnexpectedExit = errors.New("exited with code 0 without being asked to stop")
 
-// runner brings the process of one instance into its desired state.
+// runner keeps the process of one instance in its desired state.
 type runner struct {
 	launcher Launcher
 	timing   Timing
 	log      *slog.Logger
-	cancel   context.CancelFunc // ends run
-	wake     chan struct{}      // the desired state has changed; holds one
-	done     chan struct{}      // closed when run has ended
+	cancel   context.CancelFunc // cancels the context of run
+	wake     chan struct{}      // signals a change of the desired state; capacity 1
+	done     chan struct{}      // closed when run returns
 
 	mu       sync.Mutex
 	instance inventory.Instance
@@ -65,14 +65,14 @@
 	changed  chan struct{} // closed at each change of status
 }
 
-// snapshot is a runner's state at one moment.
+// snapshot is a copy of a runner's state.
 type snapshot struct {
 	status   Status
 	instance inventory.Instance
 	changed  <-chan struct{} // closed at the next change of status
 }
 
-// newRunner returns a runner; cancel ends the context that run is given.
+// newRunner returns a runner. cancel cancels the context that is passed to run.
 func newRunner(instance inventory.Instance, l Launcher, timing Timing, log *slog.Logger, cancel context.CancelFunc) *runner {
 	return &runner{
 		launcher: l,
@@ -96,7 +96,7 @@
 	return snapshot{status: status, instance: r.instance, changed: r.changed}
 }
 
-// setDesired says whether the instance should run, from its next start on with these settings.
+// setDesired sets whether the instance should run, and its settings. Changed settings apply from its next start.
 func (r *runner) setDesired(shouldRun bool, instance inventory.Instance) {
 	r.mu.Lock()
 	r.status.ShouldRun = shouldRun
@@ -108,8 +108,8 @@
 	}
 }
 
-// update stores new settings where this needs no restart: nothing has changed, or the instance does not run. It reports
-// whether that was so.
+// update stores new settings if this needs no restart, because nothing has changed or the instance is not running. It
+// returns false, and stores nothing, if a restart is needed.
 func (r *runner) update(instance inventory.Instance) bool {
 	s := r.snapshot()
 	if s.instance == instance {
@@ -123,7 +123,8 @@
 	return false
 }
 
-// restart stops the instance and, where start is set, starts it with these settings and waits until it is ready.
+// restart stops the instance. If start is true, it then starts the instance with the new settings and waits until it is
+// ready.
 func (r *runner) restart(ctx context.Context, instance inventory.Instance, start bool) error {
 	r.setDesired(false, instance)
 	if err := r.waitStopped(ctx); err != nil {
@@ -137,19 +138,19 @@
 	defer cancel()
 	if err := r.waitFor(ctx, Running); err != nil {
 		lastError := r.snapshot().status.Error
-		return fmt.Errorf("%s: does not answer after its restart: %w (%s)", instance.Name, err, lastError)
+		return fmt.Errorf("%s: not ready after its restart: %w (last error: %q)", instance.Name, err, lastError)
 	}
 	return nil
 }
 
 func (r *runner) waitStopped(ctx context.Context) error {
 	if err := r.waitFor(ctx, Stopped); err != nil {
-		return fmt.Errorf("%s: not stopped: %w", r.snapshot().instance.Name, err)
+		return fmt.Errorf("%s: did not stop: %w", r.snapshot().instance.Name, err)
 	}
 	return nil
 }
 
-// waitFor waits until the instance is in a state, or for the end of ctx.
+// waitFor waits until the instance is in a state or ctx is done.
 func (r *runner) waitFor(ctx context.Context, state State) error {
 	for {
 		s := r.snapshot()
@@ -164,7 +165,7 @@
 	}
 }
 
-// setState records a new state with the changes of the status that belong to it.
+// setState records a new state. change, if not nil, updates the rest of the status with it.
 func (r *runner) setState(state State, change func(*Status)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -209,7 +210,7 @@
 	r.setState(Stopped, nil)
 }
 
-// backOff records a crash and waits for the next start. A change of the desired state ends the wait.
+// backOff records a crash and waits before the next start. A change of the desired state ends the wait early.
 func (r *runner) backOff(ctx context.Context, wait time.Duration, crash error) {
 	if crash == nil {
 		crash = errUnexpectedExit
@@ -225,7 +226,7 @@
 	r.waitForChange(ctx, timer.C)
 }
 
-// waitForChange waits for a change of the desired state, the timer or the end of ctx.
+// waitForChange waits until the desired state changes, the timer fires or ctx is done.
 func (r *runner) waitForChange(ctx context.Context, timer <-chan time.Time) {
 	select {
 	case <-timer:
@@ -234,8 +235,8 @@
 	}
 }
 
-// runProcess runs the process once. requested reports that it ended because it should; otherwise err is how it ended, nil
-// for exit code 0.
+// runProcess starts the process and waits until it ends. requested is true if the agent stopped it; otherwise err is
+// the error of the start or the result of the process, nil for exit code 0.
 func (r *runner) runProcess(ctx context.Context, instance inventory.Instance) (requested bool, err error) {
 	p, err := r.launcher.Start(instance)
 	if err != nil {
@@ -251,7 +252,7 @@
 	return true, nil
 }
 
-// superviseProcess follows a process until it exits by itself or should end.
+// superviseProcess waits until a process exits on its own, or should stop. It records when the process becomes ready.
 func (r *runner) superviseProcess(ctx context.Context, p Process, instance inventory.Instance) (exited bool, err error) {
 	pollCtx, stopPolling := context.WithCancel(ctx)
 	ready := make(chan struct{})
@@ -264,7 +265,7 @@
 		case err := <-p.Done():
 			return true, err
 		case <-ready:
-			ready = nil // closed once
+			ready = nil // it stays closed, so receiving from it again would not block
 			r.setState(Running, nil)
 			r.log.Info("agent: instance is ready", "pid", p.PID())
 			continue
@@ -277,7 +278,7 @@
 	}
 }
 
-// pollReady closes ready when the instance is ready.
+// pollReady polls the readiness of the instance and closes ready when it is ready, or returns when ctx is done.
 func (r *runner) pollReady(ctx context.Context, instance inventory.Instance, ready chan<- struct{}) {
 	for !r.launcher.Ready(ctx, instance) {
 		select {
@@ -289,22 +290,22 @@
 	close(ready)
 }
 
-// drainProcess asks a process to drain and kills it where it does not end in time.
+// drainProcess asks a process to drain and kills it if it does not exit in time.
 func (r *runner) drainProcess(p Process) {
 	r.setState(Stopping, nil)
 	r.log.Info("agent: instance draining", "pid", p.PID())
-	_ = p.Terminate() // fails only where it has ended, which Done delivers
+	_ = p.Terminate() // fails only if the process has exited, which Done delivers
 	timer := time.NewTimer(r.timing.DrainTimeout)
 	defer timer.Stop()
-	if exited, _ := waitExit(p, timer.C); exited { // with whatever code, after a drain
+	if exited, _ := waitExit(p, timer.C); exited { // after a drain the exit code does not matter
 		return
 	}
 	r.log.Error("agent: instance did not drain in time, killing it", "pid", p.PID())
-	_ = p.Kill()            // as Terminate
-	_, _ = waitExit(p, nil) // it was killed
+	_ = p.Kill()            // fails only if the process has exited
+	_, _ = waitExit(p, nil) // the result of a killed process does not matter
 }
 
-// waitExit waits for the end of a process, or for timeout. err is how the process ended.
+// waitExit waits until a process exits or timeout fires. err is the result of the process.
 func waitExit(p Process, timeout <-chan time.Time) (exited bool, err error) {
 	select {
 	case err := <-p.Done():
--- a/internal/host/agent/socket.go
+++ b/internal/host/agent/socket.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// socketMode keeps other users from giving the agent orders.
+// socketMode denies other users access to the agent.
 const socketMode = 0o600
 
-// ErrAgentRunning says that another agent listens on a socket.
-var ErrAgentRunning = errors.New("an agent runs already")
+// ErrAgentRunning reports that another agent listens on a socket.
+var ErrAgentRunning = errors.New("another agent is already running")
 
-// probeTimeout bounds the wait for an agent that may own a socket.
+// probeTimeout bounds the check whether an agent listens on a socket.
 const probeTimeout = time.Second
 
-// Listen opens an agent's socket. It replaces a socket that a killed agent left behind; where an agent listens on it, the
-// error is ErrAgentRunning.
+// Listen opens an agent's socket. It replaces a socket that a killed agent has left behind, and returns ErrAgentRunning
+// if an agent listens on the socket.
 func Listen(path string) (net.Listener, error) {
 	ln, err := net.Listen("unix", path)
 	if err != nil {
@@ -29,11 +29,11 @@
 	return ln, os.Chmod(path, socketMode)
 }
 
-// replaceSocket listens on path in place of a socket that nobody listens on. listenErr is why a listener could not be
-// opened, and the result where path is not a socket.
+// replaceSocket removes a socket on which no process listens, and listens on its path. listenErr is the error of the
+// first attempt to listen; replaceSocket returns it if path is not a socket.
 func replaceSocket(path string, listenErr error) (net.Listener, error) {
 	if conn, err := net.DialTimeout("unix", path, probeTimeout); err == nil {
-		_ = conn.Close() // nothing was sent on it
+		_ = conn.Close() // nothing was sent on the connection
 		return nil, fmt.Errorf("%s: %w", path, ErrAgentRunning)
 	}
 	if info, err := os.Stat(path); err != nil || info.Mode()&os.ModeSocket == 0 {
--- a/internal/host/agent/status.go
+++ b/internal/host/agent/status.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// State is what an instance is doing.
+// State is the state of an instance's process.
 type State string
 
-// The states.
+// States of an instance.
 const (
 	Stopped  State = "stopped"
-	Starting State = "starting" // its process runs and is not ready yet
+	Starting State = "starting" // its process is running and is not ready yet
 	Running  State = "running"
 	Stopping State = "stopping" // draining
-	Backoff  State = "backoff"  // it crashed and waits for its next start
+	Backoff  State = "backoff"  // it has crashed, and the agent waits before the next start
 )
 
-// Status is an instance as the agent sees it.
+// Status is the status of an instance.
 type Status struct {
 	Name         string    `json:"name"`
 	State        State     `json:"state"`
@@ -22,7 +22,7 @@
 	PID          int       `json:"pid,omitempty"`
 	Listen       string    `json:"listen,omitempty"`
 	ObjectListen string    `json:"object_listen,omitempty"`
-	Restarts     int       `json:"restarts"`        // after crashes
-	Since        time.Time `json:"since"`           // of State
+	Restarts     int       `json:"restarts"`        // number of restarts after crashes and failed starts
+	Since        time.Time `json:"since"`           // time of the last change of State
 	Error        string    `json:"error,omitempty"` // of the last crash or failed start
 }
