--- a/internal/host/agent/runner.go
+++ b/internal/host/agent/runner.go
@@ -16,7 +16,7 @@
 	InitialBackoff time.Duration // after a crash; doubles with each further crash
 	MaxBackoff     time.Duration
 	StableAfter    time.Duration // a process that has run for this long resets the backoff
-	DrainTimeout   time.Duration // from the request to drain until the process is killed
+	DrainTimeout   time.Duration // for a drain, from SIGTERM to SIGKILL
 	ReadyTimeout   time.Duration // from the start until the instance is ready, during a restart
 	PollInterval   time.Duration // between readiness checks
 }
