--- a/internal/observability/console/console.go
+++ b/internal/observability/console/console.go
@@ -12,7 +12,7 @@
 	"poppyarch/internal/fleet/api"
 )
 
-// views are selected by their positions, from 1.
+// views lists the views in the order of their tabs. The keys 1, 2, ... select them.
 var views = []struct {
 	name  string
 	table func(*api.Overview) table
@@ -27,45 +27,45 @@
 // fetchTimeout bounds one call to the manager.
 const fetchTimeout = 3 * time.Second
 
-// Model is the console's state.
+// Model is the state of the console.
 type Model struct {
 	fetch    func(context.Context) (api.Overview, error)
-	interval time.Duration // between two calls
+	interval time.Duration // between calls of fetch
 	color    bool
 
 	overview    api.Overview
 	hasOverview bool
-	fetchedAt   time.Time // of the overview
-	now         time.Time
-	err         error // of the last call
-	fetching    bool
+	fetchedAt   time.Time // when overview was fetched
+	now         time.Time // when the last tick or result of a call arrived
+	err         error     // of the last call; nil if it succeeded
+	fetching    bool      // a call is in progress
 
-	view     int
-	selected string // name of the selected row: rows come and go
-	row      int    // its position
-	top      int    // position of the first row that is shown
-	detail   bool   // the selected row is shown in full
+	viewIndex    int
+	selectedName string // name of the selected row, which keeps the selection when rows are added or removed
+	selectedRow  int    // position of the selected row
+	firstRow     int    // position of the first visible row
+	showDetail   bool   // the detail of the selected row is shown instead of the table
 
 	width  int // of the terminal, in columns
-	height int // in lines
+	height int // of the terminal, in lines
 }
 
-// New returns a console that calls fetch at an interval.
+// New returns a console that calls fetch at an interval. color enables escape sequences for bold and inverse text.
 func New(fetch func(context.Context) (api.Overview, error), interval time.Duration, color bool) *Model {
 	return &Model{fetch: fetch, interval: interval, color: color, width: 80, height: 24}
 }
 
-// fetched is the result of a call to the manager.
+// fetched is the message with the result of a call to the manager.
 type fetched struct {
 	overview api.Overview
 	err      error
 	at       time.Time
 }
 
-// tick is a message that the interval has passed.
+// tick is the message that the interval has passed.
 type tick time.Time
 
-// startFetch calls the manager, unless a call is under way.
+// startFetch calls the manager, unless a call is in progress.
 func (m *Model) startFetch() tea.Cmd {
 	if m.fetching {
 		return nil
@@ -86,7 +86,7 @@
 // Init starts the first call.
 func (m *Model) Init() tea.Cmd { return tea.Batch(m.startFetch(), m.tick()) }
 
-// Update handles a key, the result of a call or a tick.
+// Update handles a key, a tick, the result of a call or a change of the terminal's size.
 func (m *Model) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
 	switch x := msg.(type) {
 	case tea.WindowSizeMsg:
@@ -100,27 +100,27 @@
 			m.overview, m.fetchedAt, m.hasOverview = x.overview, x.at, true
 		}
 	case tea.KeyMsg:
-		return m, m.key(x.String())
+		return m, m.handleKey(x.String())
 	}
 	m.followSelection()
 	return m, nil
 }
 
-func (m *Model) key(k string) tea.Cmd {
-	t := views[m.view].table(&m.overview)
-	move := func(d int) {
+func (m *Model) handleKey(k string) tea.Cmd {
+	t := views[m.viewIndex].table(&m.overview)
+	move := func(delta int) {
 		if len(t.rows) > 0 {
-			m.row = min(max(m.row+d, 0), len(t.rows)-1)
-			m.selected = t.rows[m.row].name
+			m.selectedRow = min(max(m.selectedRow+delta, 0), len(t.rows)-1)
+			m.selectedName = t.rows[m.selectedRow].name
 		}
 	}
 	switch k {
 	case "q", "ctrl+c":
 		return tea.Quit
 	case "tab", "right", "l":
-		m.showView((m.view + 1) % len(views))
+		m.showView((m.viewIndex + 1) % len(views))
 	case "shift+tab", "left", "h":
-		m.showView((m.view + len(views) - 1) % len(views))
+		m.showView((m.viewIndex + len(views) - 1) % len(views))
 	case "up", "k":
 		move(-1)
 	case "down", "j":
@@ -134,9 +134,9 @@
 	case "end", "G":
 		move(len(t.rows))
 	case "enter", " ":
-		m.detail = len(t.rows) > 0
+		m.showDetail = len(t.rows) > 0
 	case "esc", "backspace":
-		m.detail = false
+		m.showDetail = false
 	case "r":
 		return m.startFetch()
 	default:
@@ -149,65 +149,68 @@
 }
 
 // showView switches to a view, with its first row selected.
-func (m *Model) showView(to int) { m.view, m.selected, m.row, m.top, m.detail = to, "", 0, 0, false }
+func (m *Model) showView(index int) {
+	m.viewIndex, m.selectedName, m.selectedRow, m.firstRow, m.showDetail = index, "", 0, 0, false
+}
 
-// pageSize is how many rows fit.
+// pageSize returns how many rows fit on the screen.
 func (m *Model) pageSize() int { return max(m.height-5, 1) }
 
-// followSelection keeps the selection on its row when rows have moved.
+// followSelection finds the selected row by its name after rows have moved, and scrolls so that it is visible. If the
+// row no longer exists, it selects the row that is now at its position, or the last row.
 func (m *Model) followSelection() {
-	t := views[m.view].table(&m.overview)
+	t := views[m.viewIndex].table(&m.overview)
 	if len(t.rows) == 0 {
-		m.row, m.top, m.selected, m.detail = 0, 0, "", false
+		m.selectedRow, m.firstRow, m.selectedName, m.showDetail = 0, 0, "", false
 		return
 	}
 	found := false
 	for i := range t.rows {
-		if t.rows[i].name == m.selected {
-			m.row, found = i, true
+		if t.rows[i].name == m.selectedName {
+			m.selectedRow, found = i, true
 		}
 	}
 	if !found {
-		m.row = min(m.row, len(t.rows)-1)
-		m.selected = t.rows[m.row].name
-		m.detail = false // what was looked at is gone
+		m.selectedRow = min(m.selectedRow, len(t.rows)-1)
+		m.selectedName = t.rows[m.selectedRow].name
+		m.showDetail = false // the row whose detail was shown no longer exists
 	}
-	m.top = min(max(m.top, m.row-m.pageSize()+1), m.row)
-	m.top = max(min(m.top, len(t.rows)-m.pageSize()), 0)
+	m.firstRow = min(max(m.firstRow, m.selectedRow-m.pageSize()+1), m.selectedRow)
+	m.firstRow = max(min(m.firstRow, len(t.rows)-m.pageSize()), 0)
 }
 
 // View renders the screen.
 func (m *Model) View() string {
 	var b strings.Builder
-	put := func(s string) { b.WriteString(cut(s, m.width) + "\n") }
-	put(m.headline())
-	put(m.health())
+	writeLine := func(s string) { b.WriteString(truncate(s, m.width) + "\n") }
+	writeLine(m.headline())
+	writeLine(m.health())
 	var tabs []string
 	for i, v := range views {
 		s := fmt.Sprintf(" %d %s ", i+1, v.name)
-		if i == m.view {
+		if i == m.viewIndex {
 			s = fmt.Sprintf("[%d %s]", i+1, v.name)
 		}
 		tabs = append(tabs, s)
 	}
-	put(strings.Join(tabs, ""))
-	t := views[m.view].table(&m.overview)
+	writeLine(strings.Join(tabs, ""))
+	t := views[m.viewIndex].table(&m.overview)
 	switch {
 	case !m.hasOverview && m.err == nil:
-		put("asking the manager ...")
+		writeLine("asking the manager ...")
 	case !m.hasOverview:
-		put("nothing is known yet")
+		writeLine("no data received yet")
 	case len(t.rows) == 0:
-		put(t.empty)
-	case m.detail:
-		put(m.strong(t.rows[m.row].name))
-		for _, l := range t.rows[m.row].detail {
+		writeLine(t.empty)
+	case m.showDetail:
+		writeLine(m.bold(t.rows[m.selectedRow].name))
+		for _, l := range t.rows[m.selectedRow].detail {
 			for _, part := range wrap(l, m.width) {
-				put(part)
+				writeLine(part)
 			}
 		}
 	default:
-		m.draw(&t, put)
+		m.drawTable(&t, writeLine)
 	}
 	lines := strings.Split(strings.TrimRight(b.String(), "\n"), "\n")
 	if len(lines) > m.height-1 {
@@ -217,13 +220,13 @@
 		lines = append(lines, "")
 	}
 	help := "1-5 tab view  up/down select  enter open  r refresh  q quit"
-	if m.detail {
+	if m.showDetail {
 		help = "esc back  q quit"
 	}
-	return strings.Join(lines, "\n") + "\n" + cut(help, m.width)
+	return strings.Join(lines, "\n") + "\n" + truncate(help, m.width)
 }
 
-func (m *Model) strong(s string) string {
+func (m *Model) bold(s string) string {
 	if !m.color {
 		return s
 	}
@@ -242,13 +245,13 @@
 	return s + fmt.Sprintf("  %d not as wanted", o.NotCurrent)
 }
 
-// health summarises problems with the fleet and with the figures.
+// health summarises problems with the fleet and with the data that is shown.
 func (m *Model) health() string {
 	var parts []string
 	if m.hasOverview {
-		old := m.now.Sub(m.fetchedAt)
-		if m.err != nil || old > 3*m.interval+time.Second {
-			parts = append(parts, fmt.Sprintf("! as of %.0f s ago: the manager does not answer", max(old, 0).Seconds()))
+		age := m.now.Sub(m.fetchedAt)
+		if m.err != nil || age > 3*m.interval+time.Second {
+			parts = append(parts, fmt.Sprintf("! as of %.0f s ago: the manager does not answer", max(age, 0).Seconds()))
 		}
 	} else if m.err != nil {
 		parts = append(parts, "! "+m.err.Error())
@@ -271,57 +274,58 @@
 		}
 	}
 	if len(parts) == 0 {
-		return "agents " + fmt.Sprint(len(m.overview.Agents)) + ", all heard"
+		return "agents " + fmt.Sprint(len(m.overview.Agents)) + ", none silent"
 	}
 	return strings.Join(parts, "  ")
 }
 
-// draw renders the rows. What does not fit is cut off on the right.
-func (m *Model) draw(t *table, put func(string)) {
-	wide := make([]int, len(t.columns))
+// drawTable renders the titles and the visible rows. Text that does not fit is cut off on the right.
+func (m *Model) drawTable(t *table, writeLine func(string)) {
+	widths := make([]int, len(t.columns))
 	titles := make([]string, len(t.columns))
 	for i, c := range t.columns {
 		titles[i] = c.title
-		wide[i] = len(c.title)
+		widths[i] = len(c.title)
 	}
 	for _, r := range t.rows {
 		for i, c := range r.cells {
-			wide[i] = min(max(wide[i], utf8.RuneCountInString(c)), 40)
+			widths[i] = min(max(widths[i], utf8.RuneCountInString(c)), 40)
 		}
 	}
-	line := func(mark string, cells []string) string {
+	line := func(marker string, cells []string) string {
 		var b strings.Builder
-		b.WriteString(mark)
+		b.WriteString(marker)
 		for i, c := range cells {
 			if i > 0 {
 				b.WriteString(" ")
 			}
-			c = cut(c, wide[i])
-			pad := strings.Repeat(" ", wide[i]-utf8.RuneCountInString(c))
+			c = truncate(c, widths[i])
+			padding := strings.Repeat(" ", widths[i]-utf8.RuneCountInString(c))
 			if t.columns[i].number {
-				b.WriteString(pad + c)
+				b.WriteString(padding + c)
 			} else {
-				b.WriteString(c + pad)
+				b.WriteString(c + padding)
 			}
 		}
 		return strings.TrimRight(b.String(), " ")
 	}
-	put(line("  ", titles))
-	for i := m.top; i < min(m.top+m.pageSize(), len(t.rows)); i++ {
-		if i == m.row {
-			s := cut(line("> ", t.rows[i].cells), m.width)
+	writeLine(line("  ", titles))
+	for i := m.firstRow; i < min(m.firstRow+m.pageSize(), len(t.rows)); i++ {
+		if i == m.selectedRow {
+			s := truncate(line("> ", t.rows[i].cells), m.width)
 			if m.color {
 				s = "\x1b[7m" + s + "\x1b[0m"
 			}
-			put(s)
+			writeLine(s)
 			continue
 		}
-		put(line("  ", t.rows[i].cells))
+		writeLine(line("  ", t.rows[i].cells))
 	}
 }
 
-// cut shortens a line to so many columns. Escapes count for nothing; only whole lines have them.
-func cut(s string, n int) string {
+// truncate shortens a line to n columns. It returns a line with escape sequences unchanged: they take no columns, and
+// only lines that are styled as a whole have them.
+func truncate(s string, n int) string {
 	if strings.Contains(s, "\x1b") || utf8.RuneCountInString(s) <= n {
 		return s
 	}
@@ -332,24 +336,24 @@
 	return string(r[:n-1]) + "…"
 }
 
-// wrap breaks a long line at spaces.
+// wrap breaks a line of more than n columns at spaces, and indents the continuation lines.
 func wrap(s string, n int) (out []string) {
 	for utf8.RuneCountInString(s) > n && n > 10 {
 		r := []rune(s)
-		k := n
-		for k > n/2 && r[k] != ' ' {
-			k--
+		end := n
+		for end > n/2 && r[end] != ' ' {
+			end--
 		}
-		if k == n/2 {
-			k = n
+		if end == n/2 {
+			end = n
 		}
-		out = append(out, string(r[:k]))
-		s = "    " + strings.TrimLeft(string(r[k:]), " ")
+		out = append(out, string(r[:end]))
+		s = "    " + strings.TrimLeft(string(r[end:]), " ")
 	}
 	return append(out, s)
 }
 
-// Run shows the console until it is quit.
+// Run shows the console until the operator quits it or ctx is done.
 func Run(ctx context.Context, m *Model) error {
 	_, err := tea.NewProgram(m, tea.WithAltScreen(), tea.WithContext(ctx)).Run()
 	return err
--- a/internal/observability/console/instances.go
+++ b/internal/observability/console/instances.go
@@ -26,12 +26,12 @@
 	return t
 }
 
-// instanceRow describes an instance; stats is nil if its broker reports none.
+// instanceRow describes an instance. stats is nil if its broker reports none.
 func instanceRow(i *state.InstanceStatus, stats *api.BrokerStats) row {
 	detail := instanceDetail(i)
 	requests, rejected, failed, inFlight := "-", "-", "-", "-"
 	if stats == nil {
-		detail = append(detail, "", "no figures: its configuration has no record key, or nothing has come yet")
+		detail = append(detail, "", "no statistics: its configuration has no record key, or no report has arrived yet")
 	} else {
 		sum := sumRequests(stats)
 		span := stats.Stats.Span
@@ -49,11 +49,11 @@
 
 func instanceDetail(i *state.InstanceStatus) []string {
 	detail := []string{
-		fmt.Sprintf("agent %s, domain %s, revision %d, edition %d wanted and %d held", i.Agent, i.Domain, i.Revision, i.TargetEdition,
+		fmt.Sprintf("agent %s, domain %s, revision %d, target edition %d, applied edition %d", i.Agent, i.Domain, i.Revision, i.TargetEdition,
 			i.Report.AppliedEdition),
-		fmt.Sprintf("process %s, pid %d, boot %s, crashed %d times", i.ProcessText(), i.Report.PID, dash(i.Report.Incarnation), i.Report.Crashes),
-		fmt.Sprintf("node list version %d with %d nodes", i.Report.ListRevision, i.Report.NodeCount),
-		fmt.Sprintf("known as of %s ago", formatAge(i.Age)),
+		fmt.Sprintf("process %s, pid %d, boot %s, crashed %d times", i.ProcessText(), i.Report.PID, orDash(i.Report.Incarnation), i.Report.Crashes),
+		fmt.Sprintf("node list revision %d with %d nodes", i.Report.ListRevision, i.Report.NodeCount),
+		fmt.Sprintf("age of the last report: %s", formatAge(i.Age)),
 	}
 	if i.Reason != "" {
 		detail = append(detail, "not as wanted: "+i.Reason)
@@ -64,7 +64,7 @@
 	return detail
 }
 
-// requestSum counts requests over all classes and plans.
+// requestSum counts the requests of all classes and plans.
 type requestSum struct{ all, rejected, failed uint64 }
 
 func sumRequests(b *api.BrokerStats) requestSum {
@@ -77,17 +77,18 @@
 	return sum
 }
 
-// statsDetail describes what a broker did lately, by class and by storage node.
+// statsDetail describes the requests that a broker has handled recently by class and plan, and its attempts by storage
+// node.
 func statsDetail(b *api.BrokerStats) []string {
 	span := b.Stats.Span
-	detail := []string{"", fmt.Sprintf("figures of %.1f s, %s old, %d records dropped since its boot", seconds(span), formatAge(b.Age), b.Stats.Dropped)}
+	detail := []string{"", fmt.Sprintf("statistics over %.1f s, %s old, %d records dropped since its boot", seconds(span), formatAge(b.Age), b.Stats.Dropped)}
 	for _, r := range b.Stats.Requests {
 		detail = append(detail, fmt.Sprintf("  %-14s %-10s %7s/s served, %s late, %s refused, %s failed, p50 %s ms, p99 %s ms", r.Class, r.Plan,
 			formatCount(r.Served, span), formatCount(r.Late, span), formatCount(r.Rejected, span), formatCount(r.Failed, span),
 			formatMillis(r.P50), formatMillis(r.P99)))
 	}
 	for _, n := range b.Stats.Nodes {
-		detail = append(detail, fmt.Sprintf("  node %-12s %7s/s served, %s silent, %s other, p50 %s ms, p99 %s ms", n.Node,
+		detail = append(detail, fmt.Sprintf("  node %-12s %7s/s served, %s timed out, %s other, p50 %s ms, p99 %s ms", n.Node,
 			formatCount(n.Served, span), formatCount(n.TimedOut, span), formatCount(n.Other, span), formatMillis(n.P50), formatMillis(n.P99)))
 	}
 	return detail
--- a/internal/observability/console/nodes.go
+++ b/internal/observability/console/nodes.go
@@ -9,7 +9,8 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// nodeSum is what all brokers report of one storage node. Rates are per second; quantiles are the worst broker's.
+// nodeSum combines the reports of all brokers on one storage node. Rates are per second; each quantile is the highest
+// that a broker reports.
 type nodeSum struct {
 	brokerLines
 	served   float64
@@ -19,28 +20,28 @@
 	p99      clock.Micros
 }
 
-// nodesTable shows the storage nodes as all brokers see them.
+// nodesTable shows the storage nodes, with the combined reports of all brokers.
 func nodesTable(o *api.Overview) table {
 	t := table{
 		columns: []column{
-			textColumn("NODE"), numberColumn("SERVED/S"), numberColumn("SILENT/S"), numberColumn("OTHER/S"), numberColumn("P50 MS"),
+			textColumn("NODE"), numberColumn("SERVED/S"), numberColumn("TIMEOUT/S"), numberColumn("OTHER/S"), numberColumn("P50 MS"),
 			numberColumn("P99 MS"), numberColumn("BROKERS"), numberColumn("OLDEST"), textColumn("OPERATORS"),
 		},
-		empty: "no figures of nodes: no broker records, or none has asked any",
+		empty: "no node statistics: no broker has a record key, or none has contacted a node",
 	}
 	sums := sumNodes(o)
 	overrides := map[string]string{}
 	for _, n := range o.Nodes {
 		overrides[n.ID] = string(n.State)
 		if sums[n.ID] == nil {
-			sums[n.ID] = &nodeSum{brokerLines: brokerLines{oldest: -1}}
+			sums[n.ID] = &nodeSum{brokerLines: brokerLines{oldestAge: -1}}
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(sums)) {
 		n := sums[name]
 		cells := []string{
 			name, formatRate(n.served), formatRate(n.timedOut), formatRate(n.other), formatMillis(n.p50), formatMillis(n.p99),
-			fmt.Sprint(len(n.lines)), formatAge(n.oldest), overrides[name],
+			fmt.Sprint(len(n.lines)), formatAge(n.oldestAge), overrides[name],
 		}
 		t.rows = append(t.rows, row{name: name, cells: cells, detail: slices.Concat(worstQuantilesNote, n.lines)})
 	}
@@ -62,7 +63,7 @@
 			sum.other += perSecond(n.Other, span)
 			sum.p50 = max(sum.p50, n.P50)
 			sum.p99 = max(sum.p99, n.P99)
-			sum.add(broker.Age, "%s: %s/s served, %s silent, %s other, p50 %s ms, p99 %s ms", broker.Name, formatCount(n.Served, span),
+			sum.add(broker.Age, "%s: %s/s served, %s timed out, %s other, p50 %s ms, p99 %s ms", broker.Name, formatCount(n.Served, span),
 				formatCount(n.TimedOut, span), formatCount(n.Other, span), formatMillis(n.P50), formatMillis(n.P99))
 		}
 	}
--- a/internal/observability/console/requests.go
+++ b/internal/observability/console/requests.go
@@ -10,24 +10,24 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// volumeSum is what all brokers report of one volume. Rates are per second.
+// volumeSum combines the reports of all brokers on one volume. Rates are per second.
 type volumeSum struct {
 	brokerLines
 	requests   float64
-	countError float64 // by how much requests may be too high
+	countError float64 // upper bound of the error of requests, which may be too high
 	late       float64
 	rejected   float64
 	failed     float64
 }
 
-// volumesTable shows the most frequent volumes.
+// volumesTable shows the volumes with the most requests, sorted by their rate.
 func volumesTable(o *api.Overview) table {
 	t := table{
 		columns: []column{
-			textColumn("VOLUME"), numberColumn("REQ/S"), numberColumn("MAY BE"), numberColumn("LATE/S"), numberColumn("REF/S"),
+			textColumn("VOLUME"), numberColumn("REQ/S"), numberColumn("MARGIN"), numberColumn("LATE/S"), numberColumn("REF/S"),
 			numberColumn("FAIL/S"), numberColumn("BROKERS"), numberColumn("OLDEST"),
 		},
-		empty: "no figures of volumes: no broker records, or nothing was asked",
+		empty: "no volume statistics: no broker has a record key, or there were no requests",
 	}
 	sums := sumVolumes(o)
 	names := slices.SortedFunc(maps.Keys(sums), func(a, b string) int {
@@ -35,13 +35,13 @@
 	})
 	for _, name := range names {
 		v := sums[name]
-		least := "exact"
+		margin := "exact"
 		if v.countError > 0 {
-			least = "-" + formatRate(v.countError)
+			margin = "-" + formatRate(v.countError)
 		}
 		cells := []string{
-			name, formatRate(v.requests), least, formatRate(v.late), formatRate(v.rejected), formatRate(v.failed),
-			fmt.Sprint(len(v.lines)), formatAge(v.oldest),
+			name, formatRate(v.requests), margin, formatRate(v.late), formatRate(v.rejected), formatRate(v.failed),
+			fmt.Sprint(len(v.lines)), formatAge(v.oldestAge),
 		}
 		t.rows = append(t.rows, row{name: name, cells: cells, detail: v.lines})
 	}
@@ -70,14 +70,15 @@
 	return sums
 }
 
-// classKey is a class and a plan by their names.
+// classKey holds the names of a class and a plan.
 type classKey struct{ class, plan string }
 
 func compareClassKeys(a, b classKey) int {
 	return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.plan, b.plan))
 }
 
-// classSum is what all brokers report of one class and plan. Rates are per second; quantiles are the worst broker's.
+// classSum combines the reports of all brokers on one class and plan. Rates are per second; each quantile is the
+// highest that a broker reports.
 type classSum struct {
 	brokerLines
 	served   float64
@@ -88,21 +89,21 @@
 	p99      clock.Micros
 }
 
-// classesTable shows the requests by class and plan.
+// classesTable shows the rates and latencies of requests by class and plan.
 func classesTable(o *api.Overview) table {
 	t := table{
 		columns: []column{
 			textColumn("CLASS"), textColumn("PLAN"), numberColumn("SERVED/S"), numberColumn("LATE/S"), numberColumn("REF/S"),
 			numberColumn("FAIL/S"), numberColumn("P50 MS"), numberColumn("P99 MS"), numberColumn("OLDEST"),
 		},
-		empty: "no figures: no broker records, or nothing was asked",
+		empty: "no class statistics: no broker has a record key, or there were no requests",
 	}
 	sums := sumClasses(o)
 	for _, key := range slices.SortedFunc(maps.Keys(sums), compareClassKeys) {
 		c := sums[key]
 		cells := []string{
 			key.class, key.plan, formatRate(c.served), formatRate(c.late), formatRate(c.rejected), formatRate(c.failed),
-			formatMillis(c.p50), formatMillis(c.p99), formatAge(c.oldest),
+			formatMillis(c.p50), formatMillis(c.p99), formatAge(c.oldestAge),
 		}
 		t.rows = append(t.rows, row{name: key.class + " " + key.plan, cells: cells, detail: slices.Concat(worstQuantilesNote, c.lines)})
 	}
--- a/internal/observability/console/table.go
+++ b/internal/observability/console/table.go
@@ -1,5 +1,5 @@
-// Package console is a live view of a fleet in a terminal. What it shows comes from the manager, which has it from the
-// agents; every figure has its age. It needs 80 columns and no colour.
+// Package console shows the state of a fleet live in a terminal. The data comes from the manager, which receives it
+// from the agents; every value is shown with its age. The console is usable at 80 columns and without colour.
 package console
 
 import (
@@ -8,7 +8,7 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// table is what one view shows.
+// table is the content of one view.
 type table struct {
 	columns []column
 	rows    []row
@@ -21,9 +21,9 @@
 	number bool // aligned to the right
 }
 
-// row is a row with what is known in full of its subject.
+// row is a row of a table, with the lines of its detail view.
 type row struct {
-	name   string // identifies the subject: rows come and go
+	name   string // identifies the row when rows are added or removed
 	cells  []string
 	detail []string
 }
@@ -31,10 +31,10 @@
 func textColumn(title string) column   { return column{title: title} }
 func numberColumn(title string) column { return column{title: title, number: true} }
 
-// staleAge is the age from which a figure is marked, since it may be wrong.
+// staleAge is the age from which a value is marked with "!", since it may be wrong.
 const staleAge clock.Micros = 5_000_000
 
-// formatAge formats an age; a negative one means that there is no figure yet.
+// formatAge formats an age; a negative age means that there is no value yet.
 func formatAge(age clock.Micros) string {
 	switch {
 	case age < 0:
@@ -49,12 +49,12 @@
 
 func formatMillis(m clock.Micros) string { return fmt.Sprintf("%.0f", float64(m)/1000) }
 
-// perSecond returns the rate of a count over a span.
+// perSecond returns the rate per second of a count over a span.
 func perSecond(count uint64, span clock.Micros) float64 {
 	return float64(count) / seconds(max(span, 1))
 }
 
-// formatRate formats a rate; small ones get a decimal.
+// formatRate formats a rate, with a decimal if it is below 10.
 func formatRate(rate float64) string {
 	if rate > 0 && rate < 10 {
 		return fmt.Sprintf("%.1f", rate)
@@ -62,26 +62,26 @@
 	return fmt.Sprintf("%.0f", rate)
 }
 
-// formatCount formats the rate of a count over a span.
+// formatCount formats a count over a span as a rate per second.
 func formatCount(count uint64, span clock.Micros) string { return formatRate(perSecond(count, span)) }
 
-func dash(s string) string {
+func orDash(s string) string {
 	if s == "" {
 		return "-"
 	}
 	return s
 }
 
-// brokerLines describes what each broker reports of one subject, with the age of the oldest report.
+// brokerLines describes the reports of several brokers on the same node, volume or class, one line per broker.
 type brokerLines struct {
-	oldest clock.Micros
-	lines  []string
+	oldestAge clock.Micros // age of the oldest report; negative if there is none
+	lines     []string
 }
 
 func (b *brokerLines) add(age clock.Micros, format string, args ...any) {
-	b.oldest = max(b.oldest, age)
+	b.oldestAge = max(b.oldestAge, age)
 	b.lines = append(b.lines, fmt.Sprintf(format, args...)+", "+formatAge(age)+" old")
 }
 
-// worstQuantilesNote explains the quantiles of a row over several brokers.
-var worstQuantilesNote = []string{"p50 and p99 above are the worst broker's", ""}
+// worstQuantilesNote explains the quantiles in a row that combines several brokers.
+var worstQuantilesNote = []string{"p50 and p99 in the table are those of the worst broker", ""}
