--- a/internal/host/agent/handler.go
+++ b/internal/host/agent/handler.go
@@ -45,7 +45,7 @@
 		var request Request
 		body := http.MaxBytesReader(w, r.Body, maxRequestBytes)
 		if err := json.NewDecoder(body).Decode(&request); err != nil && !errors.Is(err, io.EOF) {
-			a.reply(w, nil, fmt.Errorf("invalid request body: %w", err))
+			a.reply(w, nil, fmt.Errorf("request: %w", err))
 			return
 		}
 		a.reply(w, nil, operate(r.Context(), request.Names))
--- a/internal/host/agent/health.go
+++ b/internal/host/agent/health.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -46,7 +47,7 @@
 		return err
 	}
 	if string(response) != want {
-		return fmt.Errorf("response to PING is %q, want %q", response, want)
+		return errors.New("no PONG")
 	}
 	return nil
 }
@@ -64,7 +65,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("health check: status is %d, want %d", resp.StatusCode, http.StatusOK)
+		return fmt.Errorf("status %d", resp.StatusCode)
 	}
 	return nil
 }
--- a/internal/host/agent/runner.go
+++ b/internal/host/agent/runner.go
@@ -48,7 +48,7 @@
 }
 
 // errUnexpectedExit reports that a process exited with code 0 without being asked to stop.
-var errUnexpectedExit = errors.New("exited with code 0 without being asked to stop")
+var errUnexpectedExit = errors.New("ended with exit code 0 though it was not asked to")
 
 // runner keeps the process of one instance in its desired state.
 type runner struct {
@@ -138,14 +138,14 @@
 	defer cancel()
 	if err := r.waitFor(ctx, Running); err != nil {
 		lastError := r.snapshot().status.Error
-		return fmt.Errorf("%s: not ready after its restart: %w (last error: %q)", instance.Name, err, lastError)
+		return fmt.Errorf("%s: does not answer after its restart: %w (%s)", instance.Name, err, lastError)
 	}
 	return nil
 }
 
 func (r *runner) waitStopped(ctx context.Context) error {
 	if err := r.waitFor(ctx, Stopped); err != nil {
-		return fmt.Errorf("%s: did not stop: %w", r.snapshot().instance.Name, err)
+		return fmt.Errorf("%s: not stopped: %w", r.snapshot().instance.Name, err)
 	}
 	return nil
 }
--- a/internal/observability/console/nodes.go
+++ b/internal/observability/console/nodes.go
@@ -24,7 +24,7 @@
 func nodesTable(o *api.Overview) table {
 	t := table{
 		columns: []column{
-			textColumn("NODE"), numberColumn("SERVED/S"), numberColumn("TIMEOUT/S"), numberColumn("OTHER/S"), numberColumn("P50 MS"),
+			textColumn("NODE"), numberColumn("SERVED/S"), numberColumn("SILENT/S"), numberColumn("OTHER/S"), numberColumn("P50 MS"),
 			numberColumn("P99 MS"), numberColumn("BROKERS"), numberColumn("OLDEST"), textColumn("OPERATORS"),
 		},
 		empty: "no node statistics: no broker has a record key, or none has contacted a node",
--- a/internal/observability/console/requests.go
+++ b/internal/observability/console/requests.go
@@ -24,7 +24,7 @@
 func volumesTable(o *api.Overview) table {
 	t := table{
 		columns: []column{
-			textColumn("VOLUME"), numberColumn("REQ/S"), numberColumn("MARGIN"), numberColumn("LATE/S"), numberColumn("REF/S"),
+			textColumn("VOLUME"), numberColumn("REQ/S"), numberColumn("MAY BE"), numberColumn("LATE/S"), numberColumn("REF/S"),
 			numberColumn("FAIL/S"), numberColumn("BROKERS"), numberColumn("OLDEST"),
 		},
 		empty: "no volume statistics: no broker has a record key, or there were no requests",
