--- a/internal/observability/sketch/encoding.go
+++ b/internal/observability/sketch/encoding.go
@@ -6,7 +6,7 @@
 	"math"
 )
 
-// Append appends the encoded sketch: variable-length integers, with runs of zeros shortened.
+// Append appends the encoded sketch to b: variable-length integers, with run-length encoding of empty buckets.
 func (s *Sketch) Append(b []byte) []byte {
 	b = binary.AppendUvarint(b, s.n)
 	if s.n == 0 {
@@ -16,7 +16,7 @@
 	b = binary.AppendUvarint(b, math.Float64bits(s.sum))
 	b = binary.AppendUvarint(b, uint64(s.first))
 	b = binary.AppendUvarint(b, uint64(len(s.counts)))
-	for i := 0; i < len(s.counts); i++ { // a zero is followed by how many more follow
+	for i := 0; i < len(s.counts); i++ { // a zero is followed by the number of further zeros
 		b = binary.AppendUvarint(b, s.counts[i])
 		if s.counts[i] == 0 {
 			run := 0
@@ -30,10 +30,11 @@
 	return b
 }
 
-// ErrMalformed says that bytes are not an encoded sketch.
-var ErrMalformed = errors.New("sketch: cannot be read")
+// ErrMalformed is the error for bytes that are not an encoded sketch.
+var ErrMalformed = errors.New("sketch: malformed encoding")
 
-// Read decodes a sketch into s and returns the bytes behind it. The error is ErrMalformed; s is not usable then until Reset.
+// Read decodes a sketch from the start of b into s and returns the bytes after it. On malformed input it returns
+// ErrMalformed, and s must be Reset before it is used.
 func (s *Sketch) Read(b []byte) ([]byte, error) {
 	s.Reset()
 	bad := false
--- a/internal/observability/sketch/index.go
+++ b/internal/observability/sketch/index.go
@@ -1,21 +1,23 @@
 package sketch
 
-// baseBits sets how many slots before the first value an index has: up to 2^baseBits - 1.
+// baseBits sets how many slots an index can hold before the slot of the first added value: up to 2^baseBits - 1.
 const baseBits = 10
 
-// Index holds sketches by time, for quantiles over any span. It has levels: the first has a sketch for each slot, each further
-// one sketches of twice the time, so that a span takes a few merges and not one for each slot. Build makes the higher levels.
+// Index holds sketches by time, for quantiles over any time span. Level 0 has one sketch per slot. Each sketch of a
+// higher level covers two sketches of the level below, so that a span needs a few merges instead of one per slot. Build
+// fills the higher levels.
 type Index struct {
-	Width  int64 // of a slot
+	Width  int64 // width of a slot, in the unit of the times
 	base   int64 // slot number of levels[0][0]
 	levels [][]*Sketch
-	done   []int // number of sketches of each higher level
+	done   []int // number of sketches built on each level above 0
 }
 
-// NewIndex returns an empty index with slots of a width.
+// NewIndex returns an empty index with slots of the given width.
 func NewIndex(width int64) *Index { return &Index{Width: width} }
 
-// Add adds a value at a time. Times may come in any order; one far before the first is counted in the earliest slot.
+// Add adds a value at a time. Times may come in any order; a value from before the earliest slot is counted in that
+// slot.
 func (x *Index) Add(at, v int64) {
 	slot := at / x.Width
 	if len(x.levels) == 0 {
@@ -28,7 +30,7 @@
 	}
 	for l := range x.levels {
 		if l > 0 && int(k>>l) >= x.done[l-1] {
-			break // that block is not built yet
+			break // this sketch is not built yet
 		}
 		for int64(len(x.levels[l])) <= k>>l {
 			x.levels[l] = append(x.levels[l], nil)
@@ -40,7 +42,8 @@
 	}
 }
 
-// Build makes the higher levels. Values that are added later are added to them as well.
+// Build fills the higher levels from the level below. Values that Add adds later are added to the sketches already
+// built.
 func (x *Index) Build() {
 	for l := 0; l < len(x.levels) && len(x.levels[l]) > 1; l++ {
 		if len(x.levels) == l+1 {
@@ -63,7 +66,7 @@
 	}
 }
 
-// Span merges all slots that begin at or after from and before to.
+// Span returns the merged sketch of all slots that begin at or after from and before to.
 func (x *Index) Span(from, to int64) *Sketch {
 	out := &Sketch{}
 	if len(x.levels) == 0 || to <= from {
--- a/internal/observability/sketch/sketch.go
+++ b/internal/observability/sketch/sketch.go
@@ -1,5 +1,5 @@
-// Package sketch has a mergeable quantile sketch, an index of sketches over time, and a counter of the most frequent keys.
-// Values are integers of at least 0, such as microseconds.
+// Package sketch provides a mergeable quantile sketch, an index of sketches over time, and a counter of the most
+// frequent keys. Values are integers of at least 0, such as microseconds.
 package sketch
 
 import (
@@ -7,41 +7,42 @@
 	"math/bits"
 )
 
-// subBits sets the accuracy: each power of two is divided into 2^subBits buckets, so that the relative error of a quantile is
-// at most 1/2^(subBits+1), below 0.8 %.
+// subBits sets the accuracy: the range between two powers of two is divided into 2^subBits buckets, so that the
+// relative error of a quantile is at most 1/2^(subBits+1), below 0.8 %.
 const subBits = 6
 
 const (
-	sub     = 1 << subBits
-	buckets = (64 - subBits + 1) * sub
+	subBuckets = 1 << subBits
+	buckets    = (64 - subBits + 1) * subBuckets
 )
 
-// Sketch counts values in buckets whose width grows with the value. The zero value is empty. Its memory grows with the range
-// of the values and not with their number.
+// Sketch counts values in buckets whose width grows with the value. The zero value is an empty sketch. Its memory
+// depends on the range of the values, not on their number.
 type Sketch struct {
-	first  int      // bucket of counts[0]
-	counts []uint64 // from the lowest bucket in use to the highest
-	n      uint64
+	first  int      // bucket number of counts[0]
+	counts []uint64 // number of values per bucket, from the lowest bucket in use to the highest
+	n      uint64   // number of values
 	sum    float64
 	max    int64
 }
 
-// bucket returns the bucket of a value: its own below 2^subBits, logarithmic above.
+// bucket returns the bucket number of a value. Each value below 2^subBits has its own bucket; above, bucket widths grow
+// logarithmically.
 func bucket(v int64) int {
-	if v < sub {
+	if v < subBuckets {
 		return int(max(v, 0))
 	}
 	e := bits.Len64(uint64(v)) - subBits - 1
-	return e*sub + int(v>>e)
+	return e*subBuckets + int(v>>e)
 }
 
-// middle returns the value in the middle of a bucket.
-func middle(b int) int64 {
-	if b < 2*sub {
+// midpoint returns the midpoint of a bucket.
+func midpoint(b int) int64 {
+	if b < 2*subBuckets {
 		return int64(b)
 	}
-	e := b/sub - 1
-	low := int64(b-e*sub) << e
+	e := b/subBuckets - 1
+	low := int64(b-e*subBuckets) << e
 	return low + (int64(1)<<e)/2
 }
 
@@ -61,7 +62,7 @@
 	s.max = max(s.max, v)
 }
 
-// extend makes counts cover the buckets from lo to hi.
+// extend grows counts to cover the buckets from lo to hi.
 func (s *Sketch) extend(lo, hi int) {
 	if len(s.counts) == 0 {
 		s.first = lo
@@ -90,7 +91,7 @@
 	s.max = max(s.max, o.max)
 }
 
-// Reset empties the sketch and keeps its memory.
+// Reset empties the sketch and keeps its memory for reuse.
 func (s *Sketch) Reset() {
 	clear(s.counts)
 	s.counts, s.n, s.sum, s.max = s.counts[:0], 0, 0, 0
@@ -99,10 +100,10 @@
 // Count returns the number of values.
 func (s *Sketch) Count() uint64 { return s.n }
 
-// Max returns the greatest value, without the error of the buckets.
+// Max returns the greatest value. It is exact.
 func (s *Sketch) Max() int64 { return s.max }
 
-// Mean returns the mean, without the error of the buckets; 0 if there are no values.
+// Mean returns the mean, without bucket error; 0 if there are no values.
 func (s *Sketch) Mean() float64 {
 	if s.n == 0 {
 		return 0
@@ -110,7 +111,8 @@
 	return s.sum / float64(s.n)
 }
 
-// Quantile returns the value that a fraction q of the values does not exceed; 0 if there are no values.
+// Quantile returns the q-quantile: the value that a fraction q of the values does not exceed. It is 0 if there are no
+// values.
 func (s *Sketch) Quantile(q float64) int64 {
 	if s.n == 0 {
 		return 0
@@ -123,7 +125,7 @@
 	seen := uint64(0)
 	for i, c := range s.counts {
 		if seen += c; seen >= rank {
-			return min(middle(s.first+i), s.max)
+			return min(midpoint(s.first+i), s.max)
 		}
 	}
 	return s.max
--- a/internal/observability/sketch/sketch_test.go
+++ b/internal/observability/sketch/sketch_test.go
@@ -13,7 +13,7 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
-// A quantile is the true one within 0.8 %, merged or not, and after it was written and read.
+// Quantiles are within 0.8 % of the exact ones, after a merge and after encoding and decoding.
 func TestQuantiles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		values := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) int64 {
@@ -31,24 +31,24 @@
 		var c Sketch
 		rest, err := c.Read(append(a.Append(nil), 7))
 		if err != nil || len(rest) != 1 {
-			t.Fatal(err, rest)
+			t.Fatalf("decoding left %v, want one byte: error %v", rest, err)
 		}
 		slices.Sort(values)
 		for _, q := range []float64{0, 0.01, 0.5, 0.9, 0.99, 1} {
 			want := values[min(max(int(math.Ceil(q*float64(len(values)))), 1), len(values))-1]
 			for _, s := range []*Sketch{&a, &c} {
 				if got := s.Quantile(q); math.Abs(float64(got-want)) > 0.008*float64(want)+0.5 {
-					t.Fatalf("q%v: %d, is %d", q, got, want)
+					t.Fatalf("quantile %v is %d, want %d", q, got, want)
 				}
 			}
 		}
 		if a.Count() != uint64(len(values)) || c.Max() != values[len(values)-1] {
-			t.Fatal(a.Count(), c.Max())
+			t.Fatalf("%d values with maximum %d, want %d with maximum %d", a.Count(), c.Max(), len(values), values[len(values)-1])
 		}
 	})
 }
 
-// Any span of the index counts what a scan of all values does.
+// For any span, the index counts as many values as a scan over all values.
 func TestIndexAgainstScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := NewIndex(10)
@@ -73,7 +73,7 @@
 				}
 			}
 			if got := x.Span(from, to).Count(); got != n {
-				t.Fatalf("%d to %d: %d, are %d", from, to, got, n)
+				t.Fatalf("span from %d to %d has %d values, want %d", from, to, got, n)
 			}
 		}
 	})
@@ -94,7 +94,8 @@
 	})
 }
 
-// The 99th percentile of a span: by the index, by the sketches of its slots, and by sorting stored values.
+// BenchmarkSpan compares three ways to get the 99th percentile of a span: the index, merging the sketch of each slot,
+// and sorting all values.
 func BenchmarkSpan(b *testing.B) {
 	const slots, per = 10000, 100
 	x := NewIndex(1000)
@@ -134,11 +135,12 @@
 	})
 }
 
-// No count is too low, none is too high by more than its error, and whoever has more than its share is there.
+// After a merge, no count is too low or too high by more than its error, and each key with more than twice its share of
+// the total has an entry.
 func TestTop(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		places := rapid.IntRange(2, 10).Draw(t, "places")
-		a, b := NewTop(places), NewTop(places)
+		capacity := rapid.IntRange(2, 10).Draw(t, "capacity")
+		a, b := NewTop(capacity), NewTop(capacity)
 		exact := map[string]uint64{}
 		total := uint64(0)
 		for range rapid.IntRange(0, 300).Draw(t, "n") {
@@ -153,15 +155,15 @@
 		}
 		a.Merge(b)
 		got := map[string]bool{}
-		for _, c := range a.List(places) {
+		for _, c := range a.List(capacity) {
 			got[c.Key] = true
 			if c.Count < exact[c.Key] || c.Count-c.Error > exact[c.Key] || c.Extra[0] > exact[c.Key] {
-				t.Fatalf("%+v, is %d", c, exact[c.Key])
+				t.Fatalf("%+v, exact count is %d", c, exact[c.Key])
 			}
 		}
 		for key, n := range exact {
-			if !got[key] && n > 2*total/uint64(places) {
-				t.Fatalf("%s with %d of %d is not among %d", key, n, total, places)
+			if !got[key] && n > 2*total/uint64(capacity) {
+				t.Fatalf("key %s with %d of %d counts is not among the %d entries", key, n, total, capacity)
 			}
 		}
 	})
--- a/internal/observability/sketch/top.go
+++ b/internal/observability/sketch/top.go
@@ -5,42 +5,43 @@
 	"slices"
 )
 
-// Top counts the most frequent keys with a fixed number of entries (the space-saving algorithm): a key without an entry
-// replaces the one with the lowest count and inherits that count as its error. Every key with more than 1/n of all counts is
-// among n entries. The zero value is not usable.
+// Top counts the most frequent keys with a fixed number of entries (the space-saving algorithm): a new key replaces the
+// key with the lowest count and inherits that count as its error. With n entries, every key whose count is more than
+// 1/n of the total has an entry. The zero value is not usable.
 type Top struct {
-	size  int            // number of entries
-	index map[string]int // of the entry of a key
-	list  []Counted      // a heap by Count, the lowest first
+	size  int            // maximum number of entries
+	index map[string]int // position in list, by key
+	list  []Entry        // a min-heap by Count
 }
 
-// Counted is a key and its count, which may be too high by Error and is never too low.
-type Counted struct {
+// Entry is a key and its estimated count. The true count is at most Count and at least Count - Error.
+type Entry struct {
 	Key   string
 	Count uint64
 	Error uint64
-	Extra [3]uint64 // counters of the caller, from when the key got its entry
+	Extra [3]uint64 // the caller's counters, reset when the key gets its entry
 }
 
 // NewTop returns an empty counter with n entries.
 func NewTop(n int) *Top { return &Top{size: n, index: make(map[string]int, n)} }
 
-// Add counts a key n times and returns its entry, for Extra. The entry is valid until the next call.
-func (t *Top) Add(key string, n uint64) *Counted {
+// Add counts a key n times and returns its entry, so that the caller can update Extra. The entry is valid until the
+// next call.
+func (t *Top) Add(key string, n uint64) *Entry {
 	if i, ok := t.index[key]; ok {
 		t.list[i].Count += n
-		return &t.list[t.down(i)]
+		return &t.list[t.siftDown(i)]
 	}
 	if len(t.list) < t.size {
-		t.list = append(t.list, Counted{Key: key, Count: n})
+		t.list = append(t.list, Entry{Key: key, Count: n})
 		t.index[key] = len(t.list) - 1
-		return &t.list[t.up(len(t.list)-1)]
+		return &t.list[t.siftUp(len(t.list)-1)]
 	}
 	least := &t.list[0]
 	delete(t.index, least.Key)
-	*least = Counted{Key: key, Count: least.Count + n, Error: least.Count}
+	*least = Entry{Key: key, Count: least.Count + n, Error: least.Count}
 	t.index[key] = 0
-	return &t.list[t.down(0)]
+	return &t.list[t.siftDown(0)]
 }
 
 func (t *Top) swap(i, j int) {
@@ -48,7 +49,7 @@
 	t.index[t.list[i].Key], t.index[t.list[j].Key] = i, j
 }
 
-func (t *Top) up(i int) int {
+func (t *Top) siftUp(i int) int {
 	for i > 0 {
 		p := (i - 1) / 2
 		if t.list[p].Count <= t.list[i].Count {
@@ -60,7 +61,7 @@
 	return i
 }
 
-func (t *Top) down(i int) int {
+func (t *Top) siftDown(i int) int {
 	for {
 		c := 2*i + 1
 		if c >= len(t.list) {
@@ -77,7 +78,7 @@
 	}
 }
 
-// floor returns the highest count that a key without an entry may have.
+// floor returns the highest true count that a key without an entry may have.
 func (t *Top) floor() uint64 {
 	if len(t.list) < t.size {
 		return 0
@@ -85,11 +86,11 @@
 	return t.list[0].Count
 }
 
-// Merge adds the counts of another counter. A key that only one of them has may have been counted by the other as well, up to
-// its floor.
+// Merge adds the counts of another counter. A key that only one counter has may have been counted by the other too, up
+// to the other's floor; that floor is added to the key's count and error.
 func (t *Top) Merge(o *Top) {
 	mine, theirs := t.floor(), o.floor()
-	all := make([]Counted, 0, len(t.list)+len(o.list))
+	all := make([]Entry, 0, len(t.list)+len(o.list))
 	for _, x := range t.list {
 		if i, ok := o.index[x.Key]; ok {
 			y := &o.list[i]
@@ -108,9 +109,9 @@
 			all = append(all, x)
 		}
 	}
-	slices.SortFunc(all, func(a, b Counted) int { return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Key, b.Key)) })
+	slices.SortFunc(all, func(a, b Entry) int { return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Key, b.Key)) })
 	all = all[:min(len(all), t.size)]
-	slices.Reverse(all) // ascending is a heap
+	slices.Reverse(all) // a slice in ascending order is a min-heap
 	t.list = all
 	clear(t.index)
 	for i, x := range all {
@@ -125,8 +126,8 @@
 }
 
 // List returns the n entries with the highest counts, the highest first.
-func (t *Top) List(n int) []Counted {
+func (t *Top) List(n int) []Entry {
 	out := slices.Clone(t.list)
-	slices.SortFunc(out, func(a, b Counted) int { return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Key, b.Key)) })
+	slices.SortFunc(out, func(a, b Entry) int { return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Key, b.Key)) })
 	return out[:min(n, len(out))]
 }
