--- a/internal/observability/record/decode.go
+++ b/internal/observability/record/decode.go
@@ -10,16 +10,17 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// ErrMalformed says that the bytes of an event cannot be decoded.
+// ErrMalformed is the error for bytes that cannot be decoded as an event.
 var ErrMalformed = errors.New("record: malformed event")
 
-// Bounds on what malformed input can make the decoder allocate.
+// Limits on the memory that malformed input can make the decoder allocate.
 const (
 	maxStringBytes   = 1 << 12
 	maxSharedStrings = 1 << 16
 )
 
-// Least encoded sizes of list entries, in bytes. A list that claims more entries than its bytes can hold is malformed.
+// Minimum encoded sizes of list entries, in bytes. A list that claims more entries than the remaining bytes can hold is
+// malformed.
 const (
 	minAttemptBytes = 4
 	minClassBytes   = 4
@@ -29,7 +30,7 @@
 	minVolumeBytes  = 6
 )
 
-// Decoder decodes the events of frames. Equal strings are shared.
+// Decoder decodes the events of frames. Equal strings share their memory.
 type Decoder struct {
 	rest      []byte
 	base      clock.Micros
@@ -37,18 +38,18 @@
 	shared    map[string]string
 }
 
-// NewDecoder returns a decoder without input; Reset gives it some.
+// NewDecoder returns a decoder. Reset sets its input.
 func NewDecoder() *Decoder { return &Decoder{shared: map[string]string{}} }
 
-// Reset makes the decoder read the events of a frame, whose times count from base.
+// Reset sets the input to the events of a frame. base is the frame's BaseTime.
 func (d *Decoder) Reset(events []byte, base clock.Micros) {
 	d.rest = events
 	d.base = base
 	d.malformed = false
 }
 
-// Next decodes the next event into e and reports whether there was one. The request in e and its attempts are
-// overwritten by the next call; everything else stays valid. The error wraps ErrMalformed.
+// Next decodes the next event into e and reports whether there was one. The next call overwrites the request in e and
+// its attempts; everything else stays valid. The error wraps ErrMalformed.
 func (d *Decoder) Next(e *Event) (bool, error) {
 	if len(d.rest) == 0 {
 		return false, nil
@@ -64,7 +65,7 @@
 		d.request(request)
 		e.Request = request
 	case KindIncarnation:
-		e.Incarnation = d.boot()
+		e.Incarnation = d.incarnation()
 	case KindHeartbeat:
 		e.Heartbeat = d.heartbeat()
 	case KindSummary:
@@ -77,12 +78,12 @@
 		d.malformed = true
 	}
 	if d.malformed {
-		return false, fmt.Errorf("%w: kind %d", ErrMalformed, e.Kind)
+		return false, fmt.Errorf("%w: event kind %d", ErrMalformed, e.Kind)
 	}
 	return true, nil
 }
 
-// request overwrites r and reuses its attempts.
+// request decodes a request into r and reuses the memory of its attempts.
 func (d *Decoder) request(r *Request) {
 	attempts := r.Attempts[:0]
 	*r = Request{Class: d.byte(), Plan: d.byte(), Result: Result(d.byte()), Volume: d.string()}
@@ -96,15 +97,15 @@
 	r.Attempts = attempts
 }
 
-func (d *Decoder) boot() *Incarnation {
-	boot := &Incarnation{Name: d.string(), ID: d.string(), StartedAt: d.micros(), WallClock: d.micros(), HeartbeatInterval: d.micros(), SampleFraction: d.float()}
+func (d *Decoder) incarnation() *Incarnation {
+	incarnation := &Incarnation{Name: d.string(), ID: d.string(), StartedAt: d.micros(), WallClock: d.micros(), HeartbeatInterval: d.micros(), SampleFraction: d.float()}
 	for range d.count(minClassBytes) {
-		boot.Classes = append(boot.Classes, Class{Name: d.string(), LatencyObjective: d.micros(), Deadline: d.micros(), PriorityWeight: d.float()})
+		incarnation.Classes = append(incarnation.Classes, Class{Name: d.string(), LatencyObjective: d.micros(), Deadline: d.micros(), PriorityWeight: d.float()})
 	}
 	for range d.count(minPlanBytes) {
-		boot.Plans = append(boot.Plans, Plan{Name: d.string(), PriceFactor: d.float()})
+		incarnation.Plans = append(incarnation.Plans, Plan{Name: d.string(), PriceFactor: d.float()})
 	}
-	return boot
+	return incarnation
 }
 
 func (d *Decoder) heartbeat() *Heartbeat {
@@ -157,7 +158,7 @@
 	return &Lost{From: at + from, To: at + to, Events: d.uvarint(), Requests: d.uvarint(), Reason: d.string()}
 }
 
-// fail marks the input as malformed and drops what is left of it.
+// fail marks the input as malformed and discards the rest of it.
 func (d *Decoder) fail() {
 	d.malformed = true
 	d.rest = nil
--- a/internal/observability/record/directory.go
+++ b/internal/observability/record/directory.go
@@ -12,28 +12,29 @@
 
 const segmentExtension = ".seg"
 
-// Directory is a sink of segment files whose total size is bounded. The oldest files of the folder are deleted first, those of
-// earlier incarnations included.
+// Directory is a sink that writes segment files to a directory and bounds their total size. The broker's oldest files
+// are deleted first, including those of earlier incarnations.
 type Directory struct {
 	path            string
-	name            string // of the broker
-	boot            string // of the incarnation
+	name            string // name of the broker
+	incarnationID   string // ID of the incarnation
 	maxSegmentBytes int64
 	maxTotalBytes   int64
 
-	file    *os.File // the segment being written; nil before the first
-	size    int64    // of file
-	number  int      // of file
-	failed  bool     // the last write was incomplete: continue in a new file
-	encoded []byte   // reused
+	file   *os.File // the segment being written; nil before the first frame
+	size   int64    // size of file in bytes
+	number int      // sequence number of file
+	failed bool     // the last write failed: the next frame goes to a new file
+	buffer []byte   // encoding buffer, reused between frames
 }
 
-// NewDirectory returns a sink in a folder, which it creates. Sizes are bytes of one segment and of all.
-func NewDirectory(path, name, boot string, maxSegmentBytes, maxTotalBytes int64) (*Directory, error) {
+// NewDirectory returns a sink that writes to the directory path, which it creates if necessary. maxSegmentBytes is the
+// size of a segment from which on the next one is started; maxTotalBytes bounds the size of all segments of the broker.
+func NewDirectory(path, name, incarnationID string, maxSegmentBytes, maxTotalBytes int64) (*Directory, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
 	}
-	return &Directory{path: path, name: name, boot: boot, maxSegmentBytes: maxSegmentBytes, maxTotalBytes: maxTotalBytes}, nil
+	return &Directory{path: path, name: name, incarnationID: incarnationID, maxSegmentBytes: maxSegmentBytes, maxTotalBytes: maxTotalBytes}, nil
 }
 
 // Write appends a frame.
@@ -43,8 +44,8 @@
 			return err
 		}
 	}
-	d.encoded = f.Append(d.encoded[:0])
-	n, err := d.file.Write(d.encoded)
+	d.buffer = f.Append(d.buffer[:0])
+	n, err := d.file.Write(d.buffer)
 	d.size += int64(n)
 	if err != nil {
 		// The file ends with part of a frame, which readers skip.
@@ -54,7 +55,7 @@
 	return nil
 }
 
-// Close ends the segment.
+// Close closes the current segment.
 func (d *Directory) Close() error {
 	if d.file == nil {
 		return nil
@@ -62,27 +63,27 @@
 	return d.file.Close()
 }
 
-// startSegment begins a new segment and deletes old ones if there is no space for it.
+// startSegment starts a new segment, after deleting old ones if the total size would exceed its bound.
 func (d *Directory) startSegment(firstFrame uint64) error {
 	if d.file != nil {
-		_ = d.file.Close() // frames that are lost with it show as a gap in the numbers
+		_ = d.file.Close() // frames lost by a failed close show as a gap in the frame numbers
 		d.file = nil
 	}
 	d.deleteOldSegments()
 	d.number++
-	head := SegmentHeader(d.name, d.boot, firstFrame)
-	path := filepath.Join(d.path, fmt.Sprintf("%s-%s-%06d%s", d.name, d.boot, d.number, segmentExtension))
+	header := SegmentHeader(d.name, d.incarnationID, firstFrame)
+	path := filepath.Join(d.path, fmt.Sprintf("%s-%s-%06d%s", d.name, d.incarnationID, d.number, segmentExtension))
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return fmt.Errorf("record: %w", err)
 	}
-	if _, err := file.Write(head); err != nil {
-		_ = file.Close() // the error of the write is returned
+	if _, err := file.Write(header); err != nil {
+		_ = file.Close() // the error of the write is the one to return
 		_ = os.Remove(path)
 		return fmt.Errorf("record: %w", err)
 	}
 	d.file = file
-	d.size = int64(len(head))
+	d.size = int64(len(header))
 	d.failed = false
 	return nil
 }
@@ -95,7 +96,7 @@
 	number   int
 }
 
-// deleteOldSegments deletes this broker's oldest segments until another one fits.
+// deleteOldSegments deletes this broker's oldest segments until another segment fits into the bound.
 func (d *Directory) deleteOldSegments() {
 	segments := d.listSegments()
 	total := int64(0)
@@ -112,7 +113,7 @@
 	}
 }
 
-// listSegments returns this broker's segments, oldest first. Files that cannot be looked at are left out.
+// listSegments returns this broker's segments, oldest first. Files whose metadata cannot be read are left out.
 func (d *Directory) listSegments() []segmentFile {
 	paths, err := filepath.Glob(filepath.Join(d.path, d.name+"-*"+segmentExtension))
 	if err != nil {
@@ -127,7 +128,7 @@
 		suffix := strings.TrimSuffix(filepath.Base(path), segmentExtension)[len(d.name)+1:]
 		_, number, ok := strings.Cut(suffix, "-")
 		if !ok || strings.Contains(number, "-") {
-			continue // another broker's, whose name begins like this one's
+			continue // a file of another broker whose name has this broker's name and a hyphen as its prefix
 		}
 		n, err := strconv.Atoi(number)
 		if err != nil {
--- a/internal/observability/record/encode.go
+++ b/internal/observability/record/encode.go
@@ -7,7 +7,7 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// unitsScale is the fixed-point scale of a request's units.
+// unitsScale is the fixed-point scale of Request.Units: they are stored in units of 1/16.
 const unitsScale = 16
 
 // Append encodes an event, with its time as the difference from base, and appends it to b.
@@ -47,47 +47,47 @@
 	return b
 }
 
-func (o *Incarnation) append(b []byte) []byte {
-	b = appendString(b, o.Name)
-	b = appendString(b, o.ID)
-	b = binary.AppendVarint(b, int64(o.StartedAt))
-	b = binary.AppendVarint(b, int64(o.WallClock))
-	b = binary.AppendVarint(b, int64(o.HeartbeatInterval))
-	b = appendFloat(b, o.SampleFraction)
-	b = binary.AppendUvarint(b, uint64(len(o.Classes)))
-	for _, class := range o.Classes {
+func (i *Incarnation) append(b []byte) []byte {
+	b = appendString(b, i.Name)
+	b = appendString(b, i.ID)
+	b = binary.AppendVarint(b, int64(i.StartedAt))
+	b = binary.AppendVarint(b, int64(i.WallClock))
+	b = binary.AppendVarint(b, int64(i.HeartbeatInterval))
+	b = appendFloat(b, i.SampleFraction)
+	b = binary.AppendUvarint(b, uint64(len(i.Classes)))
+	for _, class := range i.Classes {
 		b = appendString(b, class.Name)
 		b = binary.AppendVarint(b, int64(class.LatencyObjective))
 		b = binary.AppendVarint(b, int64(class.Deadline))
 		b = appendFloat(b, class.PriorityWeight)
 	}
-	b = binary.AppendUvarint(b, uint64(len(o.Plans)))
-	for _, plan := range o.Plans {
+	b = binary.AppendUvarint(b, uint64(len(i.Plans)))
+	for _, plan := range i.Plans {
 		b = appendString(b, plan.Name)
 		b = appendFloat(b, plan.PriceFactor)
 	}
 	return b
 }
 
-func (o *Heartbeat) append(b []byte) []byte {
-	for _, level := range []int64{int64(o.WallClock), o.InFlight, int64(o.HeapBytes), o.Goroutines, o.NodeCount, o.ListRevision} {
-		b = binary.AppendVarint(b, level)
+func (h *Heartbeat) append(b []byte) []byte {
+	for _, gauge := range []int64{int64(h.WallClock), h.InFlight, int64(h.HeapBytes), h.Goroutines, h.NodeCount, h.ListRevision} {
+		b = binary.AppendVarint(b, gauge)
 	}
 	return b
 }
 
-func (o *Summary) append(b []byte) []byte {
-	b = binary.AppendVarint(b, int64(o.Span))
-	b = binary.AppendUvarint(b, uint64(len(o.Groups)))
-	for i := range o.Groups {
-		b = o.Groups[i].append(b)
+func (s *Summary) append(b []byte) []byte {
+	b = binary.AppendVarint(b, int64(s.Span))
+	b = binary.AppendUvarint(b, uint64(len(s.Groups)))
+	for i := range s.Groups {
+		b = s.Groups[i].append(b)
 	}
-	b = binary.AppendUvarint(b, uint64(len(o.Nodes)))
-	for i := range o.Nodes {
-		b = o.Nodes[i].append(b)
+	b = binary.AppendUvarint(b, uint64(len(s.Nodes)))
+	for i := range s.Nodes {
+		b = s.Nodes[i].append(b)
 	}
-	b = binary.AppendUvarint(b, uint64(len(o.Volumes)))
-	for _, volume := range o.Volumes {
+	b = binary.AppendUvarint(b, uint64(len(s.Volumes)))
+	for _, volume := range s.Volumes {
 		b = appendString(b, volume.Volume)
 		for _, count := range []uint64{volume.Count, volume.CountError, volume.Rejected, volume.Failed, volume.Late} {
 			b = binary.AppendUvarint(b, count)
@@ -105,7 +105,7 @@
 	return g.Latency.Append(b)
 }
 
-// append encodes only the outcomes that occurred.
+// append encodes only the outcomes whose count is not 0.
 func (n *NodeCount) append(b []byte) []byte {
 	b = appendString(b, n.Node)
 	occurred := 0
@@ -124,25 +124,25 @@
 	return n.Latency.Append(b)
 }
 
-func (o *Lost) append(b []byte, at clock.Micros) []byte {
-	b = binary.AppendVarint(b, int64(o.From-at))
-	b = binary.AppendVarint(b, int64(o.To-at))
-	b = binary.AppendUvarint(b, o.Events)
-	b = binary.AppendUvarint(b, o.Requests)
-	return appendString(b, o.Reason)
+func (l *Lost) append(b []byte, at clock.Micros) []byte {
+	b = binary.AppendVarint(b, int64(l.From-at))
+	b = binary.AppendVarint(b, int64(l.To-at))
+	b = binary.AppendUvarint(b, l.Events)
+	b = binary.AppendUvarint(b, l.Requests)
+	return appendString(b, l.Reason)
 }
 
-func (o *Note) append(b []byte) []byte {
-	b = appendString(b, o.Subject)
-	b = appendString(b, o.Text)
-	return binary.AppendVarint(b, o.Value)
+func (n *Note) append(b []byte) []byte {
+	b = appendString(b, n.Subject)
+	b = appendString(b, n.Text)
+	return binary.AppendVarint(b, n.Value)
 }
 
 func appendString(b []byte, s string) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-// appendMicros encodes a duration that cannot be negative.
+// appendMicros encodes a duration that is not negative; a negative one is stored as 0.
 func appendMicros(b []byte, v clock.Micros) []byte {
 	return binary.AppendUvarint(b, uint64(max(v, 0)))
 }
--- a/internal/observability/record/event.go
+++ b/internal/observability/record/event.go
@@ -1,7 +1,8 @@
-// Package record writes what a broker did, so that it can be read after the broker's death: typed events, buffers that
-// never block a request, and segments that show what is missing in them.
+// Package record writes a log of a broker's activity that can be read after the broker has crashed: typed events,
+// buffers that never block a request, and segments in which missing or damaged parts can be detected.
 //
-// Times are microseconds. Unless noted otherwise they are on the broker's monotonic clock, whose zero is that of Unix time.
+// Times are in microseconds. Unless noted otherwise they are on the broker's monotonic clock, which counts from the
+// Unix epoch.
 package record
 
 import (
@@ -9,26 +10,26 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// Kind tells which field of an Event is set.
+// Kind is the kind of an event. It determines which field of Event is set, named in the comment of each kind.
 type Kind uint8
 
-// The kinds of events. Their numbers are stored.
+// The kinds of events. The numbers are stored and must not change.
 const (
-	KindIncarnation Kind = iota + 1 // Incarnation: its particulars of the incarnation
+	KindIncarnation Kind = iota + 1 // Incarnation
 	KindHeartbeat                   // Heartbeat
 	KindRequest                     // Request
 	KindSummary                     // Summary
 	KindNode                        // Note: the decision module's view of a storage node has changed
 	KindList                        // Note: an entry of the endpoint list has changed; Value is the list's revision
 	KindDiscovery                   // Note: a call to discovery failed, or calls succeed again
-	KindControl                     // Note: a change from the control endpoint was applied or rejected; Value is the edition
-	KindDrain                       // Note: the broker drains
-	KindStop                        // Note: the broker has answered everything and ends
+	KindControl                     // Note: the control endpoint applied or rejected a change; Value is the edition
+	KindDrain                       // Note: the broker has started to drain
+	KindStop                        // Note: the broker has answered all requests and exits
 	KindLost                        // Lost
 	kindCount
 )
 
-// Event is one entry.
+// Event is one event of the log. Kind determines which of the pointers is set.
 type Event struct {
 	At          clock.Micros
 	Kind        Kind
@@ -40,56 +41,57 @@
 	Lost        *Lost
 }
 
-// Incarnation has the particulars of an incarnation. Later events refer to classes and plans by their positions.
+// Incarnation describes an incarnation of a broker. Later events refer to classes and plans by their positions.
 type Incarnation struct {
-	Name              string       `json:"name"` // of the broker
-	ID                string       `json:"id"`   // of the incarnation
+	Name              string       `json:"name"` // name of the broker
+	ID                string       `json:"id"`   // ID of the incarnation
 	StartedAt         clock.Micros `json:"began"`
-	WallClock         clock.Micros `json:"wall"` // the wall clock at Began
-	HeartbeatInterval clock.Micros `json:"beat"` // time between heartbeats
+	WallClock         clock.Micros `json:"wall"` // wall clock at StartedAt
+	HeartbeatInterval clock.Micros `json:"beat"` // time between two heartbeats
 	SampleFraction    float64      `json:"sample"`
 	Classes           []Class      `json:"classes"`
 	Plans             []Plan       `json:"plans"`
 }
 
-// Class is the part of a class that an analysis needs.
+// Class holds the settings of a class that an analysis needs.
 type Class struct {
 	Name             string       `json:"name"`
-	LatencyObjective clock.Micros `json:"aim"`   // latency objective
-	Deadline         clock.Micros `json:"due"`   // deadline
-	PriorityWeight   float64      `json:"worth"` // priority weight
+	LatencyObjective clock.Micros `json:"aim"`
+	Deadline         clock.Micros `json:"due"`
+	PriorityWeight   float64      `json:"worth"`
 }
 
-// Plan is the part of a service level that an analysis needs.
+// Plan holds the settings of a plan that an analysis needs.
 type Plan struct {
 	Name        string  `json:"name"`
-	PriceFactor float64 `json:"price"` // factor on the priority weight
+	PriceFactor float64 `json:"price"` // multiplier of the priority weight
 }
 
-// Heartbeat is a heartbeat with levels.
+// Heartbeat is a heartbeat with the gauges of the broker at its time.
 type Heartbeat struct {
-	WallClock    clock.Micros `json:"wall"` // the wall clock
+	WallClock    clock.Micros `json:"wall"`
 	InFlight     int64        `json:"open"` // requests in flight
-	HeapBytes    uint64       `json:"heap"` // bytes
+	HeapBytes    uint64       `json:"heap"`
 	Goroutines   int64        `json:"goroutines"`
 	NodeCount    int64        `json:"nodes"`
 	ListRevision int64        `json:"list"` // revision of the endpoint list
 }
 
-// Result tells how a request ended.
+// Result is the outcome of a request.
 type Result uint8
 
-// The answers. Their numbers are stored.
+// The results. The numbers are stored and must not change.
 const (
 	Served   Result = iota
-	Rejected        // shed
+	Rejected        // shed by the broker
 	Failed
 	DeadlineExceeded   // failed because the deadline had passed
-	ClientDisconnected // the client disconnected
+	ClientDisconnected // the client disconnected before the response
 	resultCount
 )
 
-// Request is a request with its attempts. Times within it count from its arrival, which is the event's time.
+// Request is a request with its attempts. The event's time is the arrival of the request; times in it are relative to
+// that.
 type Request struct {
 	Class      uint8 // position in Incarnation.Classes
 	Plan       uint8 // position in Incarnation.Plans
@@ -97,8 +99,8 @@
 	Volume     string
 	Units      float64
 	Shard      int64
-	Duration   clock.Micros // until the response
-	RetryAfter clock.Micros // Retry-After of a request that was shed
+	Duration   clock.Micros // from arrival to the end of the request
+	RetryAfter clock.Micros // Retry-After sent to the client if the request was shed
 	Attempts   []Attempt
 }
 
@@ -107,24 +109,24 @@
 	Node      string
 	SentAfter clock.Micros // since the arrival of the request
 	Duration  clock.Micros
-	Outcome   uint8 // as the decision module numbers outcomes
+	Outcome   uint8 // a decision.Outcome
 }
 
-// outcomeServed is the decision module's number of a successful attempt.
+// outcomeServed is decision.Served, the outcome of a successful attempt.
 const outcomeServed = 0
 
-// maxOutcomes bounds the numbers of outcomes.
+// maxOutcomes is the number of counters by outcome in a NodeCount.
 const maxOutcomes = 16
 
-// Summary counts all requests that ended in a span of time, sampled or not.
+// Summary counts all requests that ended within a time span, whether they were sampled or not.
 type Summary struct {
-	Span    clock.Micros // up to the event's time
+	Span    clock.Micros // length of the span, which ends at the event's time
 	Groups  []Group
 	Nodes   []NodeCount
-	Volumes []VolumeCount // the most frequent ones
+	Volumes []VolumeCount // the most frequently requested volumes
 }
 
-// VolumeCount counts the requests of a volume. Count is never too low and too high by at most Error.
+// VolumeCount counts the requests of a volume. The true count is at most Count and at least Count - CountError.
 type VolumeCount struct {
 	Volume     string
 	Count      uint64
@@ -140,28 +142,28 @@
 	Plan    uint8
 	Results [resultCount]uint64
 	Late    uint64        // served after the latency objective
-	Latency sketch.Sketch // of the served ones
+	Latency sketch.Sketch // of the served requests
 }
 
 // NodeCount counts the attempts at one storage node.
 type NodeCount struct {
 	Node     string
 	Outcomes [maxOutcomes]uint64
-	Latency  sketch.Sketch // of the successful ones
+	Latency  sketch.Sketch // of the successful attempts
 }
 
-// Note is a change of something.
+// Note is a change of a node, of the endpoint list, of discovery or of the broker itself.
 type Note struct {
-	Subject string // a storage node, an address
+	Subject string // what has changed, such as a storage node or an address
 	Text    string
 	Value   int64
 }
 
-// Lost counts events that were not kept.
+// Lost counts events that were not recorded.
 type Lost struct {
-	From     clock.Micros // time of the first
-	To       clock.Micros // time of the last
+	From     clock.Micros // time of the first one
+	To       clock.Micros // time of the last one
 	Events   uint64
 	Requests uint64
-	Reason   string // "full" (no space in a buffer) or "disk" (the sink did not take them)
+	Reason   string // "full" (the buffers were full) or "disk" (the sink returned an error)
 }
--- a/internal/observability/record/quantiles.go
+++ b/internal/observability/record/quantiles.go
@@ -5,7 +5,7 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// Quantiles summarises a latency.
+// Quantiles summarizes a latency distribution.
 type Quantiles struct {
 	Count uint64
 	P50   clock.Micros
@@ -13,7 +13,7 @@
 	Max   clock.Micros
 }
 
-// QuantilesOf reads the quantiles of a sketch.
+// QuantilesOf returns the quantiles of a sketch of latencies in microseconds.
 func QuantilesOf(s *sketch.Sketch) Quantiles {
 	return Quantiles{
 		Count: s.Count(),
--- a/internal/observability/record/record_test.go
+++ b/internal/observability/record/record_test.go
@@ -32,12 +32,12 @@
 	switch e.Kind {
 	case KindRequest:
 		e.Request = &Request{Class: 1, Plan: 2, Result: Rejected, Volume: name.Draw(t, "volume"), Units: float64(rapid.IntRange(0, 80).Draw(t, "units")) / 16,
-			Shard: rapid.Int64Range(-1, 9).Draw(t, "shard"), Duration: span.Draw(t, "took"), RetryAfter: span.Draw(t, "hint")}
-		for range rapid.IntRange(0, 3).Draw(t, "tries") {
-			e.Request.Attempts = append(e.Request.Attempts, Attempt{name.Draw(t, "node"), span.Draw(t, "sent"), span.Draw(t, "try"), 3})
+			Shard: rapid.Int64Range(-1, 9).Draw(t, "shard"), Duration: span.Draw(t, "duration"), RetryAfter: span.Draw(t, "retry after")}
+		for range rapid.IntRange(0, 3).Draw(t, "attempts") {
+			e.Request.Attempts = append(e.Request.Attempts, Attempt{name.Draw(t, "node"), span.Draw(t, "sent"), span.Draw(t, "attempt duration"), 3})
 		}
 	case KindIncarnation:
-		e.Incarnation = &Incarnation{Name: "n1", ID: "b", StartedAt: span.Draw(t, "began"), WallClock: span.Draw(t, "wall"), HeartbeatInterval: 5, SampleFraction: 0.25,
+		e.Incarnation = &Incarnation{Name: "n1", ID: "b", StartedAt: span.Draw(t, "started at"), WallClock: span.Draw(t, "wall"), HeartbeatInterval: 5, SampleFraction: 0.25,
 			Classes: []Class{{"c", 1, 2, 0.5}}, Plans: []Plan{{"p", 1.5}, {"q", 0}}}
 	case KindHeartbeat:
 		e.Heartbeat = &Heartbeat{span.Draw(t, "wall"), 3, 1 << 30, 17, 4, -1}
@@ -56,9 +56,9 @@
 	return e
 }
 
-// drawSegment returns a segment, its events, and its number of frames.
+// drawSegment draws a segment and returns it with its events and its number of frames.
 func drawSegment(t *rapid.T) (segment []byte, events []Event, frames int) {
-	segment = SegmentHeader("n1", "boot", 1)
+	segment = SegmentHeader("n1", "incarnation", 1)
 	frames = rapid.IntRange(1, 6).Draw(t, "frames")
 	for k := range frames {
 		base := drawTime(t, "base")
@@ -74,11 +74,11 @@
 	return segment, events, frames
 }
 
-// decoded is what a reader found in a segment.
+// decoded is the result of decoding a segment.
 type decoded struct {
 	events  []Event
-	seqs    []uint64 // of the frames
-	damaged int      // bytes
+	seqs    []uint64 // numbers of the frames
+	damaged int      // number of unreadable bytes
 }
 
 func decodeSegment(t *rapid.T, segment []byte) decoded {
@@ -114,7 +114,7 @@
 	}
 }
 
-// sameEvent compares events. Sketches with different capacities may be equal, so summaries are compared by their figures.
+// sameEvent compares events. Equal sketches may differ in capacity, so summaries are compared by their values.
 func sameEvent(x, y Event) bool {
 	if x.Kind == KindSummary {
 		return x.Summary.Groups[0].Latency.Quantile(0.5) == y.Summary.Groups[0].Latency.Quantile(0.5) &&
@@ -133,7 +133,7 @@
 		segment, want, _ := drawSegment(t)
 		got := decodeSegment(t, segment)
 		if got.damaged != 0 || len(got.events) != len(want) {
-			t.Fatalf("%d events of %d, %d bytes damaged", len(got.events), len(want), got.damaged)
+			t.Fatalf("read %d events of %d, with %d damaged bytes", len(got.events), len(want), got.damaged)
 		}
 		for i := range want {
 			if !sameEvent(got.events[i], want[i]) {
@@ -143,9 +143,9 @@
 	})
 }
 
-// TestDamagedSegmentsReportUnreadableBytes changes a bit behind the header, or cuts the segment off there.
+// TestDamagedSegmentsReportUnreadableBytes flips a bit after the header, or truncates the segment there.
 func TestDamagedSegmentsReportUnreadableBytes(t *testing.T) {
-	headerSize := len(SegmentHeader("n1", "boot", 1))
+	headerSize := len(SegmentHeader("n1", "incarnation", 1))
 	rapid.Check(t, func(t *rapid.T) {
 		segment, _, frames := drawSegment(t)
 		at := rapid.IntRange(headerSize, len(segment)-1).Draw(t, "damage")
@@ -158,10 +158,10 @@
 		}
 		got := decodeSegment(t, damaged)
 		if cut && at > headerSize && got.damaged == 0 && len(got.seqs) == frames {
-			t.Fatalf("cut at %d of %d bytes: all %d frames were read", at, len(segment), frames)
+			t.Fatalf("truncated at byte %d of %d: all %d frames were read", at, len(segment), frames)
 		}
 		if !cut && (got.damaged == 0 || len(got.seqs) != frames-1) {
-			t.Fatalf("damage at %d of %d bytes: %d of %d frames, %d bytes damaged", at, len(segment), len(got.seqs), frames, got.damaged)
+			t.Fatalf("bit flipped at byte %d of %d: read %d of %d frames, with %d damaged bytes", at, len(segment), len(got.seqs), frames, got.damaged)
 		}
 		for i := 1; i < len(got.seqs); i++ {
 			if got.seqs[i] <= got.seqs[i-1] {
@@ -190,35 +190,36 @@
 	})
 }
 
-// tank is a sink that can be full or slow.
-type tank struct {
-	mu     sync.Mutex
-	full   bool
-	hold   chan struct{}
-	frames []Frame
+// fakeSink is a sink whose writes can be made to fail or to block.
+type fakeSink struct {
+	mu      sync.Mutex
+	full    bool
+	blocked chan struct{}
+	frames  []Frame
 }
 
-func (k *tank) Write(f *Frame) error {
-	if k.hold != nil {
-		<-k.hold
+func (s *fakeSink) Write(f *Frame) error {
+	if s.blocked != nil {
+		<-s.blocked
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.full {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.full {
 		return errors.New("no space left on device")
 	}
 	c := *f
 	c.Events = bytes.Clone(f.Events)
-	k.frames = append(k.frames, c)
+	s.frames = append(s.frames, c)
 	return nil
 }
 
-func (k *tank) Close() error { return nil }
+func (s *fakeSink) Close() error { return nil }
 
-// sum adds up what a sink holds.
-func (k *tank) sum(t *testing.T) (requests, lost, counted uint64, whys map[string]bool) {
-	whys = map[string]bool{}
-	for _, f := range k.frames {
+// tally returns the number of recorded requests, of requests reported as lost and of requests counted in summaries, and
+// the reasons of the losses.
+func (s *fakeSink) tally(t *testing.T) (requests, lost, counted uint64, reasons map[string]bool) {
+	reasons = map[string]bool{}
+	for _, f := range s.frames {
 		d := NewDecoder()
 		d.Reset(f.Events, f.BaseTime)
 		var e Event
@@ -235,7 +236,7 @@
 				requests++
 			case KindLost:
 				lost += e.Lost.Requests
-				whys[e.Lost.Reason] = true
+				reasons[e.Lost.Reason] = true
 			case KindSummary:
 				for _, g := range e.Summary.Groups {
 					for _, n := range g.Results {
@@ -248,20 +249,20 @@
 	return
 }
 
-// A surge that overflows the buffers while the sink stands still, and then a disk that is full: no caller waits, and
-// every request is either recorded or counted as lost.
-func TestNothingIsLostUncounted(t *testing.T) {
+// While the sink is blocked, a surge overflows the buffers; later the disk is full. No caller blocks, and every request
+// is either recorded or counted as lost.
+func TestEveryRequestIsRecordedOrCountedAsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := &tank{hold: make(chan struct{})}
+		sink := &fakeSink{blocked: make(chan struct{})}
 		start := time.Now()
 		now := func() clock.Micros { return 1 + clock.FromDuration(time.Since(start)) }
-		r := New(Options{SampleFraction: 1, BufferBytes: 4096}, Incarnation{Name: "n"}, now, func(*Heartbeat) {}, k)
+		r := New(Options{SampleFraction: 1, BufferBytes: 4096}, Incarnation{Name: "n"}, now, func(*Heartbeat) {}, sink)
 		go r.Run()
-		var all sync.WaitGroup
-		const callers, each = 8, 500
+		var wg sync.WaitGroup
+		const callers, perCaller = 8, 500
 		for c := range callers {
-			all.Go(func() {
-				for i := range each {
+			wg.Go(func() {
+				for i := range perCaller {
 					r.Request(now(), &Request{Class: uint8(c % 2), Duration: clock.Micros(i), Attempts: []Attempt{{"s-1", 1, 2, 0}}})
 					if i%50 == 49 {
 						time.Sleep(10 * time.Millisecond)
@@ -269,61 +270,62 @@
 				}
 			})
 		}
-		all.Wait() // though the sink has not taken a thing
-		close(k.hold)
+		wg.Wait() // returns although the sink has not written anything
+		close(sink.blocked)
 		time.Sleep(time.Second)
-		k.mu.Lock()
-		k.full = true
-		k.mu.Unlock()
+		sink.mu.Lock()
+		sink.full = true
+		sink.mu.Unlock()
 		for range 100 {
 			r.Request(now(), &Request{})
 		}
 		time.Sleep(2 * time.Second)
-		k.mu.Lock()
-		k.full = false
-		k.mu.Unlock()
+		sink.mu.Lock()
+		sink.full = false
+		sink.mu.Unlock()
 		for range 10 {
 			r.Request(now(), &Request{})
 		}
 		time.Sleep(2 * time.Second)
 		r.Close(t.Context())
-		requests, lost, counted, whys := k.sum(t)
-		if total := uint64(callers*each + 110); requests+lost != total || counted < total-lost || !whys["full"] || !whys["disk"] {
-			t.Errorf("%d recorded and %d lost of %d, %d counted, %v", requests, lost, total, counted, whys)
+		requests, lost, counted, reasons := sink.tally(t)
+		if total := uint64(callers*perCaller + 110); requests+lost != total || counted < total-lost || !reasons["full"] || !reasons["disk"] {
+			t.Errorf("%d recorded and %d lost of %d requests, %d counted in summaries, reasons of loss %v", requests, lost, total, counted, reasons)
 		}
 	})
 }
 
-// Sampling keeps whole requests, about as many as asked for, and the summary counts them all.
-func TestSampling(t *testing.T) {
+// With a sample fraction of 0.25, about a quarter of the requests is recorded, and the summaries count all of them.
+func TestSampledRequestsAreRecordedAndAllAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := &tank{}
+		sink := &fakeSink{}
 		start := time.Now()
 		now := func() clock.Micros { return 1 + clock.FromDuration(time.Since(start)) }
-		r := New(Options{SampleFraction: 0.25}, Incarnation{Name: "n"}, now, func(*Heartbeat) {}, k)
+		r := New(Options{SampleFraction: 0.25}, Incarnation{Name: "n"}, now, func(*Heartbeat) {}, sink)
 		go r.Run()
 		for range 4000 {
 			time.Sleep(100 * time.Microsecond)
 			r.Request(now(), &Request{Volume: "v", Attempts: []Attempt{{"s-1", 1, 2, 0}}})
 		}
 		r.Close(context.Background())
-		requests, lost, counted, _ := k.sum(t)
+		requests, lost, counted, _ := sink.tally(t)
 		if lost != 0 || counted != 4000 || requests < 850 || requests > 1150 {
-			t.Errorf("%d recorded, %d lost, %d counted", requests, lost, counted)
+			t.Errorf("%d recorded, %d lost, %d counted in summaries, want about 1000, 0 and 4000", requests, lost, counted)
 		}
 	})
 }
 
-// The folder stays within its bound, the oldest go first, and a broker whose name begins like another's is left alone.
-func TestFolderIsBounded(t *testing.T) {
+// The directory stays within its bound, the oldest segments are deleted first, and the files of a broker whose name
+// begins with this broker's name are not deleted.
+func TestDirectoryDeletesOldestSegments(t *testing.T) {
 	dir := t.TempDir()
 	other := filepath.Join(dir, "n1-x-00ff-000001.seg")
 	if err := os.WriteFile(other, make([]byte, 1000), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	seq := uint64(0)
-	for _, boot := range []string{"00aa", "00bb"} {
-		d, err := NewDirectory(dir, "n1", boot, 1000, 5000)
+	for _, incarnation := range []string{"00aa", "00bb"} {
+		d, err := NewDirectory(dir, "n1", incarnation, 1000, 5000)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -332,7 +334,7 @@
 			if err := d.Write(&Frame{Seq: seq, Events: make([]byte, 300)}); err != nil {
 				t.Fatal(err)
 			}
-			time.Sleep(time.Millisecond) // times of files tell their order
+			time.Sleep(time.Millisecond) // segments are ordered by modification time
 		}
 		if err := d.Close(); err != nil {
 			t.Fatal(err)
@@ -346,19 +348,19 @@
 			t.Fatal(err)
 		}
 		size += info.Size()
-		if boot := filepath.Base(p)[3:7]; boot != "00bb" {
-			t.Errorf("%s is older than what was removed", p)
+		if incarnation := filepath.Base(p)[3:7]; incarnation != "00bb" {
+			t.Errorf("%s belongs to an earlier incarnation and should have been deleted", p)
 		}
 	}
 	if size > 5500 || size < 3000 {
-		t.Errorf("%d bytes in %d files", size, len(paths))
+		t.Errorf("%d bytes in %d files, want 3000 to 5500 bytes", size, len(paths))
 	}
 	if _, err := os.Stat(other); err != nil {
 		t.Error(err)
 	}
 }
 
-// What a request costs: recorded one by one, only counted, or without a recorder.
+// BenchmarkRequest measures the cost of Recorder.Request with all requests recorded and with 1 % of them recorded.
 func BenchmarkRequest(b *testing.B) {
 	q := &Request{Class: 1, Plan: 1, Volume: "00000003b4d60021", Units: 2, Shard: 3, Duration: 41000, Attempts: []Attempt{{"s-5be2a07c", 40, 40900, 0}}}
 	for _, x := range []struct {
@@ -366,10 +368,10 @@
 		sample float64
 	}{{"full", 1}, {"sampled", 0.01}} {
 		b.Run(x.name, func(b *testing.B) {
-			k := &counter{}
+			sink := &byteCounter{}
 			start := time.Now()
 			now := func() clock.Micros { return clock.FromDuration(time.Since(start)) }
-			r := New(Options{SampleFraction: x.sample, BufferBytes: 64 << 20}, Incarnation{Name: "n"}, now, func(*Heartbeat) {}, k)
+			r := New(Options{SampleFraction: x.sample, BufferBytes: 64 << 20}, Incarnation{Name: "n"}, now, func(*Heartbeat) {}, sink)
 			go r.Run()
 			n := 0
 			for b.Loop() {
@@ -377,16 +379,16 @@
 				n++
 			}
 			r.Close(context.Background())
-			b.ReportMetric(float64(k.bytes)/float64(n), "B/request")
+			b.ReportMetric(float64(sink.bytes)/float64(n), "B/request")
 			b.ReportMetric(float64(r.Dropped())/float64(n), "dropped/request")
 		})
 	}
 }
 
-type counter struct{ bytes int64 }
+type byteCounter struct{ bytes int64 }
 
-func (c *counter) Write(f *Frame) error {
+func (c *byteCounter) Write(f *Frame) error {
 	c.bytes += int64(len(f.Events)) + frameHeaderSize
 	return nil
 }
-func (c *counter) Close() error { return nil }
+func (c *byteCounter) Close() error { return nil }
--- a/internal/observability/record/recorder.go
+++ b/internal/observability/record/recorder.go
@@ -13,12 +13,12 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// Options bounds a recorder. Zero values mean the defaults.
+// Options configures a recorder. For every field but SampleFraction, zero means the default.
 type Options struct {
-	SampleFraction    float64       // share of requests that are recorded in full; all are counted
-	BufferBytes       int           // bytes that wait to be written, together
-	FlushInterval     time.Duration // between two frames
-	HeartbeatInterval time.Duration // between two heartbeats
+	SampleFraction    float64       // fraction of requests that are recorded in full; all requests are counted
+	BufferBytes       int           // size of all buffers together; events that do not fit are lost
+	FlushInterval     time.Duration // time between two flushes of the buffers
+	HeartbeatInterval time.Duration // time between two heartbeats
 }
 
 // Defaults of Options.
@@ -28,38 +28,38 @@
 	defaultHeartbeatInterval = 500 * time.Millisecond
 )
 
-// trackedVolumes is how many volumes are counted as candidates for the most frequent ones.
+// trackedVolumes is the number of volumes that are counted as candidates for the most frequent ones of a summary.
 const trackedVolumes = 64
 
-// bufferCount is how many buffers the callers are spread over.
+// bufferCount is the number of buffers that callers are spread over to reduce lock contention.
 const bufferCount = 8
 
-// cacheLineBytes separates buffers that different processors write.
+// cacheLineBytes is the padding between buffers, which prevents false sharing between processors.
 const cacheLineBytes = 64
 
-// Sink takes frames. An error means that the frame is not kept.
+// Sink stores frames. An error from Write means that the frame was not stored.
 type Sink interface {
 	Write(f *Frame) error
 	Close() error
 }
 
-// Recorder takes events from any number of goroutines and hands them to a sink. It never blocks its caller: events that
-// find no space are counted and reported as lost. One goroutine calls Run, which owns the sink.
+// Recorder accepts events from any number of goroutines and writes them to a sink. It never blocks its callers: events
+// that do not fit into the buffers are counted and reported as lost. One goroutine calls Run, which owns the sink.
 type Recorder struct {
-	options Options
-	boot    Incarnation
-	now     func() clock.Micros
-	levels  func(*Heartbeat) // fills in the levels of a heartbeat
-	sink    Sink
+	options       Options
+	incarnation   Incarnation
+	now           func() clock.Micros
+	fillHeartbeat func(*Heartbeat) // sets the gauges of a heartbeat
+	sink          Sink
 
-	// Requests whose hash is below this are recorded in full.
+	// Requests whose hash is below sampleThreshold are recorded in full.
 	sampleThreshold uint64
 	sampleSeed      maphash.Seed
 
 	buffers    [bufferCount]buffer
 	nextBuffer atomic.Uint32
 	overflow   overflow
-	dropped    atomic.Uint64 // events lost to overflow, since the start
+	dropped    atomic.Uint64 // events lost to overflow since the start
 
 	stop     chan struct{}
 	done     chan struct{}
@@ -69,8 +69,8 @@
 	latest   *Summary
 }
 
-// New returns a recorder. now is the broker's clock in microseconds; levels fills in the levels of a heartbeat.
-func New(options Options, boot Incarnation, now func() clock.Micros, levels func(*Heartbeat), sink Sink) *Recorder {
+// New returns a recorder. now is the broker's clock; fillHeartbeat sets the gauges of a heartbeat.
+func New(options Options, incarnation Incarnation, now func() clock.Micros, fillHeartbeat func(*Heartbeat), sink Sink) *Recorder {
 	if options.BufferBytes == 0 {
 		options.BufferBytes = defaultBufferBytes
 	}
@@ -80,17 +80,17 @@
 	if options.HeartbeatInterval == 0 {
 		options.HeartbeatInterval = defaultHeartbeatInterval
 	}
-	boot.HeartbeatInterval = clock.FromDuration(options.HeartbeatInterval)
-	boot.SampleFraction = options.SampleFraction
+	incarnation.HeartbeatInterval = clock.FromDuration(options.HeartbeatInterval)
+	incarnation.SampleFraction = options.SampleFraction
 	r := &Recorder{
-		options:    options,
-		boot:       boot,
-		now:        now,
-		levels:     levels,
-		sink:       sink,
-		sampleSeed: maphash.MakeSeed(),
-		stop:       make(chan struct{}),
-		done:       make(chan struct{}),
+		options:       options,
+		incarnation:   incarnation,
+		now:           now,
+		fillHeartbeat: fillHeartbeat,
+		sink:          sink,
+		sampleSeed:    maphash.MakeSeed(),
+		stop:          make(chan struct{}),
+		done:          make(chan struct{}),
 	}
 	switch {
 	case options.SampleFraction >= 1:
@@ -104,8 +104,8 @@
 	return r
 }
 
-// Request records a request that has ended. arrived is the time of its arrival. Neither the request nor its attempts are
-// kept.
+// Request records a request that has ended. arrived is the time of its arrival. The recorder keeps no reference to the
+// request or its attempts.
 func (r *Recorder) Request(arrived clock.Micros, request *Request) {
 	b := r.lockBuffer()
 	if b == nil {
@@ -113,14 +113,14 @@
 		return
 	}
 	defer b.mu.Unlock()
-	b.counts.addRequest(request, &r.boot)
+	b.counts.addRequest(request, &r.incarnation)
 	if r.isSampled(arrived, request.Volume) {
 		event := Event{At: arrived, Kind: KindRequest, Request: request}
 		r.append(b, &event)
 	}
 }
 
-// isSampled decides by a hash of the request whether it is recorded in full.
+// isSampled decides by a hash of the arrival time and the volume whether a request is recorded in full.
 func (r *Recorder) isSampled(arrived clock.Micros, volume string) bool {
 	switch r.sampleThreshold {
 	case 0:
@@ -132,12 +132,12 @@
 	hash.SetSeed(r.sampleSeed)
 	var time [8]byte
 	binary.LittleEndian.PutUint64(time[:], uint64(arrived))
-	_, _ = hash.Write(time[:]) // a hash takes all
+	_, _ = hash.Write(time[:]) // maphash never returns an error
 	_, _ = hash.WriteString(volume)
 	return hash.Sum64() < r.sampleThreshold
 }
 
-// Note records a change of something, at the present time.
+// Note records a change of the subject, at the current time.
 func (r *Recorder) Note(kind Kind, subject, text string, value int64) {
 	event := Event{At: r.now(), Kind: kind, Note: &Note{Subject: subject, Text: text, Value: value}}
 	b := r.lockBuffer()
@@ -149,7 +149,7 @@
 	r.append(b, &event)
 }
 
-// append encodes an event into a locked buffer, if there is space.
+// append encodes an event into a locked buffer. If the buffer is full, the event is counted as lost.
 func (r *Recorder) append(b *buffer, event *Event) {
 	if len(b.events) >= r.options.BufferBytes/bufferCount {
 		r.overflow.add(event.At, event.Kind == KindRequest)
@@ -161,7 +161,8 @@
 	b.events = event.Append(b.events, b.base)
 }
 
-// lockBuffer locks a buffer that nobody uses at the moment, or returns nil. It never waits.
+// lockBuffer locks a buffer that is not in use and returns it. It never waits: if all buffers are in use it returns
+// nil.
 func (r *Recorder) lockBuffer() *buffer {
 	first := r.nextBuffer.Add(1)
 	for i := range uint32(bufferCount) {
@@ -172,17 +173,17 @@
 	return nil
 }
 
-// Latest returns the latest summary, which must not be changed; nil before the first.
+// Latest returns the latest summary, or nil before the first. Callers must not modify it.
 func (r *Recorder) Latest() *Summary {
 	r.latestMu.Lock()
 	defer r.latestMu.Unlock()
 	return r.latest
 }
 
-// Dropped counts the events that were lost to full or busy buffers since the start.
+// Dropped returns the number of events lost since the start because all buffers were full or in use.
 func (r *Recorder) Dropped() uint64 { return r.dropped.Load() }
 
-// Close has Run write what is left and waits for its end.
+// Close makes Run write the buffered events and return, and waits for that or for the end of ctx.
 func (r *Recorder) Close(ctx context.Context) {
 	r.stopOnce.Do(func() { close(r.stop) })
 	select {
@@ -195,7 +196,7 @@
 type buffer struct {
 	mu     sync.Mutex
 	events []byte
-	base   clock.Micros // the events' times count from it
+	base   clock.Micros // reference time of the encoded event times
 	counts counts
 	_      [cacheLineBytes]byte
 }
@@ -206,12 +207,12 @@
 	b.counts.reset()
 }
 
-// overflow counts events that found no space.
+// overflow counts events that did not fit into the buffers.
 type overflow struct {
 	events   atomic.Uint64
 	requests atomic.Uint64
-	from     clock.AtomicMicros // time of the first; 0: none
-	to       clock.AtomicMicros // time of the last
+	from     clock.AtomicMicros // time of the first one; 0 if there is none
+	to       clock.AtomicMicros // time of the last one
 }
 
 func (o *overflow) add(at clock.Micros, isRequest bool) {
@@ -228,7 +229,7 @@
 	}
 }
 
-// take returns what was counted and starts anew, or returns nil.
+// take returns the counts since the last call and resets them; nil if no event was lost.
 func (o *overflow) take() *Lost {
 	events := o.events.Swap(0)
 	if events == 0 {
@@ -237,19 +238,19 @@
 	return &Lost{From: o.from.Swap(0), To: o.to.Swap(0), Events: events, Requests: o.requests.Swap(0), Reason: "full"}
 }
 
-// groupKey is a class and a plan, by their numbers.
+// groupKey identifies a class and a plan by their positions in Incarnation.
 type groupKey struct{ class, plan uint8 }
 
-// counts summarises requests.
+// counts holds the request counters of a summary.
 type counts struct {
 	groups  map[groupKey]*Group
 	nodes   map[string]*NodeCount
 	volumes *sketch.Top
 }
 
-// Indices into the extra counts of a volume.
+// Indices into sketch.Entry.Extra of a volume.
 const (
-	volumeRefused = iota
+	volumeRejected = iota
 	volumeFailed
 	volumeLate
 )
@@ -263,7 +264,7 @@
 	c.volumes.Reset()
 }
 
-func (c *counts) addRequest(request *Request, boot *Incarnation) {
+func (c *counts) addRequest(request *Request, incarnation *Incarnation) {
 	key := groupKey{request.Class, request.Plan}
 	group := c.groups[key]
 	if group == nil {
@@ -274,12 +275,12 @@
 	volume := c.volumes.Add(request.Volume, 1)
 	switch request.Result {
 	case Rejected:
-		volume.Extra[volumeRefused]++
+		volume.Extra[volumeRejected]++
 	case Failed, DeadlineExceeded:
 		volume.Extra[volumeFailed]++
 	case Served:
 		group.Latency.Add(int64(request.Duration))
-		if int(request.Class) < len(boot.Classes) && request.Duration > boot.Classes[request.Class].LatencyObjective {
+		if int(request.Class) < len(incarnation.Classes) && request.Duration > incarnation.Classes[request.Class].LatencyObjective {
 			group.Late++
 			volume.Extra[volumeLate]++
 		}
@@ -301,7 +302,7 @@
 	}
 }
 
-// merge adds what other has counted. It may keep parts of other.
+// merge adds the counts of other. It may keep references to parts of other.
 func (c *counts) merge(other *counts) {
 	for key, from := range other.groups {
 		to := c.groups[key]
@@ -309,8 +310,8 @@
 			c.groups[key] = from
 			continue
 		}
-		for answer, n := range from.Results {
-			to.Results[answer] += n
+		for result, n := range from.Results {
+			to.Results[result] += n
 		}
 		to.Late += from.Late
 		to.Latency.Merge(&from.Latency)
--- a/internal/observability/record/ring.go
+++ b/internal/observability/record/ring.go
@@ -2,22 +2,22 @@
 
 import "sync"
 
-// Ring is a sink in memory for brokers without a disk. It keeps the newest frames within a bound.
+// Ring is an in-memory sink for brokers without a disk. It keeps the newest frames up to a total size.
 type Ring struct {
 	maxBytes int
-	head     []byte // of the segment
+	header   []byte // header of the segment
 
 	mu     sync.Mutex
-	size   int // of frames
+	size   int // size of frames in bytes
 	frames [][]byte
 }
 
 // NewRing returns an empty ring of at most maxBytes.
-func NewRing(name, boot string, maxBytes int) *Ring {
-	return &Ring{maxBytes: maxBytes, head: SegmentHeader(name, boot, 1)}
+func NewRing(name, incarnationID string, maxBytes int) *Ring {
+	return &Ring{maxBytes: maxBytes, header: SegmentHeader(name, incarnationID, 1)}
 }
 
-// Write keeps a frame and drops the oldest ones if there is no space.
+// Write stores a frame and drops the oldest ones to stay within maxBytes. The newest frame is always kept.
 func (r *Ring) Write(f *Frame) error {
 	encoded := f.Append(nil)
 	r.mu.Lock()
@@ -26,7 +26,7 @@
 	r.size += len(encoded)
 	for r.size > r.maxBytes && len(r.frames) > 1 {
 		r.size -= len(r.frames[0])
-		r.frames[0] = nil // or the array would keep it alive
+		r.frames[0] = nil // otherwise the backing array would keep the frame in memory
 		r.frames = r.frames[1:]
 	}
 	return nil
@@ -35,11 +35,11 @@
 // Close does nothing.
 func (r *Ring) Close() error { return nil }
 
-// Segment returns the ring's content in the format of a segment file.
+// Segment returns the ring's contents in the format of a segment file.
 func (r *Ring) Segment() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	segment := append([]byte(nil), r.head...)
+	segment := append([]byte(nil), r.header...)
 	for _, frame := range r.frames {
 		segment = append(segment, frame...)
 	}
--- a/internal/observability/record/segment.go
+++ b/internal/observability/record/segment.go
@@ -9,71 +9,73 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// A segment is a header and frames. Its header is the magic, the length of the body (2 bytes, little-endian), the body
-// (broker, incarnation, number of the first frame) and the checksum of all that. A frame is a header of fixed size and its
-// events. It begins with a mark, so that readers find the next frame behind damage.
+// A segment is a header followed by frames. The header consists of the magic, the length of the body (2 bytes,
+// little-endian), the body (broker, incarnation, number of the first frame) and the checksum of all these. A frame is a
+// header of fixed size followed by its events. It begins with a marker, by which readers find the next frame after
+// damaged bytes.
 const (
 	segmentMagic = "PASEG\x00\x00\x01"
-	frameMark    = 0xA7C3F05B
+	frameMarker  = 0xA7C3F05B
 
-	// Offsets in a frame's header. The checksum covers what follows it.
-	frameLengthAt   = 4
-	frameChecksumAt = 8
-	frameSeqAt      = 12
-	frameTimeAt     = 20
-	frameNowAt      = 28
-	frameHeaderSize = 36
+	// Offsets in a frame's header. The checksum covers everything after itself.
+	frameLengthOffset    = 4
+	frameChecksumOffset  = 8
+	frameSeqOffset       = 12
+	frameBaseTimeOffset  = 20
+	frameWrittenAtOffset = 28
+	frameHeaderSize      = 36
 
 	maxFrameBytes = 16 << 20
 )
 
-// Errors of a segment's header.
+// Errors of reading a segment's header.
 var (
 	ErrNotSegment    = errors.New("not a segment")
-	ErrDamagedHeader = errors.New("its header cannot be read")
+	ErrDamagedHeader = errors.New("damaged segment header")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // Frame is a batch of events.
 type Frame struct {
-	Seq       uint64       // from 1, over all segments of an incarnation
-	BaseTime  clock.Micros // the events' times count from here
-	WrittenAt clock.Micros // time of writing
-	Events    []byte       // encoded
+	Seq       uint64       // counts from 1 over all segments of an incarnation
+	BaseTime  clock.Micros // reference time of the encoded event times
+	WrittenAt clock.Micros // time at which the frame was written
+	Events    []byte       // encoded events
 }
 
 // Append encodes the frame and appends it to b.
 func (f *Frame) Append(b []byte) []byte {
 	start := len(b)
-	b = binary.LittleEndian.AppendUint32(b, frameMark)
+	b = binary.LittleEndian.AppendUint32(b, frameMarker)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(f.Events)))
-	b = append(b, 0, 0, 0, 0) // the checksum
+	b = append(b, 0, 0, 0, 0) // the checksum is filled in below
 	b = binary.LittleEndian.AppendUint64(b, f.Seq)
 	b = binary.LittleEndian.AppendUint64(b, uint64(f.BaseTime))
 	b = binary.LittleEndian.AppendUint64(b, uint64(f.WrittenAt))
 	b = append(b, f.Events...)
-	binary.LittleEndian.PutUint32(b[start+frameChecksumAt:], crc32.Checksum(b[start+frameSeqAt:], castagnoli))
+	binary.LittleEndian.PutUint32(b[start+frameChecksumOffset:], crc32.Checksum(b[start+frameSeqOffset:], castagnoli))
 	return b
 }
 
-// decodeFrame decodes the frame at the start of b and returns its size; 0 if there is no complete one.
+// decodeFrame decodes the frame at the start of b and returns it with its size; the size is 0 if there is no valid
+// frame.
 func decodeFrame(b []byte) (frame Frame, size int) {
-	if len(b) < frameHeaderSize || binary.LittleEndian.Uint32(b) != frameMark {
+	if len(b) < frameHeaderSize || binary.LittleEndian.Uint32(b) != frameMarker {
 		return Frame{}, 0
 	}
-	length := int(binary.LittleEndian.Uint32(b[frameLengthAt:]))
+	length := int(binary.LittleEndian.Uint32(b[frameLengthOffset:]))
 	size = frameHeaderSize + length
 	if length > maxFrameBytes || len(b) < size {
 		return Frame{}, 0
 	}
-	if crc32.Checksum(b[frameSeqAt:size], castagnoli) != binary.LittleEndian.Uint32(b[frameChecksumAt:]) {
+	if crc32.Checksum(b[frameSeqOffset:size], castagnoli) != binary.LittleEndian.Uint32(b[frameChecksumOffset:]) {
 		return Frame{}, 0
 	}
 	frame = Frame{
-		Seq:       binary.LittleEndian.Uint64(b[frameSeqAt:]),
-		BaseTime:  clock.Micros(binary.LittleEndian.Uint64(b[frameTimeAt:])),
-		WrittenAt: clock.Micros(binary.LittleEndian.Uint64(b[frameNowAt:])),
+		Seq:       binary.LittleEndian.Uint64(b[frameSeqOffset:]),
+		BaseTime:  clock.Micros(binary.LittleEndian.Uint64(b[frameBaseTimeOffset:])),
+		WrittenAt: clock.Micros(binary.LittleEndian.Uint64(b[frameWrittenAtOffset:])),
 		Events:    b[frameHeaderSize:size],
 	}
 	return frame, size
@@ -85,19 +87,20 @@
 	headerChecksumSize = 4
 )
 
-// SegmentHeader returns the header of a segment file.
-func SegmentHeader(name, boot string, first uint64) []byte {
+// SegmentHeader returns the header of a segment file of a broker's incarnation; firstFrame is the number of its first
+// frame.
+func SegmentHeader(name, incarnationID string, firstFrame uint64) []byte {
 	var body []byte
 	body = appendString(body, name)
-	body = appendString(body, boot)
-	body = binary.AppendUvarint(body, first)
+	body = appendString(body, incarnationID)
+	body = binary.AppendUvarint(body, firstFrame)
 	b := append([]byte(segmentMagic), byte(len(body)), byte(len(body)>>8))
 	b = append(b, body...)
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
-// decodeHeader returns the broker and the incarnation of a segment, and what follows its header.
-func decodeHeader(b []byte) (name, boot string, frames []byte, err error) {
+// decodeHeader returns the broker and the incarnation of a segment, and the bytes after its header.
+func decodeHeader(b []byte) (name, incarnationID string, frames []byte, err error) {
 	const bodyAt = len(segmentMagic) + headerLengthSize
 	if len(b) < bodyAt+headerChecksumSize || string(b[:len(segmentMagic)]) != segmentMagic {
 		return "", "", nil, ErrNotSegment
@@ -109,28 +112,29 @@
 	decoder := NewDecoder()
 	decoder.Reset(b[bodyAt:bodyEnd], 0)
 	name = decoder.string()
-	boot = decoder.string()
+	incarnationID = decoder.string()
 	if decoder.malformed {
 		return "", "", nil, ErrDamagedHeader
 	}
-	return name, boot, b[bodyEnd+headerChecksumSize:], nil
+	return name, incarnationID, b[bodyEnd+headerChecksumSize:], nil
 }
 
-// Part is a part of a segment: a frame, or damage at the segment's end.
+// Part is a part of a segment: a frame, or damaged bytes at the segment's end.
 type Part struct {
 	Frame   Frame
-	Damaged int  // unreadable bytes before Frame, or with Last at the end
-	Last    bool // there is no Frame
+	Damaged int  // number of unreadable bytes before Frame, or at the segment's end if Last is set
+	Last    bool // Frame is not set: the part is the end of the segment
 }
 
-// DecodeSegment decodes a segment and calls visit for each part of it, in order. It returns the broker and the incarnation. The
-// error is ErrNotSegment or ErrDamagedHeader; the frames of such a file belong to nobody.
-func DecodeSegment(b []byte, visit func(Part)) (name, boot string, err error) {
-	name, boot, rest, err := decodeHeader(b)
+// DecodeSegment decodes a segment and calls visit for each part of it, in order. It returns the broker and the
+// incarnation. The error is ErrNotSegment or ErrDamagedHeader; visit is not called then, as the broker of the frames is
+// unknown.
+func DecodeSegment(b []byte, visit func(Part)) (name, incarnationID string, err error) {
+	name, incarnationID, rest, err := decodeHeader(b)
 	if err != nil {
 		return "", "", err
 	}
-	mark := binary.LittleEndian.AppendUint32(nil, frameMark)
+	marker := binary.LittleEndian.AppendUint32(nil, frameMarker)
 	damaged := 0
 	for len(rest) > 0 {
 		if frame, size := decodeFrame(rest); size > 0 {
@@ -139,7 +143,7 @@
 			damaged = 0
 			continue
 		}
-		next := bytes.Index(rest[1:], mark)
+		next := bytes.Index(rest[1:], marker)
 		if next < 0 {
 			damaged += len(rest)
 			break
@@ -150,5 +154,5 @@
 	if damaged > 0 {
 		visit(Part{Damaged: damaged, Last: true})
 	}
-	return name, boot, nil
+	return name, incarnationID, nil
 }
--- a/internal/observability/record/writer.go
+++ b/internal/observability/record/writer.go
@@ -7,34 +7,35 @@
 )
 
 const (
-	// bootInterval is how often the particulars of an incarnation are repeated: earlier segments may have
-	// been deleted when somebody reads.
-	bootInterval clock.Micros = 5_000_000
+	// incarnationInterval is the time between two copies of the Incarnation event. It is repeated because earlier
+	// segments may have been deleted when the records are read.
+	incarnationInterval clock.Micros = 5_000_000
 
 	// summaryInterval is the time between two summaries.
 	summaryInterval clock.Micros = 1_000_000
 
-	// reportedVolumes is how many of the most frequent volumes a summary has.
+	// reportedVolumes is the maximum number of volumes in a summary.
 	reportedVolumes = 16
 )
 
-// writer is the state of Run: what has been written, and when. Times are the broker's clock in microseconds.
+// writer is the state of Run: the last frame number, the counts since the last summary, and the times of the last
+// periodic events.
 type writer struct {
 	recorder *Recorder
-	seq      uint64 // of the last frame
-	counts   counts // since the last summary
+	seq      uint64 // number of the last frame
+	counts   counts // counts since the last summary
 
-	heartbeatAt clock.Micros
-	summaryAt   clock.Micros
-	bootAt      clock.Micros
+	lastHeartbeat   clock.Micros
+	lastSummary     clock.Micros
+	lastIncarnation clock.Micros
 
-	rejected *Lost // events of frames that the sink did not take, until it takes one again
+	unwritten *Lost // events of frames that the sink failed to write, not yet reported; nil if there are none
 }
 
-// Run writes frames, heartbeats and summaries until Close. It closes the sink.
+// Run writes frames, heartbeats and summaries until Close is called, and then closes the sink.
 func (r *Recorder) Run() {
 	defer close(r.done)
-	defer func() { _ = r.sink.Close() }() // frames that are lost with it show as a gap in the numbers
+	defer func() { _ = r.sink.Close() }() // frames lost by a failed close show as a gap in the frame numbers
 	ticker := time.NewTicker(r.options.FlushInterval)
 	defer ticker.Stop()
 	w := newWriter(r)
@@ -44,45 +45,46 @@
 		case <-r.stop:
 			stopping = true
 		}
-		w.turn(r.now(), stopping)
+		w.flush(r.now(), stopping)
 	}
 }
 
-// newWriter writes the first frame, which has the particulars of the incarnation.
+// newWriter returns a writer after writing the first frame, which holds the Incarnation event.
 func newWriter(r *Recorder) *writer {
-	began := r.now()
-	r.boot.StartedAt = began
-	r.boot.WallClock = clock.Micros(time.Now().UnixMicro())
-	w := &writer{recorder: r, heartbeatAt: began, summaryAt: began, bootAt: began}
+	startedAt := r.now()
+	r.incarnation.StartedAt = startedAt
+	r.incarnation.WallClock = clock.Micros(time.Now().UnixMicro())
+	w := &writer{recorder: r, lastHeartbeat: startedAt, lastSummary: startedAt, lastIncarnation: startedAt}
 	w.counts.reset()
-	boot := Event{At: began, Kind: KindIncarnation, Incarnation: &r.boot}
-	w.writeOrRemember(boot.Append(nil, began), began, began)
+	event := Event{At: startedAt, Kind: KindIncarnation, Incarnation: &r.incarnation}
+	w.writeOrCountLost(event.Append(nil, startedAt), startedAt, startedAt)
 	return w
 }
 
-// turn writes what has come since the last turn, and what is due; on the last one everything is due.
-func (w *writer) turn(now clock.Micros, last bool) {
+// flush writes the buffered events, the lost counts, and the heartbeat and the summary if they are due. With last set,
+// both are written regardless of their intervals.
+func (w *writer) flush(now clock.Micros, last bool) {
 	w.writeBuffers(now)
-	own := w.appendOverflow(nil, now)
-	w.writeRejected(now)
-	if now-w.heartbeatAt >= clock.FromDuration(w.recorder.options.HeartbeatInterval) || last {
-		own = w.appendHeartbeat(own, now)
+	events := w.appendOverflow(nil, now)
+	w.reportUnwritten(now)
+	if now-w.lastHeartbeat >= clock.FromDuration(w.recorder.options.HeartbeatInterval) || last {
+		events = w.appendHeartbeat(events, now)
 	}
-	if now-w.summaryAt >= summaryInterval || last {
-		own = w.appendSummary(own, now)
+	if now-w.lastSummary >= summaryInterval || last {
+		events = w.appendSummary(events, now)
 	}
-	if len(own) > 0 {
-		w.writeOrRemember(own, now, now)
+	if len(events) > 0 {
+		w.writeOrCountLost(events, now, now)
 	}
 }
 
-// writeBuffers writes each buffer as a frame of its own, since a buffer's events count from its own base.
+// writeBuffers writes each buffer as a separate frame, since the event times of a buffer are relative to its base.
 func (w *writer) writeBuffers(now clock.Micros) {
 	for i := range w.recorder.buffers {
 		b := &w.recorder.buffers[i]
 		b.mu.Lock()
 		if len(b.events) > 0 {
-			w.writeOrRemember(b.events, b.base, now)
+			w.writeOrCountLost(b.events, b.base, now)
 		}
 		w.counts.merge(&b.counts)
 		b.reset()
@@ -90,7 +92,7 @@
 	}
 }
 
-// appendOverflow encodes how many events found no space.
+// appendOverflow appends a Lost event if events did not fit into the buffers.
 func (w *writer) appendOverflow(events []byte, now clock.Micros) []byte {
 	lost := w.recorder.overflow.take()
 	if lost == nil {
@@ -101,34 +103,35 @@
 	return event.Append(events, now)
 }
 
-// writeRejected reports the events that the sink did not take, once it takes a frame again.
-func (w *writer) writeRejected(now clock.Micros) {
-	if w.rejected == nil {
+// reportUnwritten writes a Lost event for the frames that the sink failed to write. If that fails too, it is tried
+// again at the next flush.
+func (w *writer) reportUnwritten(now clock.Micros) {
+	if w.unwritten == nil {
 		return
 	}
-	event := Event{At: now, Kind: KindLost, Lost: w.rejected}
+	event := Event{At: now, Kind: KindLost, Lost: w.unwritten}
 	if w.write(event.Append(nil, now), now) == nil {
-		w.rejected = nil
+		w.unwritten = nil
 	}
 }
 
 func (w *writer) appendHeartbeat(events []byte, now clock.Micros) []byte {
-	w.heartbeatAt = now
+	w.lastHeartbeat = now
 	heartbeat := &Heartbeat{WallClock: clock.Micros(time.Now().UnixMicro())}
-	w.recorder.levels(heartbeat)
+	w.recorder.fillHeartbeat(heartbeat)
 	event := Event{At: now, Kind: KindHeartbeat, Heartbeat: heartbeat}
 	events = event.Append(events, now)
-	if now-w.bootAt >= bootInterval {
-		w.bootAt = now
-		boot := Event{At: now, Kind: KindIncarnation, Incarnation: &w.recorder.boot}
-		events = boot.Append(events, now)
+	if now-w.lastIncarnation >= incarnationInterval {
+		w.lastIncarnation = now
+		repeated := Event{At: now, Kind: KindIncarnation, Incarnation: &w.recorder.incarnation}
+		events = repeated.Append(events, now)
 	}
 	return events
 }
 
 func (w *writer) appendSummary(events []byte, now clock.Micros) []byte {
-	summary := w.counts.summary(now - w.summaryAt)
-	w.summaryAt = now
+	summary := w.counts.summary(now - w.lastSummary)
+	w.lastSummary = now
 	w.counts.reset()
 	w.recorder.latestMu.Lock()
 	w.recorder.latest = summary
@@ -153,7 +156,7 @@
 			Volume:     volume.Key,
 			Count:      volume.Count,
 			CountError: volume.Error,
-			Rejected:   volume.Extra[volumeRefused],
+			Rejected:   volume.Extra[volumeRejected],
 			Failed:     volume.Extra[volumeFailed],
 			Late:       volume.Extra[volumeLate],
 		})
@@ -161,33 +164,33 @@
 	return summary
 }
 
-// write hands events to the sink as a frame. A frame that it does not take leaves a gap in the numbers.
+// write writes events to the sink as a frame. A frame that the sink fails to write leaves a gap in the frame numbers.
 func (w *writer) write(events []byte, base clock.Micros) error {
 	w.seq++
 	return w.recorder.sink.Write(&Frame{Seq: w.seq, BaseTime: base, WrittenAt: w.recorder.now(), Events: events})
 }
 
-// writeOrRemember writes a frame. If the sink does not take it, its events are counted for a later report.
-func (w *writer) writeOrRemember(events []byte, base, now clock.Micros) {
+// writeOrCountLost writes a frame. If the sink fails to write it, its events are counted as lost, to be reported later.
+func (w *writer) writeOrCountLost(events []byte, base, now clock.Micros) {
 	if w.write(events, base) == nil {
 		return
 	}
-	if w.rejected == nil {
-		w.rejected = &Lost{From: base, To: now, Reason: "disk"}
+	if w.unwritten == nil {
+		w.unwritten = &Lost{From: base, To: now, Reason: "disk"}
 	}
 	decoder := NewDecoder()
 	decoder.Reset(events, base)
 	var event Event
 	for {
 		more, err := decoder.Next(&event)
-		if !more || err != nil { // the recorder's own encoding is never malformed
+		if !more || err != nil { // events encoded by the recorder are never malformed
 			return
 		}
-		w.rejected.add(&event)
+		w.unwritten.add(&event)
 	}
 }
 
-// add counts an event that was not kept.
+// add counts an event that was not recorded.
 func (l *Lost) add(event *Event) {
 	if event.Kind == KindLost {
 		l.Events += event.Lost.Events
