--- a/internal/observability/incident/analyzer.go
+++ b/internal/observability/incident/analyzer.go
@@ -9,24 +9,24 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// analyzer analyses streams, all on the reference's clock.
+// analyzer holds the state of Analyse. Times are on the reference's clock, except within streams.
 type analyzer struct {
 	options  Options
 	analysis *Analysis
-	streams  []*Stream // by broker and start
-	clocks   []Clock   // of streams
-	nodes    map[string]*nodeView
+	streams  []*Stream            // sorted by broker and start
+	clocks   []Clock              // of each stream, in the order of streams
+	nodes    map[string]*nodeView // by name
 }
 
-// nodeView is what all brokers saw of a node.
+// nodeView holds the attempts of all brokers at one node.
 type nodeView struct {
 	responses    []clock.Micros
 	timedOut     []attempt
 	refused      []attempt
-	usualLatency clock.Micros // slowest usual latency
+	usualLatency clock.Micros // highest latency that counts as usual: the largest usualQuantile of any incarnation
 }
 
-// Analyse analyses the records of a fleet. Streams may come in any order; those without a frame are left out.
+// Analyse analyses the records of a fleet. The order of streams does not matter; streams without a frame are ignored.
 func Analyse(streams []*Stream, o Options) *Analysis {
 	v := newAnalyzer(streams, o)
 	v.summarize()
@@ -45,7 +45,7 @@
 func newAnalyzer(streams []*Stream, o Options) *analyzer {
 	streams = slices.DeleteFunc(slices.Clone(streams), func(s *Stream) bool { return len(s.frames) == 0 })
 	slices.SortFunc(streams, func(a, b *Stream) int {
-		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.start(), b.start()), cmp.Compare(a.BootID, b.BootID))
+		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.start(), b.start()), cmp.Compare(a.IncarnationID, b.IncarnationID))
 	})
 	clocks := compareClocks(streams, o.NotificationTime, o.MaxClockSkew)
 	return &analyzer{
@@ -64,7 +64,7 @@
 	}
 }
 
-// summarize sets what the analysis covers.
+// summarize sets the time span, the brokers, the number of events and the sample fraction of the analysis.
 func (v *analyzer) summarize() {
 	a := v.analysis
 	for i, s := range v.streams {
@@ -85,7 +85,7 @@
 	a.To = max(a.To, min(v.options.Now, a.To+second))
 }
 
-// addEpisode adds an episode, and names the gaps in the records that make its bounds uncertain.
+// addEpisode adds an episode, and lists the gaps in the records that make its bounds uncertain.
 func (v *analyzer) addEpisode(e Episode) {
 	e.Begin.Latest = max(e.Begin.Latest, e.Begin.Earliest)
 	e.End.Latest = max(e.End.Latest, e.End.Earliest)
@@ -96,11 +96,13 @@
 	v.analysis.Episodes = append(v.analysis.Episodes, e)
 }
 
-// fromOwnRecords reports whether episodes of a kind are known from the broker's own records, whatever others miss.
+// fromOwnRecords reports whether episodes of a kind are found in the records of a broker itself. Gaps in the records of
+// other brokers do not make their bounds uncertain.
 func (k Kind) fromOwnRecords() bool {
 	return k == BrokerDead || k == BrokerDrain || k == Rollout
 }
 
+// addUncertainties lists the gaps in the records of other brokers that overlap a bound.
 func (v *analyzer) addUncertainties(e *Episode, b Bound) {
 	for _, gap := range v.describeGaps(b.Earliest, b.Latest) {
 		if !strings.HasPrefix(gap, e.Subject+": ") {
@@ -109,7 +111,7 @@
 	}
 }
 
-// describeGaps describes the gaps in the records that a span touches.
+// describeGaps describes the gaps in the records that overlap a time span.
 func (v *analyzer) describeGaps(from, to clock.Micros) []string {
 	var gaps []string
 	for _, s := range v.analysis.Knowledge {
--- a/internal/observability/incident/check/check.go
+++ b/internal/observability/incident/check/check.go
@@ -1,5 +1,5 @@
-// Package check compares an analysis with what really happened: it finds episodes that are missing or invented, bounds that do
-// not contain the truth, and gaps that were filled in, misplaced or invented.
+// Package check compares an analysis with the known course of an incident. It finds missing and spurious episodes,
+// bounds that do not contain the actual times, and gaps in the records that are missing, misplaced or spurious.
 package check
 
 import (
@@ -10,16 +10,16 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// Truth is an episode as it really was. Times are microseconds on the reference's clock.
+// Truth is an actual episode. Times are on the reference's clock.
 type Truth struct {
 	Kind     incident.Kind
 	Subject  string
 	Begin    clock.Micros
 	End      clock.Micros
-	Optional bool // it need not be reported, for instance because nobody was there to see it
+	Optional bool // the analysis need not have it, for instance because no broker could observe it
 }
 
-// Gap is a time in which nothing was recorded of a broker, as it really was.
+// Gap is an actual gap in a broker's records. Times are on the reference's clock.
 type Gap struct {
 	Broker string
 	State  incident.State
@@ -27,32 +27,32 @@
 	To     clock.Micros
 }
 
-// Options are the tolerances, in microseconds.
+// Options are the tolerances of a comparison.
 type Options struct {
-	Slack clock.Micros    // added to every bound, for what a clock cannot tell
-	Gap   clock.Micros    // how far a gap's ends may be off: what a broker had not written yet when it died
-	Kinds []incident.Kind // only these are compared; nil: all
+	Slack clock.Micros    // added to both ends of every bound, for the error of the clocks
+	Gap   clock.Micros    // maximum error of a gap's ends, for records not yet written when a broker crashed
+	Kinds []incident.Kind // kinds whose spurious episodes are reported; nil means all kinds
 }
 
-// Compare lists the differences between an analysis and what really happened; nothing if all is right.
+// Compare returns a description of each difference between an analysis and the actual episodes and gaps.
 func Compare(a *incident.Analysis, truths []Truth, gaps []Gap, o Options) []string {
 	c := &comparison{analysis: a, options: o, matched: map[int]bool{}}
 	for _, truth := range truths {
 		c.findEpisode(truth)
 	}
-	c.findInventedEpisodes()
+	c.findSpuriousEpisodes()
 	for _, gap := range gaps {
 		c.findGap(gap)
 	}
-	c.findInventedGaps(gaps)
+	c.findSpuriousGaps(gaps)
 	return c.differences
 }
 
-// comparison is the state of one Compare.
+// comparison is the state of a call of Compare.
 type comparison struct {
 	analysis    *incident.Analysis
 	options     Options
-	matched     map[int]bool // episodes that belong to a truth
+	matched     map[int]bool // indices of the episodes that match a truth
 	differences []string
 }
 
@@ -60,7 +60,8 @@
 	c.differences = append(c.differences, fmt.Sprintf(format, args...))
 }
 
-// findEpisode looks for the episodes that a truth was reported as.
+// findEpisode marks the episodes that match a truth as matched. It reports a difference if there is none or if the
+// bounds of one are wrong.
 func (c *comparison) findEpisode(truth Truth) {
 	found := false
 	var wrongBounds []string
@@ -80,19 +81,19 @@
 	end := incident.FormatTime(truth.End)
 	switch {
 	case len(wrongBounds) > 0:
-		c.report("%s %s: was from %s to %s, reported as %v", truth.Kind, truth.Subject, begin, end, wrongBounds)
+		c.report("%s %s: from %s to %s, reported as %v", truth.Kind, truth.Subject, begin, end, wrongBounds)
 	case !found && !truth.Optional:
-		c.report("%s %s from %s to %s: missing", truth.Kind, truth.Subject, begin, end)
+		c.report("%s %s from %s to %s: missing from the analysis", truth.Kind, truth.Subject, begin, end)
 	}
 }
 
-// mayBe reports whether an episode is of a truth's kind and subject and overlaps it.
+// mayBe reports whether an episode has the kind and the subject of a truth and overlaps it.
 func (c *comparison) mayBe(e *incident.Episode, truth Truth) bool {
 	slack := c.options.Slack
 	return e.Kind == truth.Kind && e.Subject == truth.Subject && e.Begin.Earliest <= truth.End+slack && e.End.Latest >= truth.Begin-slack
 }
 
-// boundsHold reports whether the bounds of an episode contain the truth's begin and end.
+// boundsHold reports whether the bounds of an episode contain the begin and the end of a truth.
 func (c *comparison) boundsHold(e *incident.Episode, truth Truth) bool {
 	slack := c.options.Slack
 	begin := e.Begin.Earliest-slack <= truth.Begin && truth.Begin <= e.Begin.Latest+slack
@@ -101,17 +102,17 @@
 	return begin && (end || stillOpen)
 }
 
-func (c *comparison) findInventedEpisodes() {
+func (c *comparison) findSpuriousEpisodes() {
 	for i := range c.analysis.Episodes {
 		e := &c.analysis.Episodes[i]
 		compared := c.options.Kinds == nil || slices.Contains(c.options.Kinds, e.Kind)
 		if compared && !c.matched[i] {
-			c.report("%s %s from %s to %s: invented (%v)", e.Kind, e.Subject, e.Begin.Format(), e.End.Format(), e.Evidence)
+			c.report("%s %s from %s to %s: spurious episode (evidence: %v)", e.Kind, e.Subject, e.Begin.Format(), e.End.Format(), e.Evidence)
 		}
 	}
 }
 
-// findGap looks for the span that a gap was reported as, and for spans that claim knowledge within it.
+// findGap reports a difference if no span matches a gap, or if a span in state Known overlaps it.
 func (c *comparison) findGap(gap Gap) {
 	tolerance := c.options.Gap
 	covered := false
@@ -120,7 +121,7 @@
 			continue
 		}
 		if span.State == incident.Known && span.From < gap.To-tolerance && span.To > gap.From+tolerance {
-			c.report("%s: known from %s to %s, though nothing was recorded from %s to %s", gap.Broker, incident.FormatTime(span.From),
+			c.report("%s: known from %s to %s, but nothing was recorded from %s to %s", gap.Broker, incident.FormatTime(span.From),
 				incident.FormatTime(span.To), incident.FormatTime(gap.From), incident.FormatTime(gap.To))
 		}
 		if span.State == gap.State && distance(span.From, gap.From) <= tolerance && distance(span.To, gap.To) <= tolerance {
@@ -128,23 +129,23 @@
 		}
 	}
 	if !covered {
-		c.report("%s: no span %q from %s to %s", gap.Broker, gap.State, incident.FormatTime(gap.From), incident.FormatTime(gap.To))
+		c.report("%s: no span in state %q from %s to %s", gap.Broker, gap.State, incident.FormatTime(gap.From), incident.FormatTime(gap.To))
 	}
 }
 
-func (c *comparison) findInventedGaps(gaps []Gap) {
+func (c *comparison) findSpuriousGaps(gaps []Gap) {
 	for _, span := range c.analysis.Knowledge {
 		if span.State == incident.Known || span.State == incident.NotRecorded || span.State == incident.Stopped {
 			continue
 		}
-		real := slices.ContainsFunc(gaps, func(g Gap) bool {
+		actual := slices.ContainsFunc(gaps, func(g Gap) bool {
 			return g.Broker == span.Broker && g.State == span.State && span.From < g.To+c.options.Gap && span.To > g.From-c.options.Gap
 		})
-		if !real {
-			c.report("%s: %s from %s to %s: invented", span.Broker, span.State, incident.FormatTime(span.From), incident.FormatTime(span.To))
+		if !actual {
+			c.report("%s: spurious gap %q from %s to %s", span.Broker, span.State, incident.FormatTime(span.From), incident.FormatTime(span.To))
 		}
 	}
 }
 
-// distance is how far two times lie apart.
+// distance returns the absolute difference of two times.
 func distance(a, b clock.Micros) clock.Micros { return max(a-b, b-a) }
--- a/internal/observability/incident/clocks.go
+++ b/internal/observability/incident/clocks.go
@@ -9,21 +9,23 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// Clock relates the clock of a boot to the reference's: at its time t the reference shows t+Offset, plus or minus Error.
+// Clock relates the clock of an incarnation to the reference's clock: when it shows t, the reference's clock shows
+// t+Offset, plus or minus Error.
 type Clock struct {
-	Broker string       `json:"broker"`
-	Boot   string       `json:"boot"`
-	Offset clock.Micros `json:"offset"`
-	Error  clock.Micros `json:"error"`
-	Shared int          `json:"shared"` // list revisions that both have seen
-	Text   string       `json:"text,omitempty"`
+	Broker        string       `json:"broker"`
+	IncarnationID string       `json:"boot"`
+	Offset        clock.Micros `json:"offset"`
+	Error         clock.Micros `json:"error"`
+	Shared        int          `json:"shared"` // number of list revisions of which both incarnations were notified
+	Text          string       `json:"text,omitempty"`
 }
 
-// revisionTimes is when a boot was first notified of each revision of the endpoint list.
+// revisionTimes holds the time at which an incarnation was first notified of each revision of the endpoint list.
 type revisionTimes map[int64]clock.Micros
 
-// revisionTimes returns the times that say something about the boot's clock. Revisions of which it was notified after its
-// watch had failed are left out, as they may be much older, and so are those that it knew from its start.
+// revisionTimes returns the notification times that can be compared with those of other incarnations. Revisions of
+// which the incarnation was notified after its watch had failed are left out, as they may be much older, and so are
+// revisions that it read within a second of its start.
 func (s *Stream) revisionTimes() revisionTimes {
 	times := revisionTimes{}
 	delayed := map[int64]bool{}
@@ -49,14 +51,15 @@
 	return times
 }
 
-// isDiscoveryFailure reports whether a note on discovery says that a call failed.
+// isDiscoveryFailure reports whether a note of kind KindDiscovery says that a call failed.
 func (n *note) isDiscoveryFailure() bool { return strings.HasPrefix(n.text, "down") }
 
-// compareClocks bounds the offsets of all boots against the one that has seen most revisions. Every broker is notified of a
-// revision within notification of its making, so the offset differs by at most that from the difference of the times at which
-// two boots were; every shared revision bounds it again. Boots that share none are related by their wall clocks, which differ
-// by at most maxSkew.
-func compareClocks(streams []*Stream, notification, maxSkew clock.Micros) []Clock {
+// compareClocks bounds the clock offsets of all incarnations against the reference: the incarnation that was notified
+// of most revisions. Every broker is notified of a revision within notificationTime after its creation. So the offset
+// differs by at most notificationTime from the difference between the two notification times of a revision, and each
+// shared revision bounds the offset further. Incarnations that share no revision with the reference are related by
+// their wall clocks, which differ by at most maxSkew.
+func compareClocks(streams []*Stream, notificationTime, maxSkew clock.Micros) []Clock {
 	seen := make([]revisionTimes, len(streams))
 	reference := 0
 	for i, s := range streams {
@@ -70,16 +73,16 @@
 		if i == reference {
 			clocks[i] = Clock{Text: "the reference"}
 		} else {
-			clocks[i] = compareClock(seen[reference], seen[i], notification, maxSkew)
+			clocks[i] = compareClock(seen[reference], seen[i], notificationTime, maxSkew)
 		}
 		clocks[i].Broker = s.Name
-		clocks[i].Boot = s.BootID
+		clocks[i].IncarnationID = s.IncarnationID
 	}
 	return clocks
 }
 
-// compareClock bounds the offset of one boot.
-func compareClock(reference, seen revisionTimes, notification, maxSkew clock.Micros) Clock {
+// compareClock bounds the clock offset of one incarnation.
+func compareClock(reference, seen revisionTimes, notificationTime, maxSkew clock.Micros) Clock {
 	lowest, highest := clock.Micros(math.MinInt64), clock.Micros(math.MaxInt64)
 	var differences []clock.Micros
 	for revision, at := range seen {
@@ -89,8 +92,8 @@
 		}
 		difference := referenceAt - at
 		differences = append(differences, difference)
-		lowest = max(lowest, difference-notification)
-		highest = min(highest, difference+notification)
+		lowest = max(lowest, difference-notificationTime)
+		highest = min(highest, difference+notificationTime)
 	}
 	c := Clock{Shared: len(differences)}
 	slices.Sort(differences)
@@ -98,12 +101,12 @@
 	case len(differences) == 0:
 		c.Error = maxSkew
 		c.Text = "no list version in common: by the wall clocks only"
-	case lowest > highest: // a notification took longer than it may, or a clock was set while the boot ran
+	case lowest > highest: // a notification took longer than notificationTime, or a clock was set while running
 		c.Offset = differences[len(differences)/2]
-		c.Error = (differences[len(differences)-1]-differences[0])/2 + notification
+		c.Error = (differences[len(differences)-1]-differences[0])/2 + notificationTime
 		c.Text = "the common list versions contradict each other: the widest span is shown"
-	case lowest <= 0 && highest >= 0: // both clocks may agree
-		c.Error = min(max(-lowest, highest), notification)
+	case lowest <= 0 && highest >= 0: // the clocks may be equal
+		c.Error = min(max(-lowest, highest), notificationTime)
 	default:
 		c.Offset = (lowest + highest) / 2
 		c.Error = (highest - lowest + 1) / 2
--- a/internal/observability/incident/collect/collect.go
+++ b/internal/observability/incident/collect/collect.go
@@ -1,5 +1,5 @@
-// Package collect reads brokers' record segments from folders, of running brokers as well as of dead ones. It can be
-// interrupted at any time; it writes nothing.
+// Package collect reads the record segments of brokers from directories, whether the brokers are running or not. It
+// only reads, so it can be interrupted at any time.
 package collect
 
 import (
@@ -16,12 +16,12 @@
 // segmentExtension is the extension of segment files.
 const segmentExtension = ".seg"
 
-// Found counts what was read.
+// Found counts what Read has read, and lists what it could not read.
 type Found struct {
 	Files  int      `json:"files"`
 	Bytes  int64    `json:"bytes"`
 	Frames int      `json:"frames"`
-	Copies int      `json:"copies"` // frames that had been read before
+	Copies int      `json:"copies"` // frames skipped because they had been read before
 	Faults []string `json:"faults,omitempty"`
 }
 
@@ -31,46 +31,47 @@
 
 // segment is a segment file.
 type segment struct {
-	path       string
-	broker     string
-	boot       string
-	firstFrame uint64 // number of the first frame that can be read; 0: none
+	path          string
+	broker        string
+	incarnationID string
+	firstFrame    uint64 // number of the first readable frame; 0 if there is none
 }
 
 func compareSegments(a, b segment) int {
 	return cmp.Or(
 		cmp.Compare(a.broker, b.broker),
-		cmp.Compare(a.boot, b.boot),
+		cmp.Compare(a.incarnationID, b.incarnationID),
 		cmp.Compare(a.firstFrame, b.firstFrame),
 		cmp.Compare(a.path, b.path),
 	)
 }
 
-// Read reads all segments under the paths, each a folder or a single segment. What cannot be read is reported in Found and
-// skipped; an error means that a path does not exist.
+// Read reads all segments under the paths, each of which is a directory or a segment file. Files and bytes that cannot
+// be read are listed in Found.Faults and skipped; an error means that a path cannot be accessed.
 func Read(paths ...string) ([]*incident.Stream, *Found, error) {
 	found := &Found{}
 	files, err := findFiles(paths)
 	if err != nil {
 		return nil, found, err
 	}
-	// Headers first, then boot by boot in the order of the frames: one file is in memory at a time.
+	// Headers are read first, then each incarnation in the order of its frames, so that only one file is in memory at a
+	// time.
 	segments := readHeaders(files, found)
 	slices.SortFunc(segments, compareSegments)
 	var streams []*incident.Stream
 	for len(segments) > 0 {
 		count := 1
-		for count < len(segments) && segments[count].broker == segments[0].broker && segments[count].boot == segments[0].boot {
+		for count < len(segments) && segments[count].broker == segments[0].broker && segments[count].incarnationID == segments[0].incarnationID {
 			count++
 		}
-		streams = append(streams, readBoot(segments[:count], found))
+		streams = append(streams, readIncarnation(segments[:count], found))
 		segments = segments[count:]
 	}
 	slices.Sort(found.Faults)
 	return streams, found, nil
 }
 
-// findFiles returns the paths that are files, and the segments under those that are folders.
+// findFiles returns the paths that are files, and the segment files under those that are directories.
 func findFiles(paths []string) ([]string, error) {
 	var files []string
 	for _, p := range paths {
@@ -86,7 +87,7 @@
 			if err == nil && !entry.IsDir() && filepath.Ext(path) == segmentExtension {
 				files = append(files, path)
 			}
-			return nil // the other folders are read even if this one cannot be
+			return nil // continue even if this directory cannot be read
 		})
 		if err != nil {
 			return nil, err
@@ -95,17 +96,17 @@
 	return files, nil
 }
 
-// readHeaders returns the segments among the files.
+// readHeaders reads the headers of the files and returns those that are segments.
 func readHeaders(files []string, found *Found) []segment {
 	var segments []segment
 	for _, path := range files {
 		b, err := os.ReadFile(path)
-		if err != nil { // removed meanwhile, or without permission
+		if err != nil { // the file was removed in the meantime, or permission is missing
 			found.faultf("%v", err)
 			continue
 		}
 		s := segment{path: path}
-		s.broker, s.boot, err = record.DecodeSegment(b, func(p record.Part) {
+		s.broker, s.incarnationID, err = record.DecodeSegment(b, func(p record.Part) {
 			if !p.Last && s.firstFrame == 0 {
 				s.firstFrame = p.Frame.Seq
 			}
@@ -119,20 +120,20 @@
 	return segments
 }
 
-// Bytes reads one segment, such as a broker's ring in memory.
+// Bytes decodes one segment, such as the contents of a broker's record.Ring.
 func Bytes(b []byte) (*incident.Stream, error) {
-	broker, boot, err := record.DecodeSegment(b, func(record.Part) {})
+	broker, incarnationID, err := record.DecodeSegment(b, func(record.Part) {})
 	if err != nil {
 		return nil, err
 	}
-	r := newBootReader(broker, boot, &Found{})
+	r := newIncarnationReader(broker, incarnationID, &Found{})
 	r.readSegment(b)
 	return r.stream, nil
 }
 
-// readBoot reads the segments of one boot.
-func readBoot(segments []segment, found *Found) *incident.Stream {
-	r := newBootReader(segments[0].broker, segments[0].boot, found)
+// readIncarnation reads the segments of one incarnation, which are in the order of their frames.
+func readIncarnation(segments []segment, found *Found) *incident.Stream {
+	r := newIncarnationReader(segments[0].broker, segments[0].incarnationID, found)
 	for _, s := range segments {
 		b, err := os.ReadFile(s.path)
 		if err != nil {
@@ -148,57 +149,57 @@
 	return r.stream
 }
 
-// bootReader passes the frames of one boot to its stream, each once.
-type bootReader struct {
+// incarnationReader adds the frames of one incarnation to its stream, each once.
+type incarnationReader struct {
 	stream  *incident.Stream
 	found   *Found
 	decoder *record.Decoder
-	seen    map[uint64]bool // numbers of frames that have been read
+	seen    map[uint64]bool // numbers of the frames that have been read
 }
 
-func newBootReader(broker, boot string, found *Found) *bootReader {
-	return &bootReader{
-		stream:  incident.NewStream(broker, boot),
+func newIncarnationReader(broker, incarnationID string, found *Found) *incarnationReader {
+	return &incarnationReader{
+		stream:  incident.NewStream(broker, incarnationID),
 		found:   found,
 		decoder: record.NewDecoder(),
 		seen:    map[uint64]bool{},
 	}
 }
 
-// readSegment reads a segment whose header is valid. It returns the number of bytes that cannot be read.
-func (r *bootReader) readSegment(b []byte) (damaged int) {
-	previous := uint64(0)                                   // frame of this segment
-	_, _, _ = record.DecodeSegment(b, func(p record.Part) { // readHeaders and Bytes have checked the error
+// readSegment reads a segment whose header is valid. It returns the number of bytes that could not be read.
+func (r *incarnationReader) readSegment(b []byte) (damaged int) {
+	lastSeq := uint64(0)                                    // last frame of this segment
+	_, _, _ = record.DecodeSegment(b, func(p record.Part) { // readHeaders and Bytes have checked the header
 		if p.Damaged > 0 {
 			damaged += p.Damaged
-			if previous == 0 {
-				previous = r.stream.LastFrame()
+			if lastSeq == 0 {
+				lastSeq = r.stream.LastFrame()
 			}
-			r.stream.AddDamage(previous, p.Damaged)
+			r.stream.AddDamage(lastSeq, p.Damaged)
 		}
 		if p.Last {
 			return
 		}
-		previous = p.Frame.Seq
-		if r.seen[previous] {
+		lastSeq = p.Frame.Seq
+		if r.seen[lastSeq] {
 			r.found.Copies++
 			return
 		}
-		r.seen[previous] = true
+		r.seen[lastSeq] = true
 		r.readFrame(&p.Frame)
 	})
 	return damaged
 }
 
-// readFrame passes the events of a frame to the stream. A frame that cannot be decoded, as one of another version, counts as
-// damaged.
-func (r *bootReader) readFrame(frame *record.Frame) {
+// readFrame adds the events of a frame to the stream. A frame that cannot be decoded, such as one of an unknown
+// version, counts as damaged.
+func (r *incarnationReader) readFrame(frame *record.Frame) {
 	r.decoder.Reset(frame.Events, frame.BaseTime)
 	var event record.Event
 	for {
 		ok, err := r.decoder.Next(&event)
 		if err != nil {
-			r.found.faultf("%s boot %s frame %d: %v", r.stream.Name, r.stream.BootID, frame.Seq, err)
+			r.found.faultf("%s boot %s frame %d: %v", r.stream.Name, r.stream.IncarnationID, frame.Seq, err)
 			r.stream.AddDamage(frame.Seq-1, len(frame.Events))
 			return
 		}
--- a/internal/observability/incident/diff.go
+++ b/internal/observability/incident/diff.go
@@ -1,13 +1,13 @@
 package incident
 
-// Where an episode is present. The texts are part of the encoded form.
+// The values of Change.PresentIn. They appear in the encoded form.
 const (
 	inBoth       = "in both"
 	onlyInFirst  = "only in the first"
 	onlyInSecond = "only in the second"
 )
 
-// Change is an episode that only one of two analyses has, or that both have.
+// Change is an episode of one of two compared analyses, or a pair of matching episodes of both.
 type Change struct {
 	PresentIn string   `json:"what"`
 	Kind      Kind     `json:"kind"`
@@ -16,13 +16,13 @@
 	Second    *Episode `json:"second,omitempty"`
 }
 
-// episodeKey is what matching episodes have in common.
+// episodeKey is the key by which episodes are matched.
 type episodeKey struct {
 	kind    Kind
 	subject string
 }
 
-// episodeIndex is the episodes of an analysis by key, and the keys in the order of their first episode.
+// episodeIndex holds the episodes of an analysis by key, and the keys in the order of their first episodes.
 type episodeIndex struct {
 	episodes map[episodeKey][]*Episode
 	keys     []episodeKey
@@ -41,7 +41,7 @@
 	return index
 }
 
-// Diff compares two analyses: episodes of one kind and subject are matched in their order.
+// Diff compares two analyses. Episodes with the same kind and subject are matched in their order.
 func Diff(a, b *Analysis) []Change {
 	first, second := indexEpisodes(a), indexEpisodes(b)
 	var changes []Change
--- a/internal/observability/incident/format.go
+++ b/internal/observability/incident/format.go
@@ -8,18 +8,19 @@
 )
 
 const (
-	// maxExactBound is the width up to which a bound is shown as a single time.
+	// maxExactBound is the maximum width of a bound that is shown as a single time.
 	maxExactBound = 50 * millisecond
-	// maxExactDuration is the same for a duration.
+	// maxExactDuration is the maximum difference between the longest and the shortest possible duration that are shown
+	// as one.
 	maxExactDuration = 200 * millisecond
 )
 
-// FormatTime returns the time of day in UTC, to the millisecond.
+// FormatTime formats a time as the time of day in UTC, to the millisecond.
 func FormatTime(us clock.Micros) string {
 	return time.UnixMicro(int64(us)).UTC().Format("15:04:05.000")
 }
 
-// Format returns a time that is known well as a single time, else from and to.
+// Format formats a bound: as a single time if it is narrow, otherwise as the earliest and the latest time.
 func (b Bound) Format() string {
 	if b.Latest-b.Earliest <= maxExactBound {
 		return FormatTime(b.Earliest)
@@ -27,7 +28,8 @@
 	return FormatTime(b.Earliest) + " to " + FormatTime(b.Latest)
 }
 
-// FormatDuration returns how long an episode lasted, at least and at most.
+// FormatDuration formats how long an episode lasted: as one duration if it is known well enough, otherwise as the
+// shortest and the longest one.
 func (e *Episode) FormatDuration() string {
 	least := max(e.End.Earliest-e.Begin.Latest, 0)
 	most := e.End.Latest - e.Begin.Earliest
--- a/internal/observability/incident/impact.go
+++ b/internal/observability/incident/impact.go
@@ -8,8 +8,8 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// finish limits the analysis to the requested span, numbers the episodes in the order of their begins, and adds to each its
-// impact and those that overlap it.
+// finish limits the analysis to the requested time span, numbers the episodes in the order of their begins, and sets
+// the impact and the overlapping episodes of each.
 func (v *analyzer) finish() {
 	v.limitSpan()
 	episodes := v.analysis.Episodes
@@ -32,7 +32,7 @@
 	}
 }
 
-// limitSpan removes what does not touch the requested span.
+// limitSpan removes everything that does not overlap the requested time span.
 func (v *analyzer) limitSpan() {
 	a := v.analysis
 	from, to := v.options.From, v.options.To
@@ -49,12 +49,12 @@
 	a.To = min(a.To, to)
 }
 
-// mayOverlap reports whether two episodes may have shared time.
+// mayOverlap reports whether two episodes overlap within their bounds.
 func (e *Episode) mayOverlap(other *Episode) bool {
 	return other.Begin.Earliest <= e.End.Latest && other.End.Latest >= e.Begin.Earliest
 }
 
-// impact sums the seconds that a span touches.
+// impact sums the seconds that overlap a time span.
 func (a *Analysis) impact(from, to clock.Micros) Impact {
 	groups := map[string]*GroupImpact{}
 	for sec := secondOf(from); sec <= to; sec += second {
--- a/internal/observability/incident/knowledge.go
+++ b/internal/observability/incident/knowledge.go
@@ -8,37 +8,39 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// maxMissedHeartbeats is after how many heartbeat intervals without a record a boot is dead.
+// maxMissedHeartbeats is the number of heartbeat intervals without a record after which an incarnation counts as dead.
 const maxMissedHeartbeats = 3
 
-// State is what is known of a broker at a time. Its texts are part of reports' encoded form.
+// State tells whether a broker's records cover a time span and, if not, why. The values appear in encoded reports.
 type State string
 
-// The states of knowledge.
+// The states of a span.
 const (
-	Known       State = "known"
-	Lost        State = "lost"         // dropped under load or because a folder was full, and counted
-	Damaged     State = "damaged"      // bytes that cannot be read
-	Missing     State = "missing"      // frames that are in no segment
-	Stalled     State = "stalled"      // the process wrote nothing for longer than its heartbeat interval
-	Dead        State = "dead"         // from the last record of a boot that did not say that it stopped, to the next boot
-	Stopped     State = "stopped"      // it said that it stopped
-	NotRecorded State = "not recorded" // before the first record, and after the last of a boot that may still run
+	Known       State = "known"        // the records are complete
+	Lost        State = "lost"         // events were dropped under load or because of a full disk, and counted
+	Damaged     State = "damaged"      // part of a segment cannot be read
+	Missing     State = "missing"      // frames are in no segment
+	Stalled     State = "stalled"      // the process wrote nothing for much longer than its heartbeat interval
+	Dead        State = "dead"         // after an incarnation that did not record that it stopped, until the next one
+	Stopped     State = "stopped"      // after an incarnation recorded that it stopped
+	NotRecorded State = "not recorded" // before the first record, and after an incarnation that may still run
 )
 
-// Span is what is known of a broker from one time to another.
+// Span is the state of a broker's records in a time span.
 type Span struct {
-	Broker    string       `json:"broker"`
-	State     State        `json:"state"`
-	From      clock.Micros `json:"from"`
-	To        clock.Micros `json:"to"`
-	FromError clock.Micros `json:"slack,omitempty"` // by how much From may be later: a dead broker's last record is up to a heartbeat older
-	Boot      string       `json:"boot,omitempty"`
-	Events    uint64       `json:"events,omitempty"` // lost, or bytes damaged
-	Text      string       `json:"text,omitempty"`
+	Broker string       `json:"broker"`
+	State  State        `json:"state"`
+	From   clock.Micros `json:"from"`
+	To     clock.Micros `json:"to"`
+	// FromError is by how much the true begin may be later than From: a broker may have crashed up to a heartbeat
+	// interval after its last record.
+	FromError     clock.Micros `json:"slack,omitempty"`
+	IncarnationID string       `json:"boot,omitempty"`
+	Events        uint64       `json:"events,omitempty"` // number of lost events, or of damaged bytes
+	Text          string       `json:"text,omitempty"`
 }
 
-// collectKnowledge works out what is known of each broker when.
+// collectKnowledge sets the spans of all brokers.
 func (v *analyzer) collectKnowledge() {
 	for from := 0; from < len(v.streams); {
 		to := from
@@ -53,48 +55,50 @@
 	})
 }
 
-// brokerKnowledge returns the spans of one broker, whose boots are the streams from one index to before another.
+// brokerKnowledge returns the spans of one broker, whose incarnations are v.streams[from:to].
 func (v *analyzer) brokerKnowledge(from, to int) []Span {
 	first := v.streams[from]
 	var spans []Span
 	if begin := first.start() + v.clocks[from].Offset; begin > v.analysis.From {
 		spans = append(spans, Span{Broker: first.Name, State: NotRecorded, From: v.analysis.From, To: begin, Text: "no records before"})
 	}
-	at := v.analysis.From // end of the boot before
+	earliest := v.analysis.From // begin of the analysis, then of the current incarnation
 	for i := from; i < to; i++ {
 		s := v.streams[i]
 		offset := v.clocks[i].Offset
-		known := Span{Broker: s.Name, Boot: s.BootID, State: Known, From: max(s.start()+offset, at), To: s.end() + offset}
+		known := Span{Broker: s.Name, IncarnationID: s.IncarnationID, State: Known, From: max(s.start()+offset, earliest), To: s.end() + offset}
 		spans = append(spans, known)
 		for _, gap := range s.gaps() {
 			gap.From += offset
 			gap.To += offset
 			spans = append(spans, gap)
 		}
-		after := v.afterBoot(i, i+1 == to)
+		after := v.spanAfterIncarnation(i, i+1 == to)
 		spans = append(spans, after)
-		at = v.nextBoot(i, i+1 == to)
+		earliest = v.nextIncarnationStart(i, i+1 == to)
 	}
 	return subtractGaps(spans)
 }
 
-// nextBoot returns when the next boot of a broker begins; the end of the analysis after the last one.
-func (v *analyzer) nextBoot(i int, last bool) clock.Micros {
+// nextIncarnationStart returns the start of the broker's incarnation after the i-th stream, or the end of the analysis
+// if that is the last one.
+func (v *analyzer) nextIncarnationStart(i int, last bool) clock.Micros {
 	if last {
 		return v.analysis.To
 	}
 	return v.streams[i+1].start() + v.clocks[i+1].Offset
 }
 
-// afterBoot returns the span between the end of a boot and the next.
-func (v *analyzer) afterBoot(i int, last bool) Span {
+// spanAfterIncarnation returns the span between the end of the i-th stream's incarnation and the start of the broker's
+// next one.
+func (v *analyzer) spanAfterIncarnation(i int, last bool) Span {
 	s := v.streams[i]
 	end := s.end() + v.clocks[i].Offset
-	next := v.nextBoot(i, last)
+	next := v.nextIncarnationStart(i, last)
 	interval := s.heartbeatInterval()
-	span := Span{Broker: s.Name, Boot: s.BootID, From: end, To: next}
+	span := Span{Broker: s.Name, IncarnationID: s.IncarnationID, From: end, To: next}
 	switch {
-	case next <= end && !last: // two processes of one name, or a clock that was set back
+	case next <= end && !last: // two processes with the same name, or a clock that was set back
 		clockError := v.clocks[i].Error + v.clocks[i+1].Error
 		span.State = Known
 		span.From = next
@@ -112,7 +116,7 @@
 	return span
 }
 
-// subtractGaps removes the gaps of a broker from the spans in which it is known.
+// subtractGaps removes the gaps of a broker from its spans in state Known, and drops gaps of zero length.
 func subtractGaps(spans []Span) []Span {
 	var known, gaps []Span
 	for _, s := range spans {
@@ -135,7 +139,7 @@
 	return out
 }
 
-// subtract returns the parts of a span that lie in no gap. The gaps are sorted by their begin.
+// subtract returns the parts of a span that no gap covers. The gaps must be sorted by their begin.
 func subtract(span Span, gaps []Span) []Span {
 	var parts []Span
 	at := span.From
@@ -158,7 +162,7 @@
 	return parts
 }
 
-// isKnown reports whether anything is known of a broker within a span.
+// isKnown reports whether a broker has a span in state Known that overlaps a time span.
 func (v *analyzer) isKnown(broker string, from, to clock.Micros) bool {
 	for _, s := range v.analysis.Knowledge {
 		if s.Broker == broker && s.State == Known && s.From < to && s.To > from {
--- a/internal/observability/incident/merge.go
+++ b/internal/observability/incident/merge.go
@@ -11,7 +11,7 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// mergeStreams combines what all brokers saw, on the reference's clock.
+// mergeStreams merges the records of all brokers, on the reference's clock.
 func (v *analyzer) mergeStreams() {
 	v.analysis.groups = map[clock.Micros]map[string]*GroupImpact{}
 	latencies := map[clock.Micros]*sketch.Sketch{}
@@ -30,7 +30,7 @@
 	}
 }
 
-// node returns the named node's view, which it creates.
+// node returns the view of the named node, creating it if necessary.
 func (v *analyzer) node(name string) *nodeView {
 	node := v.nodes[name]
 	if node == nil {
@@ -40,10 +40,10 @@
 	return node
 }
 
-// usualQuantile is the quantile of an incarnation's latencies that counts as the slowest usual latency.
+// usualQuantile is the quantile of an incarnation's latencies at a node that counts as the highest usual latency.
 const usualQuantile = 0.995
 
-// mergeNodes adds what one incarnation saw of each node.
+// mergeNodes adds the attempts of one incarnation at each node, and the nodes that its notes mention.
 func (v *analyzer) mergeNodes(s *Stream, offset clock.Micros) {
 	for name, from := range s.nodes {
 		to := v.node(name)
@@ -65,6 +65,7 @@
 	}
 }
 
+// appendShifted appends attempts with their times shifted by offset.
 func appendShifted(to, from []attempt, offset clock.Micros) []attempt {
 	for _, t := range from {
 		to = append(to, attempt{sent: t.sent + offset, done: t.done + offset})
@@ -79,7 +80,7 @@
 	slices.SortFunc(n.refused, byTime)
 }
 
-// mergeGroups adds one incarnation's requests, by second, class and plan.
+// mergeGroups adds the request counts of one incarnation by second, class and plan.
 func (v *analyzer) mergeGroups(s *Stream, offset clock.Micros) {
 	for sec, byGroup := range s.groups {
 		at := secondOf(sec + offset)
@@ -88,18 +89,18 @@
 			impacts = map[string]*GroupImpact{}
 			v.analysis.groups[at] = impacts
 		}
-		for g, counted := range byGroup {
+		for g, counts := range byGroup {
 			class, plan := s.groupNames(g)
 			key := class + " " + plan
 			if impacts[key] == nil {
 				impacts[key] = &GroupImpact{Class: class, Plan: plan}
 			}
-			impacts[key].add(counted)
+			impacts[key].add(counts)
 		}
 	}
 }
 
-// groupNames returns the names of a class and a plan; their numbers where the names are not recorded.
+// groupNames returns the names of a class and a plan, or their positions if the names are not recorded.
 func (s *Stream) groupNames(g group) (class, plan string) {
 	class = strconv.Itoa(int(g.class))
 	if int(g.class) < len(s.Boot.Classes) {
@@ -112,15 +113,15 @@
 	return class, plan
 }
 
-func (g *GroupImpact) add(t *groupCounts) {
-	g.Served += t.results[record.Served]
-	g.Late += t.late
-	g.Rejected += t.results[record.Rejected]
-	g.Failed += t.results[record.Failed] + t.results[record.DeadlineExceeded]
-	g.WeightLost += t.weightLost
+func (g *GroupImpact) add(counts *groupCounts) {
+	g.Served += counts.results[record.Served]
+	g.Late += counts.late
+	g.Rejected += counts.results[record.Rejected]
+	g.Failed += counts.results[record.Failed] + counts.results[record.DeadlineExceeded]
+	g.WeightLost += counts.weightLost
 }
 
-// mergeLatencies adds one incarnation's latencies, by second.
+// mergeLatencies adds the latencies of one incarnation by second.
 func mergeLatencies(latencies map[clock.Micros]*sketch.Sketch, s *Stream, offset clock.Micros) {
 	for _, index := range s.latency {
 		index.Build()
@@ -138,12 +139,11 @@
 	}
 }
 
-// quantile returns a quantile of latencies.
 func quantile(latency *sketch.Sketch, q float64) clock.Micros {
 	return clock.Micros(latency.Quantile(q))
 }
 
-// second sums one second over all brokers. latency is nil if nothing was served.
+// second sums one second over all brokers. latency is nil if no request was served in it.
 func (v *analyzer) second(sec clock.Micros, latency *sketch.Sketch) Second {
 	sum := Second{Begin: sec}
 	for _, g := range v.analysis.groups[sec] {
--- a/internal/observability/incident/node_outages.go
+++ b/internal/observability/incident/node_outages.go
@@ -7,24 +7,26 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// What an outage of a node is taken from.
+// Thresholds for outages of a node.
 const (
-	// minUsualLatency is the least latency that counts as a node's slowest usual one.
+	// minUsualLatency is the lower limit of a node's highest usual latency.
 	minUsualLatency clock.Micros = 1000
-	// silenceFactor is how many usual latencies an attempt must have waited to count as one without a response.
+	// silenceFactor is the multiple of the highest usual latency that an attempt must have waited for a response to
+	// count as unanswered.
 	silenceFactor = 2
-	// minOutageAttempts is the least number of attempts that show an outage: a single one may have been lost on the way.
+	// minOutageAttempts is the minimum number of failed attempts of an outage: a single one may have been lost in
+	// transit.
 	minOutageAttempts = 2
 )
 
-// outage is a series of attempts at one node between two responses of it.
+// outage is a series of failed attempts at one node without a response in between.
 type outage struct {
 	first    attempt
 	lastSent clock.Micros
 	attempts int
 }
 
-// findNodeOutages finds the times in which nodes responded to no broker.
+// findNodeOutages adds episodes of the times in which a node did not respond to any broker.
 func (v *analyzer) findNodeOutages() {
 	for _, name := range v.analysis.Nodes {
 		node := v.nodes[name]
@@ -37,16 +39,16 @@
 	}
 }
 
-// usual returns the node's slowest usual latency.
+// usual returns the node's highest usual latency.
 func (n *nodeView) usual() clock.Micros { return max(n.usualLatency, minUsualLatency) }
 
-// firstResponseAfter is the index of the first response after a time.
+// firstResponseAfter returns the index of the first response after a time.
 func (n *nodeView) firstResponseAfter(t clock.Micros) int {
 	return sort.Search(len(n.responses), func(i int) bool { return n.responses[i] > t })
 }
 
-// silentAttempts returns the attempts that show that the node was silent: they waited for much longer than its usual
-// responses take, and no broker had a response meanwhile.
+// silentAttempts returns the attempts that show that the node was unresponsive: they waited for much longer than the
+// node's usual latency, and no broker received a response in that time.
 func (n *nodeView) silentAttempts() []attempt {
 	var silent []attempt
 	for _, a := range n.timedOut {
@@ -54,14 +56,14 @@
 			continue // the node may just have been slow
 		}
 		if i := n.firstResponseAfter(a.sent + n.usual()); i < len(n.responses) && n.responses[i] < a.done {
-			continue // others had responses meanwhile: this attempt was lost on the way
+			continue // other attempts were answered in that time: this one was lost in transit
 		}
 		silent = append(silent, a)
 	}
 	return silent
 }
 
-// outages joins attempts that no response of the node lies between.
+// outages joins attempts into outages: two attempts belong to the same outage if no response lies between them.
 func (n *nodeView) outages(attempts []attempt) []outage {
 	var outages []outage
 	for _, a := range attempts {
@@ -78,8 +80,9 @@
 	return outages
 }
 
-// addNodeOutage adds an outage. It begins after the last response before, and at the latest when the first attempt should have
-// had one; it ends after the last attempt was sent, and before the next response.
+// addNodeOutage adds an episode for an outage. The outage begins after the last response before it, and at the latest
+// when the first failed attempt should have been answered. It ends after the last failed attempt was sent, and before
+// the next response.
 func (v *analyzer) addNodeOutage(name string, kind Kind, o outage) {
 	if o.attempts < minOutageAttempts {
 		return
@@ -105,7 +108,7 @@
 		e.Evidence = append(e.Evidence, "last answer before at "+FormatTime(n.responses[i]))
 	}
 	if i := n.firstResponseAfter(o.lastSent); i < len(n.responses) {
-		// The response may have been made before the last attempt was sent.
+		// The node may have sent this response before the last attempt was sent.
 		e.End.Latest = n.responses[i]
 		e.Evidence = append(e.Evidence, "next answer at "+FormatTime(n.responses[i]))
 	} else {
--- a/internal/observability/incident/note_episodes.go
+++ b/internal/observability/incident/note_episodes.go
@@ -11,25 +11,26 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// How exactly notes bound an episode.
+// Bounds on the times between a change and the note that a broker records of it.
 const (
-	// maxHangingCall is how long a watch call may hang before a broker cancels it.
+	// maxHangingCall is the maximum time that a watch call hangs before the broker cancels it.
 	maxHangingCall clock.Micros = 2_500_000
-	// maxDiscoveryBackoff is the longest time between two polls while discovery is down, and a call.
+	// maxDiscoveryBackoff is the maximum time between two polls while discovery is down, plus the duration of a call.
 	maxDiscoveryBackoff clock.Micros = 4_500_000
-	// maxRestartDelay is how long a node may have been up again before a broker notices its restart.
+	// maxRestartDelay is the maximum time between a node's restart and a broker's note of it.
 	maxRestartDelay = 5 * second
-	// restartGap is the least time between two restarts of a node.
+	// restartGap is the minimum time between two restarts of a node; notes closer together are of the same restart.
 	restartGap = 10 * second
 )
 
-// timedNote is a note at its time on the reference's clock.
+// timedNote is a broker's note with its time on the reference's clock.
 type timedNote struct {
 	note
 	broker string
 }
 
-// findNotedEpisodes finds what brokers noted themselves: drains, discovery, restarts, rollouts.
+// findNotedEpisodes finds the episodes that brokers record as notes: drains, discovery outages, node restarts and
+// rollouts.
 func (v *analyzer) findNotedEpisodes() {
 	var notes []timedNote
 	for i, s := range v.streams {
@@ -58,22 +59,22 @@
 				Begin:    exactly(n.at + v.clocks[i].Offset),
 				End:      exactly(s.end() + v.clocks[i].Offset),
 				Open:     !s.stopped,
-				Evidence: []string{"boot " + s.BootID + " noted it"},
+				Evidence: []string{"boot " + s.IncarnationID + " noted it"},
 			})
 		}
 	}
 }
 
-// nodeDrain is a drain of which brokers were notified.
-type nodeDrain struct {
-	first, last clock.Micros // notifications
+// drainNotifications is a drain of which brokers were notified.
+type drainNotifications struct {
+	first, last clock.Micros // times of the first and the last notification
 	brokers     []string
 }
 
-// findNodeDrains joins brokers' notifications of a node's drain. Each arrives within the notification time, so the drain
-// began at most that much before the first.
+// findNodeDrains merges the brokers' notifications of a node's drain. Each arrives within the notification time, so the
+// drain began at most that long before the first one.
 func (v *analyzer) findNodeDrains(notes []timedNote) {
-	drains := map[string]*nodeDrain{} // those that have not ended, by node
+	drains := map[string]*drainNotifications{} // drains that have not ended, by node
 	for i := range notes {
 		n := &notes[i]
 		if n.kind != record.KindList {
@@ -83,7 +84,7 @@
 		switch {
 		case n.text == "draining" || strings.HasPrefix(n.text, "known draining"):
 			if drain == nil {
-				drain = &nodeDrain{first: n.at}
+				drain = &drainNotifications{first: n.at}
 				drains[n.subject] = drain
 			}
 			drain.last = n.at
@@ -98,7 +99,7 @@
 	}
 }
 
-func (v *analyzer) addNodeDrain(node string, drain *nodeDrain, end Bound, open bool) {
+func (v *analyzer) addNodeDrain(node string, drain *drainNotifications, end Bound, open bool) {
 	v.addEpisode(Episode{
 		Kind:    NodeDrain,
 		Subject: node,
@@ -111,11 +112,11 @@
 	})
 }
 
-// findDiscoveryOutages finds the times in which brokers could not reach discovery. An outage ends with the first call of any
-// broker that succeeds.
+// findDiscoveryOutages finds the times in which brokers could not reach discovery. An outage ends with the first
+// successful call of any broker.
 func (v *analyzer) findDiscoveryOutages(notes []timedNote) {
 	var begin Bound
-	var brokers []string // that found it down
+	var brokers []string // brokers that found discovery down
 	for i := range notes {
 		n := &notes[i]
 		if n.kind != record.KindDiscovery {
@@ -149,7 +150,7 @@
 	})
 }
 
-// findNodeRestarts finds the slow starts of nodes whose process is another than before.
+// findNodeRestarts finds restarts of nodes and adds their slow starts.
 func (v *analyzer) findNodeRestarts(notes []timedNote) {
 	latest := map[string]clock.Micros{}
 	for i := range notes {
@@ -167,8 +168,8 @@
 	}
 }
 
-// addSlowStart adds the slow start that begins with a restart. It lasts until a second in which the node's median latency is
-// close to its usual one.
+// addSlowStart adds the slow start that begins with a restart. It ends in the first second in which the node's median
+// latency is close to its usual one.
 func (v *analyzer) addSlowStart(n *timedNote) {
 	e := Episode{
 		Kind:     NodeSlowStart,
@@ -199,13 +200,14 @@
 	v.addEpisode(e)
 }
 
-// rollout is a revision of the fleet that brokers applied.
+// rollout holds the times at which brokers first applied a revision of the fleet.
 type rollout struct {
 	from, to clock.Micros
 	brokers  []string
 }
 
-// findRollouts finds the times over which brokers applied each revision of the fleet for the first time.
+// findRollouts adds an episode for each revision of the fleet, from its first application by any broker until the last
+// broker has applied it for the first time.
 func (v *analyzer) findRollouts(notes []timedNote) {
 	rollouts := map[string]*rollout{}
 	for i := range notes {
@@ -219,7 +221,7 @@
 			rollouts[n.subject] = r
 		}
 		if slices.Contains(r.brokers, n.broker) {
-			continue // applied again: the broker has restarted, or node overrides have changed
+			continue // the broker applied it again: it has restarted, or node overrides have changed
 		}
 		r.to = n.at
 		r.brokers = append(r.brokers, n.broker)
@@ -236,7 +238,7 @@
 	}
 }
 
-// appendMissing appends a name that the list does not have yet.
+// appendMissing appends a name unless the list has it already.
 func appendMissing(names []string, name string) []string {
 	if slices.Contains(names, name) {
 		return names
--- a/internal/observability/incident/rate_episodes.go
+++ b/internal/observability/incident/rate_episodes.go
@@ -9,25 +9,26 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// How much must be known for a deviation from the usual to count.
+// Minimum numbers of samples, and thresholds, for a deviation from the usual values to count as an episode.
 const (
-	minResponses          = 5  // of a node within a second, for a median
-	minSlowStartResponses = 3  // the same, to end a slow start
-	minSeconds            = 10 // of a node or a volume, for its usual value
-	minRejections         = 5  // within a second
-	minSurge              = 10 // requests per second above the usual
+	minResponses          = 5  // responses of a node within a second, to compute a median
+	minSlowStartResponses = 3  // responses of a node within a second, to end its slow start
+	minSeconds            = 10 // seconds with data of a node or a volume, to compute its usual value
+	minRejections         = 5  // rejections within a second
+	minSurge              = 10 // requests per second above the usual rate
 
 	// slowStartFactor is the multiple of its usual median latency below which a node's slow start is over.
 	slowStartFactor = 1.5
-	// minUsualMedian is the least usual median latency of a node.
+	// minUsualMedian is the lower limit of a node's usual median latency.
 	minUsualMedian clock.Micros = 500
-	// maxGap is the longest time between two seconds of one episode.
+	// maxGap is the maximum distance between two consecutive deviating seconds of one episode.
 	maxGap = 2 * second
-	// minDeviation is the least time between the first and the last second of an episode; a single second may be a pause.
+	// minDeviation is the minimum time between the first and the last second of an episode. A single deviating second
+	// may be due to a short pause, so it does not make an episode.
 	minDeviation = second
 )
 
-// joinSeconds joins seconds that are no more than maxGap apart.
+// joinSeconds joins seconds that are at most maxGap apart into spans, given as their first and last second.
 func joinSeconds(seconds []clock.Micros) []Bound {
 	slices.Sort(seconds)
 	var spans []Bound
@@ -41,7 +42,7 @@
 	return spans
 }
 
-// addDeviations adds an episode for each span of joined seconds that lasts.
+// addDeviations adds an episode for each span of joined seconds that is at least minDeviation long.
 func (v *analyzer) addDeviations(kind Kind, subject string, seconds []clock.Micros, evidence string) {
 	for _, span := range joinSeconds(seconds) {
 		if span.Latest-span.Earliest < minDeviation {
@@ -57,8 +58,8 @@
 	}
 }
 
-// medianLatency returns a node's latencies by second, over all brokers, and the median of the seconds' medians; 0 if too
-// little is known.
+// medianLatency returns a node's latencies by second, over all brokers, and the median of the seconds' medians. The
+// median is 0 if too few seconds have data.
 func (v *analyzer) medianLatency(node string) (latencies map[clock.Micros]*sketch.Sketch, usual clock.Micros) {
 	latencies = map[clock.Micros]*sketch.Sketch{}
 	for i, s := range v.streams {
@@ -87,7 +88,7 @@
 	return latencies, max(medians[len(medians)/2], minUsualMedian)
 }
 
-// findSlowNodes finds seconds in which a node's median latency was far above its usual one.
+// findSlowNodes adds episodes of seconds in which a node's median latency was far above its usual one.
 func (v *analyzer) findSlowNodes() {
 	for _, name := range v.analysis.Nodes {
 		latencies, usual := v.medianLatency(name)
@@ -110,7 +111,7 @@
 	}
 }
 
-// requestRates returns each volume's requests by second, over all brokers.
+// requestRates returns the requests of each volume by second, over all brokers. Sampled counts are scaled up.
 func (v *analyzer) requestRates() map[string]map[clock.Micros]float64 {
 	volumes := map[string]map[clock.Micros]float64{}
 	for i, s := range v.streams {
@@ -132,7 +133,7 @@
 	return volumes
 }
 
-// findSurges finds seconds in which a volume's request rate was far above its usual one.
+// findSurges adds episodes of seconds in which a volume's request rate was far above its usual one.
 func (v *analyzer) findSurges() {
 	volumes := v.requestRates()
 	for _, name := range slices.Sorted(maps.Keys(volumes)) {
@@ -153,7 +154,7 @@
 	}
 }
 
-// usualRate returns the median rate over all seconds, also those without a request.
+// usualRate returns the median rate over all seconds, including those without a request.
 func (v *analyzer) usualRate(rates map[clock.Micros]float64) (usual float64, known bool) {
 	var all []float64
 	for sec := secondOf(v.analysis.From); sec <= v.analysis.To; sec += second {
@@ -166,7 +167,7 @@
 	return all[len(all)/2], true
 }
 
-// findRejections finds seconds in which many requests were rejected.
+// findRejections adds episodes of seconds in which more than RejectedShare of the requests were rejected.
 func (v *analyzer) findRejections() {
 	var rejecting []clock.Micros
 	worst := 0.0
--- a/internal/observability/incident/report/html.go
+++ b/internal/observability/incident/report/html.go
@@ -15,11 +15,11 @@
 // Sizes of the page's drawings, in pixels.
 const (
 	pageWidth    = 1180
-	labelWidth   = 150 // left of the lanes
+	labelWidth   = 150 // width of the labels left of the lanes
 	rightMargin  = 10
 	laneHeight   = 22
-	laneGap      = 3 // above and below a bar
-	labelOffset  = 15
+	laneGap      = 3  // space above and below a bar
+	labelOffset  = 15 // from a lane's top to the baseline of its label
 	topMargin    = 4
 	axisHeight   = 24
 	minBarWidth  = 3
@@ -32,37 +32,37 @@
 // page is the data of the template, which refers to its fields by name.
 type page struct {
 	*incident.Analysis
-	Title   string
-	Span    string
-	Width   int
-	Left    int
-	Height  int
-	Lanes   []lane
-	Ticks   []tick
-	Latency plot
-	Answers plot
-	Dim     int // width of the lanes without their labels
+	Title     string
+	Span      string
+	Width     int
+	Left      int
+	Height    int
+	Lanes     []lane
+	Ticks     []tick
+	Latency   plot
+	Responses plot
+	LaneWidth int // width of the lanes, without their labels
 }
 
 // lane is a row of the timeline.
 type lane struct {
-	Name  string
-	Y     int
-	Bars  []bar
-	Label int // y of the label
+	Name   string
+	Y      int
+	Bars   []bar
+	LabelY int // y of the label's baseline
 }
 
 // bar is a span of time in a lane or a plot.
 type bar struct {
-	X     float64
-	W     float64
-	Y     int
-	H     int
-	Class string
-	Title string
-	ID    int     // of an episode
-	Fuzzy float64 // width of the uncertain begin
-	Tail  float64 // width of the uncertain end
+	X              float64
+	W              float64
+	Y              int
+	H              int
+	Class          string
+	Title          string
+	ID             int     // ID of the episode; 0 if the bar is not one
+	UncertainBegin float64 // width of the part in which the begin may lie
+	UncertainEnd   float64 // width of the part in which the end may lie
 }
 
 // tick is a mark on the time axis.
@@ -71,26 +71,26 @@
 	Text string
 }
 
-// HTML writes the page.
+// HTML writes the analysis as an HTML page.
 func HTML(w io.Writer, a *incident.Analysis, title string) error {
 	p := &page{
-		Analysis: a,
-		Title:    title,
-		Span:     describeSpan(a),
-		Width:    pageWidth,
-		Left:     labelWidth,
-		Dim:      pageWidth - labelWidth - rightMargin,
+		Analysis:  a,
+		Title:     title,
+		Span:      describeSpan(a),
+		Width:     pageWidth,
+		Left:      labelWidth,
+		LaneWidth: pageWidth - labelWidth - rightMargin,
 	}
-	axis := timeAxis{from: a.From, to: a.To, width: p.Dim}
+	axis := timeAxis{from: a.From, to: a.To, width: p.LaneWidth}
 	t := &timeline{analysis: a, axis: axis, y: topMargin}
 	t.addBrokers()
 	t.addNodes()
-	t.addOthers()
+	t.addOtherSubjects()
 	p.Lanes = t.lanes
 	p.Height = t.y + axisHeight
 	p.Ticks = axis.ticks()
 	p.Latency = latencyPlot(a, axis)
-	p.Answers = answerPlot(a, axis)
+	p.Responses = responsePlot(a, axis)
 	return pageTemplate.Execute(w, p)
 }
 
@@ -101,23 +101,23 @@
 
 // timeAxis maps times to positions on the page.
 type timeAxis struct {
-	from  clock.Micros // microseconds
+	from  clock.Micros
 	to    clock.Micros
 	width int // pixels
 }
 
 func (x timeAxis) span() clock.Micros { return max(x.to-x.from, 1) }
 
-// position is a time's distance from the page's left edge.
+// position returns the x of a time on the page. Times outside the axis are moved to its nearer end.
 func (x timeAxis) position(at clock.Micros) float64 {
 	at = min(max(at, x.from), x.to)
 	return labelWidth + float64(at-x.from)/float64(x.span())*float64(x.width)
 }
 
-// maxTicks is how many marks the axis has at most.
+// maxTicks is the maximum number of marks on the time axis.
 const maxTicks = 12
 
-// ticks places marks at round distances: 1, 2 or 5 times a power of ten seconds.
+// ticks returns marks at round intervals: 1, 2 or 5 times a power of ten, in seconds.
 func (x timeAxis) ticks() []tick {
 	step := secondMicros
 	for factor := 0; x.span()/step > maxTicks; factor++ {
@@ -134,11 +134,11 @@
 	return ticks
 }
 
-// timeline places the lanes one below the other.
+// timeline builds the lanes, one below the other.
 type timeline struct {
 	analysis *incident.Analysis
 	axis     timeAxis
-	y        int // of the next lane
+	y        int // y of the next lane
 	lanes    []lane
 }
 
@@ -147,11 +147,11 @@
 		bars[i].Y = t.y + laneGap
 		bars[i].H = laneHeight - 2*laneGap
 	}
-	t.lanes = append(t.lanes, lane{Name: name, Y: t.y, Bars: bars, Label: t.y + labelOffset})
+	t.lanes = append(t.lanes, lane{Name: name, Y: t.y, Bars: bars, LabelY: t.y + labelOffset})
 	t.y += laneHeight
 }
 
-// addBrokers adds a lane for each broker: what is known of it, and its drains.
+// addBrokers adds a lane for each broker, with the state of its records and its drains.
 func (t *timeline) addBrokers() {
 	for _, name := range t.analysis.Brokers {
 		var bars []bar
@@ -171,8 +171,8 @@
 	}
 }
 
-// addOthers adds a lane for each subject that is neither a broker nor a node.
-func (t *timeline) addOthers() {
+// addOtherSubjects adds a lane for each subject of episodes that is neither a broker nor a node.
+func (t *timeline) addOtherSubjects() {
 	var subjects []string
 	for i := range t.analysis.Episodes {
 		subject := t.analysis.Episodes[i].Subject
@@ -203,13 +203,13 @@
 		}
 		x := t.axis.position(e.Begin.Earliest)
 		bars = append(bars, bar{
-			X:     x,
-			W:     max(t.axis.position(e.End.Latest)-x, minBarWidth),
-			ID:    e.ID,
-			Class: "k-" + cssName(string(e.Kind)),
-			Title: fmt.Sprintf("%d  %s: %s\nbegin %s\nend %s\nlasted %s", e.ID, e.Kind, e.Subject, e.Begin.Format(), e.End.Format(), e.FormatDuration()),
-			Fuzzy: t.axis.position(e.Begin.Latest) - x,
-			Tail:  max(t.axis.position(e.End.Latest)-t.axis.position(e.End.Earliest), 0),
+			X:              x,
+			W:              max(t.axis.position(e.End.Latest)-x, minBarWidth),
+			ID:             e.ID,
+			Class:          "k-" + cssName(string(e.Kind)),
+			Title:          fmt.Sprintf("%d  %s: %s\nbegin %s\nend %s\nlasted %s", e.ID, e.Kind, e.Subject, e.Begin.Format(), e.End.Format(), e.FormatDuration()),
+			UncertainBegin: t.axis.position(e.Begin.Latest) - x,
+			UncertainEnd:   max(t.axis.position(e.End.Latest)-t.axis.position(e.End.Earliest), 0),
 		})
 	}
 	return bars
@@ -229,5 +229,5 @@
 			W int
 		}{p, w}
 	},
-	"took": func(e incident.Episode) string { return e.FormatDuration() },
-}).Parse(source))
+	"duration": func(e incident.Episode) string { return e.FormatDuration() },
+}).Parse(pageSource))
--- a/internal/observability/incident/report/page.go
+++ b/internal/observability/incident/report/page.go
@@ -1,7 +1,7 @@
 package report
 
-// source is the page. It needs no network: no fonts, no scripts and no pictures from elsewhere.
-const source = `<!doctype html>
+// pageSource is the template of the page. The page loads no external fonts, scripts or images, so it works offline.
+const pageSource = `<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title>
 <style>
 :root{--fg:#1c2430;--mute:#667085;--line:#d8dde5;--bg:#fff;--known:#cfe8d5;--accent:#2456c4}
@@ -43,25 +43,25 @@
 <span><i style="background:radial-gradient(#aab3c0 25%,#fff 30%) 0 0/5px 5px"></i>not recorded</span><span><small>pale ends of a bar: the begin or end lies somewhere in them</small></span></div>
 <svg viewBox="0 0 {{.Width}} {{.Height}}" role="img" aria-label="timeline">
 {{range .Ticks}}<line class="grid" x1="{{.X}}" x2="{{.X}}" y1="0" y2="{{$.Height}}"/>{{end}}
-{{range .Lanes}}<text x="8" y="{{.Label}}">{{.Name}}</text>
-{{range .Bars}}{{if .ID}}<a href="#e{{.ID}}">{{end}}<rect class="{{.Class}}" x="{{.X}}" y="{{.Y}}" width="{{.W}}" height="{{.H}}" rx="2"><title>{{.Title}}</title></rect>{{if .ID}}{{if gt .Fuzzy 1.0}}<rect class="fuzzy" x="{{.X}}" y="{{.Y}}" width="{{.Fuzzy}}" height="{{.H}}"/>{{end}}{{if gt .Tail 1.0}}<rect class="fuzzy" x="{{minus (plus .X .W) .Tail}}" y="{{.Y}}" width="{{.Tail}}" height="{{.H}}"/>{{end}}</a>{{end}}
+{{range .Lanes}}<text x="8" y="{{.LabelY}}">{{.Name}}</text>
+{{range .Bars}}{{if .ID}}<a href="#e{{.ID}}">{{end}}<rect class="{{.Class}}" x="{{.X}}" y="{{.Y}}" width="{{.W}}" height="{{.H}}" rx="2"><title>{{.Title}}</title></rect>{{if .ID}}{{if gt .UncertainBegin 1.0}}<rect class="fuzzy" x="{{.X}}" y="{{.Y}}" width="{{.UncertainBegin}}" height="{{.H}}"/>{{end}}{{if gt .UncertainEnd 1.0}}<rect class="fuzzy" x="{{minus (plus .X .W) .UncertainEnd}}" y="{{.Y}}" width="{{.UncertainEnd}}" height="{{.H}}"/>{{end}}</a>{{end}}
 {{end}}{{end}}
 {{range .Ticks}}<text class="mute" x="{{.X}}" y="{{$.Height}}" dy="-6" text-anchor="middle">{{.Text}}</text>{{end}}
 </svg>
 {{define "plot"}}
 <h2>{{.P.Title}}</h2><div class="legend">{{range .P.Lines}}<span><svg width="18" height="8" viewBox="0 0 18 8" style="display:inline;border:0;background:none;width:18px"><polyline class="{{.Class}}" points="0,4 18,4"/></svg> {{.Name}}</span>{{end}}<span><small>shaded: nothing is known of some brokers; hatched: of none</small></span></div>
 <svg viewBox="0 0 {{.W}} {{.P.H}}" role="img" aria-label="{{.P.Title}}">
-{{range .P.Blind}}<rect class="{{.Class}}" x="{{.X}}" y="0" width="{{.W}}" height="{{.H}}"><title>{{.Title}}</title></rect>{{end}}
+{{range .P.Unknown}}<rect class="{{.Class}}" x="{{.X}}" y="0" width="{{.W}}" height="{{.H}}"><title>{{.Title}}</title></rect>{{end}}
 <text class="mute" x="8" y="14">{{.P.Max}}</text><text class="mute" x="8" y="{{.P.H}}" dy="-4">0</text>
-{{range .P.Lines}}{{$c := .Class}}{{range .Pieces}}<polyline class="{{$c}}" points="{{.}}"/>{{end}}{{end}}
+{{range .P.Lines}}{{$c := .Class}}{{range .Sections}}<polyline class="{{$c}}" points="{{.}}"/>{{end}}{{end}}
 </svg>{{end}}
 {{template "plot" (pair .Latency .Width)}}
-{{template "plot" (pair .Answers .Width)}}
+{{template "plot" (pair .Responses .Width)}}
 
 <h2>Episodes</h2>
 <input id="q" type="search" placeholder="Search episodes, nodes, evidence" aria-label="search">
 <table id="t"><thead><tr><th>No</th><th>Episode</th><th>Who</th><th>Begin</th><th>End</th><th>Lasted</th><th class="n">Late</th><th class="n">Refused</th><th class="n">Failed</th><th class="n">Worth</th><th>Evidence</th></tr></thead><tbody>
-{{range .Episodes}}<tr id="e{{.ID}}"><td>{{.ID}}</td><td>{{.Kind}}</td><td>{{.Subject}}</td><td>{{.Begin.Format}}</td><td>{{if .Open}}still going on{{else}}{{.End.Format}}{{end}}</td><td>{{took .}}</td>
+{{range .Episodes}}<tr id="e{{.ID}}"><td>{{.ID}}</td><td>{{.Kind}}</td><td>{{.Subject}}</td><td>{{.Begin.Format}}</td><td>{{if .Open}}still going on{{else}}{{.End.Format}}{{end}}</td><td>{{duration .}}</td>
 <td class="n">{{.Impact.Late}}</td><td class="n">{{.Impact.Rejected}}</td><td class="n">{{.Impact.Failed}}</td><td class="n">{{printf "%.0f" .Impact.WeightLost}}</td>
 <td><pre>{{join .Evidence}}</pre>{{if .Uncertainties}}<pre class="doubt">a bound falls into a gap:
 {{join .Uncertainties}}</pre>{{end}}{{if .Overlaps}}<small>with {{range .Overlaps}}<a href="#e{{.}}">{{.}}</a> {{end}}</small>{{end}}</td></tr>
@@ -75,7 +75,7 @@
 
 <h2>Clocks</h2>
 <table><thead><tr><th>Broker</th><th>Boot</th><th class="n">Offset, ms</th><th class="n">Give or take, ms</th><th class="n">List versions in common</th><th></th></tr></thead><tbody>
-{{range .Clocks}}<tr><td>{{.Broker}}</td><td>{{.Boot}}</td><td class="n">{{ms .Offset}}</td><td class="n">{{ms .Error}}</td><td class="n">{{.Shared}}</td><td>{{.Text}}</td></tr>{{end}}
+{{range .Clocks}}<tr><td>{{.Broker}}</td><td>{{.IncarnationID}}</td><td class="n">{{ms .Offset}}</td><td class="n">{{ms .Error}}</td><td class="n">{{.Shared}}</td><td>{{.Text}}</td></tr>{{end}}
 </tbody></table>
 <script>
 document.getElementById('q').addEventListener('input',function(){var q=this.value.toLowerCase();
--- a/internal/observability/incident/report/plot.go
+++ b/internal/observability/incident/report/plot.go
@@ -13,20 +13,20 @@
 	plotTopMargin = 8
 )
 
-// plot is lines over the seconds, each in pieces: a piece ends where nothing is known.
+// plot is a plot of figures by second. The page template refers to its fields by name.
 type plot struct {
-	Title string
-	Lines []line
-	Max   string
-	Blind []bar // seconds in which something is missing
-	H     int
+	Title   string
+	Lines   []line
+	Max     string // highest figure
+	Unknown []bar  // seconds of which some broker has no records
+	H       int
 }
 
-// line is one line of a plot.
+// line is one line of a plot. It is interrupted where nothing is known.
 type line struct {
-	Name   string
-	Class  string
-	Pieces []string // points of an SVG polyline
+	Name     string
+	Class    string
+	Sections []string // points of the SVG polyline of each uninterrupted section
 }
 
 func latencyPlot(a *incident.Analysis, axis timeAxis) plot {
@@ -38,14 +38,15 @@
 	})
 }
 
-func answerPlot(a *incident.Analysis, axis timeAxis) plot {
+func responsePlot(a *incident.Analysis, axis timeAxis) plot {
 	return newPlot(a, axis, "Answers a second", []string{"served", "late", "refused", "failed"}, func(s incident.Second) []float64 {
 		return []float64{float64(s.Served), float64(s.Late), float64(s.Rejected), float64(s.Failed)}
 	})
 }
 
-// newPlot draws a line for each name. values are a second's figures, in the order of the names; nil if there are none. A
-// second of which no broker knows anything breaks every line; one that some know nothing of is shaded.
+// newPlot returns a plot with a line for each name. values returns the figures of a second in the order of the names,
+// or nil if there are none. All lines are interrupted at a second without figures or of which no broker has records; a
+// second of which some broker has no records is shaded.
 func newPlot(a *incident.Analysis, axis timeAxis, title string, names []string, values func(incident.Second) []float64) plot {
 	highest := 1.0
 	for _, s := range a.Seconds {
@@ -59,25 +60,25 @@
 		for _, s := range a.Seconds {
 			v := values(s)
 			if v == nil || s.UnknownBrokers == len(a.Brokers) {
-				l.endPiece()
+				l.endSection()
 				continue
 			}
 			y := float64(plotHeight) - v[k]/highest*float64(plotHeight-plotTopMargin)
 			l.addPoint(axis.position(s.Begin+secondMicros/2), y)
 		}
-		l.endPiece()
+		l.endSection()
 		p.Lines = append(p.Lines, l.line)
 	}
 	for _, s := range a.Seconds {
 		if s.UnknownBrokers > 0 {
-			p.Blind = append(p.Blind, blindBar(a, axis, s))
+			p.Unknown = append(p.Unknown, unknownBar(a, axis, s))
 		}
 	}
 	return p
 }
 
-// blindBar shades a second in which nothing is known of some brokers.
-func blindBar(a *incident.Analysis, axis timeAxis, s incident.Second) bar {
+// unknownBar returns the shading of a second of which some brokers have no records.
+func unknownBar(a *incident.Analysis, axis timeAxis, s incident.Second) bar {
 	class := "blind-some"
 	if s.UnknownBrokers == len(a.Brokers) {
 		class = "blind-all"
@@ -91,17 +92,17 @@
 	}
 }
 
-// lineBuilder collects the points of a line's pieces.
+// lineBuilder builds the sections of a line.
 type lineBuilder struct {
 	line
-	piece strings.Builder
+	section strings.Builder
 }
 
-func (l *lineBuilder) addPoint(x, y float64) { fmt.Fprintf(&l.piece, "%.1f,%.1f ", x, y) }
+func (l *lineBuilder) addPoint(x, y float64) { fmt.Fprintf(&l.section, "%.1f,%.1f ", x, y) }
 
-func (l *lineBuilder) endPiece() {
-	if l.piece.Len() > 0 {
-		l.Pieces = append(l.Pieces, strings.TrimSpace(l.piece.String()))
-		l.piece.Reset()
+func (l *lineBuilder) endSection() {
+	if l.section.Len() > 0 {
+		l.Sections = append(l.Sections, strings.TrimSpace(l.section.String()))
+		l.section.Reset()
 	}
 }
--- a/internal/observability/incident/report/report.go
+++ b/internal/observability/incident/report/report.go
@@ -1,3 +1,3 @@
-// Package report presents an analysis: as text, as JSON, and as one HTML page that needs nothing else. Gaps are drawn as
-// gaps: no line runs through a time about which nothing is known.
+// Package report writes an analysis as text, as JSON or as a self-contained HTML page. In plots, lines are interrupted
+// where no broker has records.
 package report
--- a/internal/observability/incident/report/report_test.go
+++ b/internal/observability/incident/report/report_test.go
@@ -13,13 +13,13 @@
 
 const sec = clock.Micros(1_000_000)
 
-// twoBoots is a broker that served, was dead from 10 to 16 s, and served again.
-func twoBoots() *incident.Analysis {
+// analysisOfTwoIncarnations returns the analysis of a broker that served, was dead from 10 s to 16 s, and served again.
+func analysisOfTwoIncarnations() *incident.Analysis {
 	var list []*incident.Stream
 	for k, span := range [][2]clock.Micros{{1, 10}, {16, 25}} {
 		s := incident.NewStream("n<1>", string(rune('a'+k)))
 		begin := span[0] * sec
-		s.AddEvent(&record.Event{At: begin, Kind: record.KindIncarnation, Incarnation: &record.Incarnation{Name: "n<1>", ID: s.BootID, StartedAt: begin, HeartbeatInterval: sec / 2, SampleFraction: 1,
+		s.AddEvent(&record.Event{At: begin, Kind: record.KindIncarnation, Incarnation: &record.Incarnation{Name: "n<1>", ID: s.IncarnationID, StartedAt: begin, HeartbeatInterval: sec / 2, SampleFraction: 1,
 			Classes: []record.Class{{Name: "read", LatencyObjective: sec, PriorityWeight: 1}}, Plans: []record.Plan{{Name: "p", PriceFactor: 1}}}})
 		seq := uint64(0)
 		for at := begin; at < span[1]*sec; at += sec / 5 {
@@ -32,52 +32,52 @@
 	return incident.Analyse(list, incident.DefaultOptions())
 }
 
-// Of a time of which nothing is known the page draws no line and says so; the seconds count their blind brokers; names are
-// escaped; and the JSON reads back.
+// Lines of a plot are interrupted where no broker has records, and those seconds are shaded and counted. The page
+// escapes names and loads nothing external, and the JSON report can be decoded.
 func TestGapsAreDrawnAsGaps(t *testing.T) {
-	a := twoBoots()
-	blind := 0
+	a := analysisOfTwoIncarnations()
+	unknownSeconds := 0
 	for _, s := range a.Seconds {
 		if s.UnknownBrokers == 1 {
-			blind++
+			unknownSeconds++
 			if s.Begin < 10*sec || s.Begin >= 16*sec || s.Served > 0 {
-				t.Errorf("%+v", s)
+				t.Errorf("second without records: %+v, want it between 10 s and 16 s and without served requests", s)
 			}
 		}
 	}
-	if blind < 5 || blind > 6 {
-		t.Errorf("%d seconds are blind", blind)
+	if unknownSeconds < 5 || unknownSeconds > 6 {
+		t.Errorf("%d seconds without records, want 5 or 6", unknownSeconds)
 	}
 	axis := timeAxis{from: a.From, to: a.To, width: pageWidth}
 	p := newPlot(a, axis, "t", []string{"served"}, func(s incident.Second) []float64 { return []float64{float64(s.Served)} })
-	if len(p.Lines[0].Pieces) != 2 || len(p.Blind) != blind {
-		t.Errorf("%d pieces, %d shaded", len(p.Lines[0].Pieces), len(p.Blind))
+	if len(p.Lines[0].Sections) != 2 || len(p.Unknown) != unknownSeconds {
+		t.Errorf("%d sections and %d shaded seconds, want 2 and the %d without records", len(p.Lines[0].Sections), len(p.Unknown), unknownSeconds)
 	}
-	var page, text, js bytes.Buffer
+	var page, text, encoded bytes.Buffer
 	if err := HTML(&page, a, "<title>"); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"n&lt;1&gt;", "&lt;title&gt;", "blind-all", "broker dead", "s-dead"} {
 		if !strings.Contains(page.String(), want) {
-			t.Errorf("the page has no %q", want)
+			t.Errorf("the page does not contain %q", want)
 		}
 	}
-	for _, never := range []string{"n<1>", "http://", "https://", "src="} {
-		if strings.Contains(page.String(), never) {
-			t.Errorf("the page has %q", never)
+	for _, unwanted := range []string{"n<1>", "http://", "https://", "src="} {
+		if strings.Contains(page.String(), unwanted) {
+			t.Errorf("the page contains %q", unwanted)
 		}
 	}
 	if err := Text(&text, a); err != nil || !strings.Contains(text.String(), "dead") {
-		t.Errorf("%v %s", err, text.String())
+		t.Errorf("text report has error %v or does not contain \"dead\": %s", err, text.String())
 	}
-	if err := JSON(&js, a); err != nil {
+	if err := JSON(&encoded, a); err != nil {
 		t.Fatal(err)
 	}
-	var back incident.Analysis
-	if err := json.Unmarshal(js.Bytes(), &back); err != nil || len(back.Episodes) != len(a.Episodes) || len(back.Knowledge) != len(a.Knowledge) {
-		t.Errorf("%v", err)
+	var decoded incident.Analysis
+	if err := json.Unmarshal(encoded.Bytes(), &decoded); err != nil || len(decoded.Episodes) != len(a.Episodes) || len(decoded.Knowledge) != len(a.Knowledge) {
+		t.Errorf("decoded JSON: error %v, %d episodes and %d spans, want %d and %d", err, len(decoded.Episodes), len(decoded.Knowledge), len(a.Episodes), len(a.Knowledge))
 	}
 	if err := Show(&text, a, 99); err == nil {
-		t.Error("an episode that is not there")
+		t.Error("Show returned no error for an episode that does not exist")
 	}
 }
--- a/internal/observability/incident/report/text.go
+++ b/internal/observability/incident/report/text.go
@@ -12,14 +12,14 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// JSON writes the analysis for programs.
+// JSON writes the analysis as JSON.
 func JSON(w io.Writer, a *incident.Analysis) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", " ")
 	return e.Encode(a)
 }
 
-// Text writes it for terminals.
+// Text writes the analysis as plain text.
 func Text(w io.Writer, a *incident.Analysis) error {
 	p := textoutput.NewPrinter(w)
 	day := time.UnixMicro(int64(a.From)).UTC().Format("2006-01-02")
@@ -33,7 +33,7 @@
 	p.Section(func(w io.Writer) error { return printUnknown(w, a.Knowledge) })
 	p.Println("\nclocks, against the reference:")
 	for _, c := range a.Clocks {
-		p.Printf("  %s boot %s: %+.1f ms, give or take %.1f ms, %d list versions in common %s\n", c.Broker, c.Boot,
+		p.Printf("  %s boot %s: %+.1f ms, give or take %.1f ms, %d list versions in common %s\n", c.Broker, c.IncarnationID,
 			milliseconds(c.Offset), milliseconds(c.Error), c.Shared, c.Text)
 	}
 	return p.Err()
@@ -56,7 +56,7 @@
 	return t.Flush()
 }
 
-// printUnknown lists the spans of time about which something is missing.
+// printUnknown lists the time spans of which records are missing or incomplete.
 func printUnknown(w io.Writer, spans []incident.Span) error {
 	t := textoutput.NewTable(w)
 	unknown := 0
@@ -84,10 +84,10 @@
 	return fmt.Sprintf("%d %s; %s", s.Events, unit, s.Text)
 }
 
-// Show writes one episode with all that is known of it.
+// Show writes one episode with its evidence, uncertainties, overlaps and impact.
 func Show(w io.Writer, a *incident.Analysis, id int) error {
 	if id < 1 || id > len(a.Episodes) {
-		return fmt.Errorf("episode %d: there are 1 to %d", id, len(a.Episodes))
+		return fmt.Errorf("episode %d not found: the analysis has %d episodes", id, len(a.Episodes))
 	}
 	e := &a.Episodes[id-1]
 	p := textoutput.NewPrinter(w)
@@ -113,7 +113,7 @@
 	return t.Flush()
 }
 
-// Diff writes a comparison.
+// Diff writes a comparison of two analyses.
 func Diff(w io.Writer, changes []incident.Change) error {
 	t := textoutput.NewTable(w, "EPISODE", "WHO", "FIRST", "SECOND", "LATE", "REFUSED", "FAILED", "WORTH")
 	for _, c := range changes {
@@ -124,7 +124,7 @@
 	return t.Flush()
 }
 
-// duration is how long an episode lasted; nil is one that the incident does not have.
+// duration formats how long an episode lasted; "-" if e is nil because the analysis has no such episode.
 func duration(e *incident.Episode) string {
 	if e == nil {
 		return "-"
@@ -132,6 +132,7 @@
 	return e.FormatDuration()
 }
 
+// impact returns the impact of an episode; zero if e is nil.
 func impact(e *incident.Episode) incident.Impact {
 	if e == nil {
 		return incident.Impact{}
--- a/internal/observability/incident/stream.go
+++ b/internal/observability/incident/stream.go
@@ -1,5 +1,8 @@
-// Package incident works out from brokers' records what happened: what is known of whom and when, which episodes there were,
-// how exactly their begins and ends are known, and what they cost. It does no I/O: package collect reads the records.
+// Package incident reconstructs an incident from the records of brokers: for which times each broker's records are
+// complete, which episodes there were, within which bounds their begins and ends lie, and what impact they had. It does
+// no I/O: package collect reads the records.
+//
+// An incarnation is one run of a broker process. Encoded and printed reports call it a boot.
 package incident
 
 import (
@@ -9,7 +12,7 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// resultKinds is the number of counters by result; unknown results of newer versions share them.
+// resultKinds is the number of counters by result. Results unknown to this version are counted modulo resultKinds.
 const resultKinds = 8
 
 const (
@@ -17,40 +20,40 @@
 	second                   = 1000 * millisecond
 )
 
-// secondOf returns the second that a time lies in.
+// secondOf returns the begin of the second that a time lies in.
 func secondOf(at clock.Micros) clock.Micros { return at - at%second }
 
-// Stream collects the records of one boot of one broker, in the order of their frames. Times are on the broker's own clock
-// until Analyse relates all clocks.
+// Stream collects the records of one incarnation of a broker, in the order of their frames. Times are on the broker's
+// own clock.
 type Stream struct {
-	Name   string // of the broker
-	BootID string
-	Boot   record.Incarnation // the last copy that could be read
+	Name          string // name of the broker
+	IncarnationID string
+	Boot          record.Incarnation // latest copy that could be read; it is recorded repeatedly
 
 	frames     []frame
 	damaged    []damage
 	lost       []record.Lost
 	heartbeats []heartbeat
 	notes      []note
-	stopped    bool // the boot said that it stopped
+	stopped    bool // the incarnation recorded that it stopped
 	nodes      map[string]*nodeRecord
-	groups     map[clock.Micros]map[group]*groupCounts // by second
-	volumes    map[string]map[clock.Micros]int         // requests by second of arrival
-	latency    map[uint8]*sketch.Index                 // of served requests, by class
+	groups     map[clock.Micros]map[group]*groupCounts // by second of the request's end
+	volumes    map[string]map[clock.Micros]int         // number of requests, by volume and second of arrival
+	latency    map[uint8]*sketch.Index                 // latencies of served requests, by class
 	events     int
 	first      clock.Micros // time of the earliest event
 	last       clock.Micros // time at which the latest event ended
 }
 
 type frame struct {
-	seq uint64
-	now clock.Micros
+	seq       uint64
+	writtenAt clock.Micros
 }
 
-// damage is bytes that could not be read.
+// damage is a range of bytes that could not be read.
 type damage struct {
-	after uint64 // the last frame before them
-	bytes int
+	afterSeq uint64 // number of the last frame before the bytes
+	bytes    int
 }
 
 type heartbeat struct {
@@ -59,7 +62,7 @@
 	inFlight int64
 }
 
-// note is an event of a broker that is not a request.
+// note is a record.Note with its time and kind.
 type note struct {
 	at      clock.Micros
 	kind    record.Kind
@@ -68,48 +71,50 @@
 	value   int64
 }
 
-// nodeRecord is what one boot saw of one node.
+// nodeRecord holds the attempts of one incarnation at one node.
 type nodeRecord struct {
-	responses []clock.Micros // times of all responses
-	timedOut  []attempt      // attempts without a response
-	refused   []attempt      // attempts whose connection was refused or broke
-	latency   map[clock.Micros]*sketch.Sketch
+	responses []clock.Micros                  // times of all responses, errors and rejections included
+	timedOut  []attempt                       // attempts without a response
+	refused   []attempt                       // attempts whose connection was refused or lost
+	latency   map[clock.Micros]*sketch.Sketch // latencies of successful attempts, by second
 }
 
+// attempt holds the times at which an attempt was sent and at which it ended.
 type attempt struct{ sent, done clock.Micros }
 
+// group identifies a class and a plan by their positions in record.Incarnation.
 type group struct{ class, plan uint8 }
 
 // groupCounts counts the requests of one group that ended in one second.
 type groupCounts struct {
 	results    [resultKinds]int64
 	late       int64
-	weightLost float64 // of what was rejected, failed or late
+	weightLost float64 // summed weight of the requests that were rejected, failed or late
 }
 
-// NewStream returns the empty stream of a boot.
-func NewStream(name, bootID string) *Stream {
+// NewStream returns an empty stream for an incarnation of the named broker.
+func NewStream(name, incarnationID string) *Stream {
 	return &Stream{
-		Name:    name,
-		BootID:  bootID,
-		nodes:   map[string]*nodeRecord{},
-		groups:  map[clock.Micros]map[group]*groupCounts{},
-		volumes: map[string]map[clock.Micros]int{},
-		latency: map[uint8]*sketch.Index{},
+		Name:          name,
+		IncarnationID: incarnationID,
+		nodes:         map[string]*nodeRecord{},
+		groups:        map[clock.Micros]map[group]*groupCounts{},
+		volumes:       map[string]map[clock.Micros]int{},
+		latency:       map[uint8]*sketch.Index{},
 	}
 }
 
-// AddFrame adds a frame of the records. Its events are added one by one.
-func (s *Stream) AddFrame(seq uint64, now clock.Micros) {
-	s.frames = append(s.frames, frame{seq: seq, now: now})
+// AddFrame adds a frame of the records. Its events are added by AddEvent.
+func (s *Stream) AddFrame(seq uint64, writtenAt clock.Micros) {
+	s.frames = append(s.frames, frame{seq: seq, writtenAt: writtenAt})
 }
 
-// AddDamage adds bytes behind a frame that cannot be read.
-func (s *Stream) AddDamage(after uint64, bytes int) {
-	s.damaged = append(s.damaged, damage{after: after, bytes: bytes})
+// AddDamage adds bytes after a frame that cannot be read.
+func (s *Stream) AddDamage(afterSeq uint64, bytes int) {
+	s.damaged = append(s.damaged, damage{afterSeq: afterSeq, bytes: bytes})
 }
 
-// LastFrame returns the number of the frame that was added last; 0 if there is none.
+// LastFrame returns the number of the frame added last; 0 if there is none.
 func (s *Stream) LastFrame() uint64 {
 	if len(s.frames) == 0 {
 		return 0
@@ -117,7 +122,7 @@
 	return s.frames[len(s.frames)-1].seq
 }
 
-// AddEvent adds an event.
+// AddEvent adds an event of the incarnation.
 func (s *Stream) AddEvent(e *record.Event) {
 	s.events++
 	end := e.At
@@ -157,7 +162,7 @@
 	}
 }
 
-// addResult counts a request that ended at a time.
+// addResult counts a request that ended at the given time.
 func (s *Stream) addResult(end clock.Micros, q *record.Request) {
 	counts := s.groupCounts(secondOf(end), group{class: q.Class, plan: q.Plan})
 	counts.results[q.Result%resultKinds]++
@@ -196,7 +201,8 @@
 	return int(q.Class) < len(s.Boot.Classes) && q.Duration > s.Boot.Classes[q.Class].LatencyObjective
 }
 
-// weight returns the priority weight of a request times its price and its units, as far as they are recorded.
+// weight returns priority weight times price factor times units of a request. A factor that is not recorded counts as
+// 1.
 func (s *Stream) weight(q *record.Request) float64 {
 	weight := 1.0
 	if int(q.Class) < len(s.Boot.Classes) {
@@ -208,7 +214,7 @@
 	return weight * q.Units
 }
 
-// addAttempt adds an attempt of a request that arrived at a time.
+// addAttempt adds an attempt of a request that arrived at the given time.
 func (s *Stream) addAttempt(arrivedAt clock.Micros, a *record.Attempt) {
 	n := s.nodes[a.Node]
 	if n == nil {
@@ -238,8 +244,8 @@
 	n.latency[sec].Add(int64(latency))
 }
 
-// heartbeatInterval returns how often the boot wrote a heartbeat. Where its incarnation record is lost it is taken to be a
-// second, which is longer than any documented configuration has it.
+// heartbeatInterval returns the time between two heartbeats of the incarnation. If its Incarnation event is lost, a
+// second is assumed, which is longer than the interval of any documented configuration.
 func (s *Stream) heartbeatInterval() clock.Micros {
 	if s.Boot.HeartbeatInterval > 0 {
 		return s.Boot.HeartbeatInterval
@@ -247,7 +253,7 @@
 	return second
 }
 
-// start returns the boot's start, or its earliest event where that is lost.
+// start returns the start of the incarnation, or the time of its earliest event if the Incarnation event is lost.
 func (s *Stream) start() clock.Micros {
 	if s.Boot.StartedAt > 0 {
 		return s.Boot.StartedAt
@@ -255,11 +261,11 @@
 	return s.first
 }
 
-// end returns the time of the boot's latest record.
+// end returns the time of the incarnation's latest record.
 func (s *Stream) end() clock.Micros {
 	last := s.last
 	for _, f := range s.frames {
-		last = max(last, f.now)
+		last = max(last, f.writtenAt)
 	}
 	return last
 }
