--- a/internal/observability/incident/collect/collect_test.go
+++ b/internal/observability/incident/collect/collect_test.go
@@ -90,10 +90,10 @@
 	}
 }
 
-func expectStates(t *testing.T, what string, got []string, want ...string) {
+func expectStates(t *testing.T, description string, got []string, want ...string) {
 	t.Helper()
 	if !slices.Equal(got, want) {
-		t.Errorf("%s: %v, want %v", what, got, want)
+		t.Errorf("%s: spans are %v, want %v", description, got, want)
 	}
 }
 
@@ -108,7 +108,7 @@
 		got, a, f := knowledgeOf(t, "n1", dir)
 		expectStates(t, "complete", got, "known 0.0-20.0")
 		if servedCount(a) != 199 || len(f.Faults) > 0 || f.Copies > 0 {
-			t.Errorf("%d served, %+v", servedCount(a), f)
+			t.Errorf("%d served, want 199; read %+v", servedCount(a), f)
 		}
 	}
 	other := t.TempDir()
@@ -121,7 +121,7 @@
 	got, a, f := knowledgeOf(t, "n1", other, dir)
 	expectStates(t, "with copies", got, "known 0.0-20.0")
 	if servedCount(a) != 199 || f.Copies == 0 {
-		t.Errorf("%d served, %+v", servedCount(a), f)
+		t.Errorf("%d served, want 199; read %+v", servedCount(a), f)
 	}
 }
 
@@ -235,10 +235,10 @@
 	}
 }
 
-func testFullDiskMidSegment(t *testing.T, torn bool) {
+func testFullDiskMidSegment(t *testing.T, truncated bool) {
 	dir := t.TempDir()
 	files := writeIncarnation(t, dir, "n1", "00aa", epoch, 10, false)
-	if torn {
+	if truncated {
 		modifyFile(t, files[len(files)-1], func(b []byte) []byte { return b[:len(b)-25] })
 	}
 	d, err := record.NewDirectory(dir, "n1", "00aa", 1<<20, 1<<30)
--- a/internal/observability/incident/incident_test.go
+++ b/internal/observability/incident/incident_test.go
@@ -46,7 +46,7 @@
 	missingFrames   map[int][]span  // the frames are removed from the records
 	surges          map[string]span // the volume gets additional requests
 	discoveryOutage *span
-	wallClockShift  clock.Micros // by how much a broker's clock differs after its first incarnation
+	wallClockShift  clock.Micros // by how much a broker's wall clock is set before its second incarnation
 }
 
 // jitter draws a duration from 0 up to, but not including, limit.
--- a/internal/observability/incident/report/html.go
+++ b/internal/observability/incident/report/html.go
@@ -52,7 +52,7 @@
 	LabelY int // y of the label's baseline
 }
 
-// bar is a span of time in a lane or a plot.
+// bar is a time span in a lane or a plot.
 type bar struct {
 	X              float64
 	W              float64
@@ -60,7 +60,7 @@
 	H              int
 	Class          string
 	Title          string
-	ID             int     // ID of the episode; 0 if the bar is not one
+	ID             int     // ID of the episode; 0 if the bar does not show an episode
 	UncertainBegin float64 // width of the part in which the begin may lie
 	UncertainEnd   float64 // width of the part in which the end may lie
 }
--- a/internal/observability/incident/report/plot.go
+++ b/internal/observability/incident/report/plot.go
@@ -22,7 +22,7 @@
 	H       int
 }
 
-// line is one line of a plot. It is interrupted where nothing is known.
+// line is one line of a plot. It is interrupted where no broker has records.
 type line struct {
 	Name     string
 	Class    string
