--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -1,27 +1,27 @@
-// Package history describes what happened in a run, as an observer that sees everything records it. The checker of the rules
-// reads nothing else.
+// Package history describes the events of a simulation run as an omniscient observer records them. It is the only input
+// of the rule checker (package rules).
 package history
 
-// Kind says what happened, and with that which fields of a Record are set.
+// Kind is the kind of a Record. It determines which fields are set, apart from At and Kind.
 type Kind uint8
 
-// The kinds of records.
+// The kinds of records, each with the fields that are set.
 const (
-	RequestReceived    Kind = iota // Request, Broker, Class, Volume, Key, Units, Deadline: the broker has all of it
+	RequestReceived    Kind = iota // Request, Broker, Class, Volume, Key, Units, Deadline: the request is complete
 	AttemptSent                    // Request, Attempt, Broker, Node
-	AttemptEnded                   // Request, Attempt, NeverRan: the broker knows the outcome
+	AttemptEnded                   // Request, Attempt, Broker, Node, NeverRan: the broker knows the outcome
 	ResponseSent                   // Request, Broker, Result
-	ClientDisconnected             // Request
-	NodeNotified                   // Broker, Node, State, NodeStartedAt: the broker's endpoint list says so from now on
+	ClientDisconnected             // Request, Broker
+	NodeNotified                   // Broker, Node, State, NodeStartedAt: the entry of a node in the broker's endpoint list
 	NodeStarted                    // Node, Shard, Zone: its slow start begins
-	NodeOverloaded                 // Node: it received more than it can serve in slow start, and failed
-	BrokerDied                     // Broker: with all requests that it had received
+	NodeOverloaded                 // Node: it received more than it can serve in slow start, and crashed
+	BrokerDied                     // Broker: it crashed and lost all requests that it had received
 )
 
 // Result is the kind of a request's final response.
 type Result uint8
 
-// The results.
+// Values of Result.
 const (
 	Served Result = iota
 	Rejected
@@ -31,18 +31,18 @@
 // State is the state of a node on an endpoint list.
 type State uint8
 
-// The states.
+// Values of State.
 const (
 	Up State = iota
 	Draining
 	Removed
 )
 
-// Record is one thing that happened. Times are microseconds of the run.
+// Record is one event of a run. Times are microseconds since the start of the run.
 type Record struct {
 	At            int64
-	Deadline      int64 // of the request; 0: none
-	NodeStartedAt int64 // start of the node's process, as the broker was notified; 0: before the run
+	Deadline      int64 // of the request; 0 if it has none
+	NodeStartedAt int64 // start of the node's process according to the notification; 0 if before the run
 	Request       uint64
 	Key           uint64
 	Units         float64
