--- a/internal/lab/engine/engine.go
+++ b/internal/lab/engine/engine.go
@@ -1,5 +1,6 @@
-// Package engine runs events in the order of their times. A run is repeatable to the byte: ties go by the order of
-// filing, and every source of randomness has a stream of its own. Times are microseconds.
+// Package engine is a discrete-event simulation engine: it runs events in the order of their times. A run is
+// deterministic for its seed: events of the same time run in the order in which they were scheduled, and every source
+// of randomness has its own stream. Times are microseconds.
 package engine
 
 import (
@@ -7,17 +8,17 @@
 	"math/rand/v2"
 )
 
-// Event is something that happens at a time.
+// Event is a function that runs at a simulated time.
 type Event struct {
 	At  int64
 	seq uint64
 	Do  func()
 }
 
-// before orders events.
+// before orders events by time, then by the order in which they were scheduled.
 func (e *Event) before(o *Event) bool { return e.At < o.At || e.At == o.At && e.seq < o.seq }
 
-// Engine is one run. Not safe for use by several goroutines; runs beside each other have one each.
+// Engine runs the events of one simulation. It is not safe for concurrent use; concurrent simulations need one each.
 type Engine struct {
 	seed  uint64
 	now   int64
@@ -26,25 +27,25 @@
 	count uint64
 }
 
-// New returns a run that begins at 0.
+// New returns an engine whose simulated time is 0.
 func New(seed uint64) *Engine { return &Engine{seed: seed} }
 
-// Now is the time.
+// Now returns the simulated time.
 func (e *Engine) Now() int64 { return e.now }
 
-// Count is how many events have happened.
-func (e *Engine) Count() uint64 { return e.count }
+// EventCount returns the number of events that have run.
+func (e *Engine) EventCount() uint64 { return e.count }
 
-// At has f happen at a time; one that lies back happens now, after what is filed for now already.
+// At schedules f for a time. With a time in the past, f runs now, after the events already scheduled for now.
 func (e *Engine) At(at int64, f func()) {
 	e.seq++
 	e.queue.Push(Event{At: max(at, e.now), seq: e.seq, Do: f})
 }
 
-// After has f happen after a time.
+// After schedules f for a time that is d from now.
 func (e *Engine) After(d int64, f func()) { e.At(e.now+d, f) }
 
-// Run goes on until a time, or until nothing is left to happen.
+// Run runs all events up to and including a time, and sets the simulated time to it.
 func (e *Engine) Run(until int64) {
 	for {
 		next, ok := e.queue.Pop(until)
@@ -58,7 +59,8 @@
 	e.now = max(e.now, until)
 }
 
-// Stream is a source's own random numbers: the same for the same seed and name, whatever others draw.
+// Stream returns a random number generator that depends on the engine's seed and the name only, not on what is drawn
+// from other streams. Renaming a stream changes the results of a seed.
 func (e *Engine) Stream(name string) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(name))
--- a/internal/lab/engine/engine_test.go
+++ b/internal/lab/engine/engine_test.go
@@ -13,24 +13,24 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
-// plain is what container/heap makes of it.
-type plain []Event
+// eventHeap is the reference: the same order of events by container/heap.
+type eventHeap []Event
 
-func (p plain) Len() int           { return len(p) }
-func (p plain) Less(a, b int) bool { return p[a].before(&p[b]) }
-func (p plain) Swap(a, b int)      { p[a], p[b] = p[b], p[a] }
-func (p *plain) Push(x any)        { *p = append(*p, x.(Event)) }
-func (p *plain) Pop() any {
+func (p eventHeap) Len() int           { return len(p) }
+func (p eventHeap) Less(a, b int) bool { return p[a].before(&p[b]) }
+func (p eventHeap) Swap(a, b int)      { p[a], p[b] = p[b], p[a] }
+func (p *eventHeap) Push(x any)        { *p = append(*p, x.(Event)) }
+func (p *eventHeap) Pop() any {
 	e := (*p)[len(*p)-1]
 	*p = (*p)[:len(*p)-1]
 	return e
 }
 
-// The calendar gives events in the very order of a heap, whatever their distances.
-func TestQueueAgainstHeap(t *testing.T) {
+// The calendar queue returns events in the same order as a heap, whatever the distances between their times.
+func TestQueueMatchesHeap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue
-		var p plain
+		var p eventHeap
 		now, seq := int64(0), uint64(0)
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			if rapid.IntRange(0, 2).Draw(t, "what") > 0 {
@@ -44,31 +44,31 @@
 			got, ok := q.Pop(until)
 			want := len(p) > 0 && p[0].At <= until
 			if ok != want {
-				t.Fatalf("%v, want %v", ok, want)
+				t.Fatalf("Pop until %d returned %v, want %v", until, ok, want)
 			}
 			if ok {
 				e := heap.Pop(&p).(Event)
 				if got.At != e.At || got.seq != e.seq {
-					t.Fatalf("%d %d, want %d %d", got.At, got.seq, e.At, e.seq)
+					t.Fatalf("popped event at %d with sequence number %d, want %d, %d", got.At, got.seq, e.At, e.seq)
 				}
 				now = e.At
 			}
 			if q.Len() != len(p) {
-				t.Fatalf("%d, want %d", q.Len(), len(p))
+				t.Fatalf("length %d, want %d", q.Len(), len(p))
 			}
 		}
 	})
 }
 
-// A run is the same each time, and a source's stream does not hang on what others draw.
-func TestRepeatable(t *testing.T) {
-	run := func(more bool) (out []string) {
+// Runs with the same seed are the same, and a random stream does not depend on what is drawn from others.
+func TestRunsAreDeterministic(t *testing.T) {
+	run := func(drawFromOther bool) (out []string) {
 		e := New(7)
 		a, b := e.Stream("a"), e.Stream("b")
 		var tick func()
 		tick = func() {
 			out = append(out, fmt.Sprint(e.Now(), a.IntN(100)))
-			if more {
+			if drawFromOther {
 				b.IntN(100)
 			}
 			e.After(int64(a.IntN(50)), tick)
@@ -78,11 +78,11 @@
 		return out
 	}
 	if x, y := fmt.Sprint(run(false)), fmt.Sprint(run(true)); x != y || len(x) < 100 {
-		t.Errorf("%s\n%s", x, y)
+		t.Errorf("two runs of one seed, the second with draws from another stream:\n%s\n%s", x, y)
 	}
 }
 
-// Hold: take the next event and file another, with so many waiting.
+// BenchmarkQueue measures the hold operation, a pop followed by a push, at several queue lengths.
 func BenchmarkQueue(b *testing.B) {
 	for _, n := range []int{10, 1000, 100_000, 1_000_000} {
 		r := rand.New(rand.NewPCG(1, 2))
@@ -98,7 +98,7 @@
 			}
 		})
 		b.Run(fmt.Sprintf("heap/%d", n), func(b *testing.B) {
-			var p plain
+			var p eventHeap
 			for k := range n {
 				heap.Push(&p, Event{At: next(), seq: uint64(k)})
 			}
--- a/internal/lab/model/run.go
+++ b/internal/lab/model/run.go
@@ -308,7 +308,7 @@
 func (r *run) result(design string, seed uint64, to int64) *Result {
 	res := &Result{Scenario: r.s.Name, Design: design, Seed: seed, Asked: r.asked.Rate(), Served: r.served.Rate(), Time: r.spent.Mean(), Inside: r.inside.Mean(to),
 		Full: r.full, GivenUp: r.given, Refused: r.refused, Failed: r.failed, Late: r.late, Unheard: r.unheard, Attempts: r.attempts, Handshakes: r.handshakes,
-		Calls: r.discovery.calls, Fell: r.falls, MostOpen: r.mostOpen, Moot: r.ignoredForwards, Events: r.e.Count(), Requests: r.seen}
+		Calls: r.discovery.calls, Fell: r.falls, MostOpen: r.mostOpen, Moot: r.ignoredForwards, Events: r.e.EventCount(), Requests: r.seen}
 	res.Median, res.P99 = float64(r.latency.Quantile(0.5))/1e6, float64(r.latency.Quantile(0.99))/1e6
 	for _, at := range Quantiles {
 		res.Quantiles = append(res.Quantiles, float64(r.latency.Quantile(at))/1e6)
