--- a/internal/lab/model/run.go
+++ b/internal/lab/model/run.go
@@ -104,7 +104,7 @@
 	lastID, keys              uint64
 
 	asked, spent, served               *statistics.Batches
-	inside                             *statistics.Level
+	inside                             *statistics.TimeAverage
 	latency                            sketch.Sketch // microseconds
 	due, earned                        ledger
 	dueInside, earnedInside            float64
@@ -253,7 +253,7 @@
 	from, to := s.WarmUp.us(), s.Duration.us()
 	r := &run{s: s, e: engine.New(seed), name: design, classes: s.classes(), byName: map[string]*Node{}, from: from, loadBy: 1,
 		asked: statistics.NewBatches(from, to, batches), spent: statistics.NewBatches(from, to, batches),
-		served: statistics.NewBatches(from, to, batches), inside: statistics.NewLevel(from, to, batches)}
+		served: statistics.NewBatches(from, to, batches), inside: statistics.NewTimeAverage(from, to, batches)}
 	per := max(to/SeriesParts, 1)
 	r.due, r.earned = ledger{per, make([]float64, SeriesParts)}, ledger{per, make([]float64, SeriesParts)}
 	r.who, r.again, r.random, r.links = r.e.Stream("who"), r.e.Stream("again"), r.e.Stream("lots"), r.e.Stream("links")
--- a/internal/lab/statistics/statistics.go
+++ b/internal/lab/statistics/statistics.go
@@ -1,5 +1,5 @@
-// Package statistics turns what a run shows into figures with intervals. One run's values follow each other and are not
-// independent; batches of them nearly are, and so are runs of different seeds.
+// Package statistics estimates means with confidence intervals. Successive values of one run are not independent; the
+// means of batches of them nearly are, and so are the results of runs with different seeds.
 package statistics
 
 import (
@@ -11,19 +11,20 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Figure is a mean, and how far the true one may lie from it at 95 in 100. Half is infinite where one value is all there is.
+// Figure is the mean of a sample with its 95 % confidence interval.
 type Figure struct {
 	Mean float64 `json:"mean"`
-	Half float64 `json:"half"`
-	N    int     `json:"n"`
+	Half float64 `json:"half"` // half of the interval's width; infinite with fewer than two values
+	N    int     `json:"n"`    // number of values
 }
 
 func (f Figure) String() string { return f.format("%.*f") }
 
-// Signed is String with a sign also where the mean is above 0, as a difference has it.
+// Signed is String with a sign for a positive mean too, for differences.
 func (f Figure) Signed() string { return f.format("%+.*f") }
 
-// format writes two digits of the interval, and the mean to the same place: further ones say nothing.
+// format writes two significant digits of the interval, and the mean to the same decimal place: further digits are not
+// significant.
 func (f Figure) format(mean string) string {
 	size := f.Half
 	if !(size > 0) || math.IsInf(size, 1) {
@@ -40,9 +41,9 @@
 	return text + fmt.Sprintf(" ± %.*f", digits, f.Half)
 }
 
-// MarshalJSON writes null for what is not known: JSON has no word for it.
+// MarshalJSON writes null for infinite values and NaN, which JSON cannot represent.
 func (f Figure) MarshalJSON() ([]byte, error) {
-	known := func(v float64) *float64 {
+	finiteOrNil := func(v float64) *float64 {
 		if math.IsNaN(v) || math.IsInf(v, 0) {
 			return nil
 		}
@@ -52,13 +53,13 @@
 		Mean *float64 `json:"mean"`
 		Half *float64 `json:"half"`
 		N    int      `json:"n"`
-	}{known(f.Mean), known(f.Half), f.N})
+	}{finiteOrNil(f.Mean), finiteOrNil(f.Half), f.N})
 }
 
 // Holds reports whether x lies within the interval.
 func (f Figure) Holds(x float64) bool { return math.Abs(x-f.Mean) <= f.Half }
 
-// Of is the figure of independent values.
+// Of returns the mean of independent values with the confidence interval of Student's t-distribution.
 func Of(values []float64) Figure {
 	n := len(values)
 	if n == 0 {
@@ -73,11 +74,11 @@
 	return f
 }
 
-// Paired is the figure of a's differences from b, value by value: two designs that met the same clients differ by less than
-// each differs from run to run.
+// Paired returns the mean of the pairwise differences a[i]-b[i]. The difference of two designs under the same load
+// varies less than the result of each does from run to run, which makes the interval narrower.
 func Paired(a, b []float64) (Figure, error) {
 	if len(a) != len(b) {
-		return Figure{}, fmt.Errorf("paired figures: %d values against %d", len(a), len(b))
+		return Figure{}, fmt.Errorf("paired differences: %d values cannot be paired with %d", len(a), len(b))
 	}
 	diff := make([]float64, len(a))
 	for i := range a {
@@ -86,19 +87,19 @@
 	return Of(diff), nil
 }
 
-// Batches gathers a run's values into batches by time.
+// Batches collects the values of a run in batches of equal duration (the method of batch means).
 type Batches struct {
-	from, length int64
-	sum          []float64
-	count        []int
+	from, length int64     // start of the first batch, duration of each
+	sum          []float64 // of the values, by batch
+	count        []int     // number of values, by batch
 }
 
-// NewBatches divides the time from one moment to another into n batches. What lies before is warming up and not counted.
+// NewBatches divides an interval of time into n batches. Values from before it, the warm-up period, are not counted.
 func NewBatches(from, to int64, n int) *Batches {
 	return &Batches{from: from, length: max((to-from)/int64(n), 1), sum: make([]float64, n), count: make([]int, n)}
 }
 
-// Add takes a value at a time.
+// Add adds a value observed at a time.
 func (b *Batches) Add(at int64, v float64) {
 	if k := (at - b.from) / b.length; at >= b.from && int(k) < len(b.sum) {
 		b.sum[k] += v
@@ -106,7 +107,7 @@
 	}
 }
 
-// Mean is the mean value, by the means of the batches.
+// Mean returns the mean of the batches' means. Batches without a value are left out.
 func (b *Batches) Mean() Figure {
 	means := make([]float64, 0, len(b.sum))
 	for k, s := range b.sum {
@@ -117,7 +118,7 @@
 	return Of(means)
 }
 
-// Rate is how many values came a second.
+// Rate returns the number of values per second.
 func (b *Batches) Rate() Figure {
 	rates := make([]float64, len(b.count))
 	for k, n := range b.count {
@@ -126,24 +127,27 @@
 	return Of(rates)
 }
 
-// Level is a quantity over time, such as a queue's length. Its batches hold its area.
-type Level struct {
-	b     *Batches
-	at    int64
-	value float64
+// TimeAverage is the time average of a quantity such as the length of a queue.
+type TimeAverage struct {
+	b     *Batches // sums are integrals of the quantity over the batch
+	at    int64    // time up to which the quantity is integrated
+	value float64  // at present
 }
 
-// NewLevel is a level of 0 that is averaged over batches.
-func NewLevel(from, to int64, n int) *Level { return &Level{b: NewBatches(from, to, n)} }
+// NewTimeAverage returns the average of a quantity that is 0 at first, over n batches.
+func NewTimeAverage(from, to int64, n int) *TimeAverage {
+	return &TimeAverage{b: NewBatches(from, to, n)}
+}
 
-// Add changes the level at a time.
-func (l *Level) Add(at int64, by float64) {
-	l.upTo(at)
+// Add changes the quantity by a difference at a time.
+func (l *TimeAverage) Add(at int64, by float64) {
+	l.integrate(at)
 	l.value += by
 }
 
-func (l *Level) upTo(at int64) {
-	if l.value == 0 { // most nodes stand idle most of the time; there is no area to spread
+// integrate adds the integral up to a time to the batches.
+func (l *TimeAverage) integrate(at int64) {
+	if l.value == 0 { // a short cut: most nodes are idle most of the time
 		l.at = at
 		return
 	}
@@ -162,9 +166,9 @@
 	}
 }
 
-// Mean is the level's mean over time up to the end.
-func (l *Level) Mean(until int64) Figure {
-	l.upTo(until)
+// Mean returns the mean over time up to the end of the run.
+func (l *TimeAverage) Mean(until int64) Figure {
+	l.integrate(until)
 	means := make([]float64, len(l.b.sum))
 	for k, area := range l.b.sum {
 		means[k] = area / float64(l.b.length)
--- a/internal/lab/statistics/statistics_test.go
+++ b/internal/lab/statistics/statistics_test.go
@@ -6,42 +6,44 @@
 	"testing"
 )
 
-// One value has no interval, and JSON has no word for that: null. Differences by pairs have nothing of what both share.
+// The interval of a single value is infinite and encoded as null. Paired differences leave out the variation that both
+// samples share.
 func TestFigures(t *testing.T) {
-	one := Of([]float64{3})
-	if text, err := json.Marshal(one); err != nil || string(text) != `{"mean":3,"half":null,"n":1}` {
-		t.Errorf("%s %v", text, err)
+	single := Of([]float64{3})
+	if text, err := json.Marshal(single); err != nil || string(text) != `{"mean":3,"half":null,"n":1}` {
+		t.Errorf("figure of one value encoded as %s, %v", text, err)
 	}
 	if text, err := json.Marshal(Of(nil)); err != nil || string(text) != `{"mean":null,"half":null,"n":0}` {
-		t.Errorf("%s %v", text, err)
+		t.Errorf("figure of no values encoded as %s, %v", text, err)
 	}
-	f := Of([]float64{1, 2, 3}) // t for two degrees is 4.303, the deviation 1
+	f := Of([]float64{1, 2, 3}) // Student's t for two degrees of freedom is 4.303, the standard deviation 1
 	if math.Abs(f.Half-4.303/math.Sqrt(3)) > 1e-3 || !f.Holds(2) || f.Holds(5) {
-		t.Errorf("%v", f)
+		t.Errorf("figure of 1, 2 and 3 is %v", f)
 	}
 	d, err := Paired([]float64{11, 102, 1003}, []float64{10, 101, 1002})
 	if err != nil || d.Mean != 1 || d.Half > 1e-9 {
-		t.Errorf("%v %v", d, err)
+		t.Errorf("paired difference is %v, %v, want 1 without an interval", d, err)
 	}
 	if _, err := Paired([]float64{1}, nil); err == nil {
-		t.Error("pairs of one and none")
+		t.Error("one value was paired with none")
 	}
 }
 
-// What lies before the first batch is warming up; a level's area is dealt out to the batches it lies over.
-func TestBatchesAndLevels(t *testing.T) {
+// Values from before the first batch, the warm-up, are not counted; the integral of a quantity is distributed over the
+// batches that it extends over.
+func TestBatchesAndTimeAverage(t *testing.T) {
 	b := NewBatches(100, 300, 2)
 	for _, at := range []int64{50, 100, 150, 250, 300} {
 		b.Add(at, float64(at))
 	}
 	if m := b.Mean(); m.Mean != (125+250)/2.0 || m.N != 2 {
-		t.Errorf("%v", m)
+		t.Errorf("mean of the batches is %v", m)
 	}
-	l := NewLevel(100, 300, 2)
+	l := NewTimeAverage(100, 300, 2)
 	l.Add(50, 2)
 	l.Add(150, 2)
 	l.Add(250, -4)
 	if m := l.Mean(300); m.Mean != (3+2)/2.0 {
-		t.Errorf("%v", m)
+		t.Errorf("time average is %v", m)
 	}
 }
