--- a/internal/lab/model/attempt.go
+++ b/internal/lab/model/attempt.go
@@ -13,34 +13,34 @@
 	broker    *broker
 	node      *Node
 	conn      *conn
-	work      *Work
-	number    int
-	epoch     int // of the broker
-	openIndex int // among those open at the node; -1: not there
+	job       *Job
+	number    int // of the request, counted from 0
+	epoch     int // of the broker's process
+	openIndex int // index in the node's open attempts, -1 if it is not among them
 	ended     bool
 }
 
-// abandon removes an attempt from its node without an outcome for its broker.
+// abandon ends an attempt without reporting an outcome to its broker.
 func (b *broker) abandon(at *attempt) {
 	at.ended = true
 	at.node.removeOpen(at)
-	if at.work != nil {
-		at.work.gone = b.run.s.Service.DropsExpired
+	if at.job != nil {
+		at.job.cancelled = b.run.s.Service.DropsExpired
 	}
 	if at.conn != nil {
 		at.conn.end()
 	}
 }
 
-// send begins an attempt.
+// send starts an attempt. It is ignored if the request or the node is unknown, or if another attempt is still open.
 func (b *broker) send(a *decision.Action) {
 	n, q := b.run.byName[a.Node], b.open[a.ID]
-	if q == nil || n == nil || q.last != nil && !q.last.ended {
+	if q == nil || n == nil || q.lastAttempt != nil && !q.lastAttempt.ended {
 		b.run.ignoredForwards++
 		return
 	}
 	at := &attempt{request: q, broker: b, node: n, number: q.attempts, epoch: b.epoch, openIndex: -1}
-	q.attempts, q.last = q.attempts+1, at
+	q.attempts, q.lastAttempt = q.attempts+1, at
 	b.run.attempts++
 	b.run.record(history.Record{Kind: history.AttemptSent, Request: q.id, Attempt: int32(at.number), Broker: b.id, Node: n.id})
 	wait, fresh := b.run.delay(), false
@@ -66,59 +66,59 @@
 func (b *broker) arriveAtNode(at *attempt, fresh bool) {
 	n := at.node
 	switch {
-	case at.ended || n.away: // nothing comes of it
+	case at.ended || n.unreachable: // the node does not receive it
 		return
 	case n.down:
 		b.reportOutcome(at, decision.ConnectFailed)
 		return
 	}
 	if fresh {
-		if most := b.run.s.Service.Connections; most > 0 && n.conns >= most {
+		if limit := b.run.s.Service.Connections; limit > 0 && n.conns >= limit {
 			b.reportOutcome(at, decision.Rejected)
 			return
 		}
 		n.conns++
 		at.conn = &conn{node: n, epoch: n.epoch, busy: true}
 	}
-	if n.offer(at.request.work); n.down {
-		return // it fell, and all that it had is lost
+	if n.recordArrival(at.request.work); n.down {
+		return // the node crashed because of the overload, which ended its attempts
 	}
 	q := at.request
 	if n.state != history.Up {
 		b.reportOutcome(at, decision.Rejected)
 		return
 	}
-	if n.errors > 0 && b.run.random.Float64() < n.errors {
+	if n.errorRate > 0 && b.run.responseRandom.Float64() < n.errorRate {
 		b.reportOutcome(at, decision.NodeError)
 		return
 	}
-	w := &Work{Size: q.work, key: q.key, write: b.run.classes[q.class].Writes, first: at.number == 0}
+	j := &Job{Work: q.work, key: q.key, write: b.run.classes[q.class].Writes, firstAttempt: at.number == 0}
 	if fresh {
-		w.Size += float64(b.run.s.Service.Handshake.us())
+		j.Work += float64(b.run.s.Service.Handshake.us())
 	}
-	w.done = func() {
-		if n.lossy > 0 && b.run.random.Float64() < n.lossy {
+	j.done = func() {
+		if n.responseLossRate > 0 && b.run.responseRandom.Float64() < n.responseLossRate {
 			return
 		}
-		if w.write && q.volume != nil {
-			q.volume.wrote(q.key, n.shard)
+		if j.write && q.volume != nil {
+			q.volume.recordWrite(q.key, n.shard)
 		}
 		b.reportOutcome(at, decision.Served)
 	}
-	at.work = w
-	if !n.Take(w) {
-		b.run.full++
+	at.job = j
+	if !n.Enqueue(j) {
+		b.run.queueRejections++
 		b.reportOutcome(at, decision.Rejected)
 	}
 }
 
-// reportOutcome passes an outcome to the broker after the way back.
+// reportOutcome passes an outcome to the broker after the network delay.
 func (b *broker) reportOutcome(at *attempt, o decision.Outcome) {
 	if d := b.run.delay(); d > 0 {
 		b.run.e.After(d, func() { b.endAttempt(at, o) })
 		return
 	}
-	// No event may be handed in while the design is still at the last one.
+	// A design must not receive an event while it still handles another one.
 	if b.run.stepping == b {
 		b.run.e.After(0, func() { b.endAttempt(at, o) })
 		return
@@ -133,8 +133,8 @@
 	}
 	at.ended = true
 	at.node.removeOpen(at)
-	if at.work != nil && o != decision.Served {
-		at.work.gone = b.run.s.Service.DropsExpired
+	if at.job != nil && o != decision.Served {
+		at.job.cancelled = b.run.s.Service.DropsExpired
 	}
 	if at.conn != nil {
 		if o == decision.Served || o == decision.Rejected || o == decision.NodeError {
@@ -151,12 +151,13 @@
 	b.step(decision.Event{Kind: decision.AttemptEnded, ID: q.id, Attempt: at.number, Node: at.node.name, Outcome: o, Final: q.done})
 }
 
-// addOpen and removeOpen keep the attempts that are open at a node.
+// addOpen adds an attempt to the node's open ones.
 func (n *Node) addOpen(at *attempt) {
 	at.openIndex = len(n.open)
 	n.open = append(n.open, at)
 }
 
+// removeOpen removes an attempt from the node's open ones, if it is among them.
 func (n *Node) removeOpen(at *attempt) {
 	if at.openIndex < 0 {
 		return
@@ -167,13 +168,14 @@
 	at.openIndex = -1
 }
 
-// crash ends a node's process. Brokers see that their connections have broken.
+// crash ends a node's process. Brokers learn that the connections of open attempts are closed, or that connecting
+// failed.
 func (r *run) crash(n *Node) {
 	n.stop()
 	for len(n.open) > 0 {
 		at := n.open[len(n.open)-1]
 		n.removeOpen(at)
-		if at.work == nil && at.conn == nil && !at.ended {
+		if at.job == nil && at.conn == nil && !at.ended {
 			r.e.After(r.delay(), func() { at.broker.endAttempt(at, decision.ConnectFailed) })
 		} else {
 			r.e.After(r.delay(), func() { at.broker.endAttempt(at, decision.ConnectionLost) })
--- a/internal/lab/model/broker.go
+++ b/internal/lab/model/broker.go
@@ -9,46 +9,47 @@
 	"poppyarch/internal/lab/history"
 )
 
-// request is one try of a client at one broker. Times are microseconds of the run.
+// request is a client's request to one broker; a client's retry is another request. Times are microseconds since the
+// start of the run.
 type request struct {
 	id            uint64
-	firstTryAt    int64 // its client's first try
-	deadline      int64 // its client waits so long for this one; 0: for ever
-	work          float64
+	firstSentAt   int64   // time of the client's first attempt, the same for its retry
+	deadline      int64   // time at which the client disconnects; 0 if it never does
+	work          float64 // microseconds of a core with speed 1
 	units         float64
 	key           uint64
-	weight        float64 // of an answer in time
+	value         float64 // of a response within the latency objective
 	volume        *volume
 	class         int32
-	shard         int32
-	tryNumber     int
-	withinReserve bool // its volume's reserve
-	done          bool // answered, or its client has left
-	attempts      int
-	last          *attempt
+	shard         int32 // -1 for a new object
+	clientAttempt int   // 0, or 1 for the client's retry
+	withinReserve bool  // within its volume's reserved rate
+	done          bool  // it has a final response, or its client has disconnected
+	attempts      int   // of the broker so far
+	lastAttempt   *attempt
 }
 
-// broker is one broker: a design, and the state of its process. A new process has nothing but the latest list.
+// broker is a broker: its design and the state of its process. A restarted process keeps the endpoint list only.
 type broker struct {
-	run       *run
-	id        int32
-	zone      int32
-	design    Design
-	random    *rand.Rand
-	epoch     int
-	down      bool
-	started   bool // it has had a process, and what that began with went without saying
-	watching  bool
-	open      map[uint64]*request
-	idleConns map[*Node][]*conn
-	known     []decision.Endpoint // as last told, by node; those never told have no name
-	actions   []decision.Action
-	event     [1]decision.Event
+	run            *run
+	id             int32
+	zone           int32
+	design         Design
+	random         *rand.Rand
+	epoch          int  // number of its process; events of earlier processes are ignored
+	down           bool // no process is running
+	hasInitialList bool // the first endpoint list has been passed on; it is not recorded in the history
+	watching       bool // it receives changes from discovery
+	open           map[uint64]*request
+	idleConns      map[*Node][]*conn
+	knownEndpoints []decision.Endpoint // as last notified, by node id; unknown nodes have no name
+	actions        []decision.Action
+	event          [1]decision.Event
 }
 
 func (r *run) now() time.Duration { return time.Duration(r.e.Now()) * time.Microsecond }
 
-// start starts the broker's process with the list that it knows.
+// start starts the broker's process with the last known endpoint list.
 func (b *broker) start() error {
 	d, err := b.run.design(b)
 	if err != nil {
@@ -56,11 +57,11 @@
 	}
 	b.design, b.down, b.watching = d, false, false
 	b.open, b.idleConns = map[uint64]*request{}, map[*Node][]*conn{}
-	if len(b.known) > 0 {
+	if len(b.knownEndpoints) > 0 {
 		var list []decision.Endpoint
-		for i := range b.known {
-			if b.known[i].Node != "" {
-				list = append(list, b.known[i])
+		for i := range b.knownEndpoints {
+			if b.knownEndpoints[i].Node != "" {
+				list = append(list, b.knownEndpoints[i])
 			}
 		}
 		b.notify(decision.EndpointsReplaced, list)
@@ -79,7 +80,7 @@
 	b.epoch++
 	b.run.record(history.Record{Kind: history.BrokerDied, Broker: b.id})
 	for _, n := range b.run.nodes {
-		for i := len(n.open) - 1; i >= 0; i-- { // in the order of the node's own list, so that runs repeat
+		for i := len(n.open) - 1; i >= 0; i-- { // in the order of the list, to keep runs deterministic
 			if at := n.open[i]; at.broker == b {
 				b.abandon(at)
 			}
@@ -116,7 +117,7 @@
 				}
 			})
 		case decision.WatchEndpoints:
-			b.run.discovery.call(b)
+			b.run.discovery.poll(b)
 		}
 	}
 }
@@ -124,14 +125,14 @@
 // receive handles the arrival of a request.
 func (b *broker) receive(q *request) {
 	b.open[q.id] = q
-	b.run.mostOpen = max(b.run.mostOpen, len(b.open))
+	b.run.maxOpen = max(b.run.maxOpen, len(b.open))
 	b.run.record(history.Record{Kind: history.RequestReceived, Request: q.id, Broker: b.id, Class: q.class, Volume: q.volume.id, Key: q.key, Units: q.units, Deadline: q.deadline})
-	due := time.Duration(q.deadline) * time.Microsecond
+	deadline := time.Duration(q.deadline) * time.Microsecond
 	if q.deadline == 0 {
-		due = b.run.now() + 1000*time.Hour
+		deadline = b.run.now() + 1000*time.Hour
 	}
 	b.step(decision.Event{Kind: decision.RequestArrived, ID: q.id, Arrival: decision.Arrival{Class: int(q.class), Plan: q.volume.plan, Volume: q.volume.name, Key: b.run.keyName(q),
-		Units: q.units, Shard: int(q.shard), Brokers: len(q.volume.hosts), Deadline: due}})
+		Units: q.units, Shard: int(q.shard), Brokers: len(q.volume.brokers), Deadline: deadline}})
 }
 
 // respond sends the final response to a request.
@@ -145,13 +146,13 @@
 	b.run.handleResponse(q, a, hint)
 }
 
-// notify passes a list, or changes of it, to the broker.
+// notify passes an endpoint list, or changes of it, to the broker.
 func (b *broker) notify(kind decision.EventKind, list []decision.Endpoint) {
-	for len(b.known) < len(b.run.nodes) {
-		b.known = append(b.known, decision.Endpoint{})
+	for len(b.knownEndpoints) < len(b.run.nodes) {
+		b.knownEndpoints = append(b.knownEndpoints, decision.Endpoint{})
 	}
-	if !b.started {
-		b.started = true
+	if !b.hasInitialList {
+		b.hasInitialList = true
 		b.step(decision.Event{Kind: kind, Endpoints: list})
 		return
 	}
@@ -160,21 +161,22 @@
 		for i := range list {
 			named[b.run.byName[list[i].Node].id] = true
 		}
-		for i := range b.known {
-			if b.known[i].Node != "" && !named[int32(i)] {
+		for i := range b.knownEndpoints {
+			if b.knownEndpoints[i].Node != "" && !named[int32(i)] {
 				b.run.record(history.Record{Kind: history.NodeNotified, Broker: b.id, Node: int32(i), State: history.Removed})
-				b.known[i] = decision.Endpoint{}
+				b.knownEndpoints[i] = decision.Endpoint{}
 			}
 		}
 	}
 	for i := range list {
 		id := b.run.byName[list[i].Node].id
-		b.known[id] = list[i]
+		b.knownEndpoints[id] = list[i]
 		b.run.record(history.Record{Kind: history.NodeNotified, Broker: b.id, Node: id, State: history.State(list[i].State), NodeStartedAt: list[i].StartedAt.Microseconds()})
 	}
 	b.step(decision.Event{Kind: kind, Endpoints: list})
 }
 
+// keyName returns the key of a request in the form that brokers receive, which is empty if there is none.
 func (r *run) keyName(q *request) string {
 	if q.key == 0 {
 		return ""
--- a/internal/lab/model/client.go
+++ b/internal/lab/model/client.go
@@ -10,66 +10,70 @@
 	"poppyarch/internal/lab/history"
 )
 
-// volume is a member's: it stands on a plan, comes through some brokers and lies on some nodes.
+// volume is a volume with its plan. Its clients use some of the brokers, and its data is stored on some of the nodes.
 type volume struct {
-	id      int32
-	name    string
-	plan    int
-	hosts   []int32
-	lead    int
-	shards  []int32
-	rate    float64 // tries a second, usually
-	units   float64 // a second, usually
-	factor  float64 // at present
-	gen     int     // of the present factor
-	lots    *rand.Rand
-	reserve bucket
-	share   bucket
-	fresh   [4]place // what was written last
-	writes  int
+	id             int32
+	name           string
+	plan           int               // index into the plans
+	brokers        []int32           // those that its clients use
+	primary        int               // index into brokers of the one with most of the load
+	shards         []int32           // of the nodes that store its data
+	rate           float64           // usual requests per second
+	units          float64           // usual units per second according to the plan
+	rateFactor     float64           // present factor on rate
+	rateGeneration int               // incremented with each change of the rate; requests scheduled before are discarded
+	random         *rand.Rand        // of arrivals; nil if the scenario has no plans
+	reserve        unitBucket        // within the reserved rate
+	burst          unitBucket        // beyond the reserved rate
+	recentWrites   [4]objectLocation // ring buffer
+	writeCount     int
 }
 
-type place struct {
+// objectLocation is the key of an object and the shard that stores it.
+type objectLocation struct {
 	key   uint64
 	shard int32
 }
 
-// bucket is a store in units that fills at a rate up to a level.
-type bucket struct {
-	rate, most, level float64
-	at                int64
+// unitBucket is a token bucket of units, filled at a rate in units per second.
+type unitBucket struct {
+	rate, capacity, tokens float64
+	updatedAt              int64
 }
 
-func (b *bucket) take(now int64, units float64) bool {
-	b.level = math.Min(b.most, b.level+b.rate*float64(now-b.at)/1e6)
-	b.at = now
-	if b.level < units {
+// take takes units from the bucket. It returns false, and takes none, if the bucket holds fewer.
+func (b *unitBucket) take(now int64, units float64) bool {
+	b.tokens = math.Min(b.capacity, b.tokens+b.rate*float64(now-b.updatedAt)/1e6)
+	b.updatedAt = now
+	if b.tokens < units {
 		return false
 	}
-	b.level -= units
+	b.tokens -= units
 	return true
 }
 
-func (v *volume) wrote(key uint64, shard int32) {
-	v.fresh[v.writes%len(v.fresh)] = place{key, shard}
-	v.writes++
+// recordWrite makes an object available to later rereads.
+func (v *volume) recordWrite(key uint64, shard int32) {
+	v.recentWrites[v.writeCount%len(v.recentWrites)] = objectLocation{key, shard}
+	v.writeCount++
 }
 
-// Units of a request: 1 to 8, two in the mean; a unit is half of the mean work.
+// The size of a request is 1 to maxUnits units, with a mean of meanUnits. One unit is half of the mean work.
 const (
 	meanUnits = 2.0
-	mostUnits = 8.0
+	maxUnits  = 8.0
 )
 
-// volumes are drawn by the run's seed, the same for every design.
+// makeVolumes draws the volumes of the run. They depend on the seed, but not on the design. A scenario without plans
+// has a single volume.
 func (r *run) makeVolumes() {
-	lots := r.e.Stream("volumes")
+	rng := r.e.Stream("volumes")
 	if len(r.s.Plans) == 0 {
-		hosts := make([]int32, len(r.brokers))
-		for i := range hosts {
-			hosts[i] = int32(i)
+		brokers := make([]int32, len(r.brokers))
+		for i := range brokers {
+			brokers[i] = int32(i)
 		}
-		r.volumes = []*volume{{name: "all", hosts: hosts, rate: r.s.Load.Rate, factor: 1}}
+		r.volumes = []*volume{{name: "all", brokers: brokers, rate: r.s.Load.Rate, rateFactor: 1}}
 		r.config.Plans = []decision.Plan{{Name: "all", Weight: 1, PriceFactor: 1, UsualRate: r.s.Load.Rate * meanUnits}}
 		return
 	}
@@ -77,7 +81,7 @@
 	for _, p := range r.s.Plans {
 		total += float64(p.Volumes) * p.Size
 	}
-	between := func(x [2]int, most int) int { return min(x[0]+lots.IntN(x[1]-x[0]+1), most) }
+	drawCount := func(x [2]int, limit int) int { return min(x[0]+rng.IntN(x[1]-x[0]+1), limit) }
 	for k, p := range r.s.Plans {
 		rate := r.s.Load.Rate * p.Size / total
 		units := rate * meanUnits
@@ -86,41 +90,41 @@
 			price = 1
 		}
 		r.config.Plans = append(r.config.Plans, decision.Plan{Name: p.Name, Weight: p.Weight, PriceFactor: price, UsualRate: units, ReservedRate: p.ReservedRate * units,
-			RateLimit: p.RateLimit * units, RateLimitBurst: p.RateLimit*units + 2*mostUnits*float64(p.Hosts[1]), RateLimitTolerance: 0.1 * (p.RateLimit*units + 2*mostUnits*float64(p.Hosts[1]))})
+			RateLimit: p.RateLimit * units, RateLimitBurst: p.RateLimit*units + 2*maxUnits*float64(p.Hosts[1]), RateLimitTolerance: 0.1 * (p.RateLimit*units + 2*maxUnits*float64(p.Hosts[1]))})
 		for range p.Volumes {
-			v := &volume{id: int32(len(r.volumes)), plan: k, rate: rate, units: units, factor: 1}
+			v := &volume{id: int32(len(r.volumes)), plan: k, rate: rate, units: units, rateFactor: 1}
 			v.name = fmt.Sprintf("%08x", 0x1000+v.id)
-			for _, i := range lots.Perm(len(r.brokers))[:between(p.Hosts, len(r.brokers))] {
-				v.hosts = append(v.hosts, int32(i))
+			for _, i := range rng.Perm(len(r.brokers))[:drawCount(p.Hosts, len(r.brokers))] {
+				v.brokers = append(v.brokers, int32(i))
 			}
-			for _, i := range lots.Perm(len(r.nodes))[:between(p.Nodes, len(r.nodes))] {
+			for _, i := range rng.Perm(len(r.nodes))[:drawCount(p.Nodes, len(r.nodes))] {
 				v.shards = append(v.shards, r.nodes[i].shard)
 			}
-			v.lots = r.e.Stream("volume " + v.name)
-			if lots.Float64() < p.Busy {
-				v.rate *= 1 + 2*lots.Float64()
+			v.random = r.e.Stream("volume " + v.name)
+			if rng.Float64() < p.Busy {
+				v.rate *= 1 + 2*rng.Float64()
 			}
-			full := p.ReservedRate*units + mostUnits
-			v.reserve = bucket{rate: p.ReservedRate * units, most: full, level: full}
-			v.share = bucket{rate: 2 * units, most: 2*units + mostUnits, level: 2 * units}
-			if lots.Float64() < p.Surge {
-				r.surges(v)
+			capacity := p.ReservedRate*units + maxUnits
+			v.reserve = unitBucket{rate: p.ReservedRate * units, capacity: capacity, tokens: capacity}
+			v.burst = unitBucket{rate: 2 * units, capacity: 2*units + maxUnits, tokens: 2 * units}
+			if rng.Float64() < p.Surge {
+				r.startSurges(v)
 			}
 			r.volumes = append(r.volumes, v)
 		}
 	}
 }
 
-// surges are about two a minute, of four to eighteen seconds, five to twenty times the rate.
-func (r *run) surges(v *volume) {
-	lots := r.e.Stream("surges of " + v.name)
+// startSurges schedules surges of a volume's rate: a mean of 30 s apart, 4 to 18 s long, with 5 to 20 times the rate.
+func (r *run) startSurges(v *volume) {
+	rng := r.e.Stream("surges of " + v.name)
 	var next func()
 	next = func() {
-		r.e.After(int64(lots.ExpFloat64()*30e6), func() {
-			by := 5 + 15*lots.Float64()
-			r.times(v, by)
-			r.e.After(int64((4+14*lots.Float64())*1e6), func() {
-				r.times(v, 1/by)
+		r.e.After(int64(rng.ExpFloat64()*30e6), func() {
+			factor := 5 + 15*rng.Float64()
+			r.scaleRate(v, factor)
+			r.e.After(int64((4+14*rng.Float64())*1e6), func() {
+				r.scaleRate(v, 1/factor)
 				next()
 			})
 		})
@@ -128,72 +132,74 @@
 	next()
 }
 
-// times changes a volume's rate from now on. Its next request is drawn anew, which changes nothing else: what has passed without one does not count.
-func (r *run) times(v *volume, by float64) {
-	v.factor *= by
-	v.gen++
-	if v.lots != nil {
-		r.next(v, v.gen)
+// scaleRate multiplies a volume's rate by a factor from now on. The time of its next request is drawn again, which does
+// not bias the arrivals: interarrival times are exponential and thus memoryless.
+func (r *run) scaleRate(v *volume, factor float64) {
+	v.rateFactor *= factor
+	v.rateGeneration++
+	if v.random != nil {
+		r.scheduleRequest(v, v.rateGeneration)
 	}
 }
 
-func (r *run) next(v *volume, gen int) {
-	wait := v.lots.ExpFloat64() * 1e6 / (v.rate * v.factor * r.loadBy)
+// scheduleRequest schedules a volume's requests, one after the other, until its rate changes.
+func (r *run) scheduleRequest(v *volume, gen int) {
+	wait := v.random.ExpFloat64() * 1e6 / (v.rate * v.rateFactor * r.loadFactor)
 	r.e.After(int64(wait), func() {
-		if v.gen == gen && !r.ended() {
-			r.comes(v)
-			r.next(v, gen)
+		if v.rateGeneration == gen && !r.loadEnded() {
+			r.generateRequest(v)
+			r.scheduleRequest(v, gen)
 		}
 	})
 }
 
-// clients come at times of their own, whatever becomes of those before them.
-func (r *run) clients() {
-	r.draw = r.s.Load.work(r.e.Stream("work"))
+// startClients starts the arrivals of requests. They are an open Poisson process: clients do not wait for responses.
+func (r *run) startClients() {
+	r.drawWork = r.s.Load.work(r.e.Stream("work"))
 	if len(r.s.Plans) > 0 {
 		for _, v := range r.volumes {
-			r.next(v, v.gen)
-			if len(v.hosts) > 1 && r.s.Load.Shift > 0 {
-				r.shifts(v)
+			r.scheduleRequest(v, v.rateGeneration)
+			if len(v.brokers) > 1 && r.s.Load.Shift > 0 {
+				r.startPrimaryShifts(v)
 			}
 		}
 		return
 	}
-	when := r.e.Stream("arrivals")
+	rng := r.e.Stream("arrivals")
 	v := r.volumes[0]
-	at := 0.0 // kept as it is: rounded each time, short distances would change the rate
+	at := 0.0 // not rounded to microseconds, which would change the rate where interarrival times are short
 	var next func()
 	next = func() {
-		if r.ended() {
+		if r.loadEnded() {
 			return
 		}
-		r.comes(v)
-		at += when.ExpFloat64() * 1e6 / (r.s.Load.Rate * v.factor * r.loadBy)
+		r.generateRequest(v)
+		at += rng.ExpFloat64() * 1e6 / (r.s.Load.Rate * v.rateFactor * r.loadFactor)
 		r.e.At(int64(at), next)
 	}
-	at = when.ExpFloat64() * 1e6 / r.s.Load.Rate
+	at = rng.ExpFloat64() * 1e6 / r.s.Load.Rate
 	r.e.At(int64(at), next)
 }
 
-// shifts move a volume's lead to its next broker.
-func (r *run) shifts(v *volume) {
-	lots := r.e.Stream("shifts of " + v.name)
+// startPrimaryShifts schedules the moves of a volume's primary to its next broker.
+func (r *run) startPrimaryShifts(v *volume) {
+	rng := r.e.Stream("shifts of " + v.name)
 	var next func()
 	next = func() {
-		r.e.After(int64(lots.ExpFloat64()*float64(r.s.Load.Shift.us())), func() {
-			v.lead = (v.lead + 1) % len(v.hosts)
+		r.e.After(int64(rng.ExpFloat64()*float64(r.s.Load.Shift.us())), func() {
+			v.primary = (v.primary + 1) % len(v.brokers)
 			next()
 		})
 	}
 	next()
 }
 
-// comes is a client's first try.
-func (r *run) comes(v *volume) {
-	q := &request{firstTryAt: r.e.Now(), volume: v, work: r.draw(), units: meanUnits}
-	lots := r.who
+// generateRequest draws a new request of a client and sends it.
+func (r *run) generateRequest(v *volume) {
+	q := &request{firstSentAt: r.e.Now(), volume: v, work: r.drawWork(), units: meanUnits}
+	rng := r.clientRandom
 	if len(r.classes) > 1 {
-		x := lots.Float64() * r.shares
+		x := rng.Float64() * r.shareSum
 		for int(q.class) < len(r.classes)-1 && x >= r.classes[q.class].Share {
 			x -= r.classes[q.class].Share
 			q.class++
@@ -203,73 +209,73 @@
 	if class.Work > 0 {
 		q.work *= class.Work
 	}
-	if v.lots != nil {
-		q.units = math.Min(mostUnits, math.Max(1, math.Round(meanUnits*q.work/r.mean)))
+	if v.random != nil {
+		q.units = math.Min(maxUnits, math.Max(1, math.Round(meanUnits*q.work/r.meanWork)))
 	}
-	r.where(q, lots)
+	r.chooseObject(q, rng)
 	now := r.e.Now()
-	kind := 1.0
-	if v.lots != nil {
+	valueFactor := 1.0
+	if v.random != nil {
 		q.withinReserve = v.reserve.take(now, q.units)
 		switch {
 		case q.withinReserve:
-		case v.share.take(now, q.units):
-			kind = r.s.Rules.BurstValue
+		case v.burst.take(now, q.units):
+			valueFactor = r.s.Rules.BurstValue
 		default:
-			kind = r.s.Rules.ExcessValue
+			valueFactor = r.s.Rules.ExcessValue
 		}
 	}
-	q.weight = class.Priority * r.config.Plans[v.plan].PriceFactor * kind * q.units
-	r.due.add(now, q.weight)
-	r.asked.Add(now, 1)
-	r.seen++
+	q.value = class.Priority * r.config.Plans[v.plan].PriceFactor * valueFactor * q.units
+	r.offeredValue.add(now, q.value)
+	r.arrivals.Add(now, 1)
+	r.requests++
 	if q.withinReserve {
-		r.dueInside += q.weight
+		r.offeredReservedValue += q.value
 	}
-	r.try(q, r.who)
+	r.sendToBroker(q, r.clientRandom)
 }
 
-// where the data of a request lies.
-func (r *run) where(q *request, lots *rand.Rand) {
+// chooseObject sets the key and the shard of a request. A new object has no shard (-1).
+func (r *run) chooseObject(q *request, rng *rand.Rand) {
 	v := q.volume
 	if len(v.shards) == 0 || r.classes[q.class].Writes {
 		q.shard = -1
-		if v.lots != nil {
-			r.keys++
-			q.key = r.keys
+		if v.random != nil {
+			r.lastKey++
+			q.key = r.lastKey
 		}
 		return
 	}
-	// As many draws whatever was written, which is the design's doing.
-	again, one, i, key := lots.Float64(), lots.IntN(len(v.fresh)), lots.IntN(len(v.shards)), lots.IntN(64)
-	if v.writes > 0 && again < r.s.Load.Reread {
-		p := v.fresh[one%min(v.writes, len(v.fresh))]
+	// The number of draws must not depend on the writes so far, which depend on the design.
+	reread, writeIndex, shardIndex, key := rng.Float64(), rng.IntN(len(v.recentWrites)), rng.IntN(len(v.shards)), rng.IntN(64)
+	if v.writeCount > 0 && reread < r.s.Load.Reread {
+		p := v.recentWrites[writeIndex%min(v.writeCount, len(v.recentWrites))]
 		q.key, q.shard = p.key, p.shard
 		return
 	}
-	q.shard = v.shards[i]
-	q.key = 1<<62 | uint64(v.id)<<16 | uint64(i)<<8 | uint64(key)
+	q.shard = v.shards[shardIndex]
+	q.key = 1<<62 | uint64(v.id)<<16 | uint64(shardIndex)<<8 | uint64(key)
 }
 
-// try is one way of a client to a broker.
-func (r *run) try(q *request, lots *rand.Rand) {
+// sendToBroker sends a request to one of its volume's brokers, or hands it to the run's sink if there is one.
+func (r *run) sendToBroker(q *request, rng *rand.Rand) {
 	v := q.volume
 	i := 0
-	if n := len(v.hosts); n > 1 {
-		i = r.host(v, lots)
+	if n := len(v.brokers); n > 1 {
+		i = r.chooseBroker(v, rng)
 	}
 	if r.sink != nil {
-		r.sink(q, v.hosts[i])
+		r.sink(q, v.brokers[i])
 		return
 	}
-	b := r.brokers[v.hosts[i]]
+	b := r.brokers[v.brokers[i]]
 	r.lastID++
 	q.id = r.lastID
 	if p := r.classes[q.class].Deadline.us(); len(r.s.Classes) > 0 || r.s.Load.Deadline > 0 {
 		q.deadline = r.e.Now() + p
 	}
 	if b.down {
-		r.unheard++
+		r.brokerUnreachable++
 		return
 	}
 	if q.deadline > 0 {
@@ -277,10 +283,11 @@
 		r.e.At(q.deadline, func() {
 			if !q.done && epoch == b.epoch {
 				q.done = true
-				r.given++
+				r.clientTimeouts++
 				r.record(history.Record{Kind: history.ClientDisconnected, Request: q.id, Broker: b.id})
 				b.step(decision.Event{Kind: decision.ClientDisconnected, ID: q.id})
-				if at := q.last; at != nil && !at.ended && b.epoch == epoch { // its broker ends the attempt; the node may go on with it
+				// The broker cancels the attempt; the node may still execute it.
+				if at := q.lastAttempt; at != nil && !at.ended && b.epoch == epoch {
 					b.endAttempt(at, decision.Cancelled)
 				}
 			}
@@ -289,65 +296,66 @@
 	b.receive(q)
 }
 
-// host draws the broker of a try: the lead most often, the others less and less.
-func (r *run) host(v *volume, lots *rand.Rand) int {
-	n := len(v.hosts)
+// chooseBroker draws one of a volume's brokers. The k-th from the primary on has a weight of k^-Skew.
+func (r *run) chooseBroker(v *volume, rng *rand.Rand) int {
+	n := len(v.brokers)
 	if r.s.Load.Skew == 0 {
-		return lots.IntN(n)
+		return rng.IntN(n)
 	}
 	sum := 0.0
 	for k := range n {
 		sum += math.Pow(float64(k+1), -r.s.Load.Skew)
 	}
-	x, k := lots.Float64()*sum, 0
+	x, k := rng.Float64()*sum, 0
 	for ; k < n-1; k++ {
 		if x -= math.Pow(float64(k+1), -r.s.Load.Skew); x < 0 {
 			break
 		}
 	}
-	return (v.lead + k) % n
+	return (v.primary + k) % n
 }
 
-// Arrival is a client's first try.
+// Arrival is a new request of a client, without its retries.
 type Arrival struct {
-	At     int64 // microseconds from the start
+	At     int64 // microseconds since the start of the run
 	Broker int32
 	Class  int
 	Plan   int
 	Volume string
-	Hosts  int // brokers that the volume comes through
+	Hosts  int // number of brokers that the volume uses
 	Key    uint64
-	Shard  int32 // -1: a new object
+	Shard  int32 // -1 for a new object
 	Units  float64
-	Work   float64 // microseconds of a core at speed 1
-	Worth  float64 // of an answer in time
-	Inside bool    // its volume's reserve
+	Work   float64 // microseconds of a core with speed 1
+	Worth  float64 // value of a response within the latency objective
+	Inside bool    // within its volume's reserved rate
 }
 
-// Clients are the first tries that the clients of a run make, the very ones that Play's designs meet with this seed. Reads of what was written
-// a moment ago are not among them: where that lies is the designs' doing, and a scenario that has them is refused.
+// Clients returns the new requests of a run's clients, the same that every design receives from Play with this seed. A
+// scenario with rereads of recently written objects is rejected: the shards of these objects depend on the design.
 func Clients(s *Scenario, seed uint64) ([]Arrival, error) {
 	if err := s.Check(); err != nil {
 		return nil, fmt.Errorf("scenario %s: %w", s.Name, err)
 	}
 	if s.Load.Reread > 0 {
-		return nil, fmt.Errorf("scenario %s: load.reread: %v: what clients read of what was written lies where brokers put it, and they are not told", s.Name, s.Load.Reread)
+		return nil, fmt.Errorf("scenario %s: load.reread is %v, want 0: where a recently written object is stored depends on the design", s.Name, s.Load.Reread)
 	}
 	var all []Arrival
 	r := prepare(s, "", seed)
 	r.sink = func(q *request, broker int32) {
-		all = append(all, Arrival{At: q.firstTryAt, Broker: broker, Class: int(q.class), Plan: q.volume.plan, Volume: q.volume.name, Hosts: len(q.volume.hosts), Key: q.key,
-			Shard: q.shard, Units: q.units, Work: q.work, Worth: q.weight, Inside: q.withinReserve})
+		all = append(all, Arrival{At: q.firstSentAt, Broker: broker, Class: int(q.class), Plan: q.volume.plan, Volume: q.volume.name, Hosts: len(q.volume.brokers), Key: q.key,
+			Shard: q.shard, Units: q.units, Work: q.work, Worth: q.value, Inside: q.withinReserve})
 	}
 	r.build()
 	r.makeVolumes()
-	r.troubles()
-	r.clients()
+	r.injectFaults()
+	r.startClients()
 	r.e.Run(s.Duration.us())
 	return all, r.err
 }
 
-// Volumes are the names of a scenario's volumes with the number of the plan of each. They do not depend on the seed.
+// Volumes returns the index of the plan of each volume of a scenario, by the volume's name. It does not depend on the
+// seed.
 func Volumes(s *Scenario) (map[string]int, error) {
 	if err := s.Check(); err != nil {
 		return nil, fmt.Errorf("scenario %s: %w", s.Name, err)
@@ -362,7 +370,7 @@
 	return out, nil
 }
 
-// handleResponse is what a client hears. It comes again once after a refusal or a failure, if it is one that does.
+// handleResponse handles a response at the client. A fraction of the clients retries once after a rejection or failure.
 func (r *run) handleResponse(q *request, a history.Result, hint time.Duration) {
 	q.done = true
 	now := r.e.Now()
@@ -370,27 +378,27 @@
 	switch a {
 	case history.Served:
 		r.served.Add(now, 1)
-		took := now - q.firstTryAt
-		if now >= r.from {
-			r.spent.Add(q.firstTryAt, float64(took)/1e6)
-			r.latency.Add(took)
+		latency := now - q.firstSentAt
+		if now >= r.measureFrom {
+			r.responseTimes.Add(q.firstSentAt, float64(latency)/1e6)
+			r.latency.Add(latency)
 		}
-		got := q.weight
-		if took > class.LatencyObjective.us() {
-			got *= class.LateValue
+		value := q.value
+		if latency > class.LatencyObjective.us() {
+			value *= class.LateValue
 			r.late++
 		} else if q.withinReserve {
-			r.earnedInside += got
+			r.servedReservedValue += value
 		}
-		r.earned.add(q.firstTryAt, got)
+		r.servedValue.add(q.firstSentAt, value)
 		return
 	case history.Rejected:
-		r.refused++
+		r.rejected++
 	default:
 		r.failed++
 	}
-	if q.tryNumber == 0 && r.s.Load.Retry > 0 && r.again.Float64() < r.s.Load.Retry {
-		again := &request{firstTryAt: q.firstTryAt, work: q.work, units: q.units, key: q.key, weight: q.weight, volume: q.volume, class: q.class, shard: q.shard, tryNumber: 1, withinReserve: q.withinReserve}
-		r.e.After(max(hint.Microseconds(), 50_000), func() { r.try(again, r.again) })
+	if q.clientAttempt == 0 && r.s.Load.Retry > 0 && r.retryRandom.Float64() < r.s.Load.Retry {
+		retry := &request{firstSentAt: q.firstSentAt, work: q.work, units: q.units, key: q.key, value: q.value, volume: q.volume, class: q.class, shard: q.shard, clientAttempt: 1, withinReserve: q.withinReserve}
+		r.e.After(max(hint.Microseconds(), 50_000), func() { r.sendToBroker(retry, r.retryRandom) })
 	}
 }
--- a/internal/lab/model/connection.go
+++ b/internal/lab/model/connection.go
@@ -4,10 +4,11 @@
 type conn struct {
 	node  *Node
 	epoch int // of the node's process
-	uses  int // how often it was laid by; it ends if that is the same after the time that it is kept
+	uses  int // changes of its state; its idle timer closes it only if there was none in the meantime
 	busy  bool
 }
 
+// end closes a connection.
 func (c *conn) end() {
 	if c.epoch == c.node.epoch {
 		c.node.conns--
@@ -15,7 +16,7 @@
 	c.uses++
 }
 
-// takeIdleConn returns an idle connection to the node's present process, nil if there is none.
+// takeIdleConn returns an idle connection to the node's present process for an attempt, nil if there is none.
 func (b *broker) takeIdleConn(n *Node) *conn {
 	list := b.idleConns[n]
 	for len(list) > 0 {
@@ -38,10 +39,10 @@
 	}
 	c.busy = false
 	c.uses++
-	when, epoch := c.uses, b.epoch
+	uses, epoch := c.uses, b.epoch
 	b.idleConns[c.node] = append(b.idleConns[c.node], c)
 	b.run.e.After(b.run.s.Link.IdleTimeout.us(), func() {
-		if c.uses != when || b.epoch != epoch {
+		if c.uses != uses || b.epoch != epoch {
 			return
 		}
 		c.end()
--- a/internal/lab/model/design.go
+++ b/internal/lab/model/design.go
@@ -12,8 +12,8 @@
 	"poppyarch/policy"
 )
 
-// Design decides at one broker: the decision module itself, or a simple design with the same interface. It sees what a broker
-// sees.
+// Design makes the decisions of one broker: the decision module itself, or a simple design with the same interface.
+// Apart from the oracle, a design knows only what a broker knows.
 type Design interface {
 	Step(now time.Duration, events []decision.Event, act []decision.Action) []decision.Action
 }
@@ -23,23 +23,23 @@
 	return []string{"asfq", "bucket", "least", "members", "module", "oracle", "random", "round", "two"}
 }
 
-// parseDesign splits a name: "asfq:4" is asfq with a depth of 4.
-func parseDesign(name string) (base string, figure float64, err error) {
+// parseDesign splits a name into a design and its parameter: "asfq:4" is asfq with a depth of 4.
+func parseDesign(name string) (base string, parameter float64, err error) {
 	base, text, given := strings.Cut(name, ":")
-	figure = map[string]float64{"asfq": 3, "bucket": 1.2}[base]
+	parameter = map[string]float64{"asfq": 3, "bucket": 1.2}[base]
 	if given {
-		takes := figure > 0
-		if figure, err = strconv.ParseFloat(text, 64); err != nil || !takes || !(figure > 0) {
-			return "", 0, fmt.Errorf("design %q: %q is no figure that it takes (asfq:DEPTH, bucket:MULTIPLE OF THE RATE)", name, text)
+		hasParameter := parameter > 0
+		if parameter, err = strconv.ParseFloat(text, 64); err != nil || !hasParameter || !(parameter > 0) {
+			return "", 0, fmt.Errorf("design %q: invalid parameter %q, want a number above 0 for asfq (depth) or bucket (multiple of the usual rate)", name, text)
 		}
 	}
 	if !slices.Contains(Designs(), base) {
-		return "", 0, fmt.Errorf("design %q is unknown; there are %v", name, Designs())
+		return "", 0, fmt.Errorf("design %q is unknown, the designs are %v", name, Designs())
 	}
-	return base, figure, nil
+	return base, parameter, nil
 }
 
-// CheckDesign returns an error if no design has a name.
+// CheckDesign returns an error if a name is not that of a design, or if its parameter is invalid.
 func CheckDesign(name string) error {
 	_, _, err := parseDesign(name)
 	return err
@@ -47,7 +47,7 @@
 
 // design returns a new instance of the run's design for one broker.
 func (r *run) design(b *broker) (Design, error) {
-	base, figure, err := parseDesign(r.name)
+	base, parameter, err := parseDesign(r.designName)
 	if err != nil {
 		return nil, err
 	}
@@ -62,7 +62,7 @@
 		if err != nil || base == "module" {
 			return d, err
 		}
-		return newMembers(d, r.now(), cfg.SlowStartDuration), nil
+		return newMembershipDesign(d, r.now(), cfg.SlowStartDuration), nil
 	}
 	p := &simpleDesign{cfg: &r.config, random: rand.New(rand.NewPCG(seed, 3)), lastChosen: -1, nodes: map[string]*nodeState{}, byShard: map[int][]*nodeState{}, requests: map[uint64]*pendingRequest{}}
 	switch base {
@@ -75,9 +75,9 @@
 	case "two":
 		p.choose = p.chooseBetterOfTwo
 	case "bucket":
-		p.choose, p.rateMultiple, p.buckets = p.chooseBetterOfTwo, figure, map[string]*tokenBucket{}
+		p.choose, p.rateMultiple, p.buckets = p.chooseBetterOfTwo, parameter, map[string]*tokenBucket{}
 	case "asfq":
-		p.choose, p.depth = p.chooseBetterOfTwo, figure
+		p.choose, p.depth = p.chooseBetterOfTwo, parameter
 	case "oracle":
 		p.run = r
 		p.choose = p.chooseFastest
--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -7,97 +7,100 @@
 	"poppyarch/internal/broker/decision"
 )
 
-// discovery is one service for all brokers, which works through calls in turn and tells changes late.
+// discovery is the discovery service of all brokers: a single-server queue of polls, with a delay until changes are
+// visible.
 type discovery struct {
-	r     *run
-	lots  *rand.Rand
-	seen  []decision.Endpoint // as it tells it, by node
-	free  int64               // when it has worked off the calls that wait
-	down  bool
-	times float64 // by which it is later than usual
-	calls int
-	fails int
+	run         *run
+	random      *rand.Rand
+	visible     []decision.Endpoint // as it answers, by node id
+	busyUntil   int64               // time at which the queued polls will have been answered
+	down        bool
+	delayFactor float64 // factor of a fault on the delay of changes
+	calls       int     // polls
+	failures    int     // polls that failed
 }
 
-func member(n *Node) decision.Endpoint {
-	m := decision.Endpoint{Node: n.name, Shard: int(n.shard), Zone: int(n.zone), State: decision.EndpointState(n.state), Capacity: n.kind}
-	if n.began > 0 {
-		m.StartedAt = time.Duration(n.began) * time.Microsecond
+// endpointOf returns the endpoint list's entry of a node.
+func endpointOf(n *Node) decision.Endpoint {
+	m := decision.Endpoint{Node: n.name, Shard: int(n.shard), Zone: int(n.zone), State: decision.EndpointState(n.state), Capacity: n.relativeCapacity}
+	if n.startedAt > 0 {
+		m.StartedAt = time.Duration(n.startedAt) * time.Microsecond
 	}
 	return m
 }
 
-// call is one broker's call for the list; a watch follows from its answer.
-func (d *discovery) call(b *broker) {
+// poll handles a broker's poll of the endpoint list. A successful one also starts a watch, which passes on changes.
+func (d *discovery) poll(b *broker) {
 	d.calls++
 	epoch := b.epoch
-	say := func(after int64, f func()) {
-		d.r.e.After(max(after, 1), func() {
+	reply := func(after int64, f func()) {
+		d.run.e.After(max(after, 1), func() {
 			if b.epoch == epoch && !b.down {
 				f()
 			}
 		})
 	}
 	fail := func() { b.step(decision.Event{Kind: decision.EndpointWatchFailed}) }
-	way := d.r.delay() + d.r.delay()
+	roundTrip := d.run.delay() + d.run.delay()
 	if d.down {
-		d.fails++
-		say(way, fail)
+		d.failures++
+		reply(roundTrip, fail)
 		return
 	}
 	wait := int64(0)
-	if per := d.r.s.Discovery.CallRate; per > 0 {
-		now := d.r.e.Now()
-		d.free = max(d.free, now) + int64(1e6/per)
-		wait = d.free - now
+	if rate := d.run.s.Discovery.CallRate; rate > 0 {
+		now := d.run.e.Now()
+		d.busyUntil = max(d.busyUntil, now) + int64(1e6/rate)
+		wait = d.busyUntil - now
 	}
-	if most := d.r.s.Discovery.Timeout.us(); most > 0 && wait > most { // it has cost as much as one that is answered
-		d.fails++
-		say(most+way, fail)
+	if timeout := d.run.s.Discovery.Timeout.us(); timeout > 0 && wait > timeout { // it takes as much service time as an answered one
+		d.failures++
+		reply(timeout+roundTrip, fail)
 		return
 	}
-	say(wait+way, func() {
+	reply(wait+roundTrip, func() {
 		if d.down {
-			d.fails++
+			d.failures++
 			fail()
 			return
 		}
 		b.watching = true
 		var list []decision.Endpoint
-		for i := range d.seen {
-			if d.seen[i].Node != "" && d.seen[i].State != decision.Removed {
-				list = append(list, d.seen[i])
+		for i := range d.visible {
+			if d.visible[i].Node != "" && d.visible[i].State != decision.Removed {
+				list = append(list, d.visible[i])
 			}
 		}
 		b.notify(decision.EndpointsReplaced, list)
 	})
 }
 
-// changed is a change of a node, which the watches hear of late.
-func (d *discovery) changed(n *Node) {
-	m := member(n)
-	late := int64(0)
-	if mean := d.r.s.Discovery.Delay.us(); mean > 0 {
-		late = int64((0.5 + d.lots.ExpFloat64()/2) * float64(mean) * max(d.times, 1))
+// publish makes the present state of a node visible after a random delay.
+func (d *discovery) publish(n *Node) {
+	m := endpointOf(n)
+	delay := int64(0)
+	if mean := d.run.s.Discovery.Delay.us(); mean > 0 {
+		delay = int64((0.5 + d.random.ExpFloat64()/2) * float64(mean) * max(d.delayFactor, 1))
 	}
-	d.r.e.After(late, func() { d.tell(n, m) })
+	d.run.e.After(delay, func() { d.apply(n, m) })
 }
 
-func (d *discovery) tell(n *Node, m decision.Endpoint) {
-	for len(d.seen) <= int(n.id) {
-		d.seen = append(d.seen, decision.Endpoint{})
+// apply makes an entry visible and sends it to all watches.
+func (d *discovery) apply(n *Node, m decision.Endpoint) {
+	for len(d.visible) <= int(n.id) {
+		d.visible = append(d.visible, decision.Endpoint{})
 	}
-	if old := d.seen[n.id]; old.Node != "" && old.State == decision.Removed && m.State != decision.Removed && m.StartedAt <= old.StartedAt {
-		return // the later news came first
+	if old := d.visible[n.id]; old.Node != "" && old.State == decision.Removed && m.State != decision.Removed && m.StartedAt <= old.StartedAt {
+		return // overtaken by a later change
 	}
-	d.seen[n.id] = m
+	d.visible[n.id] = m
 	if d.down {
 		return
 	}
-	for _, b := range d.r.brokers {
+	for _, b := range d.run.brokers {
 		if b.watching {
 			epoch := b.epoch
-			d.r.e.After(max(d.r.delay(), 1), func() {
+			d.run.e.After(max(d.run.delay(), 1), func() {
 				if b.epoch == epoch && b.watching {
 					b.notify(decision.EndpointsChanged, []decision.Endpoint{m})
 				}
@@ -106,14 +109,14 @@
 	}
 }
 
-// stop ends all watches; what changes meanwhile is told at the return, to those who ask.
-func (d *discovery) stop() {
+// startOutage ends all watches and makes polls fail. Changes during the outage are visible to polls after it.
+func (d *discovery) startOutage() {
 	d.down = true
-	for _, b := range d.r.brokers {
+	for _, b := range d.run.brokers {
 		if b.watching {
 			b.watching = false
 			epoch := b.epoch
-			d.r.e.After(max(d.r.delay(), 1), func() {
+			d.run.e.After(max(d.run.delay(), 1), func() {
 				if b.epoch == epoch && !b.down {
 					b.step(decision.Event{Kind: decision.EndpointWatchFailed})
 				}
@@ -122,9 +125,9 @@
 	}
 }
 
-// first is the list that all begin with.
-func (d *discovery) first() {
-	for _, n := range d.r.nodes {
-		d.seen = append(d.seen, member(n))
+// loadInitialList makes all nodes visible at the start of the run.
+func (d *discovery) loadInitialList() {
+	for _, n := range d.run.nodes {
+		d.visible = append(d.visible, endpointOf(n))
 	}
 }
--- a/internal/lab/model/export_test.go
+++ b/internal/lab/model/export_test.go
@@ -2,7 +2,7 @@
 
 import "poppyarch/internal/broker/decision"
 
-// ConfigOf is what the model's brokers are told, but for their seed.
+// ConfigOf returns the configuration of the simulated brokers, apart from their seeds and zones.
 func ConfigOf(s *Scenario) decision.Config {
 	r := prepare(s, "", 1)
 	r.build()
--- a/internal/lab/model/fault.go
+++ b/internal/lab/model/fault.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// Fault is a fault of nodes, brokers, volumes or discovery that are chosen at random, once or repeatedly.
+// Fault is a fault of randomly chosen nodes, brokers or volumes, or of discovery, once or repeatedly.
 type Fault struct {
 	Kind     string   `toml:"kind"`
 	Share    float64  `toml:"share"`  // probability that it affects a node, broker or volume
-	At       Duration `toml:"at"`     // time of a single fault; 0 with Every
-	Every    Duration `toml:"every"`  // mean time between repeated faults, each at times of its own
-	Duration Duration `toml:"last"`   // of each
+	At       Duration `toml:"at"`     // time of a single fault; 0 for repeated faults
+	Every    Duration `toml:"every"`  // mean time between repeated faults, whose times are independent for each target
+	Duration Duration `toml:"last"`   // of each fault
 	Factor   float64  `toml:"factor"` // its strength, if the kind has one
-	Over     Duration `toml:"over"`   // over which the begins of a single fault are spread
+	Over     Duration `toml:"over"`   // interval after At in which a single fault starts, at a random time for each target
 }
 
-// faultHasFactor is the kinds of faults, and whether each has a factor.
+// faultHasFactor maps each kind of fault to whether it has a factor.
 var faultHasFactor = map[string]bool{
 	"broker":    false,
 	"crash":     false,
--- a/internal/lab/model/members.go
+++ b/internal/lab/model/members.go
@@ -8,29 +8,30 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// members is the module behind the broker's own membership, as where node lists or a control endpoint are set up: discovery's word is merged, and
-// a node that comes back too often stays out for a while.
-type members struct {
+// membershipDesign is the decision module behind a broker's membership, as in a broker with node lists or a control
+// endpoint: discovery's lists are merged into the membership, which suppresses flapping nodes for some time.
+type membershipDesign struct {
 	inner   Design
 	set     *membership.Set
-	version int64
-	wakeAt  clock.Micros // of the timer at hand; 0: none
+	version int64        // of discovery's list; 0 before the first one
+	wakeAt  clock.Micros // time of the pending timer; 0 if there is none
 	events  []decision.Event
 }
 
-// memberToken is the timer of the membership; the module has another.
-const memberToken = 2
+// membershipTimerToken is the token of the membership's timer. The module's timer has another one.
+const membershipTimerToken = 2
 
-func newMembers(inner Design, now time.Duration, warm time.Duration) *members {
+func newMembershipDesign(inner Design, now time.Duration, slowStart time.Duration) *membershipDesign {
 	o := membership.DefaultOptions()
-	if warm > 0 {
-		o.SlowStart = clock.FromDuration(warm)
+	if slowStart > 0 {
+		o.SlowStart = clock.FromDuration(slowStart)
 	}
-	return &members{inner: inner, set: membership.New(o, clock.FromDuration(now))}
+	return &membershipDesign{inner: inner, set: membership.New(o, clock.FromDuration(now))}
 }
 
-// Step is Design: lists go through the membership, all else as it is.
-func (m *members) Step(now time.Duration, events []decision.Event, act []decision.Action) []decision.Action {
+// Step implements Design. Endpoint lists and the membership's timer go through the membership; other events are passed
+// on unchanged.
+func (m *membershipDesign) Step(now time.Duration, events []decision.Event, act []decision.Action) []decision.Action {
 	us := clock.FromDuration(now)
 	m.events = m.events[:0]
 	for i := range events {
@@ -38,41 +39,42 @@
 		switch {
 		case ev.Kind == decision.EndpointsReplaced, ev.Kind == decision.EndpointsChanged:
 			first := m.version == 0
-			changed := m.tell(ev.Endpoints, ev.Kind == decision.EndpointsReplaced, us)
+			changed := m.updateMembership(ev.Endpoints, ev.Kind == decision.EndpointsReplaced, us)
 			if first {
 				m.set.EndInitialSync()
 			}
-			// Told on even where nothing has changed: the module counts from discovery's last word.
-			ev = decision.Event{Kind: decision.EndpointsChanged, Endpoints: m.view(changed)}
+			// Passed on even if nothing has changed: the module measures the time since discovery's last update.
+			ev = decision.Event{Kind: decision.EndpointsChanged, Endpoints: m.toEndpoints(changed)}
 			if first {
 				ev.Kind = decision.EndpointsReplaced
 			}
-		case ev.Kind == decision.TimerFired && ev.Token == memberToken:
+		case ev.Kind == decision.TimerFired && ev.Token == membershipTimerToken:
 			m.wakeAt = 0
 			changed := m.set.Tick(us)
 			if len(changed) == 0 {
 				continue
 			}
-			ev = decision.Event{Kind: decision.EndpointsChanged, Endpoints: m.view(changed)}
+			ev = decision.Event{Kind: decision.EndpointsChanged, Endpoints: m.toEndpoints(changed)}
 		}
 		m.events = append(m.events, ev)
 	}
 	act = m.inner.Step(now, m.events, act)
 	if at, ok := m.set.Next(); ok && (m.wakeAt == 0 || at < m.wakeAt) {
 		m.wakeAt = max(at, us+1)
-		act = append(act, decision.Action{Kind: decision.SetTimer, After: time.Duration(m.wakeAt-us) * time.Microsecond, Token: memberToken})
+		act = append(act, decision.Action{Kind: decision.SetTimer, After: time.Duration(m.wakeAt-us) * time.Microsecond, Token: membershipTimerToken})
 	}
 	return act
 }
 
-func (m *members) tell(list []decision.Endpoint, full bool, us clock.Micros) []membership.Member {
+// updateMembership applies discovery's list, or changes of it, and returns the members that have changed.
+func (m *membershipDesign) updateMembership(list []decision.Endpoint, full bool, us clock.Micros) []membership.Member {
 	m.version++
 	var entries []membership.Entry
-	var gone []string
+	var removed []string
 	for i := range list {
 		x := &list[i]
 		if x.State == decision.Removed {
-			gone = append(gone, x.Node)
+			removed = append(removed, x.Node)
 			continue
 		}
 		e := membership.Entry{ID: x.Node, Addr: x.Node, Shard: x.Shard, Zone: x.Zone, StartedAt: clock.FromDuration(x.StartedAt), Capacity: x.Capacity}
@@ -84,11 +86,11 @@
 	if full {
 		return m.set.Replace(membership.Discovery, m.version, entries, us)
 	}
-	return m.set.Update(membership.Discovery, m.version, entries, gone, us)
+	return m.set.Update(membership.Discovery, m.version, entries, removed, us)
 }
 
-// view is the membership's word in the module's terms.
-func (m *members) view(list []membership.Member) []decision.Endpoint {
+// toEndpoints converts members to entries of the module's endpoint list.
+func (m *membershipDesign) toEndpoints(list []membership.Member) []decision.Endpoint {
 	out := make([]decision.Endpoint, 0, len(list))
 	for _, x := range list {
 		p := decision.Endpoint{Node: x.ID, Shard: x.Shard, Zone: x.Zone, StartedAt: time.Duration(x.StartedAt) * time.Microsecond, Capacity: x.Capacity}
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -12,13 +12,14 @@
 	"poppyarch/internal/lab/engine"
 )
 
-func one(cores int, rate float64, spread string) *Scenario {
+// singleNode is a scenario of one node and one broker, with a mean work of 20 ms.
+func singleNode(cores int, rate float64, distribution string) *Scenario {
 	return &Scenario{Name: "theory", Brokers: 1, Duration: Duration(4000 * time.Second), WarmUp: Duration(100 * time.Second),
-		Nodes: []NodeGroup{{Count: 1, Cores: cores, Speed: 1}}, Load: Load{Rate: rate, Work: Duration(20 * time.Millisecond), Distribution: spread, Sigma: 1}}
+		Nodes: []NodeGroup{{Count: 1, Cores: cores, Speed: 1}}, Load: Load{Rate: rate, Work: Duration(20 * time.Millisecond), Distribution: distribution, Sigma: 1}}
 }
 
-// erlang is the chance that a request waits at c cores that are offered a.
-func erlang(c int, a float64) float64 {
+// erlangC returns the probability that a request waits, for c cores and an offered load of a erlangs.
+func erlangC(c int, a float64) float64 {
 	sum, term := 0.0, 1.0
 	for k := range c {
 		sum += term
@@ -28,34 +29,36 @@
 	return last / (sum + last)
 }
 
-// What theory gives in closed form is met within the intervals: M/M/1, M/M/c, M/D/1, M/G/1 (Pollaczek and Khinchine), and Little's law in
-// each. A figure at 95 in 100 may miss by chance; by twice its interval none does.
-func TestTheory(t *testing.T) {
+// Mean response times match the closed forms of queueing theory for M/M/1, M/M/c, M/D/1 and M/G/1
+// (Pollaczek-Khinchine), and Little's law holds in each. The test allows twice the 95 % confidence interval, which may
+// miss the true mean by chance.
+func TestMatchesQueueingTheory(t *testing.T) {
 	work := 0.02
 	for name, x := range map[string]struct {
 		s    *Scenario
-		want float64 // mean time
+		want float64 // mean response time in seconds
 	}{
-		"M/M/1": {one(1, 35, "exponential"), work / (1 - 0.7)},
-		"M/M/4": {one(4, 160, "exponential"), work + erlang(4, 3.2)*work/(4-3.2)},
-		"M/D/1": {one(1, 35, "constant"), work + 0.7*work/(2*(1-0.7))},
-		"M/G/1": {one(1, 25, "lognormal"), work + 25*work*work*math.E/(2*(1-0.5))}, // E(S^2) is the square of the mean times e^sigma^2
+		"M/M/1": {singleNode(1, 35, "exponential"), work / (1 - 0.7)},
+		"M/M/4": {singleNode(4, 160, "exponential"), work + erlangC(4, 3.2)*work/(4-3.2)},
+		"M/D/1": {singleNode(1, 35, "constant"), work + 0.7*work/(2*(1-0.7))},
+		// The second moment of the service time is the square of its mean times e^(sigma^2), and sigma is 1.
+		"M/G/1": {singleNode(1, 25, "lognormal"), work + 25*work*work*math.E/(2*(1-0.5))},
 	} {
 		r, err := Play(x.s, "random", 3)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if miss := math.Abs(r.Time.Mean - x.want); miss > 2*r.Time.Half || r.Time.Half > 0.15*x.want {
-			t.Errorf("%s: time %v, theory %.4g", name, r.Time, x.want)
+			t.Errorf("%s: mean response time %v, theory %.4g", name, r.Time, x.want)
 		}
-		if l := r.Served.Mean * r.Time.Mean; math.Abs(l-r.Inside.Mean) > 0.01*l {
-			t.Errorf("%s: %.4g requests inside, Little %.4g", name, r.Inside.Mean, l)
+		if l := r.Served.Mean * r.Time.Mean; math.Abs(l-r.InSystem.Mean) > 0.01*l {
+			t.Errorf("%s: %.4g requests in the system, %.4g by Little's law", name, r.InSystem.Mean, l)
 		}
 	}
 }
 
-// The same seed gives the same run to the last figure, and other designs the same clients.
-func TestRunsRepeat(t *testing.T) {
+// Two runs with the same seed have equal results, and every design receives the same requests.
+func TestRunsAreDeterministic(t *testing.T) {
 	s := &Scenario{Brokers: 7, Duration: Duration(20 * time.Second), Nodes: []NodeGroup{{Count: 12, Cores: 2, Speed: 0.9, QueueCapacity: 20}},
 		Load:    Load{Rate: 800, Work: Duration(20 * time.Millisecond), Distribution: "exponential", Deadline: Duration(time.Second)},
 		Service: Service{DropsExpired: true},
@@ -65,66 +68,68 @@
 		b, _ := Play(s, d, 5)
 		c, _ := Play(s, "random", 5)
 		if err != nil || !reflect.DeepEqual(a, b) {
-			t.Errorf("%s: %v, two runs differ", d, err)
+			t.Errorf("%s: error %v, or two runs with the same seed differ", d, err)
 		}
 		if a.Requests != c.Requests || a.Asked != c.Asked {
-			t.Errorf("%s met other clients than random did", d)
+			t.Errorf("%s: %d requests, %v per second; random: %d, %v", d, a.Requests, a.Asked, c.Requests, c.Asked)
 		}
-		if a.Refused+a.Failed == 0 || len(a.Broken) > 0 || a.Moot > 0 {
-			t.Errorf("%s: %+v", d, a)
+		if a.Refused+a.Failed == 0 || len(a.Broken) > 0 || a.IgnoredForwards > 0 {
+			t.Errorf("%s: no request was refused, or rules were violated, or forwards were ignored: %+v", d, a)
 		}
 	}
 }
 
-// A pause puts off the end of what is under way and the beginning of what comes in it by what is left of it, once.
-func TestPausesPutOffOnce(t *testing.T) {
+// A pause delays the completion of jobs in service, and the start of jobs that arrive during it, by what is left of it
+// and only once.
+func TestPauseDelaysJobsOnce(t *testing.T) {
 	e := engine.New(1)
-	n := &Node{Cores: 1, Speed: 1, e: e, level: func(float64) {}}
-	var ends []int64
-	take := func(at int64) {
-		e.At(at, func() { n.Take(&Work{Size: 100, done: func() { ends = append(ends, e.Now()) }}) })
+	n := &Node{Cores: 1, Speed: 1, e: e, addInSystem: func(float64) {}}
+	var completions []int64
+	enqueue := func(at int64) {
+		e.At(at, func() { n.Enqueue(&Job{Work: 100, done: func() { completions = append(completions, e.Now()) }}) })
 	}
-	take(0)                              // 100 of work, 50 before the pause
-	e.At(50, func() { n.Pause(1000) })   // to 1050
-	take(500)                            // behind it
-	take(2000)                           // long after
-	e.At(3000, func() { n.Pause(1000) }) // to 4000
-	take(3900)                           // begins with 100 of it left
+	enqueue(0)                           // half of its 100 us of work are done before the pause
+	e.At(50, func() { n.Pause(1000) })   // until 1050
+	enqueue(500)                         // queued behind the first
+	enqueue(2000)                        // outside of pauses
+	e.At(3000, func() { n.Pause(1000) }) // until 4000
+	enqueue(3900)                        // 100 us before the end of the pause
 	e.Run(10_000)
-	if want := []int64{1100, 1200, 2100, 4100}; !reflect.DeepEqual(ends, want) {
-		t.Errorf("ends at %v, want %v", ends, want)
+	if want := []int64{1100, 1200, 2100, 4100}; !reflect.DeepEqual(completions, want) {
+		t.Errorf("jobs completed at %v, want %v", completions, want)
 	}
 }
 
-// Figures that cannot be are refused by their keys.
-func TestScenarioNamesTheKey(t *testing.T) {
-	for key, spoil := range map[string]func(*Scenario){
+// An error about an invalid scenario names the key of the invalid value.
+func TestInvalidScenarioNamesKey(t *testing.T) {
+	for key, invalidate := range map[string]func(*Scenario){
 		"load.rate": func(s *Scenario) { s.Load.Rate = 0 }, "load.spread": func(s *Scenario) { s.Load.Distribution = "x" },
 		"nodes[0].cores": func(s *Scenario) { s.Nodes[0].Cores = 0 }, "warm": func(s *Scenario) { s.WarmUp = s.Duration },
 		"trouble[0].every": func(s *Scenario) { s.Faults = []Fault{{Kind: "pause", Share: 1, Every: 1, Duration: 2}} },
 	} {
-		s := one(1, 1, "constant")
-		spoil(s)
+		s := singleNode(1, 1, "constant")
+		invalidate(s)
 		if _, err := Play(s, "random", 1); err == nil || !strings.Contains(err.Error(), key) {
-			t.Errorf("%s: %v", key, err)
+			t.Errorf("error %v does not name the key %s", err, key)
 		}
 	}
-	if _, err := Play(one(1, 1, "constant"), "best", 1); err == nil || !strings.Contains(err.Error(), "best") {
-		t.Error(err)
+	if _, err := Play(singleNode(1, 1, "constant"), "best", 1); err == nil || !strings.Contains(err.Error(), "best") {
+		t.Errorf("error %v does not name the unknown design best", err)
 	}
 }
 
-// shortened is the first of the sizes of a benchmark with -short, and else all.
-func shortened[T any](sizes []T) []T {
+// firstIfShort returns the first of the sizes of a benchmark with -short, otherwise all.
+func firstIfShort[T any](sizes []T) []T {
 	if testing.Short() {
 		return sizes[:1]
 	}
 	return sizes
 }
 
-// BenchmarkPlay is events a second on one core as the fleet grows; the load grows with it, a hundredth as many brokers as nodes.
+// BenchmarkPlay measures events per second on one core by the number of nodes. The load is proportional to it, and
+// there is one broker for 100 nodes.
 func BenchmarkPlay(b *testing.B) {
-	for _, nodes := range shortened([]int{10, 100, 1000, 10_000}) {
+	for _, nodes := range firstIfShort([]int{10, 100, 1000, 10_000}) {
 		b.Run(fmt.Sprint("nodes=", nodes), func(b *testing.B) {
 			s := &Scenario{Brokers: max(nodes/100, 1), Duration: Duration(time.Duration(2_000_000/nodes) * time.Millisecond), Nodes: []NodeGroup{{Count: nodes, Cores: 2, Speed: 1}},
 				Load: Load{Rate: 28 * float64(nodes), Work: Duration(50 * time.Millisecond), Distribution: "exponential"}}
@@ -142,14 +147,15 @@
 	}
 }
 
-// BenchmarkMemory shows what a run holds at most: it should follow nodes and brokers and what is open, not what has passed.
+// BenchmarkMemory measures the peak heap size of a run. It should grow with nodes, brokers and open requests, but not
+// with the duration of the run.
 func BenchmarkMemory(b *testing.B) {
 	type size struct{ nodes, brokers, seconds int }
-	for _, size := range shortened([]size{{100, 10, 4}, {100, 10, 16}, {1000, 100, 4}, {1000, 1000, 4}, {10_000, 1000, 2}}) {
+	for _, size := range firstIfShort([]size{{100, 10, 4}, {100, 10, 16}, {1000, 100, 4}, {1000, 1000, 4}, {10_000, 1000, 2}}) {
 		b.Run(fmt.Sprintf("nodes=%d/brokers=%d/seconds=%d", size.nodes, size.brokers, size.seconds), func(b *testing.B) {
 			s := &Scenario{Brokers: size.brokers, Duration: Duration(time.Duration(size.seconds) * time.Second), Nodes: []NodeGroup{{Count: size.nodes, Cores: 2, Speed: 1}},
 				Load: Load{Rate: 28 * float64(size.nodes), Work: Duration(50 * time.Millisecond), Distribution: "exponential"}}
-			most := uint64(0)
+			peak := uint64(0)
 			events := uint64(0)
 			for range b.N {
 				stop, done := make(chan struct{}), make(chan struct{})
@@ -158,7 +164,7 @@
 					sample := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 					for {
 						metrics.Read(sample)
-						most = max(most, sample[0].Value.Uint64())
+						peak = max(peak, sample[0].Value.Uint64())
 						select {
 						case <-stop:
 							return
@@ -174,14 +180,14 @@
 				}
 				events += r.Events
 			}
-			b.ReportMetric(float64(most)/(1<<20), "MB-most")
+			b.ReportMetric(float64(peak)/(1<<20), "MB-most")
 			b.ReportMetric(float64(events)/b.Elapsed().Seconds(), "events/s")
 		})
 	}
 }
 
-// fleet is a small one with everything that the model has, and one trouble.
-func fleet(trouble ...Fault) *Scenario {
+// faultScenario is a small scenario that uses every feature of the model, with the given faults.
+func faultScenario(faults ...Fault) *Scenario {
 	ms := func(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
 	return &Scenario{Name: "fleet", Brokers: 8, Zones: 2, Duration: ms(12_000), Nodes: []NodeGroup{{8, 2, 0.95, 30}, {4, 2, 0.6, 30}},
 		Service:   Service{Connections: 60, Handshake: ms(4), CachedKeys: 2, CacheMissCost: 0.4, DeferredWrite: 0.3, FlushInterval: ms(2000)},
@@ -192,11 +198,12 @@
 			{Name: "new", Share: 0.35, Work: 1.4, LatencyObjective: ms(600), Deadline: ms(5000), Priority: 2, LateValue: 0.1, Idempotency: "never", Writes: true}},
 		Plans: []Plan{{Name: "basis", Volumes: 40, Size: 1, ReservedRate: 0.3, Weight: 1, Price: 0.8, Hosts: [2]int{1, 3}, Nodes: [2]int{1, 4}, Busy: 0.2, Surge: 0.1},
 			{Name: "express", Volumes: 30, Size: 2, ReservedRate: 1.2, Weight: 3, Price: 1.5, Hosts: [2]int{1, 3}, Nodes: [2]int{1, 4}, RateLimit: 4}},
-		Rules: Rules{Attempts: 3, ResponseGrace: ms(50), BurstValue: 0.3, ExcessValue: 0.08, NotificationDeadline: ms(10_000)}, Faults: trouble}
+		Rules: Rules{Attempts: 3, ResponseGrace: ms(50), BurstValue: 0.3, ExcessValue: 0.08, NotificationDeadline: ms(10_000)}, Faults: faults}
 }
 
-// The module keeps every rule in every trouble, and all of them at once; each play can be repeated to the last figure. What a trouble costs shows.
-func TestModuleInEveryTrouble(t *testing.T) {
+// The module keeps every rule under each kind of fault, and under all kinds at the same time. Runs are deterministic,
+// and at least 9 kinds of faults reduce the service.
+func TestModuleKeepsRulesUnderFaults(t *testing.T) {
 	s := func(n float64) Duration { return Duration(n * float64(time.Second)) }
 	var all []Fault
 	for _, kind := range FaultKinds() {
@@ -206,45 +213,47 @@
 		}
 		all = append(all, x)
 	}
-	calm, err := Play(fleet(), "module", 1)
-	if err != nil || calm.Service < 0.9 || calm.Requests < 2000 {
-		t.Fatalf("%v %+v", err, calm)
+	baseline, err := Play(faultScenario(), "module", 1)
+	if err != nil || baseline.Service < 0.9 || baseline.Requests < 2000 {
+		t.Fatalf("run without faults: error %v, result %+v", err, baseline)
 	}
-	harm := 0
-	for _, list := range append([][]Fault{all}, pieces(all)...) {
+	harmful := 0
+	for _, list := range append([][]Fault{all}, oneEach(all)...) {
 		name := list[0].Kind
 		if len(list) > 1 {
 			name = "all"
 		}
-		r, err := Play(fleet(list...), "module", 1)
+		r, err := Play(faultScenario(list...), "module", 1)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		if len(r.Broken) > 0 || r.Moot > 0 || r.GivenUp > 0 && name != "broker" {
-			t.Errorf("%s: %v%v, %d moot, %d clients gave up", name, r.BrokenRules(), r.Words, r.Moot, r.GivenUp)
+		if len(r.Broken) > 0 || r.IgnoredForwards > 0 || r.GivenUp > 0 && name != "broker" {
+			t.Errorf("%s: violated rules: %v%v, %d ignored forwards, %d clients gave up", name, r.BrokenRules(), r.Violations, r.IgnoredForwards, r.GivenUp)
 		}
-		if r.Service < calm.Service-0.005 {
-			harm++
+		if r.Service < baseline.Service-0.005 {
+			harmful++
 		}
-		if again, _ := Play(fleet(list...), "module", 1); !reflect.DeepEqual(r, again) {
-			t.Errorf("%s: two plays differ", name)
+		if again, _ := Play(faultScenario(list...), "module", 1); !reflect.DeepEqual(r, again) {
+			t.Errorf("%s: two runs with the same seed differ", name)
 		}
 	}
-	if harm < 9 {
-		t.Errorf("only %d troubles cost anything", harm)
+	if harmful < 9 {
+		t.Errorf("only %d kinds of faults reduced the service, want at least 9", harmful)
 	}
 }
 
-func pieces(all []Fault) (out [][]Fault) {
+// oneEach returns a list of one fault for each of the faults.
+func oneEach(all []Fault) (out [][]Fault) {
 	for _, x := range all {
 		out = append(out, []Fault{x})
 	}
 	return out
 }
 
-// Designs differ where they should: sending at once pushes cold nodes over, and the checker says so; who sees the true state does best.
-func TestDesignsDiffer(t *testing.T) {
-	s := fleet(Fault{Kind: "replace", Share: 0.7, At: Duration(2 * time.Second), Duration: Duration(2 * time.Second), Over: Duration(time.Second)})
+// The simulation distinguishes designs: the random design overloads nodes in slow start, which the checker reports, and
+// the oracle, which sees the true state of all nodes, has the best service.
+func TestSimulationDistinguishesDesigns(t *testing.T) {
+	s := faultScenario(Fault{Kind: "replace", Share: 0.7, At: Duration(2 * time.Second), Duration: Duration(2 * time.Second), Over: Duration(time.Second)})
 	s.Load.Rate = 320
 	got := map[string]*Result{}
 	for _, d := range Designs() {
@@ -255,16 +264,16 @@
 		got[d] = r
 	}
 	if got["random"].Fell == 0 || got["random"].Broken["cold"] == 0 {
-		t.Errorf("random pushed nobody over: %+v", got["random"])
+		t.Errorf("random overloaded no node in slow start, or the checker did not report it: %+v", got["random"])
 	}
 	for _, d := range []string{"module", "oracle"} {
 		if got[d].Fell > 0 || len(got[d].Broken) > 0 || got[d].Service < got["random"].Service {
-			t.Errorf("%s: %+v", d, got[d])
+			t.Errorf("%s overloaded nodes, violated rules or had less service than random: %+v", d, got[d])
 		}
 	}
 	for d, r := range got {
 		if r.Service > got["oracle"].Service+0.01 {
-			t.Errorf("%s at %.3f is better than who sees the true state, %.3f", d, r.Service, got["oracle"].Service)
+			t.Errorf("%s has service %.3f, better than the oracle's %.3f", d, r.Service, got["oracle"].Service)
 		}
 	}
 }
--- a/internal/lab/model/node.go
+++ b/internal/lab/model/node.go
@@ -1,5 +1,5 @@
-// Package model is what the broker balances, as events: storage nodes, the network, discovery, clients and brokers. The decisions of a broker are a
-// Design's; everything else is the same for all designs, down to the random numbers.
+// Package model is a discrete-event simulation of storage nodes, their network, discovery, clients and brokers. A
+// Design makes the decisions of a broker; everything else, including the random numbers, is the same for all designs.
 package model
 
 import (
@@ -9,243 +9,253 @@
 	"poppyarch/internal/lab/history"
 )
 
-// Node is a storage node: it serves in turn of arrival on some cores and has a waiting room. It starts cold, stands still now and then, is slow,
-// silent or gone.
+// Node is a storage node: a multi-server queue in first-come, first-served order with a limited capacity. It has
+// reduced capacity in slow start, and faults can pause it, slow it down, crash it or make it unresponsive or
+// unreachable.
 type Node struct {
-	Cores int
-	Speed float64 // 1: a core does a second of work in a second
-	Room  int     // requests that may wait; 0: any number
+	Cores         int
+	Speed         float64 // work per second of one core, in seconds of a core with speed 1
+	QueueCapacity int     // requests that may wait; 0 if there is no limit
 
 	id          int32
 	name        string
 	shard, zone int32
 	state       history.State
-	began       int64 // its last start; 0: long ago
-
-	e       *engine.Engine
-	service *Service
-	cold    *SlowStart
-	mean    float64 // of a request's work
-	level   func(by float64)
-	fell    func(n *Node)
-	reached func() // while cold
-
-	waiting []*Work // from head on
-	head    int
-	busy    int
-	epoch   int  // of its process; what an earlier one had is lost
-	down    bool // no process: connections are refused
-	away    bool // no machine: nothing comes or goes
-	fallen  bool
-	silent  bool
-	hung    bool
-	slow    float64 // 0: as it is
-	lossy   float64 // part of its answers that get lost
-	errors  float64 // part of its answers that are errors
-	stalled int64   // all pauses so far, the present one in full
-	awake   int64   // when that is over
-	conns   int
-	keys    []uint64
-	putOff  float64
-	recent  []offer // within the window of a fall
-	peak    float64 // most of it against what the settings say that any node bears, chance included
-	told    float64 // requests of mean work that the settings say any node bears in the window at its start
-	served  int
-	open    []*attempt
-	heir    *Node   // what has replaced it
-	kind    float64 // its power against the mean, as its kind tells
-}
-
-// offer is what has reached a cold node, in requests of mean work.
-type offer struct {
+	startedAt   int64 // last start of its process; 0 if before the run, which makes the node warm
+
+	e                  *engine.Engine
+	service            *Service
+	slowStart          *SlowStart
+	meanWork           float64          // of a request, in microseconds of a core with speed 1
+	addInSystem        func(by float64) // called with each change of the number of jobs in service or in the queue
+	onOverload         func(n *Node)    // called when the process has crashed because of an overload
+	onSlowStartArrival func()           // called for each arrival in slow start; may be nil
+
+	queue              []*Job // those from queueHead on wait
+	queueHead          int
+	busyCores          int
+	epoch              int           // number of its process; events of earlier processes are ignored
+	down               bool          // no process is running: connections are refused
+	unreachable        bool          // the network drops everything from and to the node
+	overloaded         bool          // the process crashed because of an overload
+	unresponsive       bool          // completes jobs, but sends no responses
+	hung               bool          // starts no jobs
+	slowFactor         float64       // factor on the speed; 0 if there is none
+	responseLossRate   float64       // fraction of the responses of completed jobs that are lost
+	errorRate          float64       // fraction of requests that are answered with an error
+	pauseTotal         int64         // duration of all pauses so far, including the rest of the present one
+	pausedUntil        int64         // end of the latest pause
+	conns              int           // open connections
+	cachedKeys         []uint64      // the most recent keys, the latest last
+	deferredWork       float64       // of writes, until the next flush
+	recentArrivals     []nodeArrival // in slow start, within the overload window
+	slowStartPeak      float64       // largest ratio of recent arrivals to poissonBound of the advertised capacity
+	advertisedCapacity float64       // of any node at its start according to the settings, in mean requests per window
+	served             int           // jobs completed
+	open               []*attempt    // attempts whose broker has no outcome yet
+	replacement        *Node         // the node that has replaced it, nil if there is none
+	relativeCapacity   float64       // cores times speed, relative to the mean of all nodes
+}
+
+// nodeArrival is the arrival of an attempt at a node in slow start.
+type nodeArrival struct {
 	at   int64
-	size float64
+	size float64 // work, in requests of mean work
 }
 
-// Work is one attempt at a node.
-type Work struct {
-	Size  float64 // microseconds of a core at speed 1
-	key   uint64
-	write bool
-	first bool // of the request
-	done  func()
-	gone  bool // given up: skipped while it waits, carried on with once begun
+// Job is the work of one attempt at a node.
+type Job struct {
+	Work         float64 // microseconds of a core with speed 1
+	key          uint64
+	write        bool
+	firstAttempt bool // of its request
+	done         func()
+	cancelled    bool // skipped if it is still in the queue; no effect once it is in service
 }
 
-// power is the part of its speed that it has now.
-func (n *Node) power() float64 {
+// speedFactor returns the present speed as a fraction of Speed.
+func (n *Node) speedFactor() float64 {
 	p := 1.0
-	if n.slow > 0 {
-		p = n.slow
+	if n.slowFactor > 0 {
+		p = n.slowFactor
 	}
-	return p * n.warmth()
+	return p * n.slowStartFraction()
 }
 
-func (n *Node) warmth() float64 {
-	if n.cold == nil || n.cold.Duration == 0 || n.began == 0 {
+// slowStartFraction returns the present capacity as a fraction of a warm node's. It grows linearly during slow start.
+func (n *Node) slowStartFraction() float64 {
+	if n.slowStart == nil || n.slowStart.Duration == 0 || n.startedAt == 0 {
 		return 1
 	}
-	age := float64(n.e.Now()-n.began) / float64(n.cold.Duration.us())
-	return min(1, n.cold.InitialCapacity+(1-n.cold.InitialCapacity)*age)
+	age := float64(n.e.Now()-n.startedAt) / float64(n.slowStart.Duration.us())
+	return min(1, n.slowStart.InitialCapacity+(1-n.slowStart.InitialCapacity)*age)
 }
 
-// bears is how many requests of mean work it stands while cold, in the window, before chance is reckoned with.
-func (n *Node) bears() float64 {
-	return n.cold.OverloadFactor * n.warmth() * n.Speed * float64(n.Cores) * float64(n.cold.Window.us()) / n.mean
+// overloadThreshold returns the capacity in slow start, in requests of mean work per window. The node crashes when the
+// arrivals within the window exceed poissonBound of it.
+func (n *Node) overloadThreshold() float64 {
+	return n.slowStart.OverloadFactor * n.slowStartFraction() * n.Speed * float64(n.Cores) * float64(n.slowStart.Window.us()) / n.meanWork
 }
 
-// offer counts what reaches it, turned away or not: too much of it in too short a time, and a cold node falls.
-func (n *Node) offer(size float64) {
-	if n.cold == nil || n.cold.OverloadFactor == 0 || n.began == 0 || n.warmth() >= 1 {
+// recordArrival counts an arrival in slow start, whether or not the node then rejects it. If the arrivals within the
+// window exceed the capacity, the node's process crashes.
+func (n *Node) recordArrival(size float64) {
+	if n.slowStart == nil || n.slowStart.OverloadFactor == 0 || n.startedAt == 0 || n.slowStartFraction() >= 1 {
 		return
 	}
-	if n.reached != nil {
-		n.reached()
+	if n.onSlowStartArrival != nil {
+		n.onSlowStartArrival()
 	}
 	now := n.e.Now()
-	n.recent = append(n.recent, offer{now, size / n.mean})
-	for n.recent[0].at < now-n.cold.Window.us() {
-		n.recent = n.recent[1:]
+	n.recentArrivals = append(n.recentArrivals, nodeArrival{now, size / n.meanWork})
+	for n.recentArrivals[0].at < now-n.slowStart.Window.us() {
+		n.recentArrivals = n.recentArrivals[1:]
 	}
 	sum := 0.0
-	for _, x := range n.recent {
+	for _, x := range n.recentArrivals {
 		sum += x.size
 	}
-	told := n.told * (1 + (1-n.cold.InitialCapacity)/n.cold.InitialCapacity*max(0, float64(now-n.began-n.cold.Window.us()))/float64(n.cold.Duration.us()))
-	n.peak = max(n.peak, sum/withChance(told))
-	if sum > withChance(n.bears()) {
-		n.fallen = true
+	advertised := n.advertisedCapacity * (1 + (1-n.slowStart.InitialCapacity)/n.slowStart.InitialCapacity*max(0, float64(now-n.startedAt-n.slowStart.Window.us()))/float64(n.slowStart.Duration.us()))
+	n.slowStartPeak = max(n.slowStartPeak, sum/poissonBound(advertised))
+	if sum > poissonBound(n.overloadThreshold()) {
+		n.overloaded = true
 		n.stop()
 		n.down = true
-		n.fell(n)
+		n.onOverload(n)
 	}
 }
 
-// withChance is how many requests come in a window at the most if so many do in the mean.
-func withChance(n float64) float64 { return n + 3*math.Sqrt(n) + 3 }
+// poissonBound returns a bound of the number of random arrivals in a window with a mean of n: three standard deviations
+// of the Poisson distribution above the mean, and 3 more for small means.
+func poissonBound(n float64) float64 { return n + 3*math.Sqrt(n) + 3 }
 
-// Take files an attempt, or reports that the room is full.
-func (n *Node) Take(w *Work) bool {
-	if n.Room > 0 && n.busy >= n.Cores && n.queued() >= n.Room {
+// Enqueue starts a job or appends it to the queue. It returns false if the queue is full.
+func (n *Node) Enqueue(j *Job) bool {
+	if n.QueueCapacity > 0 && n.busyCores >= n.Cores && n.queueLength() >= n.QueueCapacity {
 		return false
 	}
-	n.level(1)
-	if n.busy < n.Cores && !n.hung {
-		n.begin(w)
+	n.addInSystem(1)
+	if n.busyCores < n.Cores && !n.hung {
+		n.startJob(j)
 	} else {
-		n.waiting = append(n.waiting, w)
+		n.queue = append(n.queue, j)
 	}
 	return true
 }
 
-func (n *Node) queued() int { return len(n.waiting) - n.head }
+// queueLength returns the number of waiting jobs.
+func (n *Node) queueLength() int { return len(n.queue) - n.queueHead }
 
-// costs is a request's work where it comes to be done: less for a key just met, and a write's rest later.
-func (n *Node) costs(w *Work) float64 {
-	size := w.Size
+// effectiveWork returns the work of a job that is about to start: a cached key saves a fraction of it, and a fraction
+// of a write's work is deferred to the next flush. The key becomes the latest of the cached ones.
+func (n *Node) effectiveWork(j *Job) float64 {
+	work := j.Work
 	if n.service == nil {
-		return size
-	}
-	if w.write && n.service.DeferredWrite > 0 {
-		n.putOff += size * n.service.DeferredWrite
-		size *= 1 - n.service.DeferredWrite
-	}
-	if most := n.service.CachedKeys; most > 0 && w.key != 0 {
-		known := false
-		for i, k := range n.keys {
-			if k == w.key {
-				known = true
-				n.keys = append(n.keys[:i], n.keys[i+1:]...)
+		return work
+	}
+	if j.write && n.service.DeferredWrite > 0 {
+		n.deferredWork += work * n.service.DeferredWrite
+		work *= 1 - n.service.DeferredWrite
+	}
+	if limit := n.service.CachedKeys; limit > 0 && j.key != 0 {
+		cached := false
+		for i, k := range n.cachedKeys {
+			if k == j.key {
+				cached = true
+				n.cachedKeys = append(n.cachedKeys[:i], n.cachedKeys[i+1:]...)
 				break
 			}
 		}
-		if known && w.first {
-			size *= 1 - n.service.CacheMissCost
+		if cached && j.firstAttempt {
+			work *= 1 - n.service.CacheMissCost
 		}
-		if n.keys = append(n.keys, w.key); len(n.keys) > most {
-			n.keys = n.keys[1:]
+		if n.cachedKeys = append(n.cachedKeys, j.key); len(n.cachedKeys) > limit {
+			n.cachedKeys = n.cachedKeys[1:]
 		}
 	}
-	return size
+	return work
 }
 
-func (n *Node) begin(w *Work) {
-	n.busy++
-	// Begun within a pause it waits for the rest of it, and for no more.
-	before := n.stalled - max(n.awake-n.e.Now(), 0)
+// startJob starts the service of a job on an idle core.
+func (n *Node) startJob(j *Job) {
+	n.busyCores++
+	// A job that starts during a pause is delayed by the rest of the pause only.
+	pauseBefore := n.pauseTotal - max(n.pausedUntil-n.e.Now(), 0)
 	epoch := n.epoch
-	n.e.After(max(int64(n.costs(w)/(n.Speed*n.power())), 1), func() { n.end(w, before, epoch) })
+	n.e.After(max(int64(n.effectiveWork(j)/(n.Speed*n.speedFactor())), 1), func() { n.completeJob(j, pauseBefore, epoch) })
 }
 
-// end is the end of a request's work, unless the node stood still meanwhile: then it comes so much later.
-func (n *Node) end(w *Work, before int64, epoch int) {
+// completeJob completes a job at the end of its service time. If the node has been paused since pauseBefore was taken,
+// the job completes later by the duration of these pauses.
+func (n *Node) completeJob(j *Job, pauseBefore int64, epoch int) {
 	if epoch != n.epoch {
 		return
 	}
-	if late := n.stalled - before; late > 0 {
-		stalled := n.stalled
-		n.e.After(late, func() { n.end(w, stalled, epoch) })
+	if paused := n.pauseTotal - pauseBefore; paused > 0 {
+		pauseTotal := n.pauseTotal
+		n.e.After(paused, func() { n.completeJob(j, pauseTotal, epoch) })
 		return
 	}
-	n.busy--
-	n.level(-1)
+	n.busyCores--
+	n.addInSystem(-1)
 	n.served++
-	if !n.silent && w.done != nil {
-		w.done()
+	if !n.unresponsive && j.done != nil {
+		j.done()
 	}
-	n.next()
+	n.startQueued()
 }
 
-// next begins what waits, past what was given up.
-func (n *Node) next() {
-	for n.busy < n.Cores && n.head < len(n.waiting) && !n.hung {
-		w := n.waiting[n.head]
-		n.waiting[n.head] = nil
-		if n.head++; 2*n.head >= len(n.waiting) { // memory follows what waits, not what has passed
-			n.waiting, n.head = append(n.waiting[:0], n.waiting[n.head:]...), 0
+// startQueued starts waiting jobs on idle cores and drops cancelled ones.
+func (n *Node) startQueued() {
+	for n.busyCores < n.Cores && n.queueHead < len(n.queue) && !n.hung {
+		j := n.queue[n.queueHead]
+		n.queue[n.queueHead] = nil
+		if n.queueHead++; 2*n.queueHead >= len(n.queue) { // keeps memory proportional to the number of waiting jobs
+			n.queue, n.queueHead = append(n.queue[:0], n.queue[n.queueHead:]...), 0
 		}
-		if w.gone {
-			n.level(-1)
+		if j.cancelled {
+			n.addInSystem(-1)
 			continue
 		}
-		n.begin(w)
+		n.startJob(j)
 	}
 }
 
-// backlog is the work of what it holds, in microseconds of a core at speed 1.
+// backlog estimates the work left at the node, in microseconds of a core with speed 1. A job in service counts as half
+// of the mean work.
 func (n *Node) backlog() float64 {
-	sum := float64(n.busy) * n.mean / 2
-	for _, w := range n.waiting[n.head:] {
-		if !w.gone {
-			sum += w.Size
+	sum := float64(n.busyCores) * n.meanWork / 2
+	for _, j := range n.queue[n.queueHead:] {
+		if !j.cancelled {
+			sum += j.Work
 		}
 	}
 	return sum
 }
 
-// Pause has the node stand still for so long. Pauses do not overlap: one that comes within another begins behind it.
+// Pause stops all cores for a duration. A pause that begins during another one is appended to it.
 func (n *Node) Pause(d int64) {
-	n.awake = max(n.awake, n.e.Now()) + d
-	n.stalled += d
+	n.pausedUntil = max(n.pausedUntil, n.e.Now()) + d
+	n.pauseTotal += d
 }
 
-// flush does what was put off, all cores at once.
+// flush does the deferred work on all cores in parallel, which pauses the node.
 func (n *Node) flush() {
-	if n.putOff > 0 && !n.down && !n.away {
-		n.Pause(int64(n.putOff / (float64(n.Cores) * n.Speed * n.power())))
-		n.putOff = 0
+	if n.deferredWork > 0 && !n.down && !n.unreachable {
+		n.Pause(int64(n.deferredWork / (float64(n.Cores) * n.Speed * n.speedFactor())))
+		n.deferredWork = 0
 	}
 }
 
-// stop ends its process: all that it had is lost.
+// stop ends the node's process. Its jobs, connections and cache are lost.
 func (n *Node) stop() {
-	n.level(-float64(n.busy + n.queued()))
+	n.addInSystem(-float64(n.busyCores + n.queueLength()))
 	n.epoch++
-	n.waiting, n.head, n.busy, n.keys, n.recent, n.putOff, n.conns = nil, 0, 0, nil, nil, 0, 0
+	n.queue, n.queueHead, n.busyCores, n.cachedKeys, n.recentArrivals, n.deferredWork, n.conns = nil, 0, 0, nil, nil, 0, 0
 }
 
-// start begins a new process, cold.
+// start starts a new process, which begins in slow start.
 func (n *Node) start() {
-	n.down, n.away, n.silent, n.hung, n.fallen = false, false, false, false, false
-	n.began = max(n.e.Now(), 1)
+	n.down, n.unreachable, n.unresponsive, n.hung, n.overloaded = false, false, false, false, false
+	n.startedAt = max(n.e.Now(), 1)
 }
--- a/internal/lab/model/node_choice.go
+++ b/internal/lab/model/node_choice.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// chooseRandom chooses a random node.
 func (p *simpleDesign) chooseRandom(list []*nodeState, _ *pendingRequest) *nodeState {
 	return list[p.random.IntN(len(list))]
 }
@@ -41,19 +42,19 @@
 	return a
 }
 
-// chooseFastest sees the true state of all nodes. It chooses the one that would finish the request first, and none if that is
-// after the latency objective or would overload a node in slow start.
+// chooseFastest sees the true state of all nodes. It chooses the one that would finish the request first, and none if
+// that is after the latency objective or would overload a node in slow start.
 func (p *simpleDesign) chooseFastest(list []*nodeState, h *pendingRequest) *nodeState {
 	var best *nodeState
 	least := math.Inf(1)
-	q := p.run.true(h.id)
+	q := p.run.actualRequest(h.id)
 	for _, s := range list {
 		n := p.run.byName[s.endpoint.Node]
-		if n.down || n.away || n.silent || n.hung || n.state != 0 || n.Room > 0 && n.queued() >= n.Room || !n.hasSlowStartCapacity() {
+		if n.down || n.unreachable || n.unresponsive || n.hung || n.state != 0 || n.QueueCapacity > 0 && n.queueLength() >= n.QueueCapacity || !n.hasSlowStartCapacity() {
 			continue
 		}
-		if took := n.expectedLatency(q); took < least {
-			best, least = s, took
+		if latency := n.expectedLatency(q); latency < least {
+			best, least = s, latency
 		}
 	}
 	if p.now+time.Duration(least)*time.Microsecond > h.arrivedAt+h.class.LatencyObjective {
@@ -64,20 +65,20 @@
 
 // hasSlowStartCapacity reports whether one more request cannot overload a node in slow start.
 func (n *Node) hasSlowStartCapacity() bool {
-	if n.cold == nil || n.cold.OverloadFactor == 0 || n.began == 0 || n.warmth() >= 1 {
+	if n.slowStart == nil || n.slowStart.OverloadFactor == 0 || n.startedAt == 0 || n.slowStartFraction() >= 1 {
 		return true
 	}
 	now, sum := n.e.Now(), 0.0
-	for _, x := range n.recent {
-		if x.at >= now-n.cold.Window.us() {
+	for _, x := range n.recentArrivals {
+		if x.at >= now-n.slowStart.Window.us() {
 			sum += x.size
 		}
 	}
-	return sum+float64(len(n.open)+1) < n.bears()
+	return sum+float64(len(n.open)+1) < n.overloadThreshold()
 }
 
 // expectedLatency returns how long a request would take at the node, in microseconds.
 func (n *Node) expectedLatency(q *request) float64 {
-	power := n.Speed * n.power()
-	return float64(max(n.awake-n.e.Now(), 0)) + n.backlog()/power/float64(n.Cores) + q.work/power
+	speed := n.Speed * n.speedFactor()
+	return float64(max(n.pausedUntil-n.e.Now(), 0)) + n.backlog()/speed/float64(n.Cores) + q.work/speed
 }
--- a/internal/lab/model/run.go
+++ b/internal/lab/model/run.go
@@ -15,162 +15,167 @@
 	"poppyarch/internal/observability/sketch"
 )
 
-// batches is how many parts of a run the intervals are drawn from.
-const batches = 20
+// batchCount is the number of batches of a run from which confidence intervals are computed.
+const batchCount = 20
 
-// Result is what one run showed, after its warming up where a figure says nothing else. Times are seconds.
+// Result is the result of one run. Figures and the quantiles of response times leave out the warm-up period; counts and
+// values are those of the whole run. Times are seconds.
 type Result struct {
-	Scenario   string            `json:"scenario"`
-	Design     string            `json:"design"`
-	Seed       uint64            `json:"seed"`
-	Asked      statistics.Figure `json:"asked"`   // requests a second
-	Served     statistics.Figure `json:"served"`  // a second
-	Time       statistics.Figure `json:"time"`    // from a client's first try to its answer, of those served
-	Inside     statistics.Figure `json:"inside"`  // requests at all nodes together
-	Service    float64           `json:"service"` // worth earned over worth due, from the first second on
-	Reserved   float64           `json:"reserved"`
-	Series     []float64         `json:"series"` // service in so many parts of the run
-	Median     float64           `json:"median"` // of the time
-	P99        float64           `json:"p99"`
-	Quantiles  []float64         `json:"quantiles"` // of the time, at those of Quantiles
-	Full       int               `json:"full"`      // turned away by a full room
-	GivenUp    int               `json:"given_up"`  // by their clients
-	Refused    int               `json:"refused"`
-	Failed     int               `json:"failed"`
-	Late       int               `json:"late"` // served after the aim
-	Unheard    int               `json:"unheard"`
-	Attempts   int               `json:"attempts"`
-	Handshakes int               `json:"handshakes"`
-	Calls      int               `json:"calls"`     // of discovery
-	Fell       int               `json:"fell"`      // cold nodes
-	ColdPeak   float64           `json:"cold_peak"` // most that a cold node got in the window, against what the settings say that any bears, chance included
-	ColdSends  int               `json:"cold_sends"`
-	MostOpen   int               `json:"most_open"`
-	Moot       int               `json:"moot"` // sends that could not be
-	Requests   int               `json:"requests"`
-	Events     uint64            `json:"events"`
-	Broken     map[string]int    `json:"broken,omitempty"`
-	Words      []rules.Violation `json:"words,omitempty"` // the first rules broken
+	Scenario          string            `json:"scenario"`
+	Design            string            `json:"design"`
+	Seed              uint64            `json:"seed"`
+	Asked             statistics.Figure `json:"asked"`    // requests per second, without clients' retries
+	Served            statistics.Figure `json:"served"`   // requests per second
+	Time              statistics.Figure `json:"time"`     // response time of served requests, from the client's first attempt
+	InSystem          statistics.Figure `json:"inside"`   // attempts in service or queued at all nodes together
+	Service           float64           `json:"service"`  // served value over offered value
+	Reserved          float64           `json:"reserved"` // the same, of requests within their volumes' reserved rates
+	Series            []float64         `json:"series"`   // Service by part of the run
+	Median            float64           `json:"median"`   // of the response time
+	P99               float64           `json:"p99"`
+	Quantiles         []float64         `json:"quantiles"` // of the response time, at the probabilities of the variable Quantiles
+	Full              int               `json:"full"`      // attempts rejected by a full queue
+	GivenUp           int               `json:"given_up"`  // requests whose client disconnected at the deadline
+	Refused           int               `json:"refused"`   // rejections sent to clients, those of retries included
+	Failed            int               `json:"failed"`    // failures sent to clients, those of retries included
+	Late              int               `json:"late"`      // served after the latency objective
+	BrokerUnreachable int               `json:"unheard"`   // requests to a broker that was down
+	Attempts          int               `json:"attempts"`
+	Handshakes        int               `json:"handshakes"`
+	Calls             int               `json:"calls"`      // polls of discovery
+	Fell              int               `json:"fell"`       // overloads of nodes in slow start
+	ColdPeak          float64           `json:"cold_peak"`  // largest load of a node in slow start, see Node.slowStartPeak
+	SlowStartArrivals int               `json:"cold_sends"` // attempts that reached nodes in slow start
+	MaxOpen           int               `json:"most_open"`  // largest number of open requests at one broker
+	IgnoredForwards   int               `json:"moot"`       // Forward actions that could not be carried out, see broker.send
+	Requests          int               `json:"requests"`
+	Events            uint64            `json:"events"`
+	Broken            map[string]int    `json:"broken,omitempty"` // number of violations by rule
+	Violations        []rules.Violation `json:"words,omitempty"`  // the first 10
 }
 
-// Quantiles are where a result says how long those served took.
+// Quantiles are the probabilities of Result.Quantiles.
 var Quantiles = []float64{0.01, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 0.95, 0.98, 0.99}
 
-// ledger is worth by part of the run.
-type ledger struct {
-	per   int64
-	parts []float64
+// valueSeries is the sum of values by part of the run.
+type valueSeries struct {
+	partLength int64
+	parts      []float64
 }
 
-func (l *ledger) add(at int64, v float64) {
-	if k := int(at / l.per); k < len(l.parts) {
+func (l *valueSeries) add(at int64, v float64) {
+	if k := int(at / l.partLength); k < len(l.parts) {
 		l.parts[k] += v
 	}
 }
 
-func (l *ledger) sum() (s float64) {
+func (l *valueSeries) sum() (s float64) {
 	for _, v := range l.parts {
 		s += v
 	}
 	return s
 }
 
-// SeriesParts is how many parts of a run the series of service has.
+// SeriesParts is the number of parts of a run in Result.Series.
 const SeriesParts = 60
 
+// run is the state of one simulation run.
 type run struct {
-	s         *Scenario
-	e         *engine.Engine
-	name      string // of the design
-	config    decision.Config
-	classes   []Class
-	shares    float64
-	mean      float64 // work of a request
-	nodes     []*Node
-	first     int // of them, those that were there from the start
-	byName    map[string]*Node
-	brokers   []*broker
-	volumes   []*volume
-	discovery *discovery
-	checker   *rules.Checker
-	stepping  *broker
-	sink      func(q *request, broker int32) // takes tries in the brokers' place
-	err       error
+	s            *Scenario
+	e            *engine.Engine
+	designName   string
+	config       decision.Config // of the brokers, apart from their seeds and zones
+	classes      []Class
+	shareSum     float64 // sum of the classes' shares
+	meanWork     float64 // of a request, in microseconds of a core with speed 1
+	nodes        []*Node // by id
+	initialNodes int     // number of nodes at the start of the run, which come first in nodes
+	byName       map[string]*Node
+	brokers      []*broker // by id
+	volumes      []*volume // by id
+	discovery    *discovery
+	checker      *rules.Checker
+	stepping     *broker                        // the broker whose design handles an event, nil if there is none
+	sink         func(q *request, broker int32) // receives requests instead of the brokers; may be nil
+	err          error                          // the first error
 
-	from                      int64
-	draw                      func() float64
-	who, again, random, links *rand.Rand
-	loadBy                    float64
-	lastID, keys              uint64
+	measureFrom                                           int64 // end of the warm-up period
+	drawWork                                              func() float64
+	clientRandom, retryRandom, responseRandom, linkRandom *rand.Rand
+	loadFactor                                            float64 // present factor on the rates of all volumes
+	lastID, lastKey                                       uint64
 
-	asked, spent, served               *statistics.Batches
-	inside                             *statistics.TimeAverage
-	latency                            sketch.Sketch // microseconds
-	due, earned                        ledger
-	dueInside, earnedInside            float64
-	full, given, seen, ignoredForwards int
-	refused, failed, late              int
-	unheard, attempts                  int
-	handshakes, falls                  int
-	coldSends                          int
-	mostOpen                           int
+	arrivals, responseTimes, served                            *statistics.Batches
+	inSystem                                                   *statistics.TimeAverage
+	latency                                                    sketch.Sketch // microseconds
+	offeredValue, servedValue                                  valueSeries
+	offeredReservedValue, servedReservedValue                  float64
+	queueRejections, clientTimeouts, requests, ignoredForwards int
+	rejected, failed, late                                     int
+	brokerUnreachable, attempts                                int
+	handshakes, overloads                                      int
+	slowStartArrivals                                          int
+	maxOpen                                                    int
 }
 
+// record passes a record to the rule checker.
 func (r *run) record(rec history.Record) {
 	rec.At = r.e.Now()
 	r.checker.Add(&rec)
 }
 
+// fail keeps the first error of the run.
 func (r *run) fail(err error) {
 	if err != nil && r.err == nil {
 		r.err = err
 	}
 }
 
-// delay is one way through the network.
+// delay draws a one-way network delay, in microseconds.
 func (r *run) delay() int64 {
 	d := r.s.Link.Delay.us()
 	if j := r.s.Link.Jitter.us(); j > 0 {
-		d += int64(r.links.ExpFloat64() * float64(j))
+		d += int64(r.linkRandom.ExpFloat64() * float64(j))
 	}
 	return d
 }
 
-func (r *run) newNode(cores int, speed float64, room int, shard, zone int32, kind float64) *Node {
-	n := &Node{Cores: cores, Speed: speed, Room: room, id: int32(len(r.nodes)), shard: shard, zone: zone, kind: kind, e: r.e, service: &r.s.Service,
-		cold: &r.s.SlowStart, mean: r.mean, told: r.config.SlowStartCapacityUnits / meanUnits}
+// newNode adds a node. Its process counts as started before the run.
+func (r *run) newNode(cores int, speed float64, queueCapacity int, shard, zone int32, relativeCapacity float64) *Node {
+	n := &Node{Cores: cores, Speed: speed, QueueCapacity: queueCapacity, id: int32(len(r.nodes)), shard: shard, zone: zone, relativeCapacity: relativeCapacity, e: r.e, service: &r.s.Service,
+		slowStart: &r.s.SlowStart, meanWork: r.meanWork, advertisedCapacity: r.config.SlowStartCapacityUnits / meanUnits}
 	n.name = fmt.Sprintf("n%05d", n.id)
-	n.level = func(by float64) { r.inside.Add(r.e.Now(), by) }
-	n.reached = func() { r.coldSends++ }
-	n.fell = func(n *Node) {
-		r.falls++
+	n.addInSystem = func(by float64) { r.inSystem.Add(r.e.Now(), by) }
+	n.onSlowStartArrival = func() { r.slowStartArrivals++ }
+	n.onOverload = func(n *Node) {
+		r.overloads++
 		r.record(history.Record{Kind: history.NodeOverloaded, Node: n.id})
 		r.crash(n)
 	}
 	r.nodes = append(r.nodes, n)
 	r.byName[n.name] = n
 	if every := r.s.Service.FlushInterval.us(); every > 0 && r.s.Service.DeferredWrite > 0 {
-		lots := r.e.Stream("flush of " + n.name)
+		rng := r.e.Stream("flush of " + n.name)
 		var next func()
 		next = func() {
 			n.flush()
 			if n.state != history.Removed {
-				r.e.After(int64((0.5+lots.Float64())*float64(every)), next)
+				r.e.After(int64((0.5+rng.Float64())*float64(every)), next)
 			}
 		}
-		r.e.After(int64(lots.Float64()*float64(every)), next)
+		r.e.After(int64(rng.Float64()*float64(every)), next)
 	}
 	return n
 }
 
-// true is a request as its client made it.
-func (r *run) true(id uint64) *request { return r.stepping.open[id] }
+// actualRequest returns an open request of the broker whose design handles an event, with its true work.
+func (r *run) actualRequest(id uint64) *request { return r.stepping.open[id] }
 
-// settings are what the module is told, as the platform would tell it.
-func (r *run) settings() {
+// configure sets the brokers' configuration from the scenario, apart from the plans, which makeVolumes adds.
+func (r *run) configure() {
 	s := r.s
 	c := decision.Config{Brokers: s.Brokers, MaxAttempts: s.Rules.Attempts, PollsEndpoints: true, MaxPollInterval: time.Duration(s.Rules.NotificationDeadline), SendsRetryAfter: true, MaxRetryAfter: 5 * time.Second,
-		MeanUnits: meanUnits, MaxUnits: mostUnits, QuotaPriorityWeight: s.Rules.BurstValue, SlowStartFraction: s.SlowStart.InitialCapacity, SlowStartDuration: time.Duration(s.SlowStart.Duration)}
+		MeanUnits: meanUnits, MaxUnits: maxUnits, QuotaPriorityWeight: s.Rules.BurstValue, SlowStartFraction: s.SlowStart.InitialCapacity, SlowStartDuration: time.Duration(s.SlowStart.Duration)}
 	if c.MaxAttempts == 0 {
 		c.MaxAttempts = 1 << 20
 	}
@@ -186,10 +191,10 @@
 		for _, k := range s.Nodes {
 			least = min(least, float64(k.Cores)*k.Speed)
 		}
-		c.SlowStartCapacityUnits = meanUnits * s.SlowStart.OverloadFactor * s.SlowStart.InitialCapacity * least * c.OverloadWindow.Seconds() / (r.mean / 1e6)
+		c.SlowStartCapacityUnits = meanUnits * s.SlowStart.OverloadFactor * s.SlowStart.InitialCapacity * least * c.OverloadWindow.Seconds() / (r.meanWork / 1e6)
 	}
 	if s.Link.IdleTimeout > 0 {
-		c.ConnectionReuseWindow, c.HandshakeCost = time.Duration(s.Link.IdleTimeout), float64(s.Service.Handshake.us()+s.Link.Handshake.us())/r.mean
+		c.ConnectionReuseWindow, c.HandshakeCost = time.Duration(s.Link.IdleTimeout), float64(s.Service.Handshake.us()+s.Link.Handshake.us())/r.meanWork
 	}
 	for _, k := range r.classes {
 		x := decision.Class{Name: k.Name, LatencyObjective: time.Duration(k.LatencyObjective), Deadline: time.Duration(k.Deadline), PriorityWeight: k.Priority}
@@ -201,7 +206,8 @@
 	r.config = c
 }
 
-func (r *run) terms() rules.Settings {
+// checkerSettings returns the settings of the rule checker.
+func (r *run) checkerSettings() rules.Settings {
 	t := rules.Settings{MaxAttempts: int32(r.s.Rules.Attempts), DrainGrace: r.s.Rules.DrainGrace.us(), ResponseGrace: r.s.Rules.ResponseGrace.us(), SlowStartWindow: r.s.SlowStart.Window.us()}
 	if t.DrainGrace == 0 {
 		t.DrainGrace = 500_000
@@ -220,7 +226,8 @@
 	return t
 }
 
-// Play runs a scenario with one design at all brokers. The same seed brings the same clients and troubles to every design.
+// Play runs a scenario with one design at all brokers. With the same seed, every design meets the same requests and
+// faults.
 func Play(s *Scenario, design string, seed uint64) (*Result, error) {
 	if err := s.Check(); err != nil {
 		return nil, fmt.Errorf("scenario %s: %w", s.Name, err)
@@ -235,11 +242,12 @@
 	for _, b := range r.brokers {
 		r.fail(b.start())
 	}
-	r.troubles()
-	r.clients()
+	r.injectFaults()
+	r.startClients()
 	r.e.Run(to)
-	if patience := r.patience(); patience > 0 && r.err == nil { // after the last client's first try it goes on until all has its answer
-		r.e.Run(to + 2*patience + 10_000_000)
+	// No new requests arrive from here on; continue until all open ones, and their retries, have a response.
+	if deadline := r.maxDeadline(); deadline > 0 && r.err == nil {
+		r.e.Run(to + 2*deadline + 10_000_000)
 	}
 	if r.err != nil {
 		return nil, r.err
@@ -248,98 +256,98 @@
 	return r.result(design, seed, to), nil
 }
 
-// prepare is a run before its first event.
+// prepare returns a run without nodes, brokers, volumes and events.
 func prepare(s *Scenario, design string, seed uint64) *run {
 	from, to := s.WarmUp.us(), s.Duration.us()
-	r := &run{s: s, e: engine.New(seed), name: design, classes: s.classes(), byName: map[string]*Node{}, from: from, loadBy: 1,
-		asked: statistics.NewBatches(from, to, batches), spent: statistics.NewBatches(from, to, batches),
-		served: statistics.NewBatches(from, to, batches), inside: statistics.NewTimeAverage(from, to, batches)}
-	per := max(to/SeriesParts, 1)
-	r.due, r.earned = ledger{per, make([]float64, SeriesParts)}, ledger{per, make([]float64, SeriesParts)}
-	r.who, r.again, r.random, r.links = r.e.Stream("who"), r.e.Stream("again"), r.e.Stream("lots"), r.e.Stream("links")
+	r := &run{s: s, e: engine.New(seed), designName: design, classes: s.classes(), byName: map[string]*Node{}, measureFrom: from, loadFactor: 1,
+		arrivals: statistics.NewBatches(from, to, batchCount), responseTimes: statistics.NewBatches(from, to, batchCount),
+		served: statistics.NewBatches(from, to, batchCount), inSystem: statistics.NewTimeAverage(from, to, batchCount)}
+	partLength := max(to/SeriesParts, 1)
+	r.offeredValue, r.servedValue = valueSeries{partLength, make([]float64, SeriesParts)}, valueSeries{partLength, make([]float64, SeriesParts)}
+	r.clientRandom, r.retryRandom, r.responseRandom, r.linkRandom = r.e.Stream("who"), r.e.Stream("again"), r.e.Stream("lots"), r.e.Stream("links")
 	for _, c := range r.classes {
-		r.shares += c.Share
+		r.shareSum += c.Share
 	}
-	r.mean = float64(s.Load.Work.us())
-	r.settings()
-	r.checker = rules.New(r.terms())
+	r.meanWork = float64(s.Load.Work.us())
+	r.configure()
+	r.checker = rules.New(r.checkerSettings())
 	return r
 }
 
-// patience is the longest of all classes; 0: for ever.
-func (r *run) patience() (most int64) {
+// maxDeadline returns the longest deadline of all classes, in microseconds; 0 if requests have no deadline.
+func (r *run) maxDeadline() (longest int64) {
 	if len(r.s.Classes) == 0 && r.s.Load.Deadline == 0 {
 		return 0
 	}
 	for _, c := range r.classes {
-		most = max(most, c.Deadline.us())
+		longest = max(longest, c.Deadline.us())
 	}
-	return most
+	return longest
 }
 
-// ended: no client begins anew.
-func (r *run) ended() bool { return r.e.Now() >= r.s.Duration.us() }
+// loadEnded reports whether the scenario's duration has passed, after which no new requests arrive.
+func (r *run) loadEnded() bool { return r.e.Now() >= r.s.Duration.us() }
 
-// build puts up nodes, discovery and brokers. All brokers begin with the list.
+// build creates nodes, discovery and brokers. All brokers know the initial endpoint list.
 func (r *run) build() {
 	s := r.s
-	power, count := 0.0, 0
+	totalCapacity, count := 0.0, 0
 	for _, k := range s.Nodes {
-		power += float64(k.Count*k.Cores) * k.Speed
+		totalCapacity += float64(k.Count*k.Cores) * k.Speed
 		count += k.Count
 	}
-	mean := power / float64(count)
+	meanCapacity := totalCapacity / float64(count)
 	zones := int32(max(s.Zones, 1))
 	for _, k := range s.Nodes {
 		for range k.Count {
 			i := int32(len(r.nodes))
-			n := r.newNode(k.Cores, k.Speed, k.QueueCapacity, i, i%zones, float64(k.Cores)*k.Speed/mean)
+			n := r.newNode(k.Cores, k.Speed, k.QueueCapacity, i, i%zones, float64(k.Cores)*k.Speed/meanCapacity)
 			r.checker.AddNode(n.id, n.shard, n.zone)
 		}
 	}
-	r.first = len(r.nodes)
-	r.discovery = &discovery{r: r, lots: r.e.Stream("discovery"), times: 1}
-	r.discovery.first()
+	r.initialNodes = len(r.nodes)
+	r.discovery = &discovery{run: r, random: r.e.Stream("discovery"), delayFactor: 1}
+	r.discovery.loadInitialList()
 	for i := range int32(s.Brokers) {
-		r.brokers = append(r.brokers, &broker{run: r, id: i, zone: i % zones, random: r.e.Stream(fmt.Sprint("broker ", i)), known: append([]decision.Endpoint(nil), r.discovery.seen...)})
+		r.brokers = append(r.brokers, &broker{run: r, id: i, zone: i % zones, random: r.e.Stream(fmt.Sprint("broker ", i)), knownEndpoints: append([]decision.Endpoint(nil), r.discovery.visible...)})
 	}
 }
 
 func (r *run) result(design string, seed uint64, to int64) *Result {
-	res := &Result{Scenario: r.s.Name, Design: design, Seed: seed, Asked: r.asked.Rate(), Served: r.served.Rate(), Time: r.spent.Mean(), Inside: r.inside.Mean(to),
-		Full: r.full, GivenUp: r.given, Refused: r.refused, Failed: r.failed, Late: r.late, Unheard: r.unheard, Attempts: r.attempts, Handshakes: r.handshakes,
-		Calls: r.discovery.calls, Fell: r.falls, MostOpen: r.mostOpen, Moot: r.ignoredForwards, Events: r.e.EventCount(), Requests: r.seen}
+	res := &Result{Scenario: r.s.Name, Design: design, Seed: seed, Asked: r.arrivals.Rate(), Served: r.served.Rate(), Time: r.responseTimes.Mean(), InSystem: r.inSystem.Mean(to),
+		Full: r.queueRejections, GivenUp: r.clientTimeouts, Refused: r.rejected, Failed: r.failed, Late: r.late, BrokerUnreachable: r.brokerUnreachable, Attempts: r.attempts, Handshakes: r.handshakes,
+		Calls: r.discovery.calls, Fell: r.overloads, MaxOpen: r.maxOpen, IgnoredForwards: r.ignoredForwards, Events: r.e.EventCount(), Requests: r.requests}
 	res.Median, res.P99 = float64(r.latency.Quantile(0.5))/1e6, float64(r.latency.Quantile(0.99))/1e6
 	for _, at := range Quantiles {
 		res.Quantiles = append(res.Quantiles, float64(r.latency.Quantile(at))/1e6)
 	}
-	if due := r.due.sum(); due > 0 {
-		res.Service = r.earned.sum() / due
+	if offered := r.offeredValue.sum(); offered > 0 {
+		res.Service = r.servedValue.sum() / offered
 	}
-	if r.dueInside > 0 {
-		res.Reserved = r.earnedInside / r.dueInside
+	if r.offeredReservedValue > 0 {
+		res.Reserved = r.servedReservedValue / r.offeredReservedValue
 	}
-	for k, due := range r.due.parts {
+	for k, offered := range r.offeredValue.parts {
 		part := 0.0
-		if due > 0 {
-			part = math.Round(1e4*r.earned.parts[k]/due) / 1e4
+		if offered > 0 {
+			part = math.Round(1e4*r.servedValue.parts[k]/offered) / 1e4
 		}
 		res.Series = append(res.Series, part)
 	}
 	for _, n := range r.nodes {
-		res.ColdPeak = max(res.ColdPeak, n.peak)
+		res.ColdPeak = max(res.ColdPeak, n.slowStartPeak)
 	}
-	res.ColdSends = r.coldSends
+	res.SlowStartArrivals = r.slowStartArrivals
 	if c := r.checker.Counts(); len(c) > 0 {
-		res.Broken, res.Words = c, r.checker.Violations()
-		if len(res.Words) > 10 {
-			res.Words = res.Words[:10]
+		res.Broken, res.Violations = c, r.checker.Violations()
+		if len(res.Violations) > 10 {
+			res.Violations = res.Violations[:10]
 		}
 	}
 	return res
 }
 
-// BrokenRules names what was broken, most often first.
+// BrokenRules lists the violated rules with the number of violations of each, the most frequent first.
 func (res *Result) BrokenRules() string {
 	names := make([]string, 0, len(res.Broken))
 	for k := range res.Broken {
--- a/internal/lab/model/scenario.go
+++ b/internal/lab/model/scenario.go
@@ -14,9 +14,9 @@
 type Scenario struct {
 	Name      string      `toml:"name"`
 	Brokers   int         `toml:"brokers"`
-	Zones     int         `toml:"zones"` // nodes and brokers are assigned to them in turn; 0: one
+	Zones     int         `toml:"zones"` // nodes and brokers are assigned to them round robin; 0 is the same as 1
 	Duration  Duration    `toml:"last"`
-	WarmUp    Duration    `toml:"warm"` // at the beginning, not counted
+	WarmUp    Duration    `toml:"warm"` // at the start of the run, left out of figures
 	Nodes     []NodeGroup `toml:"nodes"`
 	Service   Service     `toml:"service"`
 	SlowStart SlowStart   `toml:"cold"`
@@ -63,41 +63,42 @@
 	Count         int     `toml:"count"`
 	Cores         int     `toml:"cores"`
 	Speed         float64 `toml:"speed"` // work per second of one core, in seconds of a core with speed 1
-	QueueCapacity int     `toml:"room"`  // requests that wait; 0: any number
+	QueueCapacity int     `toml:"room"`  // requests that may wait; 0 if there is no limit
 }
 
-// Service is what all nodes have in common.
+// Service holds the properties that all nodes share.
 type Service struct {
 	DropsExpired  bool     `toml:"drops"`       // a waiting request is skipped once its attempt is over
-	Connections   int      `toml:"connections"` // limit of a node; 0: none
+	Connections   int      `toml:"connections"` // largest number at a node; 0 if there is no limit
 	Handshake     Duration `toml:"handshake"`   // work of a new connection at the node
 	CachedKeys    int      `toml:"remembers"`   // the most recent keys; another request for one of them costs less
 	CacheMissCost float64  `toml:"seek"`        // fraction of a request's work that a cached key saves
 	DeferredWrite float64  `toml:"defer"`       // fraction of a write's work that is deferred
-	FlushInterval Duration `toml:"flush"`       // between the times at which deferred work is done
+	FlushInterval Duration `toml:"flush"`       // mean time between flushes of deferred work
 }
 
-// SlowStart is how nodes warm up. Without Duration nodes start warm.
+// SlowStart is the reduced capacity of nodes after a start, which grows linearly. Without Duration nodes start warm.
+// Without InitialUnits brokers are configured with the capacity of the slowest node.
 type SlowStart struct {
 	InitialCapacity float64  `toml:"share"`    // fraction of a warm node's
 	Duration        Duration `toml:"warm"`     // until a node is warm
-	OverloadFactor  float64  `toml:"multiple"` // a node fails if it receives more than this multiple of its capacity; 0: it never does
-	Window          Duration `toml:"window"`   // over which that is added up
-	InitialUnits    float64  `toml:"bears"`    // capacity per window that the settings tell of any node at its start; 0: the slowest node's
+	OverloadFactor  float64  `toml:"multiple"` // arrivals beyond this multiple of the capacity crash a node; 0 if they do not
+	Window          Duration `toml:"window"`   // in which arrivals are added up for that
+	InitialUnits    float64  `toml:"bears"`    // units per window at a node's start, as brokers know it; 0 to derive it
 }
 
 // Link is the network between brokers and nodes.
 type Link struct {
 	Delay       Duration `toml:"delay"`     // one way
 	Jitter      Duration `toml:"jitter"`    // mean of the exponential part that is added to it
-	Handshake   Duration `toml:"handshake"` // of a new connection, beside two delays
-	IdleTimeout Duration `toml:"keep"`      // of a connection; 0: each request opens one, at no cost
+	Handshake   Duration `toml:"handshake"` // time for a new connection, in addition to two delays
+	IdleTimeout Duration `toml:"keep"`      // of a connection; 0 if connections are not simulated
 }
 
-// Discovery is the discovery service of all brokers. Without CallRate it answers at once.
+// Discovery is the discovery service of all brokers. Without CallRate it answers polls without queuing.
 type Discovery struct {
-	CallRate float64  `toml:"calls"` // calls per second that it answers
-	Timeout  Duration `toml:"wait"`  // of a call in its queue
+	CallRate float64  `toml:"calls"` // polls per second that it can answer
+	Timeout  Duration `toml:"wait"`  // of a poll in its queue; 0 if there is none
 	Delay    Duration `toml:"late"`  // mean time until a change is visible
 }
 
@@ -107,24 +108,24 @@
 	Work         Duration `toml:"work"`     // mean work of a request for a core with speed 1
 	Distribution string   `toml:"spread"`   // of the work: "exponential", "constant" or "lognormal"
 	Sigma        float64  `toml:"sigma"`    // of the lognormal distribution
-	Deadline     Duration `toml:"patience"` // of requests, where no classes are given; 0: none
+	Deadline     Duration `toml:"patience"` // of requests, if the scenario has no classes; 0 if there is none
 	Retry        float64  `toml:"retry"`    // fraction of clients that retry once after a rejection or failure
-	Reread       float64  `toml:"reread"`   // fraction of reads of the object that was written last
-	Shift        Duration `toml:"shift"`    // time after which another broker becomes a volume's busiest
-	Skew         float64  `toml:"skew"`     // unevenness of a volume's load over its brokers; 0: even
+	Reread       float64  `toml:"reread"`   // fraction of reads that read one of the objects written last
+	Shift        Duration `toml:"shift"`    // mean time after which another broker gets most of a volume's load; 0 for never
+	Skew         float64  `toml:"skew"`     // exponent of the Zipf distribution of a volume's load over its brokers; 0 if uniform
 }
 
 // Class is a class of requests.
 type Class struct {
 	Name             string   `toml:"name"`
 	Share            float64  `toml:"share"` // of all requests, in relation to the other classes'
-	Work             float64  `toml:"work"`  // in relation to the load's mean; 0: 1
+	Work             float64  `toml:"work"`  // in relation to the load's mean; 0 is the same as 1
 	LatencyObjective Duration `toml:"aim"`
 	Deadline         Duration `toml:"patience"`
 	Priority         float64  `toml:"worth"`  // weight of a request served within its objective
-	LateValue        float64  `toml:"late"`   // fraction of it for one served after its objective
+	LateValue        float64  `toml:"late"`   // fraction of that weight for a request served after its objective
 	Idempotency      string   `toml:"repeat"` // "always" or "never"
-	Writes           bool     `toml:"writes"` // new objects, at any node
+	Writes           bool     `toml:"writes"` // its requests write new objects, which any node may store
 }
 
 // Plan is the service level of volumes.
@@ -133,23 +134,23 @@
 	Volumes      int     `toml:"volumes"`
 	Size         float64 `toml:"size"`    // usual rate in relation to other plans' volumes
 	ReservedRate float64 `toml:"reserve"` // fraction of the usual rate
-	RateLimit    float64 `toml:"limit"`   // multiple of the usual rate; 0: none
+	RateLimit    float64 `toml:"limit"`   // multiple of the usual rate; 0 if there is no limit
 	Weight       float64 `toml:"weight"`
 	Price        float64 `toml:"price"`
 	Hosts        [2]int  `toml:"hosts"` // range of the number of brokers of a volume
 	Nodes        [2]int  `toml:"nodes"` // range of the number of nodes with its data
-	Busy         float64 `toml:"busy"`  // fraction of volumes with up to three times the usual rate all the time
-	Surge        float64 `toml:"surge"` // fraction of volumes with many times the usual rate for short times
+	Busy         float64 `toml:"busy"`  // fraction of volumes whose rate is always up to three times the usual one
+	Surge        float64 `toml:"surge"` // fraction of volumes with short surges of many times the usual rate
 }
 
-// Rules are bounds that brokers must keep, beside those above.
+// Rules are bounds that brokers must keep, and the values of work beyond the reserved rate.
 type Rules struct {
-	Attempts             int      `toml:"attempts"` // of a request; 0: no limit
+	Attempts             int      `toml:"attempts"` // of a request; 0 if there is no limit
 	DrainGrace           Duration `toml:"grace"`    // after a notification of a drain
 	ResponseGrace        Duration `toml:"slack"`    // after a request's deadline
-	BurstValue           float64  `toml:"share"`    // value of work beyond the reserved rate
-	ExcessValue          float64  `toml:"beyond"`   // value of work beyond three times the reserved rate
-	NotificationDeadline Duration `toml:"ask"`      // after which a broker that has not polled counts as notified; 0: none
+	BurstValue           float64  `toml:"share"`    // factor on the value of work beyond the reserved rate
+	ExcessValue          float64  `toml:"beyond"`   // factor on the value of work beyond the reserved rate and twice the usual rate
+	NotificationDeadline Duration `toml:"ask"`      // after which a broker counts as notified even if it has not polled; 0: never
 }
 
 // classes returns the scenario's classes, or a single one of idempotent requests if it has none.
--- a/internal/lab/model/settings.go
+++ b/internal/lab/model/settings.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Ways are the scenario's classes, or the one of all its requests where it names none.
+// Ways returns the scenario's classes, or the single class of all requests if it has none.
 func (s *Scenario) Ways() []Class { return s.classes() }
 
-// UnitWork is what one unit of a request's size is, microseconds of a core at speed 1.
+// UnitWork returns the work of one unit of a request's size, in microseconds of a core with speed 1.
 func (s *Scenario) UnitWork() float64 { return float64(s.Load.Work.us()) / meanUnits }
 
-// Settings are what the platform would tell a broker of this scenario, in the platform's words. Read back they are what the model's brokers are
-// told.
+// Settings returns the settings of the scenario's brokers in the format of the broker's configuration. Parsed by a
+// broker they give the configuration of the simulated brokers.
 func (s *Scenario) Settings() (json.RawMessage, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
--- a/internal/lab/model/settings_test.go
+++ b/internal/lab/model/settings_test.go
@@ -11,8 +11,8 @@
 	"poppyarch/internal/lab/model"
 )
 
-// What brokers on sockets are told of a scenario is what the model's are told: read back from the platform's words, every figure is the same.
-func TestSettingsAreWhatTheModelIsTold(t *testing.T) {
+// The settings of a scenario, parsed as a real broker parses them, equal the configuration of the simulated brokers.
+func TestSettingsMatchModelConfig(t *testing.T) {
 	for _, name := range []string{"live", "replace", "shared", "uneven"} {
 		text, err := os.ReadFile("../../../examples/lab/" + name + ".toml")
 		if err != nil {
@@ -22,24 +22,24 @@
 		if err := toml.Unmarshal(text, s); err != nil {
 			t.Fatal(err)
 		}
-		told, err := s.Settings()
+		encoded, err := s.Settings()
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := settings.Parse(string(told), 0)
+		got, err := settings.Parse(string(encoded), 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		want := model.ConfigOf(s)
-		got.ConnectionReuseWindow = want.ConnectionReuseWindow // how long connections stand is the machine's, not the settings'
+		got.ConnectionReuseWindow = want.ConnectionReuseWindow // set by the broker's limits, not by the settings
 		if !reflect.DeepEqual(got, want) {
-			t.Errorf("%s:\n%+v\n%+v", name, got, want)
+			t.Errorf("%s: settings parsed as\n%+v, want\n%+v", name, got, want)
 		}
 	}
 }
 
-// Clients without brokers are those that designs meet.
-func TestClientsAreThoseOfAPlay(t *testing.T) {
+// Clients returns as many requests as each design receives from Play with the same seed.
+func TestClientsMatchPlay(t *testing.T) {
 	text, err := os.ReadFile("../../../examples/lab/live.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -54,21 +54,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	due, at := 0.0, int64(0)
+	offeredValue, at := 0.0, int64(0)
 	for _, a := range all {
 		if a.At < at || int(a.Broker) >= s.Brokers || a.Work <= 0 || a.Units < 1 {
-			t.Fatalf("%+v", a)
+			t.Fatalf("invalid arrival, or before the previous one at %d: %+v", at, a)
 		}
 		at = a.At
-		due += a.Worth
+		offeredValue += a.Worth
 	}
 	for _, design := range []string{"module", "random"} {
 		r, err := model.Play(s, design, 5)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.Requests != len(all) || due <= 0 {
-			t.Errorf("%s: %d requests, %d clients", design, r.Requests, len(all))
+		if r.Requests != len(all) || offeredValue <= 0 {
+			t.Errorf("%s: %d requests, want the %d of Clients, with a value above 0, got %v", design, r.Requests, len(all), offeredValue)
 		}
 	}
 }
--- a/internal/lab/model/simple_design.go
+++ b/internal/lab/model/simple_design.go
@@ -10,25 +10,26 @@
 	"poppyarch/internal/broker/decision"
 )
 
-// simpleDesign forwards a request at once to a node that it chooses; with a depth it queues requests there by their start tags.
-// Of the load of a node it knows its own outstanding requests.
+// simpleDesign chooses a node for each request as it arrives. Without a depth it forwards the request immediately;
+// with a depth it queues requests for the node in the order of their start tags. The only load of a node that it knows
+// is the number of its own outstanding requests.
 type simpleDesign struct {
 	cfg          *decision.Config
 	random       *rand.Rand
 	now          time.Duration
-	lastChosen   int
+	lastChosen   int // by chooseNext; -1 at first
 	watching     bool
-	watchAt      time.Duration
-	timerAt      time.Duration
+	watchAt      time.Duration // time of the next poll, unless watching
+	timerAt      time.Duration // time of the pending timer; 0 if there is none
 	nodes        map[string]*nodeState
 	ready        []*nodeState
 	byShard      map[int][]*nodeState
 	requests     map[uint64]*pendingRequest
 	choose       func(list []*nodeState, h *pendingRequest) *nodeState
-	rateMultiple float64 // token buckets by volume: so many times the plan's rate
-	buckets      map[string]*tokenBucket
-	depth        float64 // out at a node at once; 0: no bound
-	run          *run
+	rateMultiple float64                 // rate of the token buckets, in usual rates of the plan; 0 if there are none
+	buckets      map[string]*tokenBucket // by volume
+	depth        float64                 // largest number of outstanding requests at a node; 0 if there is no limit
+	run          *run                    // for the oracle only
 	actions      []decision.Action
 }
 
@@ -37,8 +38,8 @@
 	endpoint    decision.Endpoint
 	outstanding int
 	volumes     map[string]*volumeTags
-	queue       []*pendingRequest // by tag, where there is a depth
-	virtualTime float64           // highest start tag sent
+	queue       []*pendingRequest // by start tag; empty without a depth
+	virtualTime float64           // highest start tag of a forwarded request
 }
 
 // volumeTags is the finish tag of a volume's latest request at a node.
@@ -50,22 +51,22 @@
 	arrival    decision.Arrival
 	class      *decision.Class
 	arrivedAt  time.Duration
-	attempts   int
-	node       *nodeState
+	attempts   int        // so far
+	node       *nodeState // of the present attempt, or in whose queue it waits
 	startTag   float64
 	queued     bool
-	clientGone bool
-	inFlight   bool
-	mayHaveRun bool
+	clientGone bool // its client has disconnected
+	inFlight   bool // an attempt is outstanding
+	mayHaveRun bool // an earlier attempt may have been executed
 }
 
 // tokenBucket limits the rate of a volume.
 type tokenBucket struct {
-	level float64
-	at    time.Duration
+	tokens    float64
+	updatedAt time.Duration
 }
 
-// Step handles events one by one.
+// Step implements Design. It handles events one by one.
 func (p *simpleDesign) Step(now time.Duration, events []decision.Event, act []decision.Action) []decision.Action {
 	p.now, p.actions = now, act
 	for i := range events {
@@ -105,7 +106,7 @@
 	return p.actions
 }
 
-// updateEndpoints applies a list, and rejects what waits for nodes that accept nothing new.
+// updateEndpoints applies an endpoint list or changes of it, and rejects requests queued for nodes that are not ready.
 func (p *simpleDesign) updateEndpoints(ev *decision.Event) {
 	if ev.Kind == decision.EndpointsReplaced {
 		for _, n := range p.ready {
@@ -131,7 +132,7 @@
 	for _, n := range p.ready {
 		p.byShard[n.endpoint.Shard] = append(p.byShard[n.endpoint.Shard], n)
 	}
-	for _, n := range p.nodes { // what waits for one that takes nothing new is refused
+	for _, n := range p.nodes { // reject requests queued for nodes that are not ready
 		for n.endpoint.State != decision.Ready && len(n.queue) > 0 {
 			h := n.queue[0]
 			p.dequeue(h)
@@ -140,6 +141,7 @@
 	}
 }
 
+// reject sends the final response to a request that no node will get.
 func (p *simpleDesign) reject(h *pendingRequest) {
 	delete(p.requests, h.id)
 	kind := decision.Shed
@@ -154,22 +156,23 @@
 	p.requests[h.id] = h
 	if p.rateMultiple > 0 && h.arrival.Plan < len(p.cfg.Plans) {
 		s, plan := p.buckets[h.arrival.Volume], p.cfg.Plans[h.arrival.Plan]
-		per := p.rateMultiple * plan.UsualRate / float64(max(h.arrival.Brokers, 1))
+		rate := p.rateMultiple * plan.UsualRate / float64(max(h.arrival.Brokers, 1))
 		if s == nil {
-			s = &tokenBucket{level: per + p.cfg.MaxUnits, at: p.now}
+			s = &tokenBucket{tokens: rate + p.cfg.MaxUnits, updatedAt: p.now}
 			p.buckets[h.arrival.Volume] = s
 		}
-		s.level = math.Min(per+p.cfg.MaxUnits, s.level+per*(p.now-s.at).Seconds())
-		s.at = p.now
-		if s.level < h.arrival.Units {
+		s.tokens = math.Min(rate+p.cfg.MaxUnits, s.tokens+rate*(p.now-s.updatedAt).Seconds())
+		s.updatedAt = p.now
+		if s.tokens < h.arrival.Units {
 			p.reject(h)
 			return
 		}
-		s.level -= h.arrival.Units
+		s.tokens -= h.arrival.Units
 	}
 	p.placeRequest(h)
 }
 
+// placeRequest chooses a node for a request and forwards or queues the request; it rejects it if no node is suitable.
 func (p *simpleDesign) placeRequest(h *pendingRequest) {
 	list := p.ready
 	if h.arrival.Shard >= 0 {
@@ -213,7 +216,7 @@
 	p.dispatch(n)
 }
 
-// responseMargin is the part of a deadline that is left for the response's way to the client.
+// responseMargin is the time before a deadline that is reserved for the response's way to the client.
 const responseMargin = 20 * time.Millisecond
 
 // attemptTimeout returns how long an attempt may take.
@@ -221,6 +224,7 @@
 	return max(h.arrival.Deadline-p.now-responseMargin, time.Millisecond)
 }
 
+// send forwards a request to its node.
 func (p *simpleDesign) send(h *pendingRequest) {
 	h.node.outstanding++
 	h.attempts++
@@ -228,6 +232,7 @@
 	p.actions = append(p.actions, decision.Action{Kind: decision.Forward, ID: h.id, Node: h.node.endpoint.Node, After: p.attemptTimeout(h)})
 }
 
+// dispatch forwards queued requests while the node has fewer outstanding ones than the depth.
 func (p *simpleDesign) dispatch(n *nodeState) {
 	for len(n.queue) > 0 && float64(n.outstanding) < max(p.depth, 1) {
 		h := n.queue[0]
@@ -237,6 +242,7 @@
 	}
 }
 
+// dequeue removes a request from its node's queue, if it is there.
 func (p *simpleDesign) dequeue(h *pendingRequest) {
 	if h.queued {
 		h.queued = false
@@ -245,7 +251,7 @@
 	}
 }
 
-// rejectExpired rejects requests that have waited beyond their latency objective, or close to their deadline.
+// rejectExpired rejects queued requests that are past their latency objective or close to their deadline.
 func (p *simpleDesign) rejectExpired() {
 	for _, n := range p.ready {
 		for i := 0; i < len(n.queue); {
@@ -275,14 +281,14 @@
 		return
 	}
 	h.mayHaveRun = h.mayHaveRun || !ev.Outcome.NotExecuted()
-	again := !h.mayHaveRun || h.class.Idempotency == decision.Idempotent
-	if again && (p.cfg.MaxAttempts == 0 || h.attempts < p.cfg.MaxAttempts) && p.now+4*responseMargin < h.arrival.Deadline {
+	retryable := !h.mayHaveRun || h.class.Idempotency == decision.Idempotent
+	if retryable && (p.cfg.MaxAttempts == 0 || h.attempts < p.cfg.MaxAttempts) && p.now+4*responseMargin < h.arrival.Deadline {
 		p.placeRequest(h)
 		return
 	}
 	delete(p.requests, h.id)
 	kind := decision.Fail
-	if again {
+	if retryable {
 		kind = decision.Shed
 	}
 	p.actions = append(p.actions, decision.Action{Kind: kind, ID: h.id, After: 200 * time.Millisecond})
--- a/internal/lab/model/validate.go
+++ b/internal/lab/model/validate.go
@@ -35,8 +35,8 @@
 
 // validator keeps the first error.
 type validator struct {
-	parent *validator // the one that keeps the error; nil: this one does
-	prefix string     // of keys
+	parent *validator // keeps the error instead of this one; nil if there is none
+	prefix string     // of keys, such as "nodes[0]."
 	first  error
 }
 
@@ -101,7 +101,7 @@
 	switch l.Distribution {
 	case exponential, constant, lognormal:
 	default:
-		c.errorf("load.spread: %q is unknown; there are exponential, constant and lognormal", l.Distribution)
+		c.errorf("load.spread: %q is unknown, want exponential, constant or lognormal", l.Distribution)
 	}
 }
 
@@ -160,7 +160,7 @@
 	c.notNegative("worth", k.Priority)
 	c.fraction("late", k.LateValue)
 	if k.Idempotency != idempotent && k.Idempotency != notIdempotent {
-		c.errorf("repeat: %q is unknown; there are always and never", k.Idempotency)
+		c.errorf("repeat: %q is unknown, want always or never", k.Idempotency)
 	}
 }
 
@@ -180,7 +180,7 @@
 func (f *Fault) check(c *validator) {
 	hasFactor, known := faultHasFactor[f.Kind]
 	if !known {
-		c.errorf("kind: %q is unknown; there are %v", f.Kind, FaultKinds())
+		c.errorf("kind: %q is unknown, want one of %v", f.Kind, FaultKinds())
 	}
 	c.fraction("share", f.Share)
 	c.requireDuration("every", f.Every == 0 && f.At > 0 || f.At == 0 && f.Every > f.Duration, f.Every)
