--- a/internal/lab/rules/checker.go
+++ b/internal/lab/rules/checker.go
@@ -7,16 +7,16 @@
 	"poppyarch/internal/lab/history"
 )
 
-// maxViolations is how many violations are kept with their text; all are counted.
+// maxViolations is how many violations are kept in full; all are counted.
 const maxViolations = 100
 
-// noNode is the node of a violation that concerns none.
+// noNode is the node of a violation that concerns no node.
 const noNode = -1
 
-// Checker reads the records of one run in the order of their times.
+// Checker checks the records of one run, which must be added in time order.
 type Checker struct {
 	settings Settings
-	now      int64 // of the latest record
+	now      int64 // time of the latest record
 	requests map[uint64]*request
 	maxOpen  int
 	nodes    map[int32]*node
@@ -28,13 +28,13 @@
 	counts     map[string]int // by rule
 }
 
-// request is a request without a final response, or one whose attempts have not all ended.
+// request is a request without a final response, or one with attempts that have not all ended.
 type request struct {
-	received     history.Record
-	attempts     []attempt
-	responded    bool
-	clientGone   bool
-	rateConsumed bool // the volume's bucket has been charged
+	received           history.Record
+	attempts           []attempt
+	responded          bool
+	clientDisconnected bool
+	rateConsumed       bool // its units were charged to the token bucket of its volume
 }
 
 type attempt struct {
@@ -44,7 +44,7 @@
 	neverRan bool
 }
 
-// mayHaveRun reports whether a retry beside this attempt could run the request a second time.
+// mayHaveRun reports whether a further attempt could run the request a second time.
 func (a *attempt) mayHaveRun() bool { return !a.ended || !a.neverRan }
 
 // New returns a checker for one run.
@@ -60,13 +60,13 @@
 	}
 }
 
-// Violations returns the first violations.
+// Violations returns the first violations, at most maxViolations.
 func (c *Checker) Violations() []Violation { return c.violations }
 
 // Counts returns how often each rule was broken.
 func (c *Checker) Counts() map[string]int { return c.counts }
 
-// MaxOpen returns the largest number of requests that were open at once.
+// MaxOpen returns the largest number of requests that were open at the same time.
 func (c *Checker) MaxOpen() int { return c.maxOpen }
 
 func (c *Checker) violate(rule string, r *history.Record, format string, args ...any) {
@@ -87,7 +87,7 @@
 // Add checks the next record.
 func (c *Checker) Add(r *history.Record) {
 	if r.At < c.now {
-		c.violate(ruleHistory, r, "time runs back from %d", c.now)
+		c.violate(ruleHistory, r, "record time %d is before that of the previous record, %d", r.At, c.now)
 	}
 	c.now = r.At
 	switch r.Kind {
@@ -101,7 +101,7 @@
 		c.responseSent(r)
 	case history.ClientDisconnected:
 		if q := c.requests[r.Request]; q != nil {
-			q.clientGone = true
+			q.clientDisconnected = true
 			c.forgetSettled(q)
 		}
 	case history.NodeNotified:
@@ -117,11 +117,11 @@
 
 func (c *Checker) requestReceived(r *history.Record) {
 	if c.requests[r.Request] != nil {
-		c.violate(ruleHistory, r, "taken twice")
+		c.violate(ruleHistory, r, "request received twice")
 		return
 	}
 	if int(r.Class) >= len(c.settings.Classes) {
-		c.violate(ruleHistory, r, "class %d is unknown", r.Class)
+		c.violate(ruleHistory, r, "unknown class %d", r.Class)
 		return
 	}
 	q := &request{received: *r}
@@ -152,31 +152,31 @@
 	q := c.requests[r.Request]
 	switch {
 	case q == nil:
-		c.violate(ruleResponse, r, "answered, and not open")
+		c.violate(ruleResponse, r, "response to a request that is not open")
 		return
 	case q.responded:
-		c.violate(ruleResponse, r, "answered twice")
+		c.violate(ruleResponse, r, "second response to the request")
 		return
 	case c.isLate(q, r.At):
-		c.violate(ruleResponse, r, "answered %d us after its client had given up", r.At-q.received.Deadline)
+		c.violate(ruleResponse, r, "response sent %d us after the client's deadline", r.At-q.received.Deadline)
 	}
 	q.responded = true
 	if r.Result == history.Rejected && c.settings.Classes[q.received.Class].Idempotency == NotIdempotent {
 		for i := range q.attempts {
 			if q.attempts[i].mayHaveRun() {
-				c.violate(ruleReject, r, "refused though attempt %d may have run", i)
+				c.violate(ruleReject, r, "request rejected although attempt %d may have run", i)
 			}
 		}
 	}
 	c.forgetSettled(q)
 }
 
-// isLate reports whether a time is after the deadline of a request, with the grace period.
+// isLate reports whether a time is after a request's deadline plus the grace period.
 func (c *Checker) isLate(q *request, at int64) bool {
 	return q.received.Deadline > 0 && at > q.received.Deadline+c.settings.ResponseGrace
 }
 
-// forgetSettled forgets a request that has its response, if the outcomes of all its attempts are known.
+// forgetSettled forgets a request that has its response and whose attempts have all ended.
 func (c *Checker) forgetSettled(q *request) {
 	if !q.responded {
 		return
@@ -194,7 +194,7 @@
 	c.dequeueKey(q)
 }
 
-// brokerDied forgets a broker's requests and what it was notified of.
+// brokerDied forgets the requests of a broker and all that it was notified of.
 func (c *Checker) brokerDied(r *history.Record) {
 	for _, q := range c.requests {
 		if q.received.Broker == r.Broker {
@@ -210,11 +210,11 @@
 	c.broker(r.Broker).restarted = true
 }
 
-// Finish ends the run at a time. Requests that should have had a response by then are violations.
+// Finish ends the run at the given time. Requests that should have received a response by then are violations.
 func (c *Checker) Finish(at int64) {
 	var late []uint64
 	for id, q := range c.requests {
-		if !q.responded && !q.clientGone && c.isLate(q, at) {
+		if !q.responded && !q.clientDisconnected && c.isLate(q, at) {
 			late = append(late, id)
 		}
 	}
@@ -222,6 +222,6 @@
 	for _, id := range late {
 		q := c.requests[id]
 		r := &history.Record{At: at, Request: id, Broker: q.received.Broker, Node: noNode}
-		c.violate(ruleResponse, r, "never answered; its client gave up at %d us", q.received.Deadline)
+		c.violate(ruleResponse, r, "no response; the client's deadline was at %d us", q.received.Deadline)
 	}
 }
--- a/internal/lab/rules/node.go
+++ b/internal/lab/rules/node.go
@@ -2,34 +2,34 @@
 
 import "poppyarch/internal/lab/history"
 
-// node is a storage node as it is.
+// node is the actual state of a storage node.
 type node struct {
 	shard, zone int32
-	initial     bool // it was up before the history began, and is on every broker's first list
+	initial     bool // was up before the history began, and is on every broker's first list
 	slowStart   bool
 	startedAt   int64
-	sends       []slowStartSend // of the present slow start, within the window
+	sends       []slowStartSend // attempts of the current slow start, within the window
 }
 
 // slowStartSend is an attempt at a node in slow start.
 type slowStartSend struct {
 	at         int64
-	startKnown bool // its broker had been notified of the node's start
+	startKnown bool // the broker had been notified of the node's start
 }
 
 // brokerView is what one broker process knows.
 type brokerView struct {
 	notified  map[int32]notifiedState
-	restarted bool    // it is not the broker's first process: it knows only what it has been notified of
+	restarted bool    // not the broker's first process: it knows only what it was notified of
 	received  []int64 // times of requests within the retry budget's window
-	retries   []int64 // times of retries within it
+	retries   []int64 // times of retries within that window
 }
 
-// notifiedState is what a broker was notified of a node.
+// notifiedState is the state of a node that a broker was notified of.
 type notifiedState struct {
 	state     history.State
-	since     int64 // of the notification of this state
-	startedAt int64 // of the node's process
+	since     int64 // time of the notification that changed the state
+	startedAt int64 // start of the node's process
 }
 
 func (c *Checker) node(id int32) *node {
@@ -93,7 +93,7 @@
 	}
 }
 
-// trackSlowStart keeps an attempt at a node in slow start for as long as it counts towards the node's load.
+// trackSlowStart keeps the attempts at a node in slow start while they count towards the node's load.
 func (c *Checker) trackSlowStart(r *history.Record) {
 	n := c.node(r.Node)
 	if !n.slowStart {
@@ -107,8 +107,8 @@
 	}
 }
 
-// nodeOverloaded checks a node that was overloaded in slow start: the rule is broken where more than two thirds of the
-// attempts in the window came from brokers that had been notified of its start.
+// nodeOverloaded checks a node that was overloaded in slow start: the rule is broken if more than two thirds of the
+// attempts in the window came from brokers that had been notified of the node's start.
 func (c *Checker) nodeOverloaded(r *history.Record) {
 	n := c.nodes[r.Node]
 	if n == nil {
@@ -125,7 +125,7 @@
 		}
 	}
 	if all > 0 && 3*informed > 2*all {
-		c.violate(ruleOverload, r, "fell, %d of %d sends came from brokers that had been told of its start", informed, all)
+		c.violate(ruleOverload, r, "node overloaded in slow start, %d of %d attempts came from brokers that had been notified of its start", informed, all)
 	}
 	n.endSlowStart()
 }
--- a/internal/lab/rules/order.go
+++ b/internal/lab/rules/order.go
@@ -6,7 +6,7 @@
 	"poppyarch/internal/lab/history"
 )
 
-// orderKey identifies requests that one broker must run one after the other.
+// orderKey identifies requests that a broker must run one at a time, in the order of their arrival.
 type orderKey struct {
 	broker int32
 	class  int32
@@ -16,14 +16,14 @@
 // keyQueue is the open requests of a key, in the order of their arrival.
 type keyQueue struct {
 	requests     []uint64
-	unknownSince int64 // end of the latest attempt whose outcome is unknown; 0: none
+	unknownSince int64 // end of the latest attempt whose outcome is unknown; 0 if there is none
 }
 
 func orderKeyOf(q *request) orderKey {
 	return orderKey{broker: q.received.Broker, class: q.received.Class, key: q.received.Key}
 }
 
-// keyQueueOf returns the queue of a request's key, nil if its class is not ordered.
+// keyQueueOf returns the queue of a request's key, or nil if its class is not ordered.
 func (c *Checker) keyQueueOf(q *request) *keyQueue {
 	if !c.settings.Classes[q.received.Class].Ordered {
 		return nil
@@ -63,10 +63,10 @@
 		return
 	}
 	if k.requests[0] != r.Request {
-		c.violate(ruleOrder, r, "sent while request %x of its key is open", k.requests[0])
+		c.violate(ruleOrder, r, "attempt sent while the earlier request %x of its key is open", k.requests[0])
 	}
 	quiet := c.settings.KeyQuietTime
 	if quiet > 0 && k.unknownSince > 0 && r.At < k.unknownSince+quiet {
-		c.violate(ruleOrder, r, "sent %d us after an attempt of its key with an open end", r.At-k.unknownSince)
+		c.violate(ruleOrder, r, "attempt sent %d us after an attempt of its key with an unknown outcome", r.At-k.unknownSince)
 	}
 }
--- a/internal/lab/rules/rate.go
+++ b/internal/lab/rules/rate.go
@@ -7,7 +7,7 @@
 	"poppyarch/internal/lab/history"
 )
 
-// roundingError is the error of the bucket's arithmetic, in units.
+// roundingError is the tolerance for floating-point errors of the bucket, in units.
 const roundingError = 1e-9
 
 const microsPerSecond = 1e6
@@ -15,7 +15,7 @@
 // bucket is the token bucket of a volume's rate limit.
 type bucket struct {
 	level float64 // units
-	at    int64   // of the level
+	at    int64   // time of the level
 }
 
 // checkRateLimit charges a request's first attempt to its volume.
@@ -37,7 +37,7 @@
 	b.level = math.Min(limit.Burst, refilled) - q.received.Units
 	b.at = r.At
 	if b.level < -limit.Tolerance-roundingError {
-		c.violate(ruleLimit, r, "volume %d is %.2f units beyond its limit and slack", q.received.Volume, -b.level-limit.Tolerance)
+		c.violate(ruleLimit, r, "volume %d exceeds its rate limit and tolerance by %.2f units", q.received.Volume, -b.level-limit.Tolerance)
 	}
 }
 
@@ -53,6 +53,6 @@
 	retries := float64(len(b.retries))
 	budget := c.settings.RetryBudgetBase + c.settings.RetryBudgetRatio*float64(len(b.received))
 	if retries > budget {
-		c.violate(ruleBudget, r, "%.0f further attempts, %.1f allowed", retries, budget)
+		c.violate(ruleBudget, r, "%.0f additional attempts within the window, %.1f allowed", retries, budget)
 	}
 }
