--- a/internal/lab/search/evaluate.go
+++ b/internal/lab/search/evaluate.go
@@ -9,7 +9,7 @@
 	"poppyarch/internal/lab/model"
 )
 
-// evaluate plays the design and the reference with faults, once with each seed.
+// evaluate runs the design and the reference with the given faults, once with each seed.
 func (s *Search) evaluate(ctx context.Context, faults []model.Fault) (Verdict, error) {
 	if err := ctx.Err(); err != nil {
 		return Verdict{}, err
@@ -21,20 +21,20 @@
 	tested := make([]*model.Result, s.Runs)
 	reference := make([]*model.Result, s.Runs)
 	errs := make([]error, 2*s.Runs)
-	running := make(chan struct{}, runtime.GOMAXPROCS(0))
-	var runs sync.WaitGroup
-	play := func(design string, run int, to **model.Result, err *error) {
-		runs.Go(func() {
-			running <- struct{}{}
-			defer func() { <-running }()
-			*to, *err = model.Play(scenario, design, s.Seed+uint64(run))
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
+	var running sync.WaitGroup
+	start := func(design string, i int, to **model.Result, err *error) {
+		running.Go(func() {
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			*to, *err = model.Play(scenario, design, s.Seed+uint64(i))
 		})
 	}
-	for run := range s.Runs {
-		play(s.Design, run, &tested[run], &errs[2*run])
-		play(s.Reference, run, &reference[run], &errs[2*run+1])
+	for i := range s.Runs {
+		start(s.Design, i, &tested[i], &errs[2*i])
+		start(s.Reference, i, &reference[i], &errs[2*i+1])
 	}
-	runs.Wait()
+	running.Wait()
 	for _, err := range errs {
 		if err != nil {
 			return Verdict{}, err
@@ -43,7 +43,7 @@
 	return compare(tested, reference), nil
 }
 
-// compare returns the rules that the tested design has broken, and its mean shortfall.
+// compare returns the rules that the tested design broke and its mean shortfall.
 func compare(tested, reference []*model.Result) Verdict {
 	var v Verdict
 	for i := range tested {
--- a/internal/lab/search/fault.go
+++ b/internal/lab/search/fault.go
@@ -7,10 +7,10 @@
 	"poppyarch/internal/lab/model"
 )
 
-// timeStep is the grid of the times of drawn faults, and the least of them.
+// timeStep is the unit that the times of drawn faults are rounded to, and their minimum.
 const timeStep = 100 * time.Millisecond
 
-// drawFault draws a fault that begins once, in the first two thirds of the run.
+// drawFault draws a fault that occurs once and starts in the first 60% of the run.
 func (s *Search) drawFault(random *rand.Rand) model.Fault {
 	kinds := model.FaultKinds()
 	f := model.Fault{
@@ -31,7 +31,7 @@
 	return f
 }
 
-// drawTime draws a part of the run's duration.
+// drawTime draws a time between two fractions of the run's duration.
 func (s *Search) drawTime(random *rand.Rand, from, to float64) model.Duration {
 	t := time.Duration(uniform(random, from, to) * float64(time.Duration(s.Base.Duration)))
 	return model.Duration(max(t.Round(timeStep), timeStep))
--- a/internal/lab/search/search.go
+++ b/internal/lab/search/search.go
@@ -1,5 +1,5 @@
-// Package search looks for faults under which a design breaks a rule or falls far behind a reference design, and reduces
-// what it finds to a small scenario that is worth keeping.
+// Package search looks for faults under which a design breaks a rule or falls far behind a reference design, and
+// shrinks what it finds to a small scenario that can be kept as a test case.
 package search
 
 import (
@@ -11,31 +11,31 @@
 	"poppyarch/internal/lab/model"
 )
 
-// maxFaults is the largest number of faults that a search adds to a scenario.
+// maxFaults is the maximum number of faults that a search adds to a scenario.
 const maxFaults = 4
 
-// randomStream tells the random numbers of a search from those of the runs with the same seed.
+// randomStream separates the random numbers of a search from those of runs with the same seed.
 const randomStream = 7
 
-// Search is one search. The same search always finds the same case.
+// Search is the configuration of a search. Equal configurations always find the same case.
 type Search struct {
-	Base       *model.Scenario // its own faults stay
+	Base       *model.Scenario // its own faults are kept
 	Design     string
-	Reference  string // design to compare with
+	Reference  string // design that Design is compared with
 	Seed       uint64 // of the search, and of the first run of each candidate
-	Runs       int    // of each candidate, each with its own seed
-	Candidates int
+	Runs       int    // runs of each candidate, with consecutive seeds
+	Candidates int    // candidates to evaluate
 }
 
 // Case is a scenario that a search has found.
 type Case struct {
 	Scenario *model.Scenario
 	Verdict  Verdict
-	Plays    int // candidates and smaller cases that were played
+	Plays    int // evaluated candidates and smaller cases
 }
 
-// Run searches, and reduces the worst candidate. Half of the candidates are drawn at random, half are changes of the worst so
-// far. It calls report for each candidate that is the worst so far; candidates count from 0.
+// Run evaluates candidates and shrinks the worst one. Half of the candidates are drawn at random, half are mutations
+// of the worst so far. Run calls report for each candidate that is the worst so far; candidates are numbered from 0.
 func (s *Search) Run(ctx context.Context, report func(candidate int, verdict Verdict)) (*Case, error) {
 	if err := s.check(); err != nil {
 		return nil, err
@@ -48,7 +48,7 @@
 		return nil, err
 	}
 	scenario, err := s.scenarioWith(worst.faults)
-	return &Case{Scenario: scenario, Verdict: worst.verdict, Plays: worst.plays}, err
+	return &Case{Scenario: scenario, Verdict: worst.verdict, Plays: worst.evaluations}, err
 }
 
 func (s *Search) check() error {
@@ -58,12 +58,12 @@
 		}
 	}
 	if s.Runs < 1 || s.Candidates < 1 {
-		return fmt.Errorf("runs and tries: %d and %d cannot be", s.Runs, s.Candidates)
+		return fmt.Errorf("runs and tries: %d and %d, both must be 1 or more", s.Runs, s.Candidates)
 	}
 	return nil
 }
 
-// findWorst returns the worst candidate, ready to be reduced.
+// findWorst returns the worst candidate, ready for shrinking.
 func (s *Search) findWorst(ctx context.Context, report func(candidate int, verdict Verdict)) (*shrinker, error) {
 	random := rand.New(rand.NewPCG(s.Seed, randomStream))
 	worst := &shrinker{search: s}
@@ -73,7 +73,7 @@
 		if err != nil {
 			return nil, err
 		}
-		worst.plays++
+		worst.evaluations++
 		if worst.faults != nil && !verdict.worse(worst.finding) {
 			continue
 		}
@@ -85,7 +85,7 @@
 	return worst, nil
 }
 
-// nextCandidate draws faults, or changes those of the worst candidate so far. worst is nil before the first.
+// nextCandidate draws faults or mutates those of the worst candidate so far. worst is nil before the first candidate.
 func (s *Search) nextCandidate(random *rand.Rand, worst []model.Fault) []model.Fault {
 	if worst != nil && random.IntN(2) != 0 {
 		return s.mutate(random, worst)
@@ -97,7 +97,7 @@
 	return faults
 }
 
-// mutate returns faults with one added, removed, replaced, or begun at another time.
+// mutate returns a copy of faults with one fault added, removed, replaced or moved in time.
 func (s *Search) mutate(random *rand.Rand, faults []model.Fault) []model.Fault {
 	faults = slices.Clone(faults)
 	i := random.IntN(len(faults))
@@ -115,7 +115,7 @@
 	return faults
 }
 
-// scenarioWith returns a copy of the base scenario with further faults.
+// scenarioWith returns a copy of the base scenario with additional faults.
 func (s *Search) scenarioWith(faults []model.Fault) (*model.Scenario, error) {
 	scenario, err := s.Base.Copy()
 	if err != nil {
--- a/internal/lab/search/search_test.go
+++ b/internal/lab/search/search_test.go
@@ -27,47 +27,47 @@
 	return s
 }
 
-// A design without slow start overloads nodes that have just started. The search finds that, reduces it to one fault, and
-// what it has found can be played again from its text.
-func TestFindsAndReducesABrokenRule(t *testing.T) {
-	h := &Search{Base: baseScenario(t), Design: "random", Reference: "oracle", Seed: 3, Runs: 1, Candidates: 25}
-	f, err := h.Run(context.Background(), func(int, Verdict) {})
-	if err != nil || !reflect.DeepEqual(f.Verdict.Rules, []string{"cold"}) {
-		t.Fatalf("%v %+v", err, f)
+// A design without slow start overloads nodes that have just started. The search finds the broken rule and shrinks the
+// case to one fault, and the case can be run again from its TOML text.
+func TestSearchFindsAndShrinksBrokenRule(t *testing.T) {
+	s := &Search{Base: baseScenario(t), Design: "random", Reference: "oracle", Seed: 3, Runs: 1, Candidates: 25}
+	found, err := s.Run(context.Background(), func(int, Verdict) {})
+	if err != nil || !reflect.DeepEqual(found.Verdict.Rules, []string{"cold"}) {
+		t.Fatalf("error %v, found %+v, want the broken rule cold", err, found)
 	}
-	if n := len(f.Scenario.Faults) - len(h.Base.Faults); n != 1 {
-		t.Errorf("%d faults are left: %+v", n, f.Scenario.Faults)
+	if n := len(found.Scenario.Faults) - len(s.Base.Faults); n != 1 {
+		t.Errorf("%d faults are left, want 1: %+v", n, found.Scenario.Faults)
 	}
-	text, err := toml.Marshal(f.Scenario)
+	text, err := toml.Marshal(found.Scenario)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := &model.Scenario{}
-	if err := toml.Unmarshal(text, again); err != nil {
+	decoded := &model.Scenario{}
+	if err := toml.Unmarshal(text, decoded); err != nil {
 		t.Fatal(err)
 	}
-	r, err := model.Play(again, "random", h.Seed)
+	r, err := model.Play(decoded, "random", s.Seed)
 	if err != nil || r.Broken["cold"] == 0 {
-		t.Errorf("%v %v", err, r.Broken)
+		t.Errorf("repeated run: error %v, broken rules %v, want cold", err, r.Broken)
 	}
-	if g, _ := h.Run(context.Background(), func(int, Verdict) {}); !reflect.DeepEqual(f, g) {
-		t.Error("two searches with one seed differ")
+	if again, _ := s.Run(context.Background(), func(int, Verdict) {}); !reflect.DeepEqual(found, again) {
+		t.Error("two searches with the same seed differ")
 	}
 }
 
-// Where no rule is broken, the reduced case keeps the shortfall.
-func TestReducedCaseKeepsTheShortfall(t *testing.T) {
-	h := &Search{Base: baseScenario(t), Design: "module", Reference: "oracle", Seed: 3, Runs: 1, Candidates: 6}
-	first := Verdict{}
-	f, err := h.Run(context.Background(), func(_ int, b Verdict) { first = b })
-	if err != nil || len(f.Verdict.Rules) > 0 || f.Verdict.Shortfall < 0.8*first.Shortfall || first.Shortfall <= 0 {
-		t.Errorf("%v %v, before %v", err, f, first)
+// If no rule is broken, the shrunk case keeps most of the shortfall. Invalid searches are rejected.
+func TestShrunkCaseKeepsShortfall(t *testing.T) {
+	s := &Search{Base: baseScenario(t), Design: "module", Reference: "oracle", Seed: 3, Runs: 1, Candidates: 6}
+	worst := Verdict{}
+	found, err := s.Run(context.Background(), func(_ int, v Verdict) { worst = v })
+	if err != nil || len(found.Verdict.Rules) > 0 || found.Verdict.Shortfall < 0.8*worst.Shortfall || worst.Shortfall <= 0 {
+		t.Errorf("error %v, shrunk to %v from %v", err, found, worst)
 	}
-	for want, invalidate := range map[string]func(*Search){"unknown": func(h *Search) { h.Reference = "x" }, "cannot be": func(h *Search) { h.Runs = 0 }} {
-		c := *h
+	for want, invalidate := range map[string]func(*Search){"unknown": func(s *Search) { s.Reference = "x" }, "both must be 1 or more": func(s *Search) { s.Runs = 0 }} {
+		c := *s
 		invalidate(&c)
 		if _, err := c.Run(context.Background(), func(int, Verdict) {}); err == nil || !strings.Contains(err.Error(), want) {
-			t.Error(err)
+			t.Errorf("error %v, want %s", err, want)
 		}
 	}
 }
--- a/internal/lab/search/shrink.go
+++ b/internal/lab/search/shrink.go
@@ -8,13 +8,13 @@
 	"poppyarch/internal/lab/model"
 )
 
-// Bounds below which faults are not reduced any further.
+// Limits below which faults are not shrunk any further.
 const (
 	minShare    = 0.02
 	minDuration = model.Duration(20 * time.Millisecond)
 )
 
-// reductions make a fault smaller in place. They return false where it cannot become smaller.
+// reductions make a fault smaller in place. Each returns false if the fault cannot become smaller in that way.
 var reductions = []func(*model.Fault) bool{halveShare, halveDuration, removeSpread}
 
 func halveShare(f *model.Fault) bool {
@@ -27,23 +27,23 @@
 	return f.Duration > minDuration
 }
 
-// removeSpread makes a fault begin everywhere at the same time.
+// removeSpread makes a fault start at all its targets at the same time.
 func removeSpread(f *model.Fault) bool {
 	spread := f.Over > 0
 	f.Over = 0
 	return spread
 }
 
-// shrinker makes a case smaller while it still shows its finding.
+// shrinker makes a case smaller while it still reproduces its finding.
 type shrinker struct {
-	search  *Search
-	finding Verdict
-	faults  []model.Fault // of the smallest case so far
-	verdict Verdict       // on it
-	plays   int
+	search      *Search
+	finding     Verdict
+	faults      []model.Fault // faults of the smallest case so far
+	verdict     Verdict       // verdict on that case
+	evaluations int
 }
 
-// shrink removes faults, and then reduces each of those that are left.
+// shrink removes faults, and then reduces each remaining one.
 func (k *shrinker) shrink(ctx context.Context) error {
 	if err := k.removeFaults(ctx); err != nil {
 		return err
@@ -60,7 +60,7 @@
 
 func (k *shrinker) removeFaults(ctx context.Context) error {
 	for i := 0; i < len(k.faults) && len(k.faults) > 1; {
-		removed, err := k.try(ctx, slices.Delete(slices.Clone(k.faults), i, i+1))
+		removed, err := k.tryCase(ctx, slices.Delete(slices.Clone(k.faults), i, i+1))
 		if err != nil {
 			return err
 		}
@@ -71,24 +71,24 @@
 	return nil
 }
 
-// reduceFault reduces a fault as often as the finding still shows.
+// reduceFault reduces a fault as long as the finding is reproduced.
 func (k *shrinker) reduceFault(ctx context.Context, i int, reduce func(*model.Fault) bool) error {
 	for {
 		smaller := slices.Clone(k.faults)
 		if !reduce(&smaller[i]) {
 			return nil
 		}
-		reduced, err := k.try(ctx, smaller)
+		reduced, err := k.tryCase(ctx, smaller)
 		if err != nil || !reduced {
 			return err
 		}
 	}
 }
 
-// try plays a smaller case, and takes it over if it reproduces the finding.
-func (k *shrinker) try(ctx context.Context, faults []model.Fault) (bool, error) {
+// tryCase evaluates a smaller case and keeps it if it reproduces the finding.
+func (k *shrinker) tryCase(ctx context.Context, faults []model.Fault) (bool, error) {
 	verdict, err := k.search.evaluate(ctx, faults)
-	k.plays++
+	k.evaluations++
 	if err != nil || !verdict.reproduces(k.finding) {
 		return false, err
 	}
--- a/internal/lab/search/verdict.go
+++ b/internal/lab/search/verdict.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// similarity is the part of a shortfall that a smaller case must keep to count as the same finding.
+// similarity is the fraction of a shortfall that a smaller case must keep to count as the same finding.
 const similarity = 0.8
 
-// Verdict is how a design does on a scenario. Broken rules count before everything else.
+// Verdict is the outcome of a design on a scenario. Any broken rule is worse than any shortfall.
 type Verdict struct {
 	Rules     []string // names of the broken rules, sorted
 	Shortfall float64  // mean service below the reference design's, as a fraction of the possible
@@ -22,7 +22,8 @@
 	return v.Shortfall > other.Shortfall
 }
 
-// reproduces reports whether v still shows a finding: one of its broken rules, or most of its shortfall.
+// reproduces reports whether v still shows a finding: one of its broken rules or, if it broke none, most of its
+// shortfall.
 func (v Verdict) reproduces(finding Verdict) bool {
 	for _, rule := range finding.Rules {
 		if slices.Contains(v.Rules, rule) {
