--- a/internal/lab/fit/fit.go
+++ b/internal/lab/fit/fit.go
@@ -1,5 +1,6 @@
-// Package fit makes a scenario of what brokers have recorded: how much came, of which classes and plans, through how many brokers to how many
-// nodes, and how long nodes worked on it. What records do not tell is left at a figure that says so.
+// Package fit derives a scenario from the records of brokers: request rate, classes, plans, the numbers of brokers and
+// nodes, and the distribution of the nodes' service time. What records do not contain is set to a default and listed
+// in a note.
 package fit
 
 import (
@@ -21,41 +22,42 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// Trace is the requests of one or several brokers, on the wall clock.
+// Trace is the requests of one or several brokers, ordered by wall-clock time.
 type Trace struct {
-	Classes []record.Class
-	Plans   []record.Plan
-	Brokers map[string]bool
-	Asked   []Request
-	Sampled float64 // least part that was recorded one by one
-	Faults  []string
+	Classes        []record.Class
+	Plans          []record.Plan
+	Brokers        map[string]bool
+	Asked          []Request // all recorded requests
+	SampleFraction float64   // smallest fraction of requests that a broker recorded individually
+	Faults         []string  // files and records that could not be read
 }
 
-// Request is one with its broker.
+// Request is a recorded request with the name of its broker.
 type Request struct {
 	At     clock.Micros
 	Broker string
 	record.Request
 }
 
-// Read reads all segments under folders; a path may also be a single segment. What cannot be read is told and skipped.
+// Read reads all segments below the given folders; a path may also name a single segment. Segments that cannot be read
+// are skipped and listed in Faults.
 func Read(paths ...string) (*Trace, error) {
-	t := &Trace{Brokers: map[string]bool{}, Sampled: 1}
-	seen := map[string]bool{} // frames: copies count once
+	t := &Trace{Brokers: map[string]bool{}, SampleFraction: 1}
+	seen := map[string]bool{} // frames that were read; copies of a segment count once
 	for _, path := range paths {
 		info, err := os.Stat(path)
 		if err != nil {
 			return nil, err
 		}
 		if !info.IsDir() {
-			t.file(path, seen)
+			t.readSegment(path, seen)
 			continue
 		}
 		err = filepath.WalkDir(path, func(at string, d os.DirEntry, err error) error {
 			if err != nil {
 				t.Faults = append(t.Faults, err.Error())
 			} else if !d.IsDir() && filepath.Ext(at) == ".seg" {
-				t.file(at, seen)
+				t.readSegment(at, seen)
 			}
 			return nil
 		})
@@ -64,13 +66,14 @@
 		}
 	}
 	if len(t.Asked) == 0 {
-		return nil, errors.New("no request in these records (do the brokers record them one by one?)")
+		return nil, errors.New("the records contain no individual requests; check that the brokers record them")
 	}
 	slices.SortFunc(t.Asked, func(a, b Request) int { return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Broker, b.Broker)) })
 	return t, nil
 }
 
-func (t *Trace) file(path string, seen map[string]bool) {
+// readSegment adds the requests of a segment file, except those of frames that were seen before.
+func (t *Trace) readSegment(path string, seen map[string]bool) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		t.Faults = append(t.Faults, err.Error())
@@ -82,10 +85,10 @@
 		fault(err)
 		return
 	}
-	var wall, began clock.Micros
-	known := false // a boot's first words tell its clock, and come again in each segment
+	var wallClock, startedAt clock.Micros
+	known := false // whether the segment's incarnation event, which relates its clock to the wall clock, was read
 	d := record.NewDecoder()
-	var held []Request
+	var requests []Request
 	_, _, _ = record.DecodeSegment(b, func(p record.Part) {
 		if p.Damaged > 0 {
 			fault(fmt.Errorf("%d bytes cannot be read", p.Damaged))
@@ -111,69 +114,72 @@
 			}
 			switch {
 			case e.Incarnation != nil:
-				wall, began, known = e.Incarnation.WallClock, e.Incarnation.StartedAt, true
+				wallClock, startedAt, known = e.Incarnation.WallClock, e.Incarnation.StartedAt, true
 				if t.Classes == nil {
 					t.Classes, t.Plans = e.Incarnation.Classes, e.Incarnation.Plans
 				} else if !slices.Equal(t.Classes, e.Incarnation.Classes) || !slices.Equal(t.Plans, e.Incarnation.Plans) {
-					fault(errors.New("classes or plans other than those read before; its requests count by their numbers"))
+					fault(errors.New("classes or plans differ from those of earlier segments; its requests are counted by the index of their class and plan"))
 				}
-				t.Sampled = min(t.Sampled, e.Incarnation.SampleFraction)
+				t.SampleFraction = min(t.SampleFraction, e.Incarnation.SampleFraction)
 			case e.Request != nil:
 				q := *e.Request
 				q.Attempts = slices.Clone(q.Attempts)
-				held = append(held, Request{At: e.At, Broker: name, Request: q})
+				requests = append(requests, Request{At: e.At, Broker: name, Request: q})
 			}
 		}
 	})
-	if !known && len(held) > 0 {
-		fault(errors.New("no boot in it: its clock is not known"))
+	if !known && len(requests) > 0 {
+		fault(errors.New("no incarnation event: its clock cannot be related to the wall clock"))
 		return
 	}
-	for i := range held {
-		held[i].At += wall - began
+	for i := range requests {
+		requests[i].At += wallClock - startedAt
 	}
-	if len(held) > 0 {
+	if len(requests) > 0 {
 		t.Brokers[name] = true
 	}
-	t.Asked = append(t.Asked, held...)
+	t.Asked = append(t.Asked, requests...)
 }
 
-// Work is how long nodes worked on requests, by what was tried there while no other recorded attempt was.
+// Work is the distribution of the nodes' service time, fitted to attempts that overlapped no other recorded attempt at
+// their node.
 type Work struct {
-	Spread   string // as a scenario names it
-	Mean     float64
-	Sigma    float64 // of a lognormal one
-	Distance float64 // greatest difference of the distributions, 0 to 1 (Kolmogorov and Smirnov)
-	N        int     // attempts that it stands on
-	Of       int     // of so many that were served
+	Spread   string  // name of the distribution, as in a scenario
+	Mean     float64 // microseconds
+	Sigma    float64 // of a lognormal distribution
+	Distance float64 // Kolmogorov-Smirnov distance between the fitted and the observed distribution, 0 to 1
+	N        int     // attempts that it was fitted to
+	Of       int     // all served attempts
 }
 
-// span is an attempt at a node.
-type span struct {
+// nodeAttempt is the time that an attempt spent at a node.
+type nodeAttempt struct {
 	from, to clock.Micros
-	of       *Request
+	request  *Request
 	served   bool
 }
 
-// stay is one that was alone at its node. Long ones seldom are: where others come by chance at a rate, one of length x is left alone with a chance of
-// exp(-rate x), and its weight makes up for that.
-type stay struct {
-	us, weight float64
-	class      int
+// serviceTime is the duration of an attempt that overlapped no other at its node. Long attempts are underrepresented:
+// if attempts arrive at random at a given rate, one of duration x overlaps none with probability exp(-rate x). The
+// weight corrects for that.
+type serviceTime struct {
+	micros, weight float64
+	class          int
 }
 
-// mostWeight bounds what one stay may stand for.
-const mostWeight = 20
+// maxWeight limits the weight of a single service time.
+const maxWeight = 20
 
-// alone are the stays of served attempts during which no other attempt was out at their node: what stands in a queue tells of the queue.
-func (t *Trace) alone() (stays []stay, of int) {
-	seconds := max(float64(t.Asked[len(t.Asked)-1].At-t.Asked[0].At), 1)
-	nodes := map[string][]span{}
+// serviceTimes returns the durations of served attempts that overlapped no other attempt at their node, and the number
+// of all served attempts. The duration of an overlapping attempt includes time in the node's queue.
+func (t *Trace) serviceTimes() (times []serviceTime, servedAttempts int) {
+	span := max(float64(t.Asked[len(t.Asked)-1].At-t.Asked[0].At), 1) // microseconds
+	nodes := map[string][]nodeAttempt{}
 	for i := range t.Asked {
 		q := &t.Asked[i]
-		for _, try := range q.Attempts {
-			at := q.At + try.SentAfter
-			nodes[try.Node] = append(nodes[try.Node], span{at, at + try.Duration, q, decision.Outcome(try.Outcome) == decision.Served})
+		for _, a := range q.Attempts {
+			from := q.At + a.SentAfter
+			nodes[a.Node] = append(nodes[a.Node], nodeAttempt{from, from + a.Duration, q, decision.Outcome(a.Outcome) == decision.Served})
 		}
 	}
 	names := make([]string, 0, len(nodes))
@@ -183,124 +189,127 @@
 	slices.Sort(names)
 	for _, n := range names {
 		list := nodes[n]
-		slices.SortFunc(list, func(a, b span) int { return cmp.Or(cmp.Compare(a.from, b.from), cmp.Compare(a.to, b.to)) })
-		rate := float64(len(list)) / seconds // a microsecond
-		until := clock.Micros(math.MinInt64) // the end of all that began before
+		slices.SortFunc(list, func(a, b nodeAttempt) int { return cmp.Or(cmp.Compare(a.from, b.from), cmp.Compare(a.to, b.to)) })
+		rate := float64(len(list)) / span        // attempts per microsecond
+		busyUntil := clock.Micros(math.MinInt64) // latest end of the attempts that started earlier
 		for i, s := range list {
 			if s.served {
-				of++
-				if s.from >= until && (i+1 == len(list) || list[i+1].from >= s.to) && s.to > s.from {
+				servedAttempts++
+				if s.from >= busyUntil && (i+1 == len(list) || list[i+1].from >= s.to) && s.to > s.from {
 					x := float64(s.to - s.from)
-					stays = append(stays, stay{x, min(math.Exp(rate*x), mostWeight), int(s.of.Class)})
+					times = append(times, serviceTime{x, min(math.Exp(rate*x), maxWeight), int(s.request.Class)})
 				}
 			}
-			until = max(until, s.to)
+			busyUntil = max(busyUntil, s.to)
 		}
 	}
-	return stays, of
+	return times, servedAttempts
 }
 
-// least attempts that a distribution is fitted to.
-const least = 30
+// minSamples is the smallest number of service times that a distribution is fitted to.
+const minSamples = 30
 
-// fitWork fits the distributions that a scenario knows and takes the likeliest, each figure of a distribution counting against it (Akaike).
-func fitWork(stays []stay) (Work, error) {
-	if len(stays) < least {
-		return Work{}, fmt.Errorf("only %d attempts were alone at their nodes, fewer than %d: how long nodes work cannot be told from queues", len(stays), least)
-	}
-	slices.SortFunc(stays, func(a, b stay) int { return cmp.Compare(a.us, b.us) })
-	xs, logs, weights, total := make([]float64, len(stays)), make([]float64, len(stays)), make([]float64, len(stays)), 0.0
-	for i, s := range stays {
-		xs[i], logs[i], weights[i] = s.us, math.Log(s.us), s.weight
+// fitWork fits the distributions that a scenario supports and selects one by the Akaike information criterion, which
+// penalises each parameter of a distribution.
+func fitWork(times []serviceTime) (Work, error) {
+	if len(times) < minSamples {
+		return Work{}, fmt.Errorf("only %d attempts overlapped no other at their node, at least %d are needed to tell service time from time in queues", len(times), minSamples)
+	}
+	slices.SortFunc(times, func(a, b serviceTime) int { return cmp.Compare(a.micros, b.micros) })
+	xs, logs, weights, total := make([]float64, len(times)), make([]float64, len(times)), make([]float64, len(times)), 0.0
+	for i, s := range times {
+		xs[i], logs[i], weights[i] = s.micros, math.Log(s.micros), s.weight
 		total += s.weight
 	}
 	mean, dev := stat.MeanStdDev(xs, weights)
-	w := Work{Mean: mean, N: len(stays)}
+	w := Work{Mean: mean, N: len(times)}
 	if dev < 0.02*mean {
 		w.Spread = "constant"
 		return w, nil
 	}
-	var normal distuv.Normal
+	var normal distuv.Normal // of the logarithms
 	normal.Fit(logs, weights)
 	ln, ex := distuv.LogNormal{Mu: normal.Mu, Sigma: normal.Sigma}, distuv.Exponential{Rate: 1 / mean}
-	score := func(logProb func(float64) float64, figures float64) (sum float64) {
+	score := func(logProb func(float64) float64, parameters float64) (sum float64) {
 		for i, x := range xs {
 			sum += weights[i] * logProb(x)
 		}
-		return 2*figures - 2*sum*float64(len(xs))/total
+		return 2*parameters - 2*sum*float64(len(xs))/total
 	}
 	cdf := ex.CDF
 	w.Spread = "exponential"
 	if score(ln.LogProb, 2) < score(ex.LogProb, 1) {
 		w.Spread, w.Sigma, cdf = "lognormal", ln.Sigma, ln.CDF
 	}
-	part := 0.0
+	cumulative := 0.0
 	for i, x := range xs {
 		f := cdf(x)
-		w.Distance = max(w.Distance, math.Abs(f-part))
-		part += weights[i] / total
-		w.Distance = max(w.Distance, math.Abs(f-part))
+		w.Distance = max(w.Distance, math.Abs(f-cumulative))
+		cumulative += weights[i] / total
+		w.Distance = max(w.Distance, math.Abs(f-cumulative))
 	}
 	return w, nil
 }
 
-// Scenario is the scenario, how the work was fitted, and what records do not tell.
+// Scenario returns a scenario fitted to the records, the fitted distribution of work, and notes on what records do not
+// contain.
 func (t *Trace) Scenario(name string) (*model.Scenario, Work, []string, error) {
-	stays, of := t.alone()
-	// Classes differ in their work: each is brought to the mean of all before one distribution is fitted to them.
-	all, means := average(stays, -1), make([]float64, len(t.Classes))
+	times, servedAttempts := t.serviceTimes()
+	// Classes differ in their mean work: each is scaled to the overall mean before one distribution is fitted to all.
+	all, means := weightedMean(times, -1), make([]float64, len(t.Classes))
 	for k := range means {
-		if means[k] = average(stays, k); means[k] == 0 {
+		if means[k] = weightedMean(times, k); means[k] == 0 {
 			means[k] = all
 		}
 	}
-	var scaled []stay
-	for _, s := range stays {
+	var scaled []serviceTime
+	for _, s := range times {
 		if s.class < len(means) {
-			scaled = append(scaled, stay{s.us * all / means[s.class], s.weight, s.class})
+			scaled = append(scaled, serviceTime{s.micros * all / means[s.class], s.weight, s.class})
 		}
 	}
 	w, err := fitWork(scaled)
 	if err != nil {
 		return nil, w, nil, err
 	}
-	w.Of = of
+	w.Of = servedAttempts
 	first, last := t.Asked[0].At, t.Asked[len(t.Asked)-1].At
 	seconds := float64(last-first) / 1e6
 	if seconds < 1 {
-		return nil, w, nil, fmt.Errorf("the records span %.3f s, less than a second: no rate can be told", seconds)
+		return nil, w, nil, fmt.Errorf("the records span %.3f s, at least 1 s is needed to determine the request rate", seconds)
 	}
 	s := &model.Scenario{Name: name, Brokers: len(t.Brokers), Duration: model.Duration(40 * time.Second), WarmUp: model.Duration(5 * time.Second)}
-	s.Load = model.Load{Rate: round(float64(len(t.Asked)) / seconds / t.Sampled), Work: micros(all), Distribution: w.Spread, Sigma: round(w.Sigma)}
-	s.Nodes = []model.NodeGroup{{Count: max(len(t.nodes()), 1), Cores: 2, Speed: 1, QueueCapacity: 40}}
+	s.Load = model.Load{Rate: round(float64(len(t.Asked)) / seconds / t.SampleFraction), Work: micros(all), Distribution: w.Spread, Sigma: round(w.Sigma)}
+	s.Nodes = []model.NodeGroup{{Count: max(len(t.nodeNames()), 1), Cores: 2, Speed: 1, QueueCapacity: 40}}
 	s.Rules = model.Rules{Attempts: 3, DrainGrace: model.Duration(500 * time.Millisecond), ResponseGrace: model.Duration(50 * time.Millisecond), BurstValue: 0.3, ExcessValue: 0.08}
-	t.classes(s, means, all)
-	t.plans(s, seconds)
+	t.addClasses(s, means, all)
+	t.addPlans(s, seconds)
 	notes := []string{
-		"nodes: cores, speed and room are not recorded; 2, 1 and 40 stand for them",
-		"load.rate: a client's second try counts as a request, and load.retry is 0",
-		"class: whether a request may be repeated is not recorded; those that write may not",
-		"plan: reserves and weights are not recorded; all is reserved, all weights are 1",
+		"nodes: cores, speed and room are not recorded; set to 2, 1 and 40",
+		"load.rate: a client's retry counts as a request of its own, so load.retry is 0",
+		"class: idempotency is not recorded; classes that write are set to never, others to always",
+		"plan: reserves and weights are not recorded; everything is reserved, all weights are 1",
 		"rules, link, cold and discovery are not recorded",
 	}
-	if t.Sampled < 1 {
-		notes = append(notes, fmt.Sprintf("load.rate: 1 in %.3g requests was recorded; the rate is scaled, volumes that none of them names are missing", 1/t.Sampled))
+	if t.SampleFraction < 1 {
+		notes = append(notes, fmt.Sprintf("load.rate: 1 in %.3g requests was recorded; the rate is scaled up, volumes without a recorded request are missing", 1/t.SampleFraction))
 	}
 	if w.Distance > 0.1 {
-		notes = append(notes, fmt.Sprintf("load.spread: neither distribution is near what was recorded (they differ by %.2f)", w.Distance))
+		notes = append(notes, fmt.Sprintf("load.spread: no supported distribution fits the recorded service times well (Kolmogorov-Smirnov distance %.2f)", w.Distance))
 	}
 	if err := s.Check(); err != nil {
-		return nil, w, nil, fmt.Errorf("records make no scenario: %w", err)
+		return nil, w, nil, fmt.Errorf("the fitted scenario is invalid: %w", err)
 	}
 	return s, w, notes, nil
 }
 
-// average is the mean stay of a class, or with -1 of all; 0 where there is none.
-func average(stays []stay, class int) float64 {
+// weightedMean returns the weighted mean service time of a class, or of all classes if class is -1. It returns 0 if
+// there are no service times.
+func weightedMean(times []serviceTime, class int) float64 {
 	sum, total := 0.0, 0.0
-	for _, s := range stays {
+	for _, s := range times {
 		if class < 0 || s.class == class {
-			sum, total = sum+s.weight*s.us, total+s.weight
+			sum, total = sum+s.weight*s.micros, total+s.weight
 		}
 	}
 	if total == 0 {
@@ -309,30 +318,32 @@
 	return sum / total
 }
 
+// round rounds to four decimal places.
 func round(v float64) float64 { return math.Round(v*1e4) / 1e4 }
 
 func micros(v float64) model.Duration {
 	return model.Duration(time.Duration(math.Round(v)) * time.Microsecond)
 }
 
-func (t *Trace) nodes() map[string]bool {
+func (t *Trace) nodeNames() map[string]bool {
 	out := map[string]bool{}
 	for i := range t.Asked {
-		for _, try := range t.Asked[i].Attempts {
-			out[try.Node] = true
+		for _, a := range t.Asked[i].Attempts {
+			out[a.Node] = true
 		}
 	}
 	return out
 }
 
-// classes: shares, aims and worths are told; what asks for no shard writes new objects.
-func (t *Trace) classes(s *model.Scenario, means []float64, all float64) {
-	count, fresh := make([]int, len(t.Classes)), make([]int, len(t.Classes))
+// addClasses adds the classes with their share of the requests, latency objective and priority. A class of which most
+// requests name no shard is taken to write new objects.
+func (t *Trace) addClasses(s *model.Scenario, means []float64, all float64) {
+	count, withoutShard := make([]int, len(t.Classes)), make([]int, len(t.Classes))
 	for i := range t.Asked {
 		if q := &t.Asked[i]; int(q.Class) < len(count) {
 			count[q.Class]++
 			if q.Shard < 0 {
-				fresh[q.Class]++
+				withoutShard[q.Class]++
 			}
 		}
 	}
@@ -342,15 +353,16 @@
 		}
 		x := model.Class{Name: c.Name, Share: round(float64(count[k]) / float64(len(t.Asked))), Work: round(means[k] / all), LatencyObjective: model.Duration(time.Duration(c.LatencyObjective) * time.Microsecond),
 			Deadline: model.Duration(time.Duration(max(c.Deadline, c.LatencyObjective)) * time.Microsecond), Priority: c.PriorityWeight, LateValue: 0.15, Idempotency: "always"}
-		if 2*fresh[k] > count[k] {
+		if 2*withoutShard[k] > count[k] {
 			x.Writes, x.Idempotency = true, "never"
 		}
 		s.Classes = append(s.Classes, x)
 	}
 }
 
-// plans: how many volumes each has, how large they are, through how many brokers they come and on how many shards they lie.
-func (t *Trace) plans(s *model.Scenario, seconds float64) {
+// addPlans adds the plans with the number of their volumes, the relative size of a volume, and the ranges of brokers
+// and shards that a volume uses.
+func (t *Trace) addPlans(s *model.Scenario, seconds float64) {
 	type volume struct {
 		plan    uint8
 		count   int
