--- a/internal/lab/load/install.go
+++ b/internal/lab/load/install.go
@@ -19,27 +19,29 @@
 	"poppyarch/internal/testkit/fake"
 )
 
-// Installation is a scenario's nodes and discovery as stand-ins in this process, and its brokers, all on loopback.
+// Installation is a running deployment of a scenario on loopback: simulated nodes and discovery in this process, and
+// real brokers.
 type Installation struct {
 	Scenario *model.Scenario
-	Blocks   []string // addresses of the brokers' block fronts
-	Objects  []string // or of their object fronts
+	Blocks   []string // addresses of the brokers' block API
+	Objects  []string // addresses of their object API, if it is used instead
 
 	nodes []*fake.Timed
 	stops []func() error
 }
 
-// Start starts a broker with a configuration file and returns how to end it.
+// Start starts a broker with a configuration file and returns a function that stops it.
 type Start func(name, config string) (stop func() error, err error)
 
-// Options say how a scenario is put up.
+// Options configure an installation.
 type Options struct {
-	Dir     string // takes the brokers' configurations
-	Objects bool   // brokers speak HTTP in place of the platform's protocol
-	Records string // folder that brokers record to; "": they do not
+	Dir     string // folder for the brokers' configuration files
+	Objects bool   // use the object API (HTTP) instead of the block protocol
+	Records string // folder for the brokers' records; they do not record if it is empty
 }
 
-// Install puts a scenario up. Of the scenario's troubles pauses are played, and those of clients; others need a network that loses, and are refused by name.
+// Install starts the nodes, discovery and brokers of a scenario. Of the scenario's faults it supports pauses and those
+// of clients. The others need a lossy network and are rejected with an error that names them.
 func Install(s *model.Scenario, o Options, start Start) (in *Installation, err error) {
 	if err := s.Check(); err != nil {
 		return nil, fmt.Errorf("scenario %s: %w", s.Name, err)
@@ -48,7 +50,7 @@
 		switch t.Kind {
 		case "pause", "hot", "load", "reconnect":
 		default:
-			return nil, fmt.Errorf("scenario %s: trouble[%d].kind: %s is for the model only; on sockets there are pause, hot, load and reconnect", s.Name, i, t.Kind)
+			return nil, fmt.Errorf("scenario %s: trouble[%d].kind: %s can only be simulated; sockets support pause, hot, load and reconnect", s.Name, i, t.Kind)
 		}
 	}
 	in = &Installation{Scenario: s}
@@ -70,7 +72,7 @@
 			if o.Objects {
 				objects := fake.NewObjects()
 				objects.SetHook(func(w http.ResponseWriter, r *http.Request, next func()) {
-					done, ok := n.Take(Work(r.URL.Path))
+					done, ok := n.Take(ObjectWork(r.URL.Path))
 					if !ok {
 						w.WriteHeader(http.StatusServiceUnavailable)
 						return
@@ -86,35 +88,36 @@
 			in.nodes = append(in.nodes, n)
 		}
 	}
-	at, err := in.serve((&http.Server{Handler: disc}).Serve)
+	addr, err := in.serve((&http.Server{Handler: disc}).Serve)
 	if err != nil {
 		return in, err
 	}
-	return in, in.brokers(o, at, disc.List(-1), start)
+	return in, in.startBrokers(o, addr, disc.List(-1), start)
 }
 
-// serve has a stand-in listen on a port that the system chooses.
-func (in *Installation) serve(f func(net.Listener) error) (string, error) {
+// serve runs a server on a port that the system chooses, and returns its address.
+func (in *Installation) serve(run func(net.Listener) error) (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	go func() { _ = f(ln) }()
+	go func() { _ = run(ln) }()
 	in.stops = append(in.stops, ln.Close)
 	return ln.Addr().String(), nil
 }
 
-func (in *Installation) brokers(o Options, disc string, known discovery.List, start Start) error {
+// startBrokers configures and starts the brokers, and waits until they listen.
+func (in *Installation) startBrokers(o Options, disc string, known discovery.List, start Start) error {
 	settings, err := in.Scenario.Settings()
 	if err != nil {
 		return err
 	}
-	ports, err := cluster.Ports(in.Scenario.Brokers)
+	addrs, err := cluster.Ports(in.Scenario.Brokers)
 	if err != nil {
 		return err
 	}
 	type m = map[string]any
-	for i, at := range ports {
+	for i, addr := range addrs {
 		name := fmt.Sprint("b", i+1)
 		doc := m{"name": name, "discovery": disc, "known": known, "settings": settings, "limits": m{"cores": 1, "memory_mb": 192, "sockets": 1024},
 			"tuning": m{"drain_serve": 1000, "drain_accept": 1000}}
@@ -122,15 +125,15 @@
 			doc["record"] = m{"dir": filepath.Join(o.Records, name)}
 		}
 		if o.Objects {
-			object, err := in.objects(at)
+			object, err := in.objectSettings(addr)
 			if err != nil {
 				return err
 			}
 			doc["object"] = object
-			in.Objects = append(in.Objects, at)
+			in.Objects = append(in.Objects, addr)
 		} else {
-			doc["listen"] = at
-			in.Blocks = append(in.Blocks, at)
+			doc["listen"] = addr
+			in.Blocks = append(in.Blocks, addr)
 		}
 		text, err := json.MarshalIndent(doc, "", " ")
 		if err != nil {
@@ -146,16 +149,17 @@
 		}
 		in.stops = append(in.stops, stop)
 	}
-	for _, at := range ports {
-		if err := up(at); err != nil {
+	for _, addr := range addrs {
+		if err := waitListening(addr); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// objects sets up the object front: a class that may be repeated reads, one that writes writes, every volume is a bucket of its plan.
-func (in *Installation) objects(at string) (map[string]any, error) {
+// objectSettings returns the configuration of the object API. Reads use the first class that reads and always allows
+// retries, writes the first class that writes. Every volume is a bucket of its plan.
+func (in *Installation) objectSettings(addr string) (map[string]any, error) {
 	read, write := "", ""
 	for _, c := range in.Scenario.Ways() {
 		if c.Writes && write == "" {
@@ -165,7 +169,7 @@
 		}
 	}
 	if read == "" || write == "" || len(in.Scenario.Plans) == 0 {
-		return nil, fmt.Errorf("scenario %s: the object front needs a class that reads and may be repeated, one that writes, and plans", in.Scenario.Name)
+		return nil, fmt.Errorf("scenario %s: the object API needs a class that reads with repeat = \"always\", a class that writes, and at least one plan", in.Scenario.Name)
 	}
 	buckets := map[string]string{}
 	volumes, err := model.Volumes(in.Scenario)
@@ -175,56 +179,57 @@
 	for name, plan := range volumes {
 		buckets[Bucket(name)] = in.Scenario.Plans[plan].Name
 	}
-	return map[string]any{"listen": at, "read_class": read, "write_class": write, "complete_class": write, "default_plan": in.Scenario.Plans[0].Name,
+	return map[string]any{"listen": addr, "read_class": read, "write_class": write, "complete_class": write, "default_plan": in.Scenario.Plans[0].Name,
 		"buckets": buckets, "unit_bytes": UnitBytes}, nil
 }
 
-// up waits until a broker listens.
-func up(addr string) error {
+// waitListening waits up to 30 s until a broker accepts connections.
+func waitListening(addr string) error {
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		c, err := net.Dial("tcp", addr)
 		if err == nil {
 			return c.Close()
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("no broker at %s: %w", addr, err)
+			return fmt.Errorf("broker at %s does not accept connections: %w", addr, err)
 		}
 	}
 }
 
-// Play has the scenario's clients come, with its pauses, and returns what clients and nodes saw.
+// Play runs the scenario's clients and its pauses, and returns the measurements of clients and nodes.
 func (in *Installation) Play(ctx context.Context, seed uint64) (*Report, error) {
-	on, stop := context.WithCancel(ctx)
+	pausing, stop := context.WithCancel(ctx)
 	var pauses sync.WaitGroup
 	defer pauses.Wait()
 	defer stop()
 	for i, n := range in.nodes {
 		for k := range in.Scenario.Faults {
 			if t := &in.Scenario.Faults[k]; t.Kind == "pause" {
-				pauses.Go(func() { in.pause(on, t, n, seed, uint64(k)<<32|uint64(i)) })
+				pauses.Go(func() { in.runPauses(pausing, t, n, seed, uint64(k)<<32|uint64(i)) })
 			}
 		}
 	}
-	before := in.counts()
+	before := in.nodeCounts()
 	r := &Run{Scenario: in.Scenario, Seed: seed, Blocks: in.Blocks, Objects: in.Objects}
 	rep, err := r.Play(ctx)
 	if err != nil {
 		return nil, err
 	}
-	after := in.counts()
+	after := in.nodeCounts()
 	rep.Attempts, rep.Handshakes, rep.Full = after[0]-before[0], after[1]-before[1], after[2]-before[2]
 	return rep, nil
 }
 
-func (in *Installation) counts() (c [3]int) {
+// nodeCounts returns the attempts, new connections and attempts rejected by a full queue, summed over all nodes.
+func (in *Installation) nodeCounts() (c [3]int) {
 	for _, n := range in.nodes {
-		a, b, t := n.Counts()
-		c[0], c[1], c[2] = c[0]+a, c[1]+b, c[2]+t
+		attempts, conns, rejected := n.Counts()
+		c[0], c[1], c[2] = c[0]+attempts, c[1]+conns, c[2]+rejected
 	}
 	return c
 }
 
-// Close ends brokers and stand-ins.
+// Close stops the brokers, the simulated nodes and discovery.
 func (in *Installation) Close() (err error) {
 	for i := len(in.stops) - 1; i >= 0; i-- {
 		err = errors.Join(err, in.stops[i]())
@@ -233,16 +238,17 @@
 	return err
 }
 
-// pause has a node stand still as the trouble says: again and again at times of its own, or once.
-func (in *Installation) pause(ctx context.Context, t *model.Fault, n *fake.Timed, seed, which uint64) {
-	lots := rand.New(rand.NewPCG(seed, which))
-	if lots.Float64() >= t.Share {
+// runPauses pauses a node as the fault describes: once if the fault has a start time, otherwise repeatedly at random
+// times until the context ends.
+func (in *Installation) runPauses(ctx context.Context, t *model.Fault, n *fake.Timed, seed, stream uint64) {
+	random := rand.New(rand.NewPCG(seed, stream))
+	if random.Float64() >= t.Share {
 		return
 	}
-	wait := time.Duration(t.At) + time.Duration(lots.Float64()*float64(t.Over))
+	wait := time.Duration(t.At) + time.Duration(random.Float64()*float64(t.Over))
 	for {
 		if t.At == 0 {
-			wait = time.Duration(lots.ExpFloat64() * float64(t.Every-t.Duration))
+			wait = time.Duration(random.ExpFloat64() * float64(t.Every-t.Duration))
 		}
 		timer := time.NewTimer(wait)
 		select {
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,5 +1,6 @@
-// Package load drives brokers on sockets with the very clients of a lab's scenario. It is open-loop: each request has its time, whatever became of
-// those before it, and what it took is measured from then on; a client that is late in sending has waited all the same.
+// Package load drives brokers over sockets with the same clients that the simulation of a scenario has. The load is
+// open-loop: each request has an intended start time that does not depend on earlier requests, and its latency is
+// measured from that time, so that a delay in sending counts as latency.
 package load
 
 import (
@@ -23,56 +24,57 @@
 	"poppyarch/internal/testkit/fake"
 )
 
-// Run is a scenario's clients at work.
+// Run sends the requests of a scenario's clients.
 type Run struct {
 	Scenario *model.Scenario
 	Seed     uint64
-	Blocks   []string // addresses of block fronts, by the scenario's brokers
-	Objects  []string // of object fronts; where there are some, requests go there
+	Blocks   []string // addresses of the block API, one for each broker of the scenario
+	Objects  []string // addresses of the object API; if there are any, all requests go there
 
-	clients []*pool
-	start   time.Time
-	seq     atomic.Uint64
-	mu      sync.Mutex
-	tally   tally
-	web     *web
+	pools         []*pool // connections of the block clients, by broker
+	start         time.Time
+	seq           atomic.Uint64
+	mu            sync.Mutex
+	counters      counters
+	objectClients *objectClients // nil without object addresses
 }
 
-// Report is what clients saw. The figures of nodes and brokers are filled in by whoever has them.
+// Report holds the measurements of the clients. The caller adds those of nodes and brokers.
 type Report struct {
 	*model.Result
-	LateP50 float64 `json:"late_p50"` // seconds from a request's time to its sending
+	LateP50 float64 `json:"late_p50"` // seconds from a request's intended start time to its sending
 	LateP99 float64 `json:"late_p99"`
-	Cut     int     `json:"cut"`   // connections that ended without an answer
-	Wrong   int     `json:"wrong"` // answers that were not made for the request
+	Cut     int     `json:"cut"`   // connections that ended without a response
+	Wrong   int     `json:"wrong"` // responses that do not belong to the request
 }
 
-// batches is how many parts of a run intervals are drawn from, as in the model.
-const batches = 20
+// batchCount is the number of batches that confidence intervals are computed from, as in the simulation.
+const batchCount = 20
 
-// tally is what has been counted so far.
-type tally struct {
-	due, earned             [model.SeriesParts]float64
-	dueInside, earnedInside float64
-	asked, served, took     *statistics.Batches
-	latency, late           sketch.Sketch
-	res                     model.Result
-	cut, wrong              int
+// counters accumulate the measurements of a run.
+type counters struct {
+	// Value by the part of the run in which the request was due.
+	offeredValue, servedValue                     [model.SeriesParts]float64
+	offeredInsideReserve, servedInsideReserve     float64
+	requestBatches, servedBatches, latencyBatches *statistics.Batches
+	latency, sendDelay                            sketch.Sketch
+	result                                        model.Result
+	connectionsLost, wrongResponses               int
 }
 
-// outcome of one try.
+// outcome is the result of one attempt of a client.
 type outcome uint8
 
 const (
 	served outcome = iota
 	refused
 	failed
-	cut   // the connection ended without an answer
-	wrong // not the answer of this request
-	left  // the client waited no longer
+	connectionLost // the connection ended without a response
+	wrongResponse  // the response does not belong to the request
+	abandoned      // the client's deadline passed
 )
 
-// Play has all clients come, and returns when the last has its answer or has given up.
+// Play sends all requests at their intended start times. It returns once every client has a response or has given up.
 func (r *Run) Play(ctx context.Context) (*Report, error) {
 	s := r.Scenario
 	all, err := model.Clients(s, r.Seed)
@@ -84,32 +86,32 @@
 		addrs = r.Objects
 	}
 	if len(addrs) != s.Brokers {
-		return nil, fmt.Errorf("scenario %s: brokers: %d, but %d addresses are given", s.Name, s.Brokers, len(addrs))
+		return nil, fmt.Errorf("scenario %s: brokers: %d, but got %d addresses", s.Name, s.Brokers, len(addrs))
 	}
 	classes := s.Ways()
 	from, to := time.Duration(s.WarmUp).Microseconds(), time.Duration(s.Duration).Microseconds()
-	r.tally = tally{asked: statistics.NewBatches(from, to, batches), served: statistics.NewBatches(from, to, batches), took: statistics.NewBatches(from, to, batches)}
+	r.counters = counters{requestBatches: statistics.NewBatches(from, to, batchCount), servedBatches: statistics.NewBatches(from, to, batchCount), latencyBatches: statistics.NewBatches(from, to, batchCount)}
 	for _, a := range addrs {
-		r.clients = append(r.clients, &pool{addr: a})
+		r.pools = append(r.pools, &pool{addr: a})
 	}
 	defer func() {
-		for _, p := range r.clients {
+		for _, p := range r.pools {
 			p.close()
 		}
 	}()
 	if len(r.Objects) > 0 {
-		if r.web, err = newWeb(ctx, r.Objects, s.UnitWork(), all, classes); err != nil {
+		if r.objectClients, err = newObjectClients(ctx, r.Objects, s.UnitWork(), all, classes); err != nil {
 			return nil, err
 		}
-		defer r.web.close()
+		defer r.objectClients.close()
 	}
-	again := rand.New(rand.NewPCG(r.Seed, 7))
+	random := rand.New(rand.NewPCG(r.Seed, 7))
 	r.start = time.Now()
-	var wait sync.WaitGroup
+	var running sync.WaitGroup
 	for i := range all {
 		a := &all[i]
-		if rest := time.Until(r.at(a.At)); rest > 0 {
-			t := time.NewTimer(rest)
+		if delay := time.Until(r.wallTime(a.At)); delay > 0 {
+			t := time.NewTimer(delay)
 			select {
 			case <-t.C:
 			case <-ctx.Done():
@@ -119,26 +121,26 @@
 		if ctx.Err() != nil {
 			break
 		}
-		comes := again.Float64() < s.Load.Retry
-		wait.Go(func() { r.client(ctx, a, &classes[a.Class], comes) })
+		retries := random.Float64() < s.Load.Retry
+		running.Go(func() { r.runClient(ctx, a, &classes[a.Class], retries) })
 	}
-	wait.Wait()
+	running.Wait()
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	return r.report(), nil
+	return r.buildReport(), nil
 }
 
-// at is a moment of the scenario.
-func (r *Run) at(us int64) time.Time { return r.start.Add(time.Duration(us) * time.Microsecond) }
+// wallTime converts microseconds of the scenario to wall-clock time.
+func (r *Run) wallTime(us int64) time.Time { return r.start.Add(time.Duration(us) * time.Microsecond) }
 
-// client makes a request, and perhaps once more after a refusal or a failure.
-func (r *Run) client(ctx context.Context, a *model.Arrival, class *model.Class, again bool) {
-	began := r.at(a.At)
-	r.asks(a, time.Since(began))
-	o, hint := r.try(ctx, a, class, began)
-	r.count(o)
-	if (o == refused || o == failed) && again {
+// runClient makes a request and, if retries is set, one retry after a refusal or a failure.
+func (r *Run) runClient(ctx context.Context, a *model.Arrival, class *model.Class, retries bool) {
+	intended := r.wallTime(a.At)
+	r.countRequest(a, time.Since(intended))
+	o, hint := r.attempt(ctx, a, class, intended)
+	r.countOutcome(o)
+	if (o == refused || o == failed) && retries {
 		t := time.NewTimer(max(hint, 50*time.Millisecond))
 		select {
 		case <-t.C:
@@ -146,38 +148,41 @@
 			t.Stop()
 			return
 		}
-		o, _ = r.try(ctx, a, class, time.Now())
-		r.count(o)
+		o, _ = r.attempt(ctx, a, class, time.Now())
+		r.countOutcome(o)
 	}
 	if o == served {
-		r.earns(a, class, time.Since(began))
+		r.countServed(a, class, time.Since(intended))
 	}
 }
 
-func (r *Run) try(ctx context.Context, a *model.Arrival, class *model.Class, began time.Time) (outcome, time.Duration) {
-	until := began.Add(time.Duration(class.Deadline))
-	if r.web != nil {
-		return r.web.try(ctx, a, class, until)
-	}
-	return r.block(ctx, a, class, until)
+// attempt makes one attempt, with a deadline counted from start. It returns the outcome and, for a refusal, the time
+// after which the broker suggests a retry.
+func (r *Run) attempt(ctx context.Context, a *model.Arrival, class *model.Class, start time.Time) (outcome, time.Duration) {
+	deadline := start.Add(time.Duration(class.Deadline))
+	if r.objectClients != nil {
+		return r.objectClients.attempt(ctx, a, class, deadline)
+	}
+	return r.blockAttempt(ctx, a, class, deadline)
 }
 
-func (r *Run) asks(a *model.Arrival, late time.Duration) {
+func (r *Run) countRequest(a *model.Arrival, delay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := &r.tally
-	t.asked.Add(a.At, 1)
-	t.late.Add(late.Microseconds())
-	t.res.Requests++
-	if k := r.part(a.At); k >= 0 {
-		t.due[k] += a.Worth
+	t := &r.counters
+	t.requestBatches.Add(a.At, 1)
+	t.sendDelay.Add(delay.Microseconds())
+	t.result.Requests++
+	if k := r.seriesPart(a.At); k >= 0 {
+		t.offeredValue[k] += a.Worth
 	}
 	if a.Inside {
-		t.dueInside += a.Worth
+		t.offeredInsideReserve += a.Worth
 	}
 }
 
-func (r *Run) part(at int64) int {
+// seriesPart returns the index of the part of the run that holds a time, or -1 if it is past the last one.
+func (r *Run) seriesPart(at int64) int {
 	per := max(time.Duration(r.Scenario.Duration).Microseconds()/model.SeriesParts, 1)
 	if k := int(at / per); k < model.SeriesParts {
 		return k
@@ -185,72 +190,72 @@
 	return -1
 }
 
-func (r *Run) count(o outcome) {
+func (r *Run) countOutcome(o outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	switch t := &r.tally; o {
+	switch t := &r.counters; o {
 	case refused:
-		t.res.Refused++
+		t.result.Refused++
 	case failed:
-		t.res.Failed++
-	case cut:
-		t.cut++
-	case wrong:
-		t.wrong++
-	case left:
-		t.res.GivenUp++
+		t.result.Failed++
+	case connectionLost:
+		t.connectionsLost++
+	case wrongResponse:
+		t.wrongResponses++
+	case abandoned:
+		t.result.GivenUp++
 	}
 }
 
-// earns counts an answer as the model does.
-func (r *Run) earns(a *model.Arrival, class *model.Class, took time.Duration) {
+// countServed counts a served request in the same way as the simulation.
+func (r *Run) countServed(a *model.Arrival, class *model.Class, latency time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := &r.tally
-	t.served.Add(time.Since(r.start).Microseconds(), 1)
+	t := &r.counters
+	t.servedBatches.Add(time.Since(r.start).Microseconds(), 1)
 	if a.At >= time.Duration(r.Scenario.WarmUp).Microseconds() {
-		t.took.Add(a.At, took.Seconds())
-		t.latency.Add(took.Microseconds())
+		t.latencyBatches.Add(a.At, latency.Seconds())
+		t.latency.Add(latency.Microseconds())
 	}
-	worth := a.Worth
-	if took > time.Duration(class.LatencyObjective) {
-		worth *= class.LateValue
-		t.res.Late++
+	value := a.Worth
+	if latency > time.Duration(class.LatencyObjective) {
+		value *= class.LateValue
+		t.result.Late++
 	} else if a.Inside {
-		t.earnedInside += worth
+		t.servedInsideReserve += value
 	}
-	if k := r.part(a.At); k >= 0 {
-		t.earned[k] += worth
+	if k := r.seriesPart(a.At); k >= 0 {
+		t.servedValue[k] += value
 	}
 }
 
-func (r *Run) report() *Report {
-	t := &r.tally
-	res := t.res
+func (r *Run) buildReport() *Report {
+	t := &r.counters
+	res := t.result
 	res.Scenario, res.Design, res.Seed = r.Scenario.Name, "sockets", r.Seed
-	res.Asked, res.Served, res.Time = t.asked.Rate(), t.served.Rate(), t.took.Mean()
+	res.Asked, res.Served, res.Time = t.requestBatches.Rate(), t.servedBatches.Rate(), t.latencyBatches.Mean()
 	res.Median, res.P99 = float64(t.latency.Quantile(0.5))/1e6, float64(t.latency.Quantile(0.99))/1e6
 	for _, at := range model.Quantiles {
 		res.Quantiles = append(res.Quantiles, float64(t.latency.Quantile(at))/1e6)
 	}
-	due, earned := 0.0, 0.0
-	for k := range t.due {
+	offered, earned := 0.0, 0.0
+	for k := range t.offeredValue {
 		part := 0.0
-		if t.due[k] > 0 {
-			part = math.Round(1e4*t.earned[k]/t.due[k]) / 1e4
+		if t.offeredValue[k] > 0 {
+			part = math.Round(1e4*t.servedValue[k]/t.offeredValue[k]) / 1e4
 		}
-		due, earned, res.Series = due+t.due[k], earned+t.earned[k], append(res.Series, part)
+		offered, earned, res.Series = offered+t.offeredValue[k], earned+t.servedValue[k], append(res.Series, part)
 	}
-	if due > 0 {
-		res.Service = earned / due
+	if offered > 0 {
+		res.Service = earned / offered
 	}
-	if t.dueInside > 0 {
-		res.Reserved = t.earnedInside / t.dueInside
+	if t.offeredInsideReserve > 0 {
+		res.Reserved = t.servedInsideReserve / t.offeredInsideReserve
 	}
-	return &Report{Result: &res, LateP50: float64(t.late.Quantile(0.5)) / 1e6, LateP99: float64(t.late.Quantile(0.99)) / 1e6, Cut: t.cut, Wrong: t.wrong}
+	return &Report{Result: &res, LateP50: float64(t.sendDelay.Quantile(0.5)) / 1e6, LateP99: float64(t.sendDelay.Quantile(0.99)) / 1e6, Cut: t.connectionsLost, Wrong: t.wrongResponses}
 }
 
-// pool is clients' connections to one broker.
+// pool holds the idle connections of the block clients to one broker.
 type pool struct {
 	addr string
 	mu   sync.Mutex
@@ -259,11 +264,11 @@
 
 type conn struct {
 	net.Conn
-	r    *bufio.Reader
-	used bool
+	r      *bufio.Reader
+	reused bool // it has already carried a request
 }
 
-func (p *pool) get(ctx context.Context, until time.Time) (*conn, error) {
+func (p *pool) get(ctx context.Context, deadline time.Time) (*conn, error) {
 	p.mu.Lock()
 	if n := len(p.idle); n > 0 {
 		c := p.idle[n-1]
@@ -272,11 +277,11 @@
 		return c, nil
 	}
 	p.mu.Unlock()
-	return p.dial(ctx, until)
+	return p.dial(ctx, deadline)
 }
 
-func (p *pool) dial(ctx context.Context, until time.Time) (*conn, error) {
-	d := net.Dialer{Deadline: until}
+func (p *pool) dial(ctx context.Context, deadline time.Time) (*conn, error) {
+	d := net.Dialer{Deadline: deadline}
 	c, err := d.DialContext(ctx, "tcp", p.addr)
 	if err != nil {
 		return nil, err
@@ -285,7 +290,7 @@
 }
 
 func (p *pool) put(c *conn) {
-	c.used = true
+	c.reused = true
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle = append(p.idle, c)
@@ -300,31 +305,31 @@
 	p.idle = nil
 }
 
-// block makes one try over the platform's protocol.
-func (r *Run) block(ctx context.Context, a *model.Arrival, class *model.Class, until time.Time) (outcome, time.Duration) {
-	p := r.clients[a.Broker]
+// blockAttempt makes one attempt over the block protocol.
+func (r *Run) blockAttempt(ctx context.Context, a *model.Arrival, class *model.Class, deadline time.Time) (outcome, time.Duration) {
+	p := r.pools[a.Broker]
 	id := strconv.FormatUint(r.seq.Add(1), 10)
-	name, words := "BLK.READ", 4
+	name, argumentCount := "BLK.READ", 4
 	if class.Writes {
-		name, words = "BLK.WRITE", 5
+		name, argumentCount = "BLK.WRITE", 5
 	}
 	plan := "all"
 	if a.Plan < len(r.Scenario.Plans) {
 		plan = r.Scenario.Plans[a.Plan].Name
 	}
-	list := fmt.Sprintf("c=%s,t=%s,d=%d,volume=%s,units=%g,shard=%d,hosts=%d", class.Name, plan, max(time.Until(until).Milliseconds(), 1), volume(a.Volume),
+	attributes := fmt.Sprintf("c=%s,t=%s,d=%d,volume=%s,units=%g,shard=%d,hosts=%d", class.Name, plan, max(time.Until(deadline).Milliseconds(), 1), volumeID(a.Volume),
 		a.Units, a.Shard, a.Hosts)
 	var b strings.Builder
-	fmt.Fprintf(&b, "*%d\r\n", words)
-	for _, w := range []string{name, fake.Piece(a.Key, int64(a.Work)), id, list, "x"}[:words] {
+	fmt.Fprintf(&b, "*%d\r\n", argumentCount)
+	for _, w := range []string{name, fake.Piece(a.Key, int64(a.Work)), id, attributes, "x"}[:argumentCount] {
 		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(w), w)
 	}
 	for {
-		c, err := p.get(ctx, until)
+		c, err := p.get(ctx, deadline)
 		if err != nil {
-			return cut, 0
+			return connectionLost, 0
 		}
-		o, hint, err := c.ask(b.String(), id, until)
+		o, hint, err := c.exchange(b.String(), id, deadline)
 		if err == nil {
 			p.put(c)
 			return o, hint
@@ -333,37 +338,38 @@
 		var ne net.Error
 		switch {
 		case errors.As(err, &ne) && ne.Timeout():
-			return left, 0
-		case c.used && errors.Is(err, errBefore) && time.Now().Before(until):
-			continue // the broker closed an idle connection: what crossed that was not read, and is sent once more
+			return abandoned, 0
+		case c.reused && errors.Is(err, errNoResponse) && time.Now().Before(deadline):
+			continue // the broker closed the idle connection before it read the request: send it on another one
 		}
-		return cut, 0
+		return connectionLost, 0
 	}
 }
 
-// volume is the platform's form of a volume's name.
-func volume(name string) string {
+// volumeID formats the name of a volume as the block protocol expects it.
+func volumeID(name string) string {
 	v, err := strconv.ParseUint(name, 16, 64)
-	if err != nil { // the scenario has no plans, and so one volume
+	if err != nil { // a scenario without plans has a single volume
 		v = 1
 	}
 	return fmt.Sprintf("%016x", v)
 }
 
-// errBefore says that a connection ended before the first byte of an answer.
-var errBefore = errors.New("ended before an answer")
+// errNoResponse means that a connection ended before the first byte of a response.
+var errNoResponse = errors.New("connection ended before a response")
 
-func (c *conn) ask(text, id string, until time.Time) (outcome, time.Duration, error) {
-	_ = c.SetDeadline(until)
-	if _, err := io.WriteString(c, text); err != nil {
-		return cut, 0, fmt.Errorf("%w: %w", errBefore, err)
+// exchange sends an encoded request and reads its response.
+func (c *conn) exchange(request, id string, deadline time.Time) (outcome, time.Duration, error) {
+	_ = c.SetDeadline(deadline)
+	if _, err := io.WriteString(c, request); err != nil {
+		return connectionLost, 0, fmt.Errorf("%w: %w", errNoResponse, err)
 	}
 	line, err := c.r.ReadString('\n')
 	if err != nil {
 		if line == "" {
-			err = fmt.Errorf("%w: %w", errBefore, err)
+			err = fmt.Errorf("%w: %w", errNoResponse, err)
 		}
-		return cut, 0, err
+		return connectionLost, 0, err
 	}
 	line = strings.TrimRight(line, "\r\n")
 	switch {
@@ -373,18 +379,18 @@
 	case strings.HasPrefix(line, "$") && line != "$-1":
 		n, err := strconv.Atoi(line[1:])
 		if err != nil || n < 0 || n > 1<<20 {
-			return cut, 0, fmt.Errorf("answer %q", line)
+			return connectionLost, 0, fmt.Errorf("invalid response %q", line)
 		}
 		value := make([]byte, n+2)
 		if _, err := io.ReadFull(c.r, value); err != nil {
-			return cut, 0, err
+			return connectionLost, 0, err
 		}
 		if string(value[:n]) != id {
-			return wrong, 0, nil
+			return wrongResponse, 0, nil
 		}
 		return served, 0, nil
 	case strings.HasPrefix(line, "-"):
 		return failed, 0, nil
 	}
-	return cut, 0, fmt.Errorf("answer %q", line)
+	return connectionLost, 0, fmt.Errorf("invalid response %q", line)
 }
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -22,10 +22,11 @@
 	"poppyarch/internal/lab/model"
 )
 
-const patience = 60 * time.Second
+const timeout = 60 * time.Second
 
-// small is the example's scenario, so short and light that no machine is too slow for it, with times that no verdict hangs on.
-func small(t *testing.T) *model.Scenario {
+// smallScenario returns the example scenario made short and light enough for any machine, with deadlines so long that
+// no result depends on the machine's speed.
+func smallScenario(t *testing.T) *model.Scenario {
 	t.Helper()
 	s, err := experiment.ReadScenario("../../../examples/lab/live.toml")
 	if err != nil {
@@ -33,14 +34,14 @@
 	}
 	s.Brokers, s.Duration, s.WarmUp, s.Load.Rate, s.Load.Work, s.Load.Retry = 2, model.Duration(time.Second), 0, 60, model.Duration(time.Millisecond), 0
 	for i := range s.Classes {
-		s.Classes[i].LatencyObjective, s.Classes[i].Deadline = model.Duration(patience/2), model.Duration(patience)
+		s.Classes[i].LatencyObjective, s.Classes[i].Deadline = model.Duration(timeout/2), model.Duration(timeout)
 	}
 	s.Faults = nil
 	return s
 }
 
-// inProcess starts brokers in this process.
-func inProcess(t *testing.T) Start {
+// startInProcess returns a Start that runs brokers in this process.
+func startInProcess(t *testing.T) Start {
 	return func(name, path string) (func() error, error) {
 		text, err := os.ReadFile(path)
 		if err != nil {
@@ -63,13 +64,14 @@
 	}
 }
 
-// A scenario's clients come to brokers of either front, the very ones that the model's designs meet; each has one answer, which is its own.
-func TestClientsOfTheModelBeforeRealBrokers(t *testing.T) {
+// The clients of a scenario send to real brokers over either API the same requests as in the simulation, and each
+// request gets exactly one response, its own.
+func TestModelClientsDriveRealBrokers(t *testing.T) {
 	for _, objects := range []bool{false, true} {
-		s := small(t)
+		s := smallScenario(t)
 		s.Faults = []model.Fault{{Kind: "pause", Share: 1, Every: model.Duration(time.Second), Duration: model.Duration(time.Millisecond)}}
 		records := t.TempDir()
-		in, err := Install(s, Options{Dir: t.TempDir(), Objects: objects, Records: records}, inProcess(t))
+		in, err := Install(s, Options{Dir: t.TempDir(), Objects: objects, Records: records}, startInProcess(t))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -85,26 +87,27 @@
 			t.Fatal(err)
 		}
 		if n := len(trace.Asked); n < rep.Requests || !objects && n != rep.Requests || len(trace.Brokers) != 2 || trace.Faults != nil {
-			t.Errorf("objects %v: %d requests recorded of %d, brokers %v, %q", objects, n, rep.Requests, trace.Brokers, trace.Faults)
+			t.Errorf("objects %v: %d of %d requests recorded, brokers %v, faults %q", objects, n, rep.Requests, trace.Brokers, trace.Faults)
 		}
 		want, err := model.Play(s, "module", 3)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if rep.Requests != want.Requests || rep.Requests < 30 {
-			t.Errorf("objects %v: %d requests, in the model %d", objects, rep.Requests, want.Requests)
+			t.Errorf("objects %v: %d requests, want at least 30 and the %d of the simulation", objects, rep.Requests, want.Requests)
 		}
 		if rep.Wrong != 0 || rep.Cut != 0 || rep.GivenUp != 0 {
-			t.Errorf("objects %v: %d wrong answers, %d connections cut, %d given up", objects, rep.Wrong, rep.Cut, rep.GivenUp)
+			t.Errorf("objects %v: %d wrong responses, %d connections lost, %d requests given up, want none", objects, rep.Wrong, rep.Cut, rep.GivenUp)
 		}
 		if rep.Attempts < rep.Requests-rep.Refused-rep.Failed || rep.Service <= 0 || rep.Service > 1 || rep.P99 < rep.Median {
-			t.Errorf("objects %v: %+v", objects, rep.Result)
+			t.Errorf("objects %v: implausible result %+v", objects, rep.Result)
 		}
 	}
 }
 
-// front is a stub before which clients stand: answer gets each request's words.
-func front(t *testing.T, answer func(c net.Conn, words []string) (goOn bool)) string {
+// serveStub serves a stub of the block API and returns its address. respond gets the words of each command and reports
+// whether to keep the connection open.
+func serveStub(t *testing.T, respond func(c net.Conn, words []string) (keepOpen bool)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -121,8 +124,8 @@
 				defer func() { _ = c.Close() }()
 				in := bufio.NewReader(c)
 				for {
-					words, err := command(in)
-					if err != nil || !answer(c, words) {
+					words, err := readCommand(in)
+					if err != nil || !respond(c, words) {
 						return
 					}
 				}
@@ -132,7 +135,7 @@
 	return ln.Addr().String()
 }
 
-func command(in *bufio.Reader) (words []string, err error) {
+func readCommand(in *bufio.Reader) (words []string, err error) {
 	line, err := in.ReadString('\n')
 	if err != nil {
 		return nil, err
@@ -151,35 +154,36 @@
 	return words, err
 }
 
-// send reports whether the connection took the answer.
-func send(c net.Conn, answer string) bool {
-	_, err := io.WriteString(c, answer)
+// send reports whether the response could be written.
+func send(c net.Conn, response string) bool {
+	_, err := io.WriteString(c, response)
 	return err == nil
 }
 
-func value(c net.Conn, v string) { _, _ = fmt.Fprintf(c, "$%d\r\n%s\r\n", len(v), v) }
+func sendValue(c net.Conn, v string) { _, _ = fmt.Fprintf(c, "$%d\r\n%s\r\n", len(v), v) }
 
-// A broker that stands still is no reason for clients to come later: all come at their times, and what they waited shows. A client that sends
-// its next request only after the last answer would never let this front go on.
-func TestNobodyWaitsForThoseBefore(t *testing.T) {
-	s := small(t)
+// Clients do not slow down for a broker that does not respond: all requests are sent at their intended start times,
+// and the wait shows in the latency. The stub responds only once every request has arrived, so a closed-loop client,
+// which sends its next request after the last response, would never get a response.
+func TestLoadIsOpenLoop(t *testing.T) {
+	s := smallScenario(t)
 	s.Brokers = 1
 	all, err := model.Clients(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var came atomic.Int64
+	var received atomic.Int64
 	released := make(chan struct{})
 	var once sync.Once
-	at := front(t, func(c net.Conn, words []string) bool {
-		if came.Add(1) == int64(len(all)) {
+	at := serveStub(t, func(c net.Conn, words []string) bool {
+		if received.Add(1) == int64(len(all)) {
 			once.Do(func() { close(released) })
 		}
 		select {
 		case <-released:
-		case <-time.After(patience):
+		case <-time.After(timeout):
 		}
-		value(c, words[2])
+		sendValue(c, words[2])
 		return true
 	})
 	rep, err := (&Run{Scenario: s, Seed: 1, Blocks: []string{at}}).Play(t.Context())
@@ -187,58 +191,59 @@
 		t.Fatal(err)
 	}
 	first, last := all[0].At, all[len(all)-1].At
-	if least := float64(last-first) / 1e6; rep.Quantiles[len(rep.Quantiles)-1] < least {
-		t.Errorf("the longest wait is told as %.3f s, the first client's was over %.3f s", rep.Quantiles[len(rep.Quantiles)-1], least)
+	if minimum := float64(last-first) / 1e6; rep.Quantiles[len(rep.Quantiles)-1] < minimum {
+		t.Errorf("the highest reported latency is %.3f s, the first client waited at least %.3f s", rep.Quantiles[len(rep.Quantiles)-1], minimum)
 	}
 	if rep.GivenUp > 0 || rep.Wrong > 0 {
-		t.Errorf("%d given up, %d wrong", rep.GivenUp, rep.Wrong)
+		t.Errorf("%d requests given up, %d wrong responses, want none", rep.GivenUp, rep.Wrong)
 	}
 }
 
-// Answers are taken for what they are; a connection that ends between two requests is no answer, and what crossed that is sent once more.
-func TestAnswersAreTakenForWhatTheyAre(t *testing.T) {
-	for name, x := range map[string]struct {
-		answer func(c net.Conn, words []string) bool
-		of     func(r *Report) int
+// Each kind of response is counted as such. A connection that ends between two requests is no failure: the next
+// request is sent again on another connection.
+func TestResponsesAreClassified(t *testing.T) {
+	for name, test := range map[string]struct {
+		respond func(c net.Conn, words []string) bool
+		counted func(r *Report) int
 	}{
-		"refused":       {func(c net.Conn, _ []string) bool { return send(c, "-BUSY 5\r\n") }, func(r *Report) int { return r.Refused }},
-		"failed":        {func(c net.Conn, _ []string) bool { return send(c, "-ERR failed\r\n") }, func(r *Report) int { return r.Failed }},
-		"another's":     {func(c net.Conn, w []string) bool { value(c, w[2]+"0"); return true }, func(r *Report) int { return r.Wrong }},
-		"cut short":     {func(c net.Conn, w []string) bool { send(c, "$9\r\n12"); return false }, func(r *Report) int { return r.Cut }},
-		"served, ended": {func(c net.Conn, w []string) bool { value(c, w[2]); return false }, func(r *Report) int { return r.Requests - r.Cut - r.Wrong - r.Refused }},
+		"refused":        {func(c net.Conn, _ []string) bool { return send(c, "-BUSY 5\r\n") }, func(r *Report) int { return r.Refused }},
+		"failed":         {func(c net.Conn, _ []string) bool { return send(c, "-ERR failed\r\n") }, func(r *Report) int { return r.Failed }},
+		"other id":       {func(c net.Conn, w []string) bool { sendValue(c, w[2]+"0"); return true }, func(r *Report) int { return r.Wrong }},
+		"truncated":      {func(c net.Conn, w []string) bool { send(c, "$9\r\n12"); return false }, func(r *Report) int { return r.Cut }},
+		"served, closed": {func(c net.Conn, w []string) bool { sendValue(c, w[2]); return false }, func(r *Report) int { return r.Requests - r.Cut - r.Wrong - r.Refused }},
 	} {
-		s := small(t)
+		s := smallScenario(t)
 		s.Brokers = 1
-		rep, err := (&Run{Scenario: s, Seed: 2, Blocks: []string{front(t, x.answer)}}).Play(t.Context())
+		rep, err := (&Run{Scenario: s, Seed: 2, Blocks: []string{serveStub(t, test.respond)}}).Play(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := x.of(rep); got != rep.Requests || got == 0 {
-			t.Errorf("%s: %d of %d requests: %+v, cut %d, wrong %d", name, got, rep.Requests, rep.Result, rep.Cut, rep.Wrong)
+		if got := test.counted(rep); got != rep.Requests || got == 0 {
+			t.Errorf("%s: counted for %d of %d requests: %+v, %d connections lost, %d wrong responses", name, got, rep.Requests, rep.Result, rep.Cut, rep.Wrong)
 		}
 	}
 }
 
-// What sockets cannot play is refused by name.
-func TestWhatSocketsCannotPlay(t *testing.T) {
+// Scenarios that sockets cannot run are rejected with an error that names what is wrong.
+func TestUnsupportedScenariosAreRejected(t *testing.T) {
 	for want, edit := range map[string]func(s *model.Scenario){
 		"trouble[0].kind: vanish": func(s *model.Scenario) {
 			s.Faults = []model.Fault{{Kind: "vanish", Share: 1, At: 1e9, Duration: 1e9}}
 		},
 		"nodes": func(s *model.Scenario) { s.Nodes = nil },
 	} {
-		s := small(t)
+		s := smallScenario(t)
 		edit(s)
-		if _, err := Install(s, Options{Dir: t.TempDir()}, inProcess(t)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
+		if _, err := Install(s, Options{Dir: t.TempDir()}, startInProcess(t)); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("error %v, want %s", err, want)
 		}
 	}
-	s := small(t)
-	if _, err := (&Run{Scenario: s, Blocks: []string{"127.0.0.1:1"}}).Play(t.Context()); err == nil || !strings.Contains(err.Error(), "brokers: 2, but 1") {
-		t.Errorf("too few addresses: %v", err)
+	s := smallScenario(t)
+	if _, err := (&Run{Scenario: s, Blocks: []string{"127.0.0.1:1"}}).Play(t.Context()); err == nil || !strings.Contains(err.Error(), "brokers: 2, but got 1 addresses") {
+		t.Errorf("too few addresses: error %v", err)
 	}
 	s.Load.Reread = 0.3
 	if _, err := model.Clients(s, 1); err == nil || !strings.Contains(err.Error(), "load.reread") {
-		t.Errorf("reads of what was written: %v", err)
+		t.Errorf("reads of recent writes: error %v", err)
 	}
 }
--- a/internal/lab/load/web.go
+++ b/internal/lab/load/web.go
@@ -15,23 +15,25 @@
 	"poppyarch/internal/lab/model"
 )
 
-// web is clients of object fronts. A volume is a bucket; what is read was stored before the first client came.
-type web struct {
-	addrs   []string
-	unit    float64 // work of one, microseconds
-	clients []*http.Client
+// objectClients are the clients of the brokers' object APIs. A volume is a bucket; the objects that will be read are
+// stored before the first client starts.
+type objectClients struct {
+	addrs    []string
+	unitWork float64 // work of one unit, in microseconds
+	clients  []*http.Client
 }
 
-// UnitBytes is the size of one unit of an object.
+// UnitBytes is the size in bytes of one unit of an object.
 const UnitBytes = 1024
 
-// Object is the path of an object whose requests take so many microseconds of a core at speed 1.
-func Object(bucket, name string, work int64) string {
+// ObjectPath returns the path of an object. It carries the work of a request for the object, in microseconds of a core
+// at speed 1.
+func ObjectPath(bucket, name string, work int64) string {
 	return fmt.Sprintf("/%s/%s-%d", bucket, name, work)
 }
 
-// Work is what an object's path says, or 0.
-func Work(path string) time.Duration {
+// ObjectWork returns the work that an object's path carries, or 0 if there is none.
+func ObjectWork(path string) time.Duration {
 	v, err := strconv.ParseInt(path[strings.LastIndexByte(path, '-')+1:], 10, 64)
 	if err != nil || v < 0 {
 		return 0
@@ -39,37 +41,38 @@
 	return time.Duration(v) * time.Microsecond
 }
 
-func (w *web) path(a *model.Arrival, class *model.Class) string {
+func (w *objectClients) objectPath(a *model.Arrival, class *model.Class) string {
 	if class.Writes {
-		return Object(Bucket(a.Volume), fmt.Sprintf("w%x", a.Key), int64(a.Work))
+		return ObjectPath(Bucket(a.Volume), fmt.Sprintf("w%x", a.Key), int64(a.Work))
 	}
-	// An object of its own for each amount of work would have to be stored for each read; so there is one for each size.
-	return Object(Bucket(a.Volume), fmt.Sprintf("r%g", a.Units), int64(a.Units*w.unit))
+	// Reads of the same size share one object. Otherwise one would have to be stored for each read, as each has its own
+	// amount of work.
+	return ObjectPath(Bucket(a.Volume), fmt.Sprintf("r%g", a.Units), int64(a.Units*w.unitWork))
 }
 
-// Bucket is a volume's bucket.
+// Bucket returns the name of a volume's bucket.
 func Bucket(volume string) string { return "v" + volume }
 
-// newWeb stores what will be read.
-func newWeb(ctx context.Context, addrs []string, unit float64, all []model.Arrival, classes []model.Class) (*web, error) {
-	w := &web{addrs: addrs, unit: unit}
+// newObjectClients returns clients for the given addresses, and stores the objects that will be read.
+func newObjectClients(ctx context.Context, addrs []string, unitWork float64, all []model.Arrival, classes []model.Class) (*objectClients, error) {
+	w := &objectClients{addrs: addrs, unitWork: unitWork}
 	for range addrs {
 		w.clients = append(w.clients, &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1 << 10, DisableCompression: true}})
 	}
 	seen := map[string]bool{}
-	var wait sync.WaitGroup
-	room, fail := make(chan struct{}, 32), make(chan error, 1)
+	var running sync.WaitGroup
+	slots, fail := make(chan struct{}, 32), make(chan error, 1)
 	for i := range all {
 		a := &all[i]
-		at := w.path(a, &classes[a.Class])
-		if classes[a.Class].Writes || seen[at] {
+		path := w.objectPath(a, &classes[a.Class])
+		if classes[a.Class].Writes || seen[path] {
 			continue
 		}
-		seen[at] = true
-		wait.Go(func() {
-			room <- struct{}{}
-			defer func() { <-room }()
-			if err := w.store(ctx, int(a.Broker), at, a.Units); err != nil {
+		seen[path] = true
+		running.Go(func() {
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			if err := w.putObject(ctx, int(a.Broker), path, a.Units); err != nil {
 				select {
 				case fail <- err:
 				default:
@@ -77,7 +80,7 @@
 			}
 		})
 	}
-	wait.Wait()
+	running.Wait()
 	select {
 	case err := <-fail:
 		w.close()
@@ -87,17 +90,17 @@
 	}
 }
 
-// store puts one object, as often as it takes.
-func (w *web) store(ctx context.Context, broker int, at string, units float64) error {
-	for try := 0; ; try++ {
-		status, _, err := w.do(ctx, broker, http.MethodPut, at, units)
+// putObject stores an object. It retries up to 20 times, with increasing delays.
+func (w *objectClients) putObject(ctx context.Context, broker int, path string, units float64) error {
+	for failures := 0; ; failures++ {
+		status, _, err := w.exchange(ctx, broker, http.MethodPut, path, units)
 		if err == nil && status == http.StatusOK {
 			return nil
 		}
-		if try == 20 || ctx.Err() != nil {
-			return errors.Join(fmt.Errorf("PUT %s at %s: status %d", at, w.addrs[broker], status), err, ctx.Err())
+		if failures == 20 || ctx.Err() != nil {
+			return errors.Join(fmt.Errorf("PUT %s at %s: status %d", path, w.addrs[broker], status), err, ctx.Err())
 		}
-		t := time.NewTimer(time.Duration(try+1) * 50 * time.Millisecond)
+		t := time.NewTimer(time.Duration(failures+1) * 50 * time.Millisecond)
 		select {
 		case <-t.C:
 		case <-ctx.Done():
@@ -106,19 +109,19 @@
 	}
 }
 
-func (w *web) close() {
+func (w *objectClients) close() {
 	for _, c := range w.clients {
 		c.CloseIdleConnections()
 	}
 }
 
-// do makes one request and reads its answer to the end.
-func (w *web) do(ctx context.Context, broker int, method, at string, units float64) (status int, hint time.Duration, err error) {
+// exchange sends a request and reads its response to the end.
+func (w *objectClients) exchange(ctx context.Context, broker int, method, path string, units float64) (status int, hint time.Duration, err error) {
 	var body io.Reader
 	if method == http.MethodPut {
 		body = bytes.NewReader(make([]byte, int(units*UnitBytes)))
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+w.addrs[broker]+at, body)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+w.addrs[broker]+path, body)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -136,25 +139,26 @@
 	return resp.StatusCode, hint, nil
 }
 
-func (w *web) try(ctx context.Context, a *model.Arrival, class *model.Class, until time.Time) (outcome, time.Duration) {
-	ctx, cancel := context.WithDeadline(ctx, until)
+// attempt makes one attempt over the object API.
+func (w *objectClients) attempt(ctx context.Context, a *model.Arrival, class *model.Class, deadline time.Time) (outcome, time.Duration) {
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	method := http.MethodGet
 	if class.Writes {
 		method = http.MethodPut
 	}
-	status, hint, err := w.do(ctx, int(a.Broker), method, w.path(a, class), a.Units)
+	status, hint, err := w.exchange(ctx, int(a.Broker), method, w.objectPath(a, class), a.Units)
 	switch {
 	case errors.Is(err, context.DeadlineExceeded):
-		return left, 0
+		return abandoned, 0
 	case err != nil:
-		return cut, 0
+		return connectionLost, 0
 	case status == http.StatusOK:
 		return served, 0
 	case status == http.StatusServiceUnavailable:
 		return refused, hint
 	case status == http.StatusNotFound:
-		return wrong, 0
+		return wrongResponse, 0
 	}
 	return failed, 0
 }
