--- a/cmd/labplot/main.go
+++ b/cmd/labplot/main.go
@@ -1,5 +1,6 @@
-// Command labplot draws what the lab has found. It is a program of its own, called by "poppyarch lab plot" and "poppyarch lab report": the
-// libraries that draw bring fonts along, which they read at start, and a broker has to be small and up at once.
+// Command labplot draws charts and reports of lab results. It is a program of its own, called by "poppyarch lab plot"
+// and "poppyarch lab report": the drawing libraries bring fonts that they read at start, and a broker has to be small
+// and start quickly.
 package main
 
 import (
@@ -28,7 +29,7 @@
 }
 
 func root() *cobra.Command {
-	c := &cobra.Command{Use: "labplot", Short: "Draw what the lab has found", SilenceUsage: true, SilenceErrors: true,
+	c := &cobra.Command{Use: "labplot", Short: "Draw charts and reports of lab results", SilenceUsage: true, SilenceErrors: true,
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() }}
 	c.CompletionOptions.DisableDefaultCmd = true
 	c.AddCommand(plotCommand(), reportCommand())
@@ -36,15 +37,15 @@
 }
 
 func viewFlags(c *cobra.Command, v *report.View) {
-	c.Flags().StringVarP(&v.Along, "along", "x", "", "key on the x axis; the one with the most values where none is named")
-	c.Flags().StringSliceVarP(&v.Measures, "measure", "m", []string{"service"}, "measures, each a picture")
+	c.Flags().StringVarP(&v.XKey, "along", "x", "", "key on the x axis (default: the key with the most values)")
+	c.Flags().StringSliceVarP(&v.Measures, "measure", "m", []string{"service"}, "measures to draw, one chart each")
 }
 
 func plotCommand() *cobra.Command {
 	v := report.View{Width: 560, Height: 340}
 	var out string
 	c := &cobra.Command{Use: "plot RESULTS.csv -o FILE", Args: cobra.ExactArgs(1),
-		Short: "Draw a measure of a sweep with its intervals; the other keys give a picture each, numbered",
+		Short: "Draw measures of a sweep with confidence intervals, one numbered file for each combination of the other keys",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			t, err := experiment.Load(args[0])
 			if err != nil {
@@ -76,9 +77,9 @@
 			return nil
 		}}
 	viewFlags(c, &v)
-	c.Flags().StringVarP(&out, "out", "o", "", "picture: .svg, .png or .pdf")
-	c.Flags().Float64Var(&v.Width, "width", v.Width, "points of 1/72 inch")
-	c.Flags().Float64Var(&v.Height, "height", v.Height, "points")
+	c.Flags().StringVarP(&out, "out", "o", "", "output file: .svg, .png or .pdf")
+	c.Flags().Float64Var(&v.Width, "width", v.Width, "width of the chart in points of 1/72 inch")
+	c.Flags().Float64Var(&v.Height, "height", v.Height, "height of the chart in points")
 	required(c, "out")
 	return c
 }
@@ -90,11 +91,11 @@
 	var runs int
 	var seed uint64
 	c := &cobra.Command{Use: "report FILE... -o PAGE.html", Args: cobra.MinimumNArgs(1),
-		Short: "Make one HTML page of results (.csv) and of scenarios (.toml), which are played for it",
+		Short: "Write an HTML page of results (.csv) and scenarios (.toml); scenarios are run for it",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			p := &report.Page{Title: title, Made: time.Now().UTC().Format("2006-01-02")}
+			p := &report.Page{Title: title, Date: time.Now().UTC().Format("2006-01-02")}
 			for _, path := range args {
-				sec, err := section(path, v, designs, runs, seed)
+				sec, err := fileSection(path, v, designs, runs, seed)
 				if err != nil {
 					return err
 				}
@@ -111,30 +112,31 @@
 			return nil
 		}}
 	viewFlags(c, &v)
-	c.Flags().StringVarP(&out, "out", "o", "", "the page")
-	c.Flags().StringVar(&title, "title", "What the lab has found", "of the page")
-	c.Flags().StringSliceVarP(&designs, "design", "d", []string{"module", "two", "oracle"}, "designs that play scenarios; the first is what the others are held against")
-	c.Flags().IntVar(&runs, "runs", 8, "seeds of each design")
-	c.Flags().Uint64Var(&seed, "seed", 1, "the first")
+	c.Flags().StringVarP(&out, "out", "o", "", "output file")
+	c.Flags().StringVar(&title, "title", "Lab results", "title of the page")
+	c.Flags().StringSliceVarP(&designs, "design", "d", []string{"module", "two", "oracle"}, "designs to run scenarios with; the others are compared with the first")
+	c.Flags().IntVar(&runs, "runs", 8, "runs of each design, one seed each")
+	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the first run; the others follow")
 	required(c, "out")
 	return c
 }
 
+// required marks a flag as required.
 func required(c *cobra.Command, flag string) {
 	if err := c.MarkFlagRequired(flag); err != nil {
-		panic(err) // the flag is declared beside the call
+		panic(err) // a programming error: every caller declares the flag first
 	}
 }
 
-// section is what a file gives: results as they are, a scenario by being played.
-func section(path string, v report.View, designs []string, runs int, seed uint64) (*report.Section, error) {
+// fileSection returns the section of a file: a results file as it is, a scenario after running it.
+func fileSection(path string, v report.View, designs []string, runs int, seed uint64) (*report.Section, error) {
 	name := strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
 	if filepath.Ext(path) != ".toml" {
 		t, err := experiment.Load(path)
 		if err != nil {
 			return nil, err
 		}
-		sec, err := report.Sweep(name, t, v)
+		sec, err := report.SweepSection(name, t, v)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
@@ -145,33 +147,33 @@
 		return nil, err
 	}
 	if runs < 1 {
-		return nil, fmt.Errorf("--runs: %d cannot be", runs)
+		return nil, fmt.Errorf("--runs: %d, want 1 or more", runs)
 	}
-	all, err := play(s, designs, runs, seed)
+	all, err := runDesigns(s, designs, runs, seed)
 	if err != nil {
 		return nil, err
 	}
-	return report.Plays(s, all, v)
+	return report.ScenarioSection(s, all, v)
 }
 
-// play has every design play every seed, side by side.
-func play(s *model.Scenario, designs []string, runs int, seed uint64) ([][]*model.Result, error) {
+// runDesigns runs every design with every seed, in parallel.
+func runDesigns(s *model.Scenario, designs []string, runs int, seed uint64) ([][]*model.Result, error) {
 	all := make([][]*model.Result, len(designs))
-	var wait sync.WaitGroup
-	room, failed := make(chan struct{}, runtime.GOMAXPROCS(0)), make([]error, len(designs)*runs)
+	var running sync.WaitGroup
+	slots, errs := make(chan struct{}, runtime.GOMAXPROCS(0)), make([]error, len(designs)*runs)
 	for k, d := range designs {
 		if err := model.CheckDesign(d); err != nil {
 			return nil, err
 		}
 		all[k] = make([]*model.Result, runs)
 		for i := range runs {
-			wait.Go(func() {
-				room <- struct{}{}
-				defer func() { <-room }()
-				all[k][i], failed[k*runs+i] = model.Play(s, d, seed+uint64(i))
+			running.Go(func() {
+				slots <- struct{}{}
+				defer func() { <-slots }()
+				all[k][i], errs[k*runs+i] = model.Play(s, d, seed+uint64(i))
 			})
 		}
 	}
-	wait.Wait()
-	return all, errors.Join(failed...)
+	running.Wait()
+	return all, errors.Join(errs...)
 }
--- a/cmd/labplot/main_test.go
+++ b/cmd/labplot/main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func call(args ...string) (string, error) {
+func execute(args ...string) (string, error) {
 	c := root()
 	var out bytes.Buffer
 	c.SetOut(&out)
@@ -18,7 +18,7 @@
 	return out.String(), err
 }
 
-// A scenario becomes a page; what cannot be is named with its file, and no page is left of it.
+// A scenario becomes a page. Invalid arguments and files give an error and leave no page behind.
 func TestReportAndPlot(t *testing.T) {
 	dir := t.TempDir()
 	s := filepath.Join(dir, "small.toml")
@@ -26,20 +26,20 @@
 		t.Fatal(err)
 	}
 	page := filepath.Join(dir, "p.html")
-	if out, err := call("report", s, "-d", "two,random", "--runs", "2", "-o", page); err != nil || !strings.Contains(out, "1 sections") {
+	if out, err := execute("report", s, "-d", "two,random", "--runs", "2", "-o", page); err != nil || !strings.Contains(out, "1 sections") {
 		t.Fatalf("%s %v", out, err)
 	}
 	b, err := os.ReadFile(page)
 	if err != nil || !bytes.Contains(b, []byte("small")) || bytes.Count(b, []byte("<svg")) != 2 {
 		t.Errorf("%v, %d bytes", err, len(b))
 	}
-	for _, args := range [][]string{{"report", s, "-d", "nobody", "-o", page + "2"}, {"report", s, "--runs", "0", "-o", page + "2"},
+	for _, args := range [][]string{{"report", s, "-d", "unknown", "-o", page + "2"}, {"report", s, "--runs", "0", "-o", page + "2"},
 		{"report", filepath.Join(dir, "none.csv"), "-o", page + "2"}, {"plot", s, "-o", page + "2"}, {"plot", s}} {
-		if out, err := call(args...); err == nil {
-			t.Errorf("%v: %s", args, out)
+		if out, err := execute(args...); err == nil {
+			t.Errorf("%v: want an error, got %s", args, out)
 		}
 	}
 	if _, err := os.Stat(page + "2"); err == nil {
-		t.Error("a page of nothing was left")
+		t.Error("a failed report left a page")
 	}
 }
--- a/internal/lab/chart/chart.go
+++ b/internal/lab/chart/chart.go
@@ -1,5 +1,6 @@
-// Package chart draws what experiments showed: figures with their intervals over what was varied, and courses over time. It stands apart
-// from the broker, whose binary has no use for fonts.
+// Package chart draws results of experiments: measures with their confidence intervals along a varied key, and values
+// over time. It is kept apart from the broker because its drawing libraries bring fonts that the broker's binary does
+// not need.
 package chart
 
 import (
@@ -21,98 +22,99 @@
 	"poppyarch/internal/lab/statistics"
 )
 
-// Point is one figure at one place.
+// Point is a value with its interval at a position on the x axis.
 type Point struct {
 	X float64
 	Y statistics.Figure
 }
 
-// Series is a line of points. Where two neighbours have no figure between them the line has a gap and nothing is drawn through it.
+// Series is a line of points. The line has a gap at a point without a finite value; nothing is drawn through it.
 type Series struct {
 	Name   string
 	Points []Point
 }
 
-// Band is a stretch of the x axis in which something went on.
+// Band marks a range of the x axis, such as the time of a fault.
 type Band struct {
 	From, To float64
 	Name     string
 }
 
-// Chart is one picture.
+// Chart describes a chart that Draw renders.
 type Chart struct {
 	Title, X, Y string
 	Series      []Series
 	Bands       []Band
-	Names       []string // of the places 0, 1, ... of an axis that has no numbers
-	LogX        bool     // the places are set apart by their ratios
-	Zero        bool     // the y axis begins at 0
-	Curve       bool     // courses of many points: no marks, the interval as an area
+	Categories  []string // labels of the x positions 0, 1, ... if the axis is not numeric
+	LogX        bool     // the x axis is logarithmic
+	YFromZero   bool     // the y axis includes 0
+	Curve       bool     // draw many points as a line without marks, with the interval as a shaded area
 }
 
-// Formats are those that Draw knows.
+// Formats are the file formats that Draw supports.
 var Formats = []string{"svg", "png", "pdf"}
 
-const mostSeries = 8 // that can be told apart
+const maxSeries = 8 // the most that a reader can tell apart
 
-// Check reports what cannot be drawn.
+// Check returns an error if the chart cannot be drawn.
 func (c *Chart) Check() error {
 	if len(c.Series) == 0 {
-		return fmt.Errorf("chart %q: no series", c.Title)
+		return fmt.Errorf("chart %q has no series", c.Title)
 	}
-	if len(c.Series) > mostSeries {
-		return fmt.Errorf("chart %q: %d series, more than the %d that can be told apart", c.Title, len(c.Series), mostSeries)
+	if len(c.Series) > maxSeries {
+		return fmt.Errorf("chart %q has %d series, at most %d are supported", c.Title, len(c.Series), maxSeries)
 	}
-	known := false
+	hasValue := false
 	for _, s := range c.Series {
 		for _, p := range s.Points {
 			if math.IsNaN(p.X) || math.IsInf(p.X, 0) || c.LogX && p.X <= 0 {
-				return fmt.Errorf("chart %q: series %s: x of %v cannot be drawn", c.Title, s.Name, p.X)
+				return fmt.Errorf("chart %q: series %s: x value %v cannot be drawn on this axis", c.Title, s.Name, p.X)
 			}
-			known = known || drawable(p.Y.Mean)
+			hasValue = hasValue || isFinite(p.Y.Mean)
 		}
 	}
-	if !known {
-		return fmt.Errorf("chart %q: no point has a figure", c.Title)
+	if !hasValue {
+		return fmt.Errorf("chart %q: no point has a finite value", c.Title)
 	}
 	return nil
 }
 
-func drawable(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
+func isFinite(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
 
-// bars are points with the intervals that are known.
-type bars struct {
+// intervalPoints are points with error bars; an unknown interval has width 0.
+type intervalPoints struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-// runs cuts a series where a figure is missing.
-func (s *Series) runs() (out [][]Point) {
-	var run []Point
+// segments splits a series at points without a finite value.
+func (s *Series) segments() (out [][]Point) {
+	var segment []Point
 	for _, p := range append(slices.Clone(s.Points), Point{Y: statistics.Figure{Mean: math.NaN()}}) {
-		if drawable(p.Y.Mean) {
-			run = append(run, p)
+		if isFinite(p.Y.Mean) {
+			segment = append(segment, p)
 			continue
 		}
-		if len(run) > 0 {
-			out = append(out, run)
+		if len(segment) > 0 {
+			out = append(out, segment)
 		}
-		run = nil
+		segment = nil
 	}
 	return out
 }
 
-func half(f statistics.Figure) float64 {
-	if drawable(f.Half) {
+// halfWidth returns half the width of a figure's interval, 0 if it is unknown.
+func halfWidth(f statistics.Figure) float64 {
+	if isFinite(f.Half) {
 		return f.Half
 	}
 	return 0
 }
 
-// Draw gives the picture in a format, in points of 1/72 inch.
+// Draw renders the chart. Width and height are in points of 1/72 inch.
 func (c *Chart) Draw(format string, width, height float64) ([]byte, error) {
 	if !slices.Contains(Formats, format) {
-		return nil, fmt.Errorf("format %q is unknown; there are %s", format, strings.Join(Formats, ", "))
+		return nil, fmt.Errorf("unknown format %q, want one of %s", format, strings.Join(Formats, ", "))
 	}
 	if err := c.Check(); err != nil {
 		return nil, err
@@ -127,7 +129,7 @@
 	grid := plotter.NewGrid()
 	grid.Vertical.Color, grid.Horizontal.Color = color.Transparent, color.Gray{225}
 	p.Add(grid)
-	if err := c.bands(p); err != nil {
+	if err := c.addBands(p); err != nil {
 		return nil, err
 	}
 	colors, err := palette(len(c.Series))
@@ -135,11 +137,11 @@
 		return nil, err
 	}
 	for i := range c.Series {
-		if err := c.add(p, &c.Series[i], i, colors[i]); err != nil {
+		if err := c.addSeries(p, &c.Series[i], i, colors[i]); err != nil {
 			return nil, fmt.Errorf("chart %q: %w", c.Title, err)
 		}
 	}
-	c.axes(p)
+	c.configureAxes(p)
 	w, err := p.WriterTo(vg.Points(width), vg.Points(height), format)
 	if err != nil {
 		return nil, fmt.Errorf("chart %q: %w", c.Title, err)
@@ -154,83 +156,83 @@
 func palette(n int) ([]color.Color, error) {
 	p, err := brewer.GetPalette(brewer.TypeQualitative, "Dark2", max(n, 3))
 	if err != nil {
-		return nil, fmt.Errorf("colours for %d series: %w", n, err)
+		return nil, fmt.Errorf("colour palette for %d series: %w", n, err)
 	}
 	return p.Colors(), nil
 }
 
-// add draws one series: its line, its marks, its intervals.
-func (c *Chart) add(p *plot.Plot, s *Series, i int, col color.Color) error {
-	var thumbs []plot.Thumbnailer
-	for _, run := range s.runs() {
-		at := bars{make(plotter.XYs, len(run)), make(plotter.YErrors, len(run))}
-		for k, q := range run {
-			at.XYs[k] = plotter.XY{X: c.beside(q.X, i), Y: q.Y.Mean}
-			at.YErrors[k].Low, at.YErrors[k].High = half(q.Y), half(q.Y)
+// addSeries draws one series: its line, marks and intervals.
+func (c *Chart) addSeries(p *plot.Plot, s *Series, i int, col color.Color) error {
+	var legend []plot.Thumbnailer
+	for _, segment := range s.segments() {
+		points := intervalPoints{make(plotter.XYs, len(segment)), make(plotter.YErrors, len(segment))}
+		for k, q := range segment {
+			points.XYs[k] = plotter.XY{X: c.offsetX(q.X, i), Y: q.Y.Mean}
+			points.YErrors[k].Low, points.YErrors[k].High = halfWidth(q.Y), halfWidth(q.Y)
 		}
 		if c.Curve {
-			area, err := area(at, col)
+			area, err := intervalArea(points, col)
 			if err != nil {
 				return err
 			}
 			p.Add(area)
 		} else {
-			e, err := plotter.NewYErrorBars(at)
+			e, err := plotter.NewYErrorBars(points)
 			if err != nil {
 				return err
 			}
 			e.Color, e.CapWidth = col, vg.Points(5)
 			p.Add(e)
 		}
-		line, err := plotter.NewLine(at.XYs)
+		line, err := plotter.NewLine(points.XYs)
 		if err != nil {
 			return err
 		}
 		line.Color, line.Width = col, vg.Points(1.4)
 		p.Add(line)
-		thumbs = []plot.Thumbnailer{line}
+		legend = []plot.Thumbnailer{line}
 		if !c.Curve {
-			marks, err := plotter.NewScatter(at.XYs)
+			marks, err := plotter.NewScatter(points.XYs)
 			if err != nil {
 				return err
 			}
-			marks.Color, marks.Radius, marks.Shape = col, vg.Points(3), shapes[i%len(shapes)]
+			marks.Color, marks.Radius, marks.Shape = col, vg.Points(3), markShapes[i%len(markShapes)]
 			p.Add(marks)
-			thumbs = append(thumbs, marks)
+			legend = append(legend, marks)
 		}
 	}
-	if thumbs != nil && s.Name != "" {
-		p.Legend.Add(s.Name, thumbs...)
+	if legend != nil && s.Name != "" {
+		p.Legend.Add(s.Name, legend...)
 	}
 	return nil
 }
 
-// beside sets the points of several series at one place a little apart, or their intervals would hide each other.
-func (c *Chart) beside(x float64, i int) float64 {
-	xs := c.xs()
+// offsetX shifts the points of each series a little, so that intervals at the same x value do not hide each other.
+func (c *Chart) offsetX(x float64, i int) float64 {
+	xs := c.distinctX()
 	if c.Curve || len(xs) < 2 {
 		return x
 	}
-	part := 0.012 * (float64(i) - float64(len(c.Series)-1)/2)
+	shift := 0.012 * (float64(i) - float64(len(c.Series)-1)/2)
 	if c.LogX {
-		return x * math.Pow(xs[len(xs)-1]/xs[0], part)
+		return x * math.Pow(xs[len(xs)-1]/xs[0], shift)
 	}
-	return x + part*(xs[len(xs)-1]-xs[0])
+	return x + shift*(xs[len(xs)-1]-xs[0])
 }
 
-// shapes tell the series apart where colours do not.
-var shapes = []draw.GlyphDrawer{draw.CircleGlyph{}, draw.BoxGlyph{}, draw.TriangleGlyph{}, draw.PyramidGlyph{}, draw.RingGlyph{}, draw.SquareGlyph{}, draw.CrossGlyph{}, draw.PlusGlyph{}}
+// markShapes distinguish the series where colours cannot.
+var markShapes = []draw.GlyphDrawer{draw.CircleGlyph{}, draw.BoxGlyph{}, draw.TriangleGlyph{}, draw.PyramidGlyph{}, draw.RingGlyph{}, draw.SquareGlyph{}, draw.CrossGlyph{}, draw.PlusGlyph{}}
 
-// area is the interval of a course.
-func area(at bars, col color.Color) (*plotter.Polygon, error) {
-	ring := make(plotter.XYs, 0, 2*len(at.XYs))
-	for k, q := range at.XYs {
-		ring = append(ring, plotter.XY{X: q.X, Y: q.Y + at.YErrors[k].High})
+// intervalArea returns the shaded area between the lower and upper ends of the intervals.
+func intervalArea(points intervalPoints, col color.Color) (*plotter.Polygon, error) {
+	outline := make(plotter.XYs, 0, 2*len(points.XYs))
+	for k, q := range points.XYs {
+		outline = append(outline, plotter.XY{X: q.X, Y: q.Y + points.YErrors[k].High})
 	}
-	for k := len(at.XYs) - 1; k >= 0; k-- {
-		ring = append(ring, plotter.XY{X: at.XYs[k].X, Y: at.XYs[k].Y - at.YErrors[k].Low})
+	for k := len(points.XYs) - 1; k >= 0; k-- {
+		outline = append(outline, plotter.XY{X: points.XYs[k].X, Y: points.XYs[k].Y - points.YErrors[k].Low})
 	}
-	poly, err := plotter.NewPolygon(ring)
+	poly, err := plotter.NewPolygon(outline)
 	if err != nil {
 		return nil, err
 	}
@@ -240,17 +242,17 @@
 	return poly, nil
 }
 
-// span is what the figures and their intervals take of the y axis.
-func (c *Chart) span() (low, high float64) {
+// yRange returns the range of the y axis that the values and their intervals cover.
+func (c *Chart) yRange() (low, high float64) {
 	low, high = math.Inf(1), math.Inf(-1)
 	for _, s := range c.Series {
 		for _, q := range s.Points {
-			if drawable(q.Y.Mean) {
-				low, high = min(low, q.Y.Mean-half(q.Y)), max(high, q.Y.Mean+half(q.Y))
+			if isFinite(q.Y.Mean) {
+				low, high = min(low, q.Y.Mean-halfWidth(q.Y)), max(high, q.Y.Mean+halfWidth(q.Y))
 			}
 		}
 	}
-	if c.Zero {
+	if c.YFromZero {
 		low, high = min(low, 0), max(high, 0)
 	}
 	if high == low {
@@ -259,12 +261,12 @@
 	return low, high
 }
 
-// bands are drawn behind all else, each with its name at the foot.
-func (c *Chart) bands(p *plot.Plot) error {
+// addBands draws the bands behind the series, each with its name at the lower edge.
+func (c *Chart) addBands(p *plot.Plot) error {
 	if len(c.Bands) == 0 {
 		return nil
 	}
-	low, high := c.span()
+	low, high := c.yRange()
 	for i, b := range c.Bands {
 		poly, err := plotter.NewPolygon(plotter.XYs{{X: b.From, Y: low}, {X: b.From, Y: high}, {X: b.To, Y: high}, {X: b.To, Y: low}})
 		if err != nil {
@@ -273,7 +275,7 @@
 		poly.Color = color.NRGBA{120, 120, 120, 35}
 		poly.Width = 0
 		p.Add(poly)
-		// Names of bands that overlap stand above each other.
+		// The names are staggered in height, so that those of overlapping bands stay readable.
 		labels, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: b.From, Y: low + (high-low)*0.045*float64(i%6)}}, Labels: []string{b.Name}})
 		if err != nil {
 			return fmt.Errorf("chart %q: band %s: %w", c.Title, b.Name, err)
@@ -287,25 +289,25 @@
 	return nil
 }
 
-func (c *Chart) axes(p *plot.Plot) {
-	low, high := c.span()
-	room := 0.06 * (high - low)
-	p.Y.Min, p.Y.Max = low-room, high+room*(2+1.2*float64(len(c.Series))) // the legend stands there
-	if c.Zero && low == 0 {
+func (c *Chart) configureAxes(p *plot.Plot) {
+	low, high := c.yRange()
+	margin := 0.06 * (high - low)
+	p.Y.Min, p.Y.Max = low-margin, high+margin*(2+1.2*float64(len(c.Series))) // leaves space for the legend at the top
+	if c.YFromZero && low == 0 {
 		p.Y.Min = 0
 	}
-	p.Y.Tick.Marker = steps{}
+	p.Y.Tick.Marker = roundTicks{}
 	if c.LogX {
-		p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, places(c.xs())
+		p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, pointTicks(c.distinctX())
 	}
-	if c.Names != nil {
-		p.NominalX(c.Names...)
-		p.X.Min, p.X.Max = -0.4, float64(len(c.Names))-0.6
+	if c.Categories != nil {
+		p.NominalX(c.Categories...)
+		p.X.Min, p.X.Max = -0.4, float64(len(c.Categories))-0.6
 	}
 }
 
-// xs are the places, each once, in order.
-func (c *Chart) xs() (out []float64) {
+// distinctX returns the x values of all series, sorted and without duplicates.
+func (c *Chart) distinctX() (out []float64) {
 	for _, s := range c.Series {
 		for _, q := range s.Points {
 			out = append(out, q.X)
@@ -315,26 +317,26 @@
 	return slices.Compact(out)
 }
 
-// places are ticks at the very places that were played: between them nothing is known.
-type places []float64
+// pointTicks sets ticks only at the x values that were run; nothing is known between them.
+type pointTicks []float64
 
-// Ticks is plot.Ticker.
-func (t places) Ticks(_, _ float64) (out []plot.Tick) {
+// Ticks implements plot.Ticker.
+func (t pointTicks) Ticks(_, _ float64) (out []plot.Tick) {
 	for _, x := range t {
 		out = append(out, plot.Tick{Value: x, Label: fmt.Sprintf("%.4g", x)})
 	}
 	return out
 }
 
-// steps are ticks at round figures, five to ten of them.
-type steps struct{}
+// roundTicks sets about five to ten ticks at round values.
+type roundTicks struct{}
 
-// Ticks is plot.Ticker.
-func (steps) Ticks(low, high float64) (out []plot.Tick) {
+// Ticks implements plot.Ticker.
+func (roundTicks) Ticks(low, high float64) (out []plot.Tick) {
 	step := math.Pow(10, math.Floor(math.Log10((high-low)/2)))
-	for _, by := range []float64{0.1, 0.2, 0.5, 1} {
-		if (high-low)/(step*by) <= 10 {
-			step *= by
+	for _, factor := range []float64{0.1, 0.2, 0.5, 1} {
+		if (high-low)/(step*factor) <= 10 {
+			step *= factor
 			break
 		}
 	}
--- a/internal/lab/experiment/bisect.go
+++ b/internal/lab/experiment/bisect.go
@@ -11,8 +11,8 @@
 	"poppyarch/internal/lab/statistics"
 )
 
-// Bisection looks for the figure of a scenario at which a design's measure crosses a bound, such as the load at which service falls under 0.8. The
-// measure is taken to go one way between the two ends.
+// Bisection searches for the value of a scenario key at which a design's measure crosses a bound, such as the load at
+// which service drops below 0.8. It assumes that the measure is monotonic between From and To.
 type Bisection struct {
 	Scenario *model.Scenario
 	Key      string
@@ -20,21 +20,21 @@
 	Design   string
 	Measure  string
 	Bound    float64
-	Runs     int // seeds at a time
-	Most     int // seeds for a step at which the bound lies within the interval
+	Runs     int // seeds added at a time
+	Most     int // maximum number of seeds of a step whose interval contains the bound
 	Seed     uint64
-	Steps    int
+	Steps    int // maximum number of halvings
 }
 
-// Step is one figure that was played.
+// Step is the estimate at one value of the key.
 type Step struct {
 	At    float64
 	Mean  statistics.Figure
-	Above bool // the mean is at the bound or above
-	Sure  bool // and its interval does not hold the bound
+	Above bool // the mean is at or above the bound
+	Sure  bool // the interval does not contain the bound
 }
 
-// Found is where the crossing lies: between two figures that were played, the first on the side of From.
+// Found holds the two steps between which the measure crosses the bound. Near is on the side of From.
 type Found struct {
 	Near, Far Step
 }
@@ -45,31 +45,32 @@
 	}
 	switch {
 	case Measures[b.Measure] == nil:
-		return fmt.Errorf("measure: %q is unknown; there are %v", b.Measure, measureNames())
+		return fmt.Errorf("measure: unknown measure %q, want one of %v", b.Measure, measureNames())
 	case b.From == b.To:
-		return fmt.Errorf("from and to: both are %v", b.From)
+		return fmt.Errorf("from and to: both are %v, want two different values", b.From)
 	case b.Runs < 2:
-		return fmt.Errorf("runs: %d cannot be, an interval takes two", b.Runs)
+		return fmt.Errorf("runs: %d, a confidence interval needs at least 2", b.Runs)
 	case b.Most < b.Runs:
-		return fmt.Errorf("most: %d is less than runs, %d", b.Most, b.Runs)
+		return fmt.Errorf("most: %d is less than runs (%d)", b.Most, b.Runs)
 	case b.Steps < 1:
-		return fmt.Errorf("steps: %d cannot be", b.Steps)
+		return fmt.Errorf("steps: %d, want 1 or more", b.Steps)
 	}
 	return nil
 }
 
-// Run plays both ends and then halves what lies between. It is an error if both ends lie on one side.
-func (b *Bisection) Run(ctx context.Context, say func(Step)) (Found, error) {
+// Run evaluates both ends and then bisects the range between them. It fails if the measure is on the same side of the
+// bound at both ends.
+func (b *Bisection) Run(ctx context.Context, report func(Step)) (Found, error) {
 	if err := b.check(); err != nil {
 		return Found{}, err
 	}
 	var ends [2]Step
 	for i, at := range []float64{b.From, b.To} {
-		s, err := b.play(ctx, at)
+		s, err := b.evaluate(ctx, at)
 		if err != nil {
 			return Found{}, err
 		}
-		say(s)
+		report(s)
 		ends[i] = s
 	}
 	f := Found{Near: ends[0], Far: ends[1]}
@@ -82,17 +83,17 @@
 	}
 	for range b.Steps {
 		middle := (f.Near.At + f.Far.At) / 2
-		if b.whole() {
+		if b.takesIntegersOnly() {
 			middle = float64(int(middle))
 		}
 		if middle == f.Near.At || middle == f.Far.At {
 			break
 		}
-		s, err := b.play(ctx, middle)
+		s, err := b.evaluate(ctx, middle)
 		if err != nil {
 			return f, err
 		}
-		say(s)
+		report(s)
 		if s.Above == f.Near.Above {
 			f.Near = s
 		} else {
@@ -102,19 +103,19 @@
 	return f, nil
 }
 
-// whole reports whether the key takes whole numbers only.
-func (b *Bisection) whole() bool {
+// takesIntegersOnly reports whether the key accepts integers only.
+func (b *Bisection) takesIntegersOnly() bool {
 	s, err := b.Scenario.Copy()
-	return err != nil || set(s, b.Key, "1.5") != nil
+	return err != nil || setKey(s, b.Key, "1.5") != nil
 }
 
-// play adds seeds while the interval holds the bound.
-func (b *Bisection) play(ctx context.Context, at float64) (Step, error) {
+// evaluate estimates the measure at a value of the key. It adds seeds while the interval contains the bound.
+func (b *Bisection) evaluate(ctx context.Context, at float64) (Step, error) {
 	s, err := b.Scenario.Copy()
 	if err != nil {
 		return Step{}, err
 	}
-	if err := set(s, b.Key, strconv.FormatFloat(at, 'g', -1, 64)); err != nil {
+	if err := setKey(s, b.Key, strconv.FormatFloat(at, 'g', -1, 64)); err != nil {
 		return Step{}, err
 	}
 	if err := s.Check(); err != nil {
@@ -123,11 +124,11 @@
 	var values []float64
 	for {
 		n := min(b.Runs, b.Most-len(values))
-		part, err := seeds(ctx, s, b.Design, b.Seed+uint64(len(values)), n, Measures[b.Measure])
+		batch, err := measureSeeds(ctx, s, b.Design, b.Seed+uint64(len(values)), n, Measures[b.Measure])
 		if err != nil {
 			return Step{}, err
 		}
-		values = append(values, part...)
+		values = append(values, batch...)
 		x := Step{At: at, Mean: statistics.Of(values)}
 		x.Above, x.Sure = x.Mean.Mean >= b.Bound, !x.Mean.Holds(b.Bound)
 		if x.Sure || len(values) == b.Most {
@@ -136,27 +137,27 @@
 	}
 }
 
-// seeds plays a design with n seeds, side by side.
-func seeds(ctx context.Context, s *model.Scenario, design string, from uint64, n int, of func(*model.Result) float64) ([]float64, error) {
+// measureSeeds runs a design with n consecutive seeds in parallel and returns the measure of each run.
+func measureSeeds(ctx context.Context, s *model.Scenario, design string, first uint64, n int, measure func(*model.Result) float64) ([]float64, error) {
 	out, errs := make([]float64, n), make([]error, n)
-	room := make(chan struct{}, runtime.GOMAXPROCS(0))
-	var wait sync.WaitGroup
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
+	var running sync.WaitGroup
 	for i := range n {
-		wait.Go(func() {
-			room <- struct{}{}
-			defer func() { <-room }()
+		running.Go(func() {
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			if errs[i] = ctx.Err(); errs[i] != nil {
 				return
 			}
-			r, err := model.Play(s, design, from+uint64(i))
+			r, err := model.Play(s, design, first+uint64(i))
 			if err != nil {
 				errs[i] = err
 				return
 			}
-			out[i] = of(r)
+			out[i] = measure(r)
 		})
 	}
-	wait.Wait()
+	running.Wait()
 	for _, err := range errs {
 		if err != nil {
 			return nil, err
--- a/internal/lab/experiment/plan.go
+++ b/internal/lab/experiment/plan.go
@@ -1,5 +1,6 @@
-// Package experiment plays a scenario over a grid of figures with several designs, seed by seed, until what is asked is known well enough. Results
-// go to a file as they come, and a run that was ended goes on from there.
+// Package experiment runs the designs of a plan over a grid of scenario values, seed by seed, until the confidence
+// intervals are narrow enough. Results are written to a file as they arrive, and an interrupted run continues from
+// that file.
 package experiment
 
 import (
@@ -18,33 +19,33 @@
 	"poppyarch/internal/tomlerror"
 )
 
-// Plan is an experiment. Its form is TOML; see docs/LAB.md.
+// Plan is an experiment, read from TOML; see docs/LAB.md.
 type Plan struct {
-	Scenario  string   `toml:"scenario"` // a file beside this one
-	Designs   []string `toml:"designs"`  // the first is what the others are held against
+	Scenario  string   `toml:"scenario"` // path of the scenario file, relative to the plan
+	Designs   []string `toml:"designs"`  // the first is the baseline that the others are compared with
 	Measure   string   `toml:"measure"`
-	Precision float64  `toml:"precision"` // half of the interval that is wanted
-	Runs      int      `toml:"runs"`      // seeds at a time, and at least
-	Most      int      `toml:"most"`      // seeds
+	Precision float64  `toml:"precision"` // wanted half-width of the confidence interval; 0 adds no seeds
+	Runs      int      `toml:"runs"`      // seeds added at a time, and the minimum per design and point
+	MaxRuns   int      `toml:"most"`      // maximum number of seeds per design and point
 	Seed      uint64   `toml:"seed"`
 	Vary      []Axis   `toml:"vary"`
 
 	base *model.Scenario
 }
 
-// Axis is keys of the scenario that change together, and a row of their values for each step.
+// Axis is a set of scenario keys that change together. Each row of Values holds a value for every key.
 type Axis struct {
 	Keys   []string `toml:"keys"`
 	Values [][]any  `toml:"values"`
 }
 
-// Point is one place of the grid.
+// Point is one point of the grid.
 type Point struct {
-	Values   []string // as they are written, by key in the order of the axes
+	Values   []string // text of the values, in the order of Plan.Keys
 	Scenario *model.Scenario
 }
 
-// Measures are what can be asked of a run.
+// Measures maps the name of each measure to the function that reads it from the result of a run.
 var Measures = map[string]func(*model.Result) float64{
 	"service":     func(r *model.Result) float64 { return r.Service },
 	"reserved":    func(r *model.Result) float64 { return r.Reserved },
@@ -61,28 +62,28 @@
 	"cold_peak":   func(r *model.Result) float64 { return r.ColdPeak },
 	"broken": func(r *model.Result) float64 {
 		n := 0
-		for _, k := range r.Broken {
-			n += k
+		for _, count := range r.Broken {
+			n += count
 		}
 		return float64(n)
 	},
 }
 
-// Values are a measure of several runs.
-func Values(rs []*model.Result, of func(*model.Result) float64) []float64 {
+// Values returns a measure of each run.
+func Values(rs []*model.Result, measure func(*model.Result) float64) []float64 {
 	out := make([]float64, len(rs))
 	for i, r := range rs {
-		out[i] = of(r)
+		out[i] = measure(r)
 	}
 	return out
 }
 
-// Over is a measure over several runs, with its interval.
-func Over(rs []*model.Result, of func(*model.Result) float64) statistics.Figure {
-	return statistics.Of(Values(rs, of))
+// Over returns the mean of a measure over several runs, with its confidence interval.
+func Over(rs []*model.Result, measure func(*model.Result) float64) statistics.Figure {
+	return statistics.Of(Values(rs, measure))
 }
 
-// measureNames are the columns of results, in order.
+// measureNames returns the names of the measures, sorted. This is the order of their columns in a results file.
 func measureNames() []string {
 	names := make([]string, 0, len(Measures))
 	for k := range Measures {
@@ -92,7 +93,7 @@
 	return names
 }
 
-// ReadScenario reads a file and names it, the line and the key of what is wrong.
+// ReadScenario reads and checks a scenario. Errors name the file, and the line and key if they are known.
 func ReadScenario(path string) (*model.Scenario, error) {
 	s := &model.Scenario{}
 	if err := decode(path, s); err != nil {
@@ -104,6 +105,7 @@
 	return s, nil
 }
 
+// decode reads a TOML file into a struct and rejects unknown keys.
 func decode(path string, into any) error {
 	file, err := os.Open(path)
 	if err != nil {
@@ -116,46 +118,46 @@
 	return nil
 }
 
-// Read reads a plan and its scenario, and tries every point of the grid for figures that cannot be.
+// Read reads a plan and its scenario, and checks the scenario of every point of the grid.
 func Read(path string) (*Plan, error) {
-	p := &Plan{Measure: "service", Runs: 8, Most: 64, Seed: 1}
+	p := &Plan{Measure: "service", Runs: 8, MaxRuns: 64, Seed: 1}
 	if err := decode(path, p); err != nil {
 		return nil, err
 	}
-	at := func(err error) (*Plan, error) { return nil, fmt.Errorf("%s: %w", path, err) }
+	fail := func(err error) (*Plan, error) { return nil, fmt.Errorf("%s: %w", path, err) }
 	var err error
 	if p.base, err = ReadScenario(filepath.Join(filepath.Dir(path), p.Scenario)); err != nil {
-		return at(fmt.Errorf("scenario: %w", err))
+		return fail(fmt.Errorf("scenario: %w", err))
 	}
 	if len(p.Designs) == 0 {
-		return at(fmt.Errorf("designs: none given"))
+		return fail(fmt.Errorf("designs: at least one is needed"))
 	}
 	for i, d := range p.Designs {
 		if err := model.CheckDesign(d); err != nil {
-			return at(fmt.Errorf("designs[%d]: %w", i, err))
+			return fail(fmt.Errorf("designs[%d]: %w", i, err))
 		}
 		if slices.Contains(p.Designs[:i], d) {
-			return at(fmt.Errorf("designs[%d]: %q stands twice", i, d))
+			return fail(fmt.Errorf("designs[%d]: %q is listed twice", i, d))
 		}
 	}
 	if Measures[p.Measure] == nil {
-		return at(fmt.Errorf("measure: %q is unknown; there are %v", p.Measure, measureNames()))
+		return fail(fmt.Errorf("measure: unknown measure %q, want one of %v", p.Measure, measureNames()))
 	}
 	switch {
 	case p.Runs < 2:
-		return at(fmt.Errorf("runs: %d cannot be, an interval takes two", p.Runs))
-	case p.Most < p.Runs:
-		return at(fmt.Errorf("most: %d is less than runs, %d", p.Most, p.Runs))
+		return fail(fmt.Errorf("runs: %d, a confidence interval needs at least 2", p.Runs))
+	case p.MaxRuns < p.Runs:
+		return fail(fmt.Errorf("most: %d is less than runs (%d)", p.MaxRuns, p.Runs))
 	case !(p.Precision >= 0):
-		return at(fmt.Errorf("precision: %v cannot be", p.Precision))
+		return fail(fmt.Errorf("precision: %v, want 0 or more", p.Precision))
 	}
 	if _, err := p.Points(); err != nil {
-		return at(err)
+		return fail(err)
 	}
 	return p, nil
 }
 
-// Keys are the keys that vary, in order.
+// Keys returns the keys that vary, in the order of the axes.
 func (p *Plan) Keys() (keys []string) {
 	for _, a := range p.Vary {
 		keys = append(keys, a.Keys...)
@@ -163,19 +165,19 @@
 	return keys
 }
 
-// Points is the grid, the last axis changing fastest.
+// Points returns the points of the grid; the last axis changes fastest.
 func (p *Plan) Points() ([]Point, error) {
 	points := []Point{{}}
 	for i, a := range p.Vary {
-		at := fmt.Sprintf("vary[%d]", i)
+		axis := fmt.Sprintf("vary[%d]", i)
 		if len(a.Keys) == 0 || len(a.Values) == 0 {
-			return nil, fmt.Errorf("%s: keys and values are needed", at)
+			return nil, fmt.Errorf("%s: keys and values must not be empty", axis)
 		}
 		var next []Point
 		for _, q := range points {
 			for k, row := range a.Values {
 				if len(row) != len(a.Keys) {
-					return nil, fmt.Errorf("%s.values[%d]: %d values for %d keys", at, k, len(row), len(a.Keys))
+					return nil, fmt.Errorf("%s.values[%d]: %d values for %d keys", axis, k, len(row), len(a.Keys))
 				}
 				x := Point{Values: slices.Clone(q.Values)}
 				for _, v := range row {
@@ -193,7 +195,7 @@
 			return nil, err
 		}
 		for k, key := range keys {
-			if err := set(s, key, points[i].Values[k]); err != nil {
+			if err := setKey(s, key, points[i].Values[k]); err != nil {
 				return nil, fmt.Errorf("vary: %w", err)
 			}
 		}
@@ -205,8 +207,8 @@
 	return points, nil
 }
 
-// set writes a figure of a scenario by its key as the file has it, such as load.rate or trouble[0].share.
-func set(s *model.Scenario, key, text string) error {
+// setKey sets the value of a scenario key, given as in the file, such as load.rate or trouble[0].share.
+func setKey(s *model.Scenario, key, text string) error {
 	v := reflect.ValueOf(s).Elem()
 	for _, part := range strings.Split(key, ".") {
 		name, index, indexed := strings.Cut(part, "[")
@@ -225,7 +227,7 @@
 		if indexed {
 			i, err := strconv.Atoi(strings.TrimSuffix(index, "]"))
 			if err != nil || v.Kind() != reflect.Slice && v.Kind() != reflect.Array || i < 0 || i >= v.Len() {
-				return fmt.Errorf("%s: the scenario has no such entry", key)
+				return fmt.Errorf("%s: index out of range, or not a list", key)
 			}
 			v = v.Index(i)
 		}
@@ -243,7 +245,7 @@
 	case *float64:
 		*x, err = strconv.ParseFloat(text, 64)
 	default:
-		return fmt.Errorf("%s: is no single figure", key)
+		return fmt.Errorf("%s: cannot be varied, it is not a single value", key)
 	}
 	if err != nil {
 		return fmt.Errorf("%s: %q: %w", key, text, err)
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -17,7 +17,7 @@
 	"poppyarch/internal/lab/statistics"
 )
 
-// Row is one run's measures.
+// Row holds the measures of one run.
 type Row struct {
 	Values   []string
 	Design   string
@@ -31,18 +31,19 @@
 	return strings.Join(values, "\x00") + "\x01" + design + "\x01" + strconv.FormatUint(seed, 10)
 }
 
-// Results is the file of an experiment: CSV with a column for each key that varies, design, seed and each measure. A line that was cut by the
-// end of an earlier run is dropped, and what is there is not played again.
+// Results is the results file of an experiment: CSV with a column for each key that varies, the design, the seed and
+// each measure. An incomplete last line, left by an interrupted run, is dropped. Runs that the file holds are not
+// repeated.
 type Results struct {
 	keys  []string
 	rows  map[string]*Row
-	order []*Row // as in the file
+	order []*Row // in the order of the file
 	file  *os.File
 
-	whole int // bytes of whole lines found
+	completeBytes int // size of the complete lines that were found
 }
 
-// Open reads what a file has and makes it ready for more.
+// Open reads the results of a file, creates it if it is missing, and prepares it for appending.
 func Open(path string, keys []string) (*Results, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
@@ -50,7 +51,7 @@
 	}
 	r := &Results{keys: keys, rows: map[string]*Row{}, file: f}
 	err = r.read()
-	if err == nil && len(r.rows) == 0 && r.whole == 0 {
+	if err == nil && len(r.rows) == 0 && r.completeBytes == 0 {
 		err = r.write(r.header())
 	}
 	if err != nil {
@@ -60,7 +61,7 @@
 	return r, nil
 }
 
-// Close ends the file.
+// Close closes the file.
 func (r *Results) Close() error { return r.file.Close() }
 
 func (r *Results) header() []string {
@@ -72,45 +73,45 @@
 	if err != nil {
 		return err
 	}
-	whole := text[:strings.LastIndexByte(string(text), '\n')+1]
-	r.whole = len(whole)
-	if err := r.parse(whole); err != nil {
+	complete := text[:strings.LastIndexByte(string(text), '\n')+1]
+	r.completeBytes = len(complete)
+	if err := r.parse(complete); err != nil {
 		return err
 	}
-	if torn := string(text[len(whole):]); r.whole == 0 && !strings.HasPrefix(strings.Join(r.header(), ","), torn) {
-		return fmt.Errorf("line 1: not results of a plan")
+	if partial := string(text[len(complete):]); r.completeBytes == 0 && !strings.HasPrefix(strings.Join(r.header(), ","), partial) {
+		return fmt.Errorf("line 1: not a results file of a plan")
 	}
-	// Only what is known for results of this plan is touched.
-	if err := r.file.Truncate(int64(len(whole))); err != nil {
+	// The file is changed only after it was recognised as results of this plan.
+	if err := r.file.Truncate(int64(len(complete))); err != nil {
 		return err
 	}
-	_, err = r.file.Seek(int64(len(whole)), io.SeekStart)
+	_, err = r.file.Seek(int64(len(complete)), io.SeekStart)
 	return err
 }
 
-// parse takes in whole lines.
-func (r *Results) parse(whole []byte) error {
-	if len(whole) == 0 {
+// parse reads complete lines: the header and one row for each run.
+func (r *Results) parse(complete []byte) error {
+	if len(complete) == 0 {
 		return nil
 	}
-	head := r.header()
-	c := csv.NewReader(strings.NewReader(string(whole)))
-	c.FieldsPerRecord = len(head)
+	header := r.header()
+	reader := csv.NewReader(strings.NewReader(string(complete)))
+	reader.FieldsPerRecord = len(header)
 	for first := true; ; first = false {
-		rec, err := c.Read()
+		rec, err := reader.Read()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("not results of this plan: %w", err)
+			return fmt.Errorf("not a results file of this plan: %w", err)
 		}
 		if first {
-			if !slices.Equal(rec, head) {
-				return fmt.Errorf("line 1: results of another plan: columns %v, want %v", rec, head)
+			if !slices.Equal(rec, header) {
+				return fmt.Errorf("line 1: results of another plan: found columns %v, want %v", rec, header)
 			}
 			continue
 		}
-		line, _ := c.FieldPos(0)
+		line, _ := reader.FieldPos(0)
 		row := &Row{Values: slices.Clone(rec[:len(r.keys)]), Design: rec[len(r.keys)], Measures: map[string]float64{}}
 		if row.Seed, err = strconv.ParseUint(rec[len(r.keys)+1], 10, 64); err != nil {
 			return fmt.Errorf("line %d: seed: %w", line, err)
@@ -127,11 +128,11 @@
 
 func (r *Results) write(rec []string) error {
 	var b strings.Builder
-	c := csv.NewWriter(&b)
-	if err := c.Write(rec); err != nil {
+	writer := csv.NewWriter(&b)
+	if err := writer.Write(rec); err != nil {
 		return err
 	}
-	c.Flush()
+	writer.Flush()
 	_, err := r.file.WriteString(b.String())
 	return err
 }
@@ -145,8 +146,9 @@
 	return r.write(rec)
 }
 
-// of is a measure of the seeds that a design has been played with, from the first on without a gap.
-func (r *Results) of(values []string, design string, seed uint64, name string) (out []float64) {
+// consecutive returns a measure of a design for consecutive seeds, from the given one up to the first without a
+// result.
+func (r *Results) consecutive(values []string, design string, seed uint64, name string) (out []float64) {
 	for ; ; seed++ {
 		row := r.rows[rowKey(values, design, seed)]
 		if row == nil {
@@ -156,48 +158,50 @@
 	}
 }
 
-// Line is what is known of one design at one point.
+// Line is the estimate for one design at one point.
 type Line struct {
 	Values []string
 	Design string
 	Mean   statistics.Figure
-	Less   statistics.Figure // the difference from the first design, seed by seed; of the first itself: nothing
+	Less   statistics.Figure // difference from the first design, paired by seed; zero for the first design
 }
 
-// Run plays what is missing, a point after the other, and reports each line when it is known well enough. It ends early with the context.
-func (p *Plan) Run(ctx context.Context, r *Results, say func(Line)) error {
+// Run performs the missing runs, point by point, and reports the line of each design once a point is finished. It
+// stops when the context is cancelled.
+func (p *Plan) Run(ctx context.Context, r *Results, report func(Line)) error {
 	points, err := p.Points()
 	if err != nil {
 		return err
 	}
 	for _, pt := range points {
-		for n := p.Runs; ; n = min(n+p.Runs, p.Most) {
-			if err := p.upTo(ctx, r, pt, n); err != nil {
+		for n := p.Runs; ; n = min(n+p.Runs, p.MaxRuns) {
+			if err := p.runSeeds(ctx, r, pt, n); err != nil {
 				return err
 			}
-			if n == p.Most || p.enough(r, pt) {
+			if n == p.MaxRuns || p.preciseEnough(r, pt) {
 				break
 			}
 		}
 		for _, d := range p.Designs {
-			say(p.line(r, pt, d))
+			report(p.line(r, pt, d))
 		}
 	}
 	return nil
 }
 
 func (p *Plan) line(r *Results, pt Point, design string) Line {
-	own := r.of(pt.Values, design, p.Seed, p.Measure)
-	l := Line{Values: pt.Values, Design: design, Mean: statistics.Of(own)}
-	if first := r.of(pt.Values, p.Designs[0], p.Seed, p.Measure); design != p.Designs[0] {
-		n := min(len(first), len(own))
-		l.Less, _ = statistics.Paired(own[:n], first[:n])
+	values := r.consecutive(pt.Values, design, p.Seed, p.Measure)
+	l := Line{Values: pt.Values, Design: design, Mean: statistics.Of(values)}
+	if baseline := r.consecutive(pt.Values, p.Designs[0], p.Seed, p.Measure); design != p.Designs[0] {
+		n := min(len(baseline), len(values))
+		l.Less, _ = statistics.Paired(values[:n], baseline[:n])
 	}
 	return l
 }
 
-// enough: the first design's mean and the others' differences from it are as narrow as wanted.
-func (p *Plan) enough(r *Results, pt Point) bool {
+// preciseEnough reports whether the intervals of the first design's mean and of the other designs' differences from it
+// are as narrow as Precision asks.
+func (p *Plan) preciseEnough(r *Results, pt Point) bool {
 	if p.Precision == 0 {
 		return true
 	}
@@ -213,8 +217,8 @@
 	return true
 }
 
-// upTo plays each design with the first n seeds, side by side; results are written in a fixed order.
-func (p *Plan) upTo(ctx context.Context, r *Results, pt Point, n int) error {
+// runSeeds runs each design with the first n seeds, in parallel. Results are written in a fixed order.
+func (p *Plan) runSeeds(ctx context.Context, r *Results, pt Point, n int) error {
 	type job struct {
 		row *Row
 		err error
@@ -227,26 +231,26 @@
 			}
 		}
 	}
-	for part := range slices.Chunk(jobs, runtime.GOMAXPROCS(0)) {
+	for batch := range slices.Chunk(jobs, runtime.GOMAXPROCS(0)) {
 		if err := ctx.Err(); err != nil {
 			return err
 		}
-		var wait sync.WaitGroup
-		for _, j := range part {
-			wait.Go(func() {
+		var running sync.WaitGroup
+		for _, j := range batch {
+			running.Go(func() {
 				res, err := model.Play(pt.Scenario, j.row.Design, j.row.Seed)
 				if err != nil {
 					j.err = err
 					return
 				}
 				j.row.Measures = map[string]float64{}
-				for name, of := range Measures {
-					j.row.Measures[name] = of(res)
+				for name, measure := range Measures {
+					j.row.Measures[name] = measure(res)
 				}
 			})
 		}
-		wait.Wait()
-		for _, j := range part {
+		running.Wait()
+		for _, j := range batch {
 			if j.err != nil {
 				return j.err
 			}
--- a/internal/lab/experiment/table.go
+++ b/internal/lab/experiment/table.go
@@ -11,74 +11,74 @@
 	"poppyarch/internal/lab/statistics"
 )
 
-// Table is what a results file holds, without its plan: which keys were varied, which designs played, and each run's measures.
+// Table is the content of a results file, read without its plan.
 type Table struct {
 	Keys    []string
-	Designs []string   // in the order of the file; the first is what the others are held against
-	Points  [][]string // values of the keys, in the order of the file
-	rows    map[string]map[uint64]*Row
+	Designs []string                   // in the order of the file; the first is the baseline of comparisons
+	Points  [][]string                 // values of the keys at each point, in the order of the file
+	rows    map[string]map[uint64]*Row // by point and design, then by seed
 }
 
-// Load reads a results file. A line that was cut by the end of a run is left out; the file stays as it is.
+// Load reads a results file. It ignores an incomplete last line and does not change the file.
 func Load(path string) (*Table, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	whole := text[:strings.LastIndexByte(string(text), '\n')+1]
-	head, err := csv.NewReader(strings.NewReader(string(whole))).Read()
+	complete := text[:strings.LastIndexByte(string(text), '\n')+1]
+	header, err := csv.NewReader(strings.NewReader(string(complete))).Read()
 	if err != nil {
-		return nil, fmt.Errorf("%s: line 1: no results: %w", path, err)
+		return nil, fmt.Errorf("%s: line 1: not a results file: %w", path, err)
 	}
-	tail := append([]string{"design", "seed"}, measureNames()...)
-	at := len(head) - len(tail)
-	if at < 0 || !slices.Equal(head[at:], tail) {
-		return nil, fmt.Errorf("%s: line 1: not results of a sweep: the columns must end with %s", path, strings.Join(tail, ","))
+	fixedColumns := append([]string{"design", "seed"}, measureNames()...)
+	keyCount := len(header) - len(fixedColumns)
+	if keyCount < 0 || !slices.Equal(header[keyCount:], fixedColumns) {
+		return nil, fmt.Errorf("%s: line 1: not results of a sweep: the last columns must be %s", path, strings.Join(fixedColumns, ","))
 	}
-	r := &Results{keys: head[:at], rows: map[string]*Row{}}
-	if err := r.parse(whole); err != nil {
+	r := &Results{keys: header[:keyCount], rows: map[string]*Row{}}
+	if err := r.parse(complete); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	t := &Table{Keys: r.keys, rows: map[string]map[uint64]*Row{}}
 	seen := map[string]bool{}
 	for _, row := range r.order {
-		if place := strings.Join(row.Values, "\x00"); !seen[place] {
-			seen[place] = true
+		if point := strings.Join(row.Values, "\x00"); !seen[point] {
+			seen[point] = true
 			t.Points = append(t.Points, row.Values)
 		}
 		if !slices.Contains(t.Designs, row.Design) {
 			t.Designs = append(t.Designs, row.Design)
 		}
-		k := tableKey(row.Values, row.Design)
+		k := groupKey(row.Values, row.Design)
 		if t.rows[k] == nil {
 			t.rows[k] = map[uint64]*Row{}
 		}
 		t.rows[k][row.Seed] = row
 	}
 	if len(t.Points) == 0 {
-		return nil, fmt.Errorf("%s: no run in it", path)
+		return nil, fmt.Errorf("%s: the file holds no runs", path)
 	}
 	return t, nil
 }
 
-func tableKey(values []string, design string) string {
+func groupKey(values []string, design string) string {
 	return strings.Join(values, "\x00") + "\x01" + design
 }
 
-// Of is a design's measure at a point over all its seeds.
-func (t *Table) Of(values []string, design, name string) statistics.Figure {
+// Mean returns the mean of a design's measure at a point over all seeds, with its confidence interval.
+func (t *Table) Mean(values []string, design, name string) statistics.Figure {
 	var all []float64
-	for _, row := range t.rows[tableKey(values, design)] {
+	for _, row := range t.rows[groupKey(values, design)] {
 		all = append(all, row.Measures[name])
 	}
-	slices.Sort(all) // a sum depends on its order, and that of a map on chance
+	slices.Sort(all) // map order is random, and a floating-point sum depends on the order of its terms
 	return statistics.Of(all)
 }
 
-// Less is by how much a design differs from another, over the seeds that both have played.
-func (t *Table) Less(values []string, design, base, name string) statistics.Figure {
+// Difference returns by how much a design differs from another, paired by the seeds that both have run.
+func (t *Table) Difference(values []string, design, base, name string) statistics.Figure {
 	var seeds []uint64
-	a, b := t.rows[tableKey(values, design)], t.rows[tableKey(values, base)]
+	a, b := t.rows[groupKey(values, design)], t.rows[groupKey(values, base)]
 	for seed := range a {
 		if b[seed] != nil {
 			seeds = append(seeds, seed)
@@ -92,11 +92,12 @@
 	return statistics.Of(diff)
 }
 
-// Axis is the column of a key and its values in order; numbers are nil where some value is none.
-func (t *Table) Axis(key string) (column int, values []string, numbers []float64, err error) {
+// AxisValues returns the column of a key and its distinct values, in the order of the file. Numbers is nil unless all
+// values are numeric.
+func (t *Table) AxisValues(key string) (column int, values []string, numbers []float64, err error) {
 	column = slices.Index(t.Keys, key)
 	if column < 0 {
-		return 0, nil, nil, fmt.Errorf("key %q was not varied; there are %s", key, strings.Join(t.Keys, ", "))
+		return 0, nil, nil, fmt.Errorf("key %q was not varied, want one of %s", key, strings.Join(t.Keys, ", "))
 	}
 	for _, p := range t.Points {
 		if !slices.Contains(values, p[column]) {
@@ -113,16 +114,17 @@
 	return column, values, numbers, nil
 }
 
-// Widest is the key with the most values, the first of several: the best one to draw along.
-func (t *Table) Widest() (key string) {
+// LongestAxis returns the key with the most distinct values, the first one on a tie. It is the default x axis of
+// charts.
+func (t *Table) LongestAxis() (key string) {
 	most := 0
 	for _, k := range t.Keys {
-		if _, values, _, err := t.Axis(k); err == nil && len(values) > most {
+		if _, values, _, err := t.AxisValues(k); err == nil && len(values) > most {
 			key, most = k, len(values)
 		}
 	}
 	return key
 }
 
-// MeasureNames are the names of all measures, in order.
+// MeasureNames returns the names of all measures, sorted.
 func MeasureNames() []string { return measureNames() }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,5 +1,5 @@
-// Package report makes pages of what the lab has found: pictures with intervals, the differences seed by seed, and what was not shown. One
-// HTML page needs nothing else.
+// Package report renders results of experiments as an HTML page: charts with confidence intervals, differences paired
+// by seed, and which differences are not significant. The page is a single file without external resources.
 package report
 
 import (
@@ -18,39 +18,39 @@
 	"poppyarch/internal/lab/statistics"
 )
 
-// Page is one report.
+// Page is an HTML report.
 type Page struct {
 	Title    string
-	Made     string // when, for people; left out where empty
+	Date     string // date of the report; left out if empty
 	Sections []Section
 }
 
-// Section is one experiment or one scenario.
+// Section presents one results file or one scenario.
 type Section struct {
-	Title  string
-	Lead   string   // what was played
-	Found  []string // in words
-	Charts []Picture
-	Tables []Table
+	Title    string
+	Lead     string   // summary of what was run
+	Findings []string // sentences
+	Charts   []Picture
+	Tables   []Table
 }
 
 // Picture is a drawn chart.
 type Picture struct {
-	SVG  template.HTML
-	Text string // what it shows, for those who cannot see it
+	SVG     template.HTML
+	AltText string // text alternative for readers who cannot see the chart
 }
 
-// Table is rows of figures.
+// Table is a table of measures.
 type Table struct {
-	Title string
-	Head  []string
-	Rows  [][]Cell
+	Title  string
+	Header []string
+	Rows   [][]Cell
 }
 
-// Cell is a figure, and what is said of it against the first design.
+// Cell is a value and its difference from the first design.
 type Cell struct {
-	Text, Less string
-	Class      string // "more", "less", "same", "" without a comparison
+	Text, Difference string
+	Class            string // "more", "less" or "same"; empty if there is nothing to compare
 }
 
 //go:embed page.html
@@ -58,51 +58,51 @@
 
 var tmpl = template.Must(template.New("page").Parse(page))
 
-// Write writes the page.
+// Write renders the page as HTML.
 func (p *Page) Write(w io.Writer) error {
 	if err := tmpl.Execute(w, p); err != nil {
-		return fmt.Errorf("report: %w", err)
+		return fmt.Errorf("render report: %w", err)
 	}
 	return nil
 }
 
-// labels name the measures on an axis.
-var labels = map[string]string{
-	"service": "service (worth earned over worth due)", "reserved": "service inside reserves", "served": "served a second", "time_ms": "mean time, ms",
-	"p99_ms": "99th percentile of the time, ms", "refused": "refused", "failed": "failed", "late": "served after the aim", "attempts": "attempts",
-	"connections": "new connections", "calls": "list calls", "fell": "cold nodes that fell", "cold_peak": "most sent to a cold node, against what is told",
+// measureLabels are the labels of the measures on axes and in tables.
+var measureLabels = map[string]string{
+	"service": "service (value served over value offered)", "reserved": "service within reserves", "served": "served per second", "time_ms": "mean response time, ms",
+	"p99_ms": "99th percentile of the response time, ms", "refused": "refused", "failed": "failed", "late": "served after the latency objective", "attempts": "attempts",
+	"connections": "new connections", "calls": "list calls", "fell": "nodes overloaded in slow start", "cold_peak": "peak load of a node in slow start, relative to its configured capacity",
 	"broken": "rules broken",
 }
 
-// Label is what an axis says of a measure.
+// Label returns the label of a measure.
 func Label(name string) string {
-	if l := labels[name]; l != "" {
+	if l := measureLabels[name]; l != "" {
 		return l
 	}
 	return name
 }
 
-// View says how a results file is looked at.
+// View selects what is shown of a results file.
 type View struct {
-	Along    string   // the key on the x axis; "": the one with most values
-	Measures []string // drawn, in order
-	Width    float64  // of a picture, points
+	XKey     string   // key on the x axis; if empty, the key with the most values
+	Measures []string // measures to draw, in order
+	Width    float64  // of a chart, in points of 1/72 inch
 	Height   float64
 }
 
-func (v *View) fill(t *experiment.Table) error {
-	if v.Along == "" {
-		v.Along = t.Widest()
+func (v *View) setDefaults(t *experiment.Table) error {
+	if v.XKey == "" {
+		v.XKey = t.LongestAxis()
 	}
-	if v.Along == "" {
-		return fmt.Errorf("nothing was varied: there is no axis to draw along")
+	if v.XKey == "" {
+		return fmt.Errorf("the results have no varied key for the x axis")
 	}
 	if len(v.Measures) == 0 {
 		v.Measures = []string{"service"}
 	}
 	for _, m := range v.Measures {
 		if experiment.Measures[m] == nil {
-			return fmt.Errorf("measure %q is unknown; there are %s", m, strings.Join(experiment.MeasureNames(), ", "))
+			return fmt.Errorf("unknown measure %q, want one of %s", m, strings.Join(experiment.MeasureNames(), ", "))
 		}
 	}
 	if v.Width == 0 {
@@ -111,12 +111,12 @@
 	return nil
 }
 
-// Charts draws a measure along the view's key: a picture for each place of the other keys.
+// Charts draws a measure along the view's key, one chart for each combination of values of the other keys.
 func Charts(t *experiment.Table, v View, name string) ([]*chart.Chart, error) {
-	if err := v.fill(t); err != nil {
+	if err := v.setDefaults(t); err != nil {
 		return nil, err
 	}
-	column, values, numbers, err := t.Axis(v.Along)
+	column, values, numbers, err := t.AxisValues(v.XKey)
 	if err != nil {
 		return nil, err
 	}
@@ -129,25 +129,25 @@
 			continue
 		}
 		facets = append(facets, facet)
-		c := &chart.Chart{X: v.Along, Y: Label(name), Title: describe(t.Keys, p, column), Zero: name != "service" && name != "reserved"}
+		c := &chart.Chart{X: v.XKey, Y: Label(name), Title: describePoint(t.Keys, p, column), YFromZero: name != "service" && name != "reserved"}
 		if c.Title == "" {
 			c.Title = Label(name)
 		}
 		if numbers == nil {
-			c.Names = values
-		} else if least, most := slices.Min(numbers), slices.Max(numbers); least > 0 && most >= 8*least {
+			c.Categories = values
+		} else if lowest, highest := slices.Min(numbers), slices.Max(numbers); lowest > 0 && highest >= 8*lowest {
 			c.LogX = true
 		}
 		for _, d := range t.Designs {
 			s := chart.Series{Name: d}
 			for k, value := range values {
-				at := slices.Clone(p)
-				at[column] = value
+				point := slices.Clone(p)
+				point[column] = value
 				x := float64(k)
 				if numbers != nil {
 					x = numbers[k]
 				}
-				s.Points = append(s.Points, chart.Point{X: x, Y: t.Of(at, d, name)})
+				s.Points = append(s.Points, chart.Point{X: x, Y: t.Mean(point, d, name)})
 			}
 			slices.SortFunc(s.Points, func(a, b chart.Point) int {
 				switch {
@@ -165,24 +165,24 @@
 	return out, nil
 }
 
-// describe names a point by its keys but one.
-func describe(keys, values []string, but int) string {
+// describePoint lists a point's keys and values, except for the key at index skip.
+func describePoint(keys, values []string, skip int) string {
 	var parts []string
 	for i, k := range keys {
-		if i != but {
+		if i != skip {
 			parts = append(parts, k+" = "+values[i])
 		}
 	}
 	return strings.Join(parts, ", ")
 }
 
-// Sweep is the section of a results file.
-func Sweep(title string, t *experiment.Table, v View) (*Section, error) {
-	if err := v.fill(t); err != nil {
+// SweepSection returns the section of a results file.
+func SweepSection(title string, t *experiment.Table, v View) (*Section, error) {
+	if err := v.setDefaults(t); err != nil {
 		return nil, err
 	}
 	base := t.Designs[0]
-	s := &Section{Title: title, Lead: fmt.Sprintf("%d places of %s; %s, held against %s seed by seed. Bars and ± are intervals at 95 in 100.",
+	sec := &Section{Title: title, Lead: fmt.Sprintf("%d points of %s; %s, compared with %s seed by seed. Error bars and ± are 95%% confidence intervals.",
 		len(t.Points), strings.Join(t.Keys, ", "), strings.Join(t.Designs, ", "), base)}
 	for _, name := range v.Measures {
 		charts, err := Charts(t, v, name)
@@ -191,21 +191,21 @@
 		}
 		for _, c := range charts {
 			if c.Check() != nil {
-				continue // nothing was measured there; the table says so
+				continue // nothing was measured at these points; the table shows that
 			}
-			pic, err := draw(c, v)
+			pic, err := render(c, v)
 			if err != nil {
 				return nil, err
 			}
-			s.Charts = append(s.Charts, pic)
+			sec.Charts = append(sec.Charts, pic)
 		}
-		s.Tables = append(s.Tables, table(t, name, base))
-		s.Found = append(s.Found, found(t, name, base)...)
+		sec.Tables = append(sec.Tables, measureTable(t, name, base))
+		sec.Findings = append(sec.Findings, findings(t, name, base)...)
 	}
-	return s, nil
+	return sec, nil
 }
 
-func draw(c *chart.Chart, v View) (Picture, error) {
+func render(c *chart.Chart, v View) (Picture, error) {
 	svg, err := c.Draw("svg", v.Width, v.Height)
 	if err != nil {
 		return Picture{}, err
@@ -218,39 +218,41 @@
 	if c.Title != "" {
 		text = c.Title + ": " + text
 	}
-	at := strings.Index(string(svg), "<svg") // an XML heading has no place within a page
-	if at < 0 {
-		return Picture{}, fmt.Errorf("chart %q: no picture", c.Title)
+	start := strings.Index(string(svg), "<svg") // skips the XML declaration, which is not allowed within HTML
+	if start < 0 {
+		return Picture{}, fmt.Errorf("chart %q: the drawing has no <svg> element", c.Title)
 	}
-	return Picture{SVG: template.HTML(svg[at:]), Text: text}, nil
+	return Picture{SVG: template.HTML(svg[start:]), AltText: text}, nil
 }
 
-func compare(less statistics.Figure) (text, class string) {
+// compare describes a difference and returns the class of its cell.
+func compare(difference statistics.Figure) (text, class string) {
 	switch {
-	case less.N == 0 || math.IsInf(less.Half, 1):
+	case difference.N == 0 || math.IsInf(difference.Half, 1):
 		return "too few seeds to compare", "same"
-	case less.Holds(0):
-		return less.Signed() + ", none shown", "same"
-	case less.Mean > 0:
-		return less.Signed(), "more"
+	case difference.Holds(0):
+		return difference.Signed() + ", not significant", "same"
+	case difference.Mean > 0:
+		return difference.Signed(), "more"
 	}
-	return less.Signed(), "less"
+	return difference.Signed(), "less"
 }
 
-func table(t *experiment.Table, name, base string) Table {
-	out := Table{Title: Label(name), Head: append(slices.Clone(t.Keys), t.Designs...)}
+// measureTable returns a table of a measure with a row for each point and a column for each design.
+func measureTable(t *experiment.Table, name, base string) Table {
+	out := Table{Title: Label(name), Header: append(slices.Clone(t.Keys), t.Designs...)}
 	for _, p := range t.Points {
 		var row []Cell
 		for _, v := range p {
 			row = append(row, Cell{Text: v})
 		}
 		for _, d := range t.Designs {
-			f := t.Of(p, d, name)
+			f := t.Mean(p, d, name)
 			c := Cell{Text: f.String()}
 			if f.N == 0 {
 				c.Text = "not played"
 			} else if d != base {
-				c.Less, c.Class = compare(t.Less(p, d, base, name))
+				c.Difference, c.Class = compare(t.Difference(p, d, base, name))
 			}
 			row = append(row, c)
 		}
@@ -259,15 +261,16 @@
 	return out
 }
 
-// found says in words at how many places a design differs, and where most.
-func found(t *experiment.Table, name, base string) (out []string) {
+// findings states for each design at how many points it differs from the baseline, and where the difference is
+// largest.
+func findings(t *experiment.Table, name, base string) (out []string) {
 	for _, d := range t.Designs {
 		if d == base {
 			continue
 		}
-		more, less, same, most, where := 0, 0, 0, statistics.Figure{}, ""
+		more, less, same, largest, where := 0, 0, 0, statistics.Figure{}, ""
 		for _, p := range t.Points {
-			f := t.Less(p, d, base, name)
+			f := t.Difference(p, d, base, name)
 			switch _, class := compare(f); class {
 			case "more":
 				more++
@@ -277,63 +280,63 @@
 				same++
 				continue
 			}
-			if math.Abs(f.Mean) > math.Abs(most.Mean) {
-				most, where = f, describe(t.Keys, p, -1)
+			if math.Abs(f.Mean) > math.Abs(largest.Mean) {
+				largest, where = f, describePoint(t.Keys, p, -1)
 			}
 		}
-		text := fmt.Sprintf("%s, %s: more than %s at %d, less at %d, no difference shown at %d of %d places", Label(name), d, base, more, less, same, len(t.Points))
+		text := fmt.Sprintf("%s, %s: higher than %s at %d, lower at %d, no significant difference at %d of %d points", Label(name), d, base, more, less, same, len(t.Points))
 		if where != "" {
-			text += fmt.Sprintf("; by most, %s, where %s", most.Signed(), where)
+			text += fmt.Sprintf("; largest difference %s, at %s", largest.Signed(), where)
 		}
 		out = append(out, text+".")
 	}
 	return out
 }
 
-// Plays is the section of a scenario that several designs have played, each with the same seeds.
-func Plays(s *model.Scenario, all [][]*model.Result, v View) (*Section, error) {
+// ScenarioSection returns the section of a scenario that several designs ran with the same seeds.
+func ScenarioSection(s *model.Scenario, all [][]*model.Result, v View) (*Section, error) {
 	if v.Width == 0 {
 		v.Width, v.Height = 560, 300
 	}
 	if len(all) == 0 || len(all[0]) == 0 {
-		return nil, fmt.Errorf("scenario %s: nothing was played", s.Name)
+		return nil, fmt.Errorf("scenario %s: no results", s.Name)
 	}
-	sec := &Section{Title: s.Name, Lead: fmt.Sprintf("%d brokers, %d nodes, %v, %.3g of all cores asked for; %d seeds of each design. Shades are intervals at 95 in 100.",
+	sec := &Section{Title: s.Name, Lead: fmt.Sprintf("%d brokers, %d nodes, %v, offered load %.3g of all cores; %d seeds of each design. Shaded areas are 95%% confidence intervals.",
 		s.Brokers, s.Count(), time.Duration(s.Duration), s.Offered(), len(all[0]))}
-	course := &chart.Chart{Title: "service over the run", X: "seconds", Y: "service", Curve: true, Zero: true, Bands: bands(s)}
-	times := &chart.Chart{Title: "time from a client's first try to its answer", X: "of those served, part", Y: "ms", Curve: true, Zero: true}
+	serviceChart := &chart.Chart{Title: "service over the run", X: "seconds", Y: "service", Curve: true, YFromZero: true, Bands: faultBands(s)}
+	latencyChart := &chart.Chart{Title: "time from a client's first attempt to its response", X: "fraction of the served requests", Y: "ms", Curve: true, YFromZero: true}
 	part := time.Duration(s.Duration).Seconds() / model.SeriesParts
 	for _, rs := range all {
-		line, q := chart.Series{Name: rs[0].Design}, chart.Series{Name: rs[0].Design}
+		service, latency := chart.Series{Name: rs[0].Design}, chart.Series{Name: rs[0].Design}
 		for k := range model.SeriesParts {
-			line.Points = append(line.Points, chart.Point{X: (float64(k) + 0.5) * part, Y: experiment.Over(rs, func(r *model.Result) float64 { return r.Series[k] })})
+			service.Points = append(service.Points, chart.Point{X: (float64(k) + 0.5) * part, Y: experiment.Over(rs, func(r *model.Result) float64 { return r.Series[k] })})
 		}
 		for k, at := range model.Quantiles {
-			q.Points = append(q.Points, chart.Point{X: at, Y: experiment.Over(rs, func(r *model.Result) float64 { return 1000 * r.Quantiles[k] })})
+			latency.Points = append(latency.Points, chart.Point{X: at, Y: experiment.Over(rs, func(r *model.Result) float64 { return 1000 * r.Quantiles[k] })})
 		}
-		course.Series, times.Series = append(course.Series, line), append(times.Series, q)
+		serviceChart.Series, latencyChart.Series = append(serviceChart.Series, service), append(latencyChart.Series, latency)
 	}
-	for _, c := range []*chart.Chart{course, times} {
-		pic, err := draw(c, v)
+	for _, c := range []*chart.Chart{serviceChart, latencyChart} {
+		pic, err := render(c, v)
 		if err != nil {
 			return nil, err
 		}
 		sec.Charts = append(sec.Charts, pic)
 	}
-	t := Table{Title: "Figures", Head: []string{""}}
+	t := Table{Title: "Measures", Header: []string{""}}
 	for _, rs := range all {
-		t.Head = append(t.Head, rs[0].Design)
+		t.Header = append(t.Header, rs[0].Design)
 	}
 	for _, name := range []string{"service", "reserved", "served", "time_ms", "p99_ms", "refused", "failed", "late", "attempts", "connections", "calls", "fell", "cold_peak", "broken"} {
 		row := []Cell{{Text: Label(name)}}
 		for i, rs := range all {
 			c := Cell{Text: experiment.Over(rs, experiment.Measures[name]).String()}
 			if i > 0 {
-				less, err := statistics.Paired(experiment.Values(rs, experiment.Measures[name]), experiment.Values(all[0], experiment.Measures[name]))
+				difference, err := statistics.Paired(experiment.Values(rs, experiment.Measures[name]), experiment.Values(all[0], experiment.Measures[name]))
 				if err != nil {
 					return nil, err
 				}
-				c.Less, c.Class = compare(less)
+				c.Difference, c.Class = compare(difference)
 			}
 			row = append(row, c)
 		}
@@ -343,25 +346,25 @@
 	for _, rs := range all {
 		for _, r := range rs {
 			if b := r.BrokenRules(); b != "" {
-				sec.Found = append(sec.Found, fmt.Sprintf("%s, seed %d, broke rules: %s", r.Design, r.Seed, strings.TrimSpace(b)))
+				sec.Findings = append(sec.Findings, fmt.Sprintf("%s, seed %d, broke rules: %s", r.Design, r.Seed, strings.TrimSpace(b)))
 			}
 		}
 	}
-	if len(sec.Found) == 0 {
-		sec.Found = []string{"No rule was broken in any play."}
+	if len(sec.Findings) == 0 {
+		sec.Findings = []string{"No rule was broken in any run."}
 	}
 	return sec, nil
 }
 
-// bands are the troubles that come once.
-func bands(s *model.Scenario) (out []chart.Band) {
-	for _, t := range s.Faults {
-		if t.At == 0 {
+// faultBands returns a band for each fault that occurs once.
+func faultBands(s *model.Scenario) (out []chart.Band) {
+	for _, fault := range s.Faults {
+		if fault.At == 0 {
 			continue
 		}
-		from := time.Duration(t.At).Seconds()
-		out = append(out, chart.Band{From: from, To: min(from+time.Duration(t.Over+t.Duration).Seconds(), time.Duration(s.Duration).Seconds()),
-			Name: fmt.Sprintf("%s %.3g", t.Kind, t.Share)})
+		from := time.Duration(fault.At).Seconds()
+		out = append(out, chart.Band{From: from, To: min(from+time.Duration(fault.Over+fault.Duration).Seconds(), time.Duration(s.Duration).Seconds()),
+			Name: fmt.Sprintf("%s %.3g", fault.Kind, fault.Share)})
 	}
 	return out
 }
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -11,8 +11,9 @@
 	"poppyarch/internal/lab/model"
 )
 
-// results writes a file in the form of a sweep. value gives a run's service.
-func results(t *testing.T, keys string, points, designs []string, seeds int, value func(point, design string, seed int) float64) *experiment.Table {
+// writeResults writes a results file with an incomplete last line and reads it back. value gives the service of each
+// run; all other measures are 0.
+func writeResults(t *testing.T, keys string, points, designs []string, seeds int, value func(point, design string, seed int) float64) *experiment.Table {
 	t.Helper()
 	names := experiment.MeasureNames()
 	var b strings.Builder
@@ -32,7 +33,7 @@
 			}
 		}
 	}
-	b.WriteString("40,400,module,9,0.5") // cut by the end of a run
+	b.WriteString("40,400,module,9,0.5") // incomplete, as an interrupted run leaves it
 	path := filepath.Join(t.TempDir(), "r.csv")
 	if err := os.WriteFile(path, []byte(b.String()), 0o600); err != nil {
 		t.Fatal(err)
@@ -44,11 +45,11 @@
 	return table
 }
 
-// Differences are told seed by seed: here seeds differ by far more than designs do, and the difference shows all the same. Where it has another
-// sign from seed to seed, none is shown.
-func TestPairedDifferencesAreTold(t *testing.T) {
+// Differences are paired by seed: here the seeds differ by far more than the designs do, and the difference is
+// significant all the same. If its sign changes from seed to seed, it is not significant.
+func TestDifferencesArePairedBySeed(t *testing.T) {
 	points := []string{"2,240", "10,240", "40,240", "2,400", "10,400", "40,400"}
-	table := results(t, "brokers,load.rate", points, []string{"module", "two", "same"}, 4, func(p, d string, seed int) float64 {
+	table := writeResults(t, "brokers,load.rate", points, []string{"module", "two", "same"}, 4, func(p, d string, seed int) float64 {
 		v := 0.1 * float64(seed)
 		switch {
 		case d == "two" && strings.HasSuffix(p, "400"):
@@ -58,63 +59,64 @@
 		}
 		return v
 	})
-	sec, err := Sweep("depth", table, View{})
+	sec, err := SweepSection("depth", table, View{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := strings.Join(sec.Found, "\n")
-	for _, want := range []string{"two: more than module at 0, less at 3, no difference shown at 3 of 6 places; by most, -0.02025 ± 0.00021, where brokers = 2, load.rate = 400.", "same: more than module at 0, less at 0, no difference shown at 6 of 6 places."} {
+	all := strings.Join(sec.Findings, "\n")
+	for _, want := range []string{"two: higher than module at 0, lower at 3, no significant difference at 3 of 6 points; largest difference -0.02025 ± 0.00021, at brokers = 2, load.rate = 400.", "same: higher than module at 0, lower at 0, no significant difference at 6 of 6 points."} {
 		if !strings.Contains(all, want) {
-			t.Errorf("not found: %s\n%s", want, all)
+			t.Errorf("the findings lack %q:\n%s", want, all)
 		}
 	}
-	if len(sec.Charts) != 2 { // along brokers, a picture for each rate
-		t.Errorf("%d charts", len(sec.Charts))
+	if len(sec.Charts) != 2 { // along brokers, one chart for each rate
+		t.Errorf("%d charts, want 2", len(sec.Charts))
 	}
 	row := sec.Tables[0].Rows[3]
-	if row[0].Text != "2" || row[1].Text != "400" || row[3].Class != "less" || row[4].Class != "same" || row[2].Less != "" {
-		t.Errorf("%+v", row)
+	if row[0].Text != "2" || row[1].Text != "400" || row[3].Class != "less" || row[4].Class != "same" || row[2].Difference != "" {
+		t.Errorf("unexpected row %+v", row)
 	}
 	var b strings.Builder
 	if err := (&Page{Title: "x < y", Sections: []Section{*sec}}).Write(&b); err != nil {
 		t.Fatal(err)
 	}
 	page := b.String()
-	for _, want := range []string{"x &lt; y", "<svg", `class="less">-0.02025`, "none shown"} {
+	for _, want := range []string{"x &lt; y", "<svg", `class="less">-0.02025`, ", not significant"} {
 		if !strings.Contains(page, want) {
-			t.Errorf("the page has no %q", want)
+			t.Errorf("the page lacks %q", want)
 		}
 	}
-	for _, not := range []string{"http://", "https://", "<script", "<?xml"} { // it needs nothing else
-		if strings.Contains(strings.ReplaceAll(strings.ReplaceAll(page, "http://www.w3.org", ""), "https://www.w3.org", ""), not) {
-			t.Errorf("the page has %q", not)
+	for _, forbidden := range []string{"http://", "https://", "<script", "<?xml"} { // the page needs no external resources
+		if strings.Contains(strings.ReplaceAll(strings.ReplaceAll(page, "http://www.w3.org", ""), "https://www.w3.org", ""), forbidden) {
+			t.Errorf("the page contains %q", forbidden)
 		}
 	}
 }
 
-func TestViewsThatCannotBe(t *testing.T) {
-	table := results(t, "kind", []string{"a", "b"}, []string{"module"}, 2, func(string, string, int) float64 { return 1 })
-	if _, err := Sweep("", table, View{Along: "brokers"}); err == nil || !strings.Contains(err.Error(), "kind") {
-		t.Errorf("another key: %v", err)
+func TestInvalidViewsAreRejected(t *testing.T) {
+	table := writeResults(t, "kind", []string{"a", "b"}, []string{"module"}, 2, func(string, string, int) float64 { return 1 })
+	if _, err := SweepSection("", table, View{XKey: "brokers"}); err == nil || !strings.Contains(err.Error(), "kind") {
+		t.Errorf("key that was not varied: error %v", err)
 	}
-	if _, err := Sweep("", table, View{Measures: []string{"speed"}}); err == nil || !strings.Contains(err.Error(), "service") {
-		t.Errorf("another measure: %v", err)
+	if _, err := SweepSection("", table, View{Measures: []string{"speed"}}); err == nil || !strings.Contains(err.Error(), "service") {
+		t.Errorf("unknown measure: error %v", err)
 	}
-	charts, err := Charts(table, View{}, "service") // an axis of names
-	if err != nil || len(charts) != 1 || len(charts[0].Names) != 2 {
-		t.Errorf("%v %v", charts, err)
+	charts, err := Charts(table, View{}, "service") // an axis without numbers
+	if err != nil || len(charts) != 1 || len(charts[0].Categories) != 2 {
+		t.Errorf("charts %v, error %v, want one chart with 2 categories", charts, err)
 	}
 	path := filepath.Join(t.TempDir(), "r.csv")
 	if err := os.WriteFile(path, []byte("a,b\n1,2\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := experiment.Load(path); err == nil || !strings.Contains(err.Error(), path+": line 1") {
-		t.Errorf("no results: %v", err)
+		t.Errorf("not a results file: error %v", err)
 	}
 }
 
-// A scenario that was played: service over the run with its troubles, figures against the first design, rules that broke.
-func TestPlays(t *testing.T) {
+// The section of a scenario shows service over the run with its faults, measures compared with the first design, and
+// broken rules.
+func TestScenarioSection(t *testing.T) {
 	s, err := experiment.ReadScenario("../../../examples/lab/replace.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -133,15 +135,15 @@
 		all = append(all, rs)
 	}
 	all[1][0].Broken = map[string]int{"cold": 2}
-	sec, err := Plays(s, all, View{})
+	sec, err := ScenarioSection(s, all, View{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(sec.Charts) != 2 || !strings.Contains(string(sec.Charts[0].SVG), "replace 0.5") {
-		t.Errorf("%d charts", len(sec.Charts))
+		t.Errorf("%d charts, want 2 of which the first names the fault", len(sec.Charts))
 	}
-	if len(sec.Found) != 1 || sec.Found[0] != "two, seed 1, broke rules: cold 2" {
-		t.Errorf("%q", sec.Found)
+	if len(sec.Findings) != 1 || sec.Findings[0] != "two, seed 1, broke rules: cold 2" {
+		t.Errorf("unexpected findings %q", sec.Findings)
 	}
 	if q := all[0][0].Quantiles; len(q) != len(model.Quantiles) || q[0] <= 0 || q[len(q)-1] < q[0] {
 		t.Errorf("quantiles %v", q)
