--- a/internal/testkit/cluster/cluster.go
+++ b/internal/testkit/cluster/cluster.go
@@ -1,5 +1,6 @@
-// Package cluster puts a whole installation on loopback, for tests, measurements and the tour: storage nodes and discovery
-// as stand-ins in this process, a manager and agents as processes, and the brokers that the agents start.
+// Package cluster runs a complete installation on loopback for tests, measurements and the tour. The storage nodes and
+// the discovery service are fakes in this process. The manager and the agents are processes of their own, and the
+// agents start the brokers.
 package cluster
 
 import (
@@ -24,43 +25,43 @@
 	"poppyarch/internal/testkit/fake"
 )
 
-// Options says what to put up.
+// Options describes an installation.
 type Options struct {
-	Dir     string   // an empty folder
-	Program string   // poppyarch
-	Env     []string // for its processes
-	Nodes   int
-	Blocks  int // brokers with a block front
-	Objects int // and with an object front
-	Agents  int
-	Soak    time.Duration
-	Log     io.Writer     // of manager and agents; nil: files in Dir
-	Aim     time.Duration // of all classes; 0: 20 s, so that no slow machine changes a verdict
-	Record  bool          // brokers record to Dir/records
-	Lists   bool          // nodes stand in Dir/nodes.csv, and discovery knows none
+	Dir     string        // an empty folder, which takes all files of the installation
+	Program string        // path of the poppyarch binary
+	Env     []string      // added to the environment of every process
+	Nodes   int           // number of storage nodes
+	Blocks  int           // number of brokers with a block frontend
+	Objects int           // number of brokers with an object frontend
+	Agents  int           // number of agents
+	Soak    time.Duration // soak time of a rollout wave; 0 means 500 ms
+	Log     io.Writer     // log output of the manager and the agents; nil means a file in Dir for each
+	Aim     time.Duration // latency objective of every class; 0 means 20 s, so that a slow machine fails no test
+	Record  bool          // brokers write records to Dir/records
+	Lists   bool          // nodes are listed in Dir/nodes.csv instead of by discovery
 }
 
 // Stack is a running installation.
 type Stack struct {
-	opt     Options
-	Config  string // fleet.toml of the manager and the command line
-	Client  *api.Client
-	Disc    *fake.Discovery
-	Stores  []*fake.Block
-	Object  []*fake.Objects
-	Block   []string // addresses of the block fronts
-	Front   []string // and of the object fronts
-	addrs   []string // of the nodes
-	objects []string
+	options      Options
+	Config       string // path of fleet.toml, which the manager and the command line read
+	Client       *api.Client
+	Discovery    *fake.Discovery
+	Stores       []*fake.Block   // the nodes' block servers
+	ObjectStores []*fake.Objects // the nodes' object servers
+	Block        []string        // addresses of the brokers' block frontends
+	Front        []string        // addresses of the brokers' object frontends
+	blockAddrs   []string        // addresses of Stores
+	objectAddrs  []string        // addresses of ObjectStores
 
 	stops []func()
 	mu    sync.Mutex
 	procs map[string]*exec.Cmd
 }
 
-// New starts stand-ins and writes the files; Start starts the processes.
+// New starts the fakes and writes the configuration files. Start starts the processes.
 func New(o Options) (*Stack, error) {
-	s := &Stack{opt: o, procs: map[string]*exec.Cmd{}, Disc: fake.NewDiscovery(), Config: filepath.Join(o.Dir, "fleet.toml")}
+	s := &Stack{options: o, procs: map[string]*exec.Cmd{}, Discovery: fake.NewDiscovery(), Config: filepath.Join(o.Dir, "fleet.toml")}
 	serve := func(f func(net.Listener) error) (string, error) {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -71,33 +72,33 @@
 		return ln.Addr().String(), nil
 	}
 	for k := range o.Nodes {
-		b, ob := fake.NewBlock(), fake.NewObjects()
-		ba, err := serve(b.Serve)
+		blocks, objects := fake.NewBlock(), fake.NewObjects()
+		blockAddr, err := serve(blocks.Serve)
 		if err != nil {
 			return nil, err
 		}
-		oa, err := serve((&http.Server{Handler: ob}).Serve)
+		objectAddr, err := serve((&http.Server{Handler: objects}).Serve)
 		if err != nil {
 			return nil, err
 		}
-		s.Stores, s.Object, s.addrs = append(s.Stores, b), append(s.Object, ob), append(s.addrs, ba)
-		s.objects = append(s.objects, oa)
+		s.Stores, s.ObjectStores = append(s.Stores, blocks), append(s.ObjectStores, objects)
+		s.blockAddrs, s.objectAddrs = append(s.blockAddrs, blockAddr), append(s.objectAddrs, objectAddr)
 		if o.Lists {
 			continue
 		}
-		s.Disc.Set(discovery.Endpoint{ID: fmt.Sprint("s-", k), Addr: ba, ObjectAddr: oa, Zone: "room", Model: "toy", Shard: k, State: "up",
-			Capacity: 1})
+		s.Discovery.Set(discovery.Endpoint{ID: fmt.Sprint("s-", k), Addr: blockAddr, ObjectAddr: objectAddr, Zone: "room", Model: "toy", Shard: k,
+			State: "up", Capacity: 1})
 	}
-	at, err := serve((&http.Server{Handler: s.Disc}).Serve)
+	discoveryAddr, err := serve((&http.Server{Handler: s.Discovery}).Serve)
 	if err != nil {
 		return nil, err
 	}
 	if o.Lists {
-		if err := s.write("nodes.csv", s.List(nil)); err != nil {
+		if err := s.writeFile("nodes.csv", s.NodeList(nil)); err != nil {
 			return nil, err
 		}
 	}
-	if err := s.write("broker.json", s.broker(at)); err != nil {
+	if err := s.writeFile("broker.json", s.brokerConfig(discoveryAddr)); err != nil {
 		return nil, err
 	}
 	ports, err := Ports(o.Blocks + o.Objects + 1)
@@ -105,24 +106,26 @@
 		return nil, err
 	}
 	s.Block, s.Front = ports[:o.Blocks], ports[o.Blocks:o.Blocks+o.Objects]
-	listen := ports[o.Blocks+o.Objects]
+	managerAddr := ports[o.Blocks+o.Objects]
 	soak := o.Soak
 	if soak == 0 {
 		soak = 500 * time.Millisecond
 	}
-	s.Client = api.NewClient(listen)
+	s.Client = api.NewClient(managerAddr)
 	for k := range o.Agents {
-		text := fmt.Sprintf("[agent]\nname = \"m%d\"\nmanager = %q\njournal = \"agent%d\"\nrun_dir = \"run%d\"\nlook = \"300ms\"\n", k+1, listen, k+1, k+1)
-		if err := s.write(fmt.Sprintf("agent%d.toml", k+1), text); err != nil {
+		text := fmt.Sprintf("[agent]\nname = \"m%d\"\nmanager = %q\njournal = \"agent%d\"\nrun_dir = \"run%d\"\nlook = \"300ms\"\n",
+			k+1, managerAddr, k+1, k+1)
+		if err := s.writeFile(fmt.Sprintf("agent%d.toml", k+1), text); err != nil {
 			return nil, err
 		}
 	}
-	return s, s.write("fleet.toml", fmt.Sprintf("[manager]\nlisten = %q\njournal = \"manager\"\nsilence = \"3s\"\n[fleet]\nmanager = %q\n"+
+	return s, s.writeFile("fleet.toml", fmt.Sprintf("[manager]\nlisten = %q\njournal = \"manager\"\nsilence = \"3s\"\n[fleet]\nmanager = %q\n"+
 		"inventory = \"inventory.yaml\"\n[strategy]\ncanary = 1\nbatch = \"2\"\nmax_unavailable = \"1\"\nsoak = \"%dms\"\ndeadline = \"60s\"\n",
-		listen, listen, soak.Milliseconds()))
+		managerAddr, managerAddr, soak.Milliseconds()))
 }
 
-// Ports finds free addresses on loopback. The system does not give the same one again soon.
+// Ports returns n free addresses on loopback. They are no longer bound when Ports returns; the system does not assign
+// the same port again soon.
 func Ports(n int) (out []string, err error) {
 	for range n {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -135,18 +138,19 @@
 	return out, nil
 }
 
-func (s *Stack) write(name, text string) error {
-	tmp := filepath.Join(s.opt.Dir, ".new")
+// writeFile replaces a file in the installation's folder atomically.
+func (s *Stack) writeFile(name, text string) error {
+	tmp := filepath.Join(s.options.Dir, ".new")
 	if err := os.WriteFile(tmp, []byte(text), 0o600); err != nil {
 		return err
 	}
-	return os.Rename(tmp, filepath.Join(s.opt.Dir, name))
+	return os.Rename(tmp, filepath.Join(s.options.Dir, name))
 }
 
-// broker is the configuration that all brokers start from. Aims are long, so that no slow machine changes a verdict.
-func (s *Stack) broker(disc string) string {
+// brokerConfig returns the configuration that all brokers share.
+func (s *Stack) brokerConfig(discoveryAddr string) string {
 	type m = map[string]any
-	aim := s.opt.Aim
+	aim := s.options.Aim
 	if aim == 0 {
 		aim = 20 * time.Second
 	}
@@ -154,22 +158,22 @@
 		return m{"name": name, "aim_ns": aim.Nanoseconds(), "give_up_ns": (5 * aim / 4).Nanoseconds(), "importance": 1, "repeat": repeat}
 	}
 	doc := m{
-		"discovery": disc, "known": s.Disc.List(-1), "limits": m{"cores": 1, "memory_mb": 96, "sockets": 512},
-		"settings": m{"balancers": s.opt.Blocks + s.opt.Objects, "discovery": "ask", "zones": []string{"room"},
+		"discovery": discoveryAddr, "known": s.Discovery.List(-1), "limits": m{"cores": 1, "memory_mb": 96, "sockets": 512},
+		"settings": m{"balancers": s.options.Blocks + s.options.Objects, "discovery": "ask", "zones": []string{"room"},
 			"classes": []m{class("artwork-read", "retryable"), class("job-new", "fragile"), class("object-read", "retryable"),
 				class("object-write", "retryable"), class("object-complete", "fragile")},
 			"policies":  []m{{"name": "basis", "shares": 1, "value_factor": 1, "usual_rate": 5000, "floor_rate": 5000}},
 			"contract":  m{"ask_within_ns": 10e9, "cold_from": 0.5, "tip_after_ns": 50e6, "warm_after_ns": 100e6},
 			"limits":    m{"send_cap": 3, "connect_timeout_ns": 2e9, "keepalive_ns": 30e9, "retry_after": true, "max_retry_after_ns": 2e9},
-			"specifics": m{"mean_units": 1, "max_units": 8, "n_shards": s.opt.Nodes, "cold_bears": 5000, "fair_worth": 0.3}},
+			"specifics": m{"mean_units": 1, "max_units": 8, "n_shards": s.options.Nodes, "cold_bears": 5000, "fair_worth": 0.3}},
 		"object": m{"listen": "127.0.0.1:0", "read_class": "object-read", "write_class": "object-write", "complete_class": "object-complete",
 			"default_plan": "basis"},
 		"tuning": m{"drain_serve": 300000, "drain_accept": 300000, "drain_answer": 2500000, "drain_total": 4000000},
 	}
-	if s.opt.Lists {
-		doc["nodes"] = m{"files": []string{filepath.Join(s.opt.Dir, "nodes.csv")}}
+	if s.options.Lists {
+		doc["nodes"] = m{"files": []string{filepath.Join(s.options.Dir, "nodes.csv")}}
 	}
-	if s.opt.Record {
+	if s.options.Record {
 		doc["record"] = m{"dir": s.Records()}
 	}
 	b, err := json.MarshalIndent(doc, "", " ")
@@ -179,7 +183,8 @@
 	return string(b)
 }
 
-// Inventory writes the inventory: every broker, with these settings for all. Brokers go by turns to the agents.
+// Inventory writes an inventory with all brokers, which are assigned to the agents in turn. vars are settings of every
+// broker.
 func (s *Stack) Inventory(vars map[string]string) error {
 	var b strings.Builder
 	b.WriteString("all:\n  vars:\n    config: broker.json\n")
@@ -189,25 +194,26 @@
 		}
 	}
 	b.WriteString("  children:\n    blocks:\n      hosts:\n")
-	for k, at := range s.Block {
-		fmt.Fprintf(&b, "        b%d: {listen: %q, agent: m%d}\n", k+1, at, k%s.opt.Agents+1)
+	for k, addr := range s.Block {
+		fmt.Fprintf(&b, "        b%d: {listen: %q, agent: m%d}\n", k+1, addr, k%s.options.Agents+1)
 	}
 	b.WriteString("    objects:\n      hosts:\n")
-	for k, at := range s.Front {
-		fmt.Fprintf(&b, "        o%d: {object_listen: %q, agent: m%d}\n", k+1, at, k%s.opt.Agents+1)
+	for k, addr := range s.Front {
+		fmt.Fprintf(&b, "        o%d: {object_listen: %q, agent: m%d}\n", k+1, addr, k%s.options.Agents+1)
 	}
-	return s.write("inventory.yaml", b.String())
+	return s.writeFile("inventory.yaml", b.String())
 }
 
-// Records is where brokers record, if they do.
-func (s *Stack) Records() string { return filepath.Join(s.opt.Dir, "records") }
+// Records returns the folder that brokers write records to if Options.Record is set.
+func (s *Stack) Records() string { return filepath.Join(s.options.Dir, "records") }
 
-// List is the text of a list with all nodes. edit may change a node's row; an empty one is left out.
-func (s *Stack) List(edit func(node int, row string) string) string {
+// NodeList returns a node list in CSV with all nodes. edit may replace a node's row, and drops the row if it returns
+// "".
+func (s *Stack) NodeList(edit func(node int, row string) string) string {
 	var b strings.Builder
 	b.WriteString("id,addr,objects,shard,state\n")
-	for k := range s.addrs {
-		row := fmt.Sprintf("s-%d,%s,%s,%d,up", k, s.addrs[k], s.objects[k], k)
+	for k := range s.blockAddrs {
+		row := fmt.Sprintf("s-%d,%s,%s,%d,up", k, s.blockAddrs[k], s.objectAddrs[k], k)
 		if edit != nil {
 			row = edit(k, row)
 		}
@@ -219,11 +225,11 @@
 }
 
 // Manager starts the manager.
-func (s *Stack) Manager() error { return s.start("manager", "fleet", "manager", "-c", s.Config) }
+func (s *Stack) Manager() error { return s.startProcess("manager", "fleet", "manager", "-c", s.Config) }
 
-// Agent starts the k-th agent, from 1.
+// Agent starts agent k, counted from 1.
 func (s *Stack) Agent(k int) error {
-	return s.start(fmt.Sprint("agent", k), "fleet", "agent", "-c", filepath.Join(s.opt.Dir, fmt.Sprintf("agent%d.toml", k)), "--drain")
+	return s.startProcess(fmt.Sprint("agent", k), "fleet", "agent", "-c", filepath.Join(s.options.Dir, fmt.Sprintf("agent%d.toml", k)), "--drain")
 }
 
 // Start starts the manager and all agents, and waits until the manager answers.
@@ -231,7 +237,7 @@
 	if err := s.Manager(); err != nil {
 		return err
 	}
-	for k := range s.opt.Agents {
+	for k := range s.options.Agents {
 		if err := s.Agent(k + 1); err != nil {
 			return err
 		}
@@ -245,7 +251,7 @@
 	}
 }
 
-// Up puts a stack up in an empty folder, with all its brokers settled.
+// Up creates and starts an installation in an empty folder, and returns once all brokers run.
 func Up(ctx context.Context, o Options) (*Stack, error) {
 	s, err := New(o)
 	if err != nil {
@@ -267,15 +273,17 @@
 	return s, nil
 }
 
-func (s *Stack) start(name string, args ...string) error {
-	cmd := exec.Command(s.opt.Program, args...)
-	cmd.Env = append(os.Environ(), s.opt.Env...)
-	// Of one tree: should this process be killed, so are manager and agents.
+// startProcess starts a poppyarch process. name is the key for Kill and the base name of the log file.
+func (s *Stack) startProcess(name string, args ...string) error {
+	cmd := exec.Command(s.options.Program, args...)
+	cmd.Env = append(os.Environ(), s.options.Env...)
+	// A process group of its own: signals to the group of this process, such as an interrupt from the terminal, do not
+	// reach it. Close ends it.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
-	if s.opt.Log != nil {
-		cmd.Stderr = s.opt.Log
+	if s.options.Log != nil {
+		cmd.Stderr = s.options.Log
 	} else {
-		f, err := os.OpenFile(filepath.Join(s.opt.Dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+		f, err := os.OpenFile(filepath.Join(s.options.Dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 		if err != nil {
 			return err
 		}
@@ -291,7 +299,7 @@
 	return nil
 }
 
-// Kill kills the manager or an agent ("agent1") at once.
+// Kill sends SIGKILL to the manager ("manager") or an agent ("agent1") and waits until it has ended.
 func (s *Stack) Kill(name string) {
 	s.mu.Lock()
 	cmd := s.procs[name]
@@ -303,46 +311,47 @@
 	}
 }
 
-// Run runs a command line against the manager and returns its output.
+// Run runs "poppyarch fleet" with args and returns its output.
 func (s *Stack) Run(args ...string) (string, error) {
-	cmd := exec.Command(s.opt.Program, append([]string{"fleet", "-c", s.Config}, args...)...)
-	cmd.Env = append(os.Environ(), s.opt.Env...)
+	cmd := exec.Command(s.options.Program, append([]string{"fleet", "-c", s.Config}, args...)...)
+	cmd.Env = append(os.Environ(), s.options.Env...)
 	out, err := cmd.CombinedOutput()
 	return string(out), err
 }
 
-// Broker identifies the process of a broker, as the manager last heard.
-func (s *Stack) Broker(ctx context.Context, name string) (process.Identity, string, error) {
+// BrokerProcess returns the process and the incarnation of a broker according to its last report to the manager.
+func (s *Stack) BrokerProcess(ctx context.Context, name string) (process.Identity, string, error) {
 	o, err := s.Client.Overview(ctx, []string{name}, nil)
 	if err != nil || len(o.Instances) != 1 {
 		return process.Identity{}, "", fmt.Errorf("%s: %d instances, %w", name, len(o.Instances), err)
 	}
-	i := o.Instances[0]
-	if i.Report.PID == 0 {
-		return process.Identity{}, "", fmt.Errorf("%s: no process", name)
+	report := o.Instances[0].Report
+	if report.PID == 0 {
+		return process.Identity{}, "", fmt.Errorf("broker %s has no process", name)
 	}
-	id, err := process.Identify(i.Report.PID)
-	return id, i.Report.Incarnation, err
+	id, err := process.Identify(report.PID)
+	return id, report.Incarnation, err
 }
 
-// KillBroker kills a broker at once.
+// KillBroker sends SIGKILL to a broker.
 func (s *Stack) KillBroker(ctx context.Context, name string) error {
-	id, _, err := s.Broker(ctx, name)
+	id, _, err := s.BrokerProcess(ctx, name)
 	if err != nil {
 		return err
 	}
 	return id.Signal(syscall.SIGKILL)
 }
 
-// Close ends everything: agents drain their brokers, what is left after a while is killed.
+// Close stops the installation. The agents drain their brokers; processes that do not end in time are killed. It
+// returns an error if a broker outlived its agent.
 func (s *Stack) Close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	var left []process.Identity
+	var brokers []process.Identity
 	if o, err := s.Client.Overview(ctx, nil, nil); err == nil {
 		for _, i := range o.Instances {
 			if id, err := process.Identify(i.Report.PID); err == nil && i.Report.PID > 0 {
-				left = append(left, id)
+				brokers = append(brokers, id)
 			}
 		}
 	}
@@ -351,29 +360,29 @@
 	procs := s.procs
 	s.procs = map[string]*exec.Cmd{}
 	s.mu.Unlock()
-	var all sync.WaitGroup
-	end := func(cmd *exec.Cmd, wait time.Duration) {
-		all.Go(func() {
+	var ending sync.WaitGroup
+	terminate := func(cmd *exec.Cmd, timeout time.Duration) {
+		ending.Go(func() {
 			_ = cmd.Process.Signal(syscall.SIGTERM)
-			t := time.AfterFunc(wait, func() { _ = cmd.Process.Kill() })
+			timer := time.AfterFunc(timeout, func() { _ = cmd.Process.Kill() })
 			_ = cmd.Wait()
-			t.Stop()
+			timer.Stop()
 		})
 	}
 	for name, cmd := range procs {
 		if name != "manager" {
-			end(cmd, 30*time.Second)
+			terminate(cmd, 30*time.Second)
 		}
 	}
-	all.Wait()
+	ending.Wait()
 	if cmd := procs["manager"]; cmd != nil {
-		end(cmd, 5*time.Second)
+		terminate(cmd, 5*time.Second)
 	}
-	all.Wait()
+	ending.Wait()
 	var err error
-	for _, id := range left {
+	for _, id := range brokers {
 		if id.Signal(syscall.SIGKILL) == nil {
-			err = errors.Join(err, fmt.Errorf("broker with pid %d had to be killed", id.PID), id.Wait(context.Background()))
+			err = errors.Join(err, fmt.Errorf("broker with pid %d was still running after its agent ended, killed", id.PID), id.Wait(context.Background()))
 		}
 	}
 	for _, stop := range s.stops {
--- a/internal/testkit/cluster/incident_script.go
+++ b/internal/testkit/cluster/incident_script.go
@@ -18,69 +18,68 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// Hang makes a node take requests and answer none, until the returned function is called. Requests that came meanwhile
-// stay unanswered.
-func (s *Stack) Hang(node int) (release func()) {
+// HangNode makes a node accept requests without answering them until release is called. Requests received in between
+// are never answered.
+func (s *Stack) HangNode(node int) (release func()) {
 	s.Stores[node].SetHook(func(redcon.Conn, redcon.Command) bool { return true })
-	s.Object[node].SetHook(func(_ http.ResponseWriter, r *http.Request, _ func()) {
+	s.ObjectStores[node].SetHook(func(_ http.ResponseWriter, r *http.Request, _ func()) {
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
 	})
 	return func() {
 		s.Stores[node].SetHook(nil)
-		s.Object[node].SetHook(nil)
+		s.ObjectStores[node].SetHook(nil)
 	}
 }
 
 const (
-	// surgingVolume is the volume of the script's surge; surgeFactor is how much shorter its clients' pauses are.
-	surgingVolume     = 0xabcd
+	surgingVolume     = 0xabcd // the volume whose traffic surges
 	surgingVolumeName = "000000000000abcd"
-	surgeFactor       = 20
-	surgeUnits        = 4
+	surgeFactor       = 20 // by which the pause between its requests is divided
+	surgeUnits        = 4  // duration of the surge
 
 	restartPoll = 5 * time.Millisecond
 )
 
-// incidentScript is a scripted incident while it is played. It records what really happens.
+// incidentScript is the state of a run of Play. It records what actually happens, for comparison with an analysis.
 type incidentScript struct {
 	ctx     context.Context
 	cluster *Stack
-	load    *fake.Traffic
-	unit    time.Duration
+	traffic *fake.Traffic
+	unit    time.Duration // the script's unit of time
 	log     func(string)
 	truths  []check.Truth
 	gaps    []check.Gap
 }
 
-// Play plays a scripted incident with overlapping failures on a running fleet, each part as long as unit says, and
-// returns what really happened. A storage node goes silent while brokers die; a node is drained, and discovery goes down
-// meanwhile; a volume surges.
-func (s *Stack) Play(ctx context.Context, load *fake.Traffic, unit time.Duration, log func(string)) ([]check.Truth, []check.Gap, error) {
+// Play runs a scripted incident on a running fleet under the given traffic and returns the episodes and recording gaps
+// that it caused. A storage node stops answering while brokers are killed, a node is drained while discovery is down,
+// and the traffic of a volume surges. The script's delays are multiples of unit. log receives a line for each step.
+func (s *Stack) Play(ctx context.Context, traffic *fake.Traffic, unit time.Duration, log func(string)) ([]check.Truth, []check.Gap, error) {
 	loadCtx, stop := context.WithCancel(ctx)
-	var traffic sync.WaitGroup
-	traffic.Go(func() { load.Run(loadCtx) })
-	defer traffic.Wait()
+	var load sync.WaitGroup
+	load.Go(func() { traffic.Run(loadCtx) })
+	defer load.Wait()
 	defer stop()
-	script := &incidentScript{ctx: ctx, cluster: s, load: load, unit: unit, log: log}
-	script.pause(3)
+	script := &incidentScript{ctx: ctx, cluster: s, traffic: traffic, unit: unit, log: log}
+	script.wait(3)
 	if err := script.killBrokersWhileNodeIsSilent(); err != nil {
 		return nil, nil, err
 	}
-	script.pause(2)
+	script.wait(2)
 	script.drainNodeWhileDiscoveryIsDown()
-	script.pause(1)
-	script.surge()
-	script.pause(2)
+	script.wait(1)
+	script.surgeVolume()
+	script.wait(2)
 	slices.SortFunc(script.truths, func(a, b check.Truth) int { return strings.Compare(string(a.Kind), string(b.Kind)) })
 	return script.truths, script.gaps, ctx.Err()
 }
 
-// now is the wall clock.
+// now returns the wall clock time.
 func now() clock.Micros { return clock.Micros(time.Now().UnixMicro()) }
 
-// pause waits for a number of units.
-func (x *incidentScript) pause(units float64) {
+// wait waits for a number of units.
+func (x *incidentScript) wait(units float64) {
 	timer := time.NewTimer(time.Duration(units * float64(x.unit)))
 	defer timer.Stop()
 	select {
@@ -89,22 +88,22 @@
 	}
 }
 
-// happened records an episode that ends now.
-func (x *incidentScript) happened(kind incident.Kind, subject string, begin clock.Micros) {
+// recordEpisode records an episode that ends now.
+func (x *incidentScript) recordEpisode(kind incident.Kind, subject string, begin clock.Micros) {
 	x.truths = append(x.truths, check.Truth{Kind: kind, Subject: subject, Begin: begin, End: now()})
 }
 
 func (x *incidentScript) killBrokersWhileNodeIsSilent() error {
-	x.log("node s-1 goes silent")
-	silent := now()
-	release := x.cluster.Hang(1)
-	x.pause(0.5)
-	first, err := x.kill("b1")
+	x.log("node s-1 stops answering")
+	silentSince := now()
+	release := x.cluster.HangNode(1)
+	x.wait(0.5)
+	first, err := x.killBroker("b1")
 	if err != nil {
 		return err
 	}
-	x.pause(0.3)
-	second, err := x.kill("o1")
+	x.wait(0.3)
+	second, err := x.killBroker("o1")
 	if err != nil {
 		return err
 	}
@@ -113,26 +112,26 @@
 			return err
 		}
 	}
-	x.pause(2)
+	x.wait(2)
 	release()
-	x.happened(incident.NodeSilent, "s-1", silent)
+	x.recordEpisode(incident.NodeSilent, "s-1", silentSince)
 	x.log("node s-1 answers again")
 	return nil
 }
 
-// killedBroker is a broker that was killed and whose agent starts it again.
+// killedBroker is a broker that was killed and that its agent restarts.
 type killedBroker struct {
-	name    string
-	process process.Identity
-	at      clock.Micros // of the kill
+	name     string
+	identity process.Identity
+	killedAt clock.Micros
 }
 
-func (x *incidentScript) kill(name string) (*killedBroker, error) {
-	id, _, err := x.cluster.Broker(x.ctx, name)
+func (x *incidentScript) killBroker(name string) (*killedBroker, error) {
+	id, _, err := x.cluster.BrokerProcess(x.ctx, name)
 	if err != nil {
 		return nil, err
 	}
-	killed := &killedBroker{name: name, process: id, at: now()}
+	killed := &killedBroker{name: name, identity: id, killedAt: now()}
 	if err := id.Signal(syscall.SIGKILL); err != nil {
 		return nil, err
 	}
@@ -140,55 +139,55 @@
 	return killed, nil
 }
 
-// awaitRestart waits for a new process of the broker and records the death.
+// awaitRestart waits for a new process of the broker and records the outage.
 func (x *incidentScript) awaitRestart(killed *killedBroker) error {
 	for x.ctx.Err() == nil {
-		if id, _, err := x.cluster.Broker(x.ctx, killed.name); err == nil && id != killed.process {
+		if id, _, err := x.cluster.BrokerProcess(x.ctx, killed.name); err == nil && id != killed.identity {
 			break
 		}
 		time.Sleep(restartPoll)
 	}
-	x.happened(incident.BrokerDead, killed.name, killed.at)
-	x.gaps = append(x.gaps, check.Gap{Broker: killed.name, State: incident.Dead, From: killed.at, To: now()})
-	x.log(killed.name + " is back")
+	x.recordEpisode(incident.BrokerDead, killed.name, killed.killedAt)
+	x.gaps = append(x.gaps, check.Gap{Broker: killed.name, State: incident.Dead, From: killed.killedAt, To: now()})
+	x.log(killed.name + " restarted")
 	return x.ctx.Err()
 }
 
 func (x *incidentScript) drainNodeWhileDiscoveryIsDown() {
-	x.log("node s-2 drains, and discovery goes down after it")
-	drain := now()
-	endpoint := x.cluster.Disc.List(-1).Endpoints[2]
+	x.log("node s-2 drains; discovery goes down next")
+	drainingSince := now()
+	endpoint := x.cluster.Discovery.List(-1).Endpoints[2]
 	endpoint.State = "draining"
-	x.cluster.Disc.Set(endpoint)
-	x.pause(1)
-	down := now()
-	x.cluster.Disc.SetDown(true)
-	x.pause(2)
-	x.cluster.Disc.SetDown(false)
-	x.happened(incident.DiscoveryDown, "discovery", down)
-	x.log("discovery is back")
-	x.pause(2)
+	x.cluster.Discovery.Set(endpoint)
+	x.wait(1)
+	downSince := now()
+	x.cluster.Discovery.SetDown(true)
+	x.wait(2)
+	x.cluster.Discovery.SetDown(false)
+	x.recordEpisode(incident.DiscoveryDown, "discovery", downSince)
+	x.log("discovery answers again")
+	x.wait(2)
 	endpoint.State = "up"
-	x.cluster.Disc.Set(endpoint)
-	x.happened(incident.NodeDrain, "s-2", drain)
+	x.cluster.Discovery.Set(endpoint)
+	x.recordEpisode(incident.NodeDrain, "s-2", drainingSince)
 }
 
-func (x *incidentScript) surge() {
-	x.log("a volume surges")
+func (x *incidentScript) surgeVolume() {
+	x.log("traffic of a volume surges")
 	begin := now()
 	extra := &fake.Traffic{
 		Blocks:  x.cluster.Block,
-		Read:    x.load.Read,
-		Write:   x.load.Write,
-		Plan:    x.load.Plan,
-		Shards:  x.load.Shards,
+		Read:    x.traffic.Read,
+		Write:   x.traffic.Write,
+		Plan:    x.traffic.Plan,
+		Shards:  x.traffic.Shards,
 		Clients: 1,
 		Volume:  surgingVolume,
-		Pause:   x.load.Pause / surgeFactor,
+		Pause:   x.traffic.Pause / surgeFactor,
 	}
 	ctx, stop := context.WithTimeout(x.ctx, surgeUnits*x.unit)
 	extra.Run(ctx)
 	stop()
-	x.happened(incident.VolumeSurge, surgingVolumeName, begin)
-	x.load.Wrong.Add(extra.Wrong.Load())
+	x.recordEpisode(incident.VolumeSurge, surgingVolumeName, begin)
+	x.traffic.Wrong.Add(extra.Wrong.Load())
 }
--- a/internal/testkit/cluster/list_edits.go
+++ b/internal/testkit/cluster/list_edits.go
@@ -15,26 +15,26 @@
 	"poppyarch/internal/nodes/discovery"
 )
 
-// Edit is one way to change the node list under running brokers, and its effect.
-type Edit struct {
-	Name string
-	Took time.Duration // from the end of the writing to the last new work that reached the node
-	Work int           // requests that reached it after the writing
+// EditResult tells how soon requests stopped reaching a node after an edit of the node list.
+type EditResult struct {
+	Name             string
+	LastRequestAfter time.Duration // time from the end of the write to the last request that reached the node
+	RequestsAfter    int           // requests that reached the node after the write
 }
 
-// listFile is the list that the brokers read, in the cluster's folder.
+// listFile is the name of the node list in the installation's folder.
 const listFile = "nodes.csv"
 
-// Pauses between the steps of an edit.
+// Parameters of the edits.
 const (
-	slowWriteChunk   = 40 // bytes
-	slowWritePause   = 15 * time.Millisecond
-	busyPoll         = 5 * time.Millisecond
-	removalPause     = 300 * time.Millisecond
-	faultyListPause  = 400 * time.Millisecond
-	rapidEdits       = 50
-	rapidEditPause   = 20 * time.Millisecond
-	busyRequestCount = 3
+	slowWriteChunk  = 40 // bytes
+	slowWritePause  = 15 * time.Millisecond
+	requestPoll     = 5 * time.Millisecond
+	removalPause    = 300 * time.Millisecond
+	faultyListPause = 400 * time.Millisecond
+	rapidEdits      = 50
+	rapidEditPause  = 20 * time.Millisecond
+	awaitedRequests = 3 // a node is in use if it receives more requests than this
 )
 
 // arrivals records when requests reach each node.
@@ -43,14 +43,14 @@
 	times [][]time.Time // by node
 }
 
-func (a *arrivals) add(node int) {
+func (a *arrivals) record(node int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.times[node] = append(a.times[node], time.Now())
 }
 
-// after counts a node's requests after a time, and returns the last one's.
-func (a *arrivals) after(node int, t time.Time) (count int, last time.Time) {
+// countAfter returns the number of requests that reached a node after t, and the time of the last one.
+func (a *arrivals) countAfter(node int, t time.Time) (count int, last time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, at := range a.times[node] {
@@ -62,65 +62,67 @@
 	return count, last
 }
 
-// listEditor changes the node list and watches which nodes requests reach.
+// listEditor edits the node list and observes which nodes receive requests.
 type listEditor struct {
-	cluster  *Stack
-	path     string // of the list
-	arrivals *arrivals
-	settle   time.Duration // without requests for so long, a node is quiet
-	patience time.Duration // bounds every wait
-	edits    []Edit
+	cluster     *Stack
+	path        string // path of the node list
+	arrivals    *arrivals
+	quietPeriod time.Duration // a node without requests for this long is regarded as unused
+	timeout     time.Duration // for each wait
+	results     []EditResult
 }
 
-// Edits changes the node list in every way that brokers have to cope with, under load, and measures when new work stopped
-// reaching the node that was taken away. settle is how long it waits for stragglers; patience bounds every wait.
-func (s *Stack) Edits(ctx context.Context, settle, patience time.Duration) ([]Edit, error) {
+// Edits edits the node list of a fleet under load in every way that brokers have to handle, and measures when requests
+// stop reaching the node that was removed, drained or moved. A node without requests for quietPeriod is regarded as
+// unused. timeout bounds each wait. Edits returns an error if requests keep reaching such a node, or stop reaching
+// another one.
+func (s *Stack) Edits(ctx context.Context, quietPeriod, timeout time.Duration) ([]EditResult, error) {
 	e := &listEditor{
-		cluster:  s,
-		path:     filepath.Join(s.opt.Dir, listFile),
-		arrivals: &arrivals{times: make([][]time.Time, len(s.Stores))},
-		settle:   settle,
-		patience: patience,
+		cluster:     s,
+		path:        filepath.Join(s.options.Dir, listFile),
+		arrivals:    &arrivals{times: make([][]time.Time, len(s.Stores))},
+		quietPeriod: quietPeriod,
+		timeout:     timeout,
 	}
 	e.observeNodes()
 	for _, step := range []func(context.Context) error{
-		e.takeNodesAway, e.removeWhileDraining, e.removeAndAddBack, e.writeFaultyLists, e.editRapidly, e.overrideDiscovery,
+		e.removeDrainAndMove, e.removeWhileDraining, e.removeAndAddBack, e.writeFaultyLists, e.editRapidly, e.overrideDiscovery,
 	} {
 		if err := step(ctx); err != nil {
-			return e.edits, err
+			return e.results, err
 		}
 	}
-	return e.edits, nil
+	return e.results, nil
 }
 
 // observeNodes records the requests that reach each node.
 func (e *listEditor) observeNodes() {
 	for node := range e.cluster.Stores {
 		e.cluster.Stores[node].SetHook(func(redcon.Conn, redcon.Command) bool {
-			e.arrivals.add(node)
+			e.arrivals.record(node)
 			return false
 		})
-		e.cluster.Object[node].SetHook(func(_ http.ResponseWriter, _ *http.Request, next func()) {
-			e.arrivals.add(node)
+		e.cluster.ObjectStores[node].SetHook(func(_ http.ResponseWriter, _ *http.Request, next func()) {
+			e.arrivals.record(node)
 			next()
 		})
 	}
 }
 
-// takeNodesAway removes, drains or moves a node in each way in which a list can be written.
-func (e *listEditor) takeNodesAway(ctx context.Context) error {
+// removeDrainAndMove removes, drains or moves a node, with each way of writing a file.
+func (e *listEditor) removeDrainAndMove(ctx context.Context) error {
 	for _, step := range []struct {
 		name  string
 		node  int
 		write func() error
 	}{
-		{"row removed, by rename", 1, func() error { return e.replace(e.without(1)) }},
-		{"row removed, written in place", 2, func() error { return e.writeInPlace(e.without(2)) }},
-		{"row removed, cut off and written slowly", 3, func() error { return e.writeSlowly(e.without(3)) }},
-		{"state draining, in place", 1, func() error { return e.writeInPlace(e.with(1, ",up", ",draining")) }},
-		{"state out, by rename", 2, func() error { return e.replace(e.with(2, ",up", ",out")) }},
+		{"row removed, by rename", 1, func() error { return e.replaceFile(e.listWithout(1)) }},
+		{"row removed, written in place", 2, func() error { return e.writeInPlace(e.listWithout(2)) }},
+		{"row removed, cut off and written slowly", 3, func() error { return e.writeSlowly(e.listWithout(3)) }},
+		{"state draining, in place", 1, func() error { return e.writeInPlace(e.listWith(1, ",up", ",draining")) }},
+		{"state out, by rename", 2, func() error { return e.replaceFile(e.listWith(2, ",up", ",out")) }},
 		{"moved to another address, which nobody serves", 3, func() error {
-			return e.replace(e.with(3, e.cluster.addrs[3]+","+e.cluster.objects[3], "127.0.0.1:1,127.0.0.1:1"))
+			return e.replaceFile(e.listWith(3, e.cluster.blockAddrs[3]+","+e.cluster.objectAddrs[3], "127.0.0.1:1,127.0.0.1:1"))
 		}},
 	} {
 		if err := e.measure(ctx, step.name, step.node, step.write); err != nil {
@@ -133,30 +135,30 @@
 	return nil
 }
 
-// removeWhileDraining removes a node that drains: nothing may reach it in between.
+// removeWhileDraining drains a node and then removes it. No request may reach the node after the removal.
 func (e *listEditor) removeWhileDraining(ctx context.Context) error {
-	drain := func() error { return e.replace(e.with(1, ",up", ",draining")) }
+	drain := func() error { return e.replaceFile(e.listWith(1, ",up", ",draining")) }
 	if err := e.measure(ctx, "draining, then removed while it drains", 1, drain); err != nil {
 		return err
 	}
 	removed := time.Now()
-	if err := e.replace(e.without(1)); err != nil {
+	if err := e.replaceFile(e.listWithout(1)); err != nil {
 		return err
 	}
-	time.Sleep(e.settle)
-	if count, _ := e.arrivals.after(1, removed); count > 0 {
-		return fmt.Errorf("%d pieces of work reached a node that was removed while it drained", count)
+	time.Sleep(e.quietPeriod)
+	if count, _ := e.arrivals.countAfter(1, removed); count > 0 {
+		return fmt.Errorf("%d requests reached node s-1, which was removed while it drained", count)
 	}
 	return e.restore()
 }
 
-// removeAndAddBack removes a node and adds it back within a second: it has to be used again.
+// removeAndAddBack removes a node and adds it back within a second, twice. Brokers must use the node again.
 func (e *listEditor) removeAndAddBack(ctx context.Context) error {
-	if err := e.awaitWork(ctx, 1); err != nil {
+	if err := e.awaitRequests(ctx, 1); err != nil {
 		return err
 	}
 	for range 2 {
-		if err := e.replace(e.without(1)); err != nil {
+		if err := e.replaceFile(e.listWithout(1)); err != nil {
 			return err
 		}
 		time.Sleep(removalPause)
@@ -164,43 +166,43 @@
 			return err
 		}
 	}
-	if err := e.awaitWork(ctx, 1); err != nil {
-		return fmt.Errorf("removed and back: %w", err)
+	if err := e.awaitRequests(ctx, 1); err != nil {
+		return fmt.Errorf("node removed and added back: %w", err)
 	}
 	return nil
 }
 
-// writeFaultyLists writes lists that must not take any node away.
+// writeFaultyLists writes faulty lists and removes the file. Brokers must keep using all nodes.
 func (e *listEditor) writeFaultyLists(ctx context.Context) error {
 	for _, write := range []func() error{
-		func() error { return e.replace(e.with(2, e.cluster.addrs[2], "nowhere")) },
+		func() error { return e.replaceFile(e.listWith(2, e.cluster.blockAddrs[2], "nowhere")) },
 		func() error { return e.writeInPlace("id,addr\n\"s-0") },
 		func() error { return os.Remove(e.path) },
-		func() error { return e.replace("id,addr,objects,shard,state\n") }, // all rows deleted: held back
+		func() error { return e.replaceFile("id,addr,objects,shard,state\n") }, // the removal of all rows is held back
 	} {
 		if err := write(); err != nil {
 			return err
 		}
 		time.Sleep(faultyListPause)
 		for node := range e.cluster.Stores {
-			if err := e.awaitWork(ctx, node); err != nil {
-				return fmt.Errorf("after a bad list: %w", err)
+			if err := e.awaitRequests(ctx, node); err != nil {
+				return fmt.Errorf("after a faulty list: %w", err)
 			}
 		}
 	}
 	return e.restore()
 }
 
-// editRapidly writes fifty lists within a second, of which the last one counts.
+// editRapidly writes fifty lists within a second. Brokers must end with the last one.
 func (e *listEditor) editRapidly(ctx context.Context) error {
 	write := func() error {
 		for i := range rapidEdits {
-			list := e.cluster.List(nil)
+			list := e.cluster.NodeList(nil)
 			if i%2 == 0 {
-				list = e.with(0, ",up", ",up ")
+				list = e.listWith(0, ",up", ",up ")
 			}
 			if i == rapidEdits-1 {
-				list = e.without(3)
+				list = e.listWithout(3)
 			}
 			if err := e.writeInPlace(list); err != nil {
 				return err
@@ -215,68 +217,69 @@
 	return e.restore()
 }
 
-// overrideDiscovery takes a node out that discovery has up: the stricter source wins.
+// overrideDiscovery lists a node as out that discovery reports as up. The stricter source must win.
 func (e *listEditor) overrideDiscovery(ctx context.Context) error {
 	s := e.cluster
-	s.Disc.Set(discovery.Endpoint{ID: "s-2", Addr: s.addrs[2], ObjectAddr: s.objects[2], Zone: "room", Shard: 2, State: "up", Capacity: 1})
-	takeOut := func() error { return e.replace(e.with(2, ",up", ",out")) }
+	s.Discovery.Set(discovery.Endpoint{ID: "s-2", Addr: s.blockAddrs[2], ObjectAddr: s.objectAddrs[2], Zone: "room", Shard: 2, State: "up", Capacity: 1})
+	takeOut := func() error { return e.replaceFile(e.listWith(2, ",up", ",out")) }
 	if err := e.measure(ctx, "out, though discovery has it up", 2, takeOut); err != nil {
 		return err
 	}
-	s.Disc.Set(discovery.Endpoint{ID: "s-2", State: "removed"})
+	s.Discovery.Set(discovery.Endpoint{ID: "s-2", State: "removed"})
 	return e.restore()
 }
 
-// measure waits until work reaches a node, changes the list, and records when the last new work reached the node.
+// measure waits until requests reach a node, calls write, and records when the last request reached the node.
 func (e *listEditor) measure(ctx context.Context, name string, node int, write func() error) error {
-	if err := e.awaitWork(ctx, node); err != nil {
+	if err := e.awaitRequests(ctx, node); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
 	if err := write(); err != nil {
 		return err
 	}
 	written := time.Now()
-	for deadline := written.Add(e.patience); ; {
-		time.Sleep(e.settle)
-		count, last := e.arrivals.after(node, written)
+	for deadline := written.Add(e.timeout); ; {
+		time.Sleep(e.quietPeriod)
+		count, last := e.arrivals.countAfter(node, written)
 		if count == 0 {
-			e.edits = append(e.edits, Edit{Name: name})
+			e.results = append(e.results, EditResult{Name: name})
 			return nil
 		}
-		if time.Since(last) >= e.settle {
-			e.edits = append(e.edits, Edit{Name: name, Work: count, Took: last.Sub(written)})
+		if time.Since(last) >= e.quietPeriod {
+			e.results = append(e.results, EditResult{Name: name, RequestsAfter: count, LastRequestAfter: last.Sub(written)})
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%s: work goes on reaching s-%d", name, node)
+			return fmt.Errorf("%s: requests still reach node s-%d %v after the edit", name, node, e.timeout)
 		}
 	}
 }
 
-// awaitWork waits until new work reaches a node.
-func (e *listEditor) awaitWork(ctx context.Context, node int) error {
+// awaitRequests waits until new requests reach a node.
+func (e *listEditor) awaitRequests(ctx context.Context, node int) error {
 	start := time.Now()
-	for deadline := start.Add(e.patience); ; time.Sleep(busyPoll) {
-		if count, _ := e.arrivals.after(node, start); count > busyRequestCount {
+	for deadline := start.Add(e.timeout); ; time.Sleep(requestPoll) {
+		count, _ := e.arrivals.countAfter(node, start)
+		if count > awaitedRequests {
 			return nil
 		}
 		if time.Now().After(deadline) || ctx.Err() != nil {
-			return fmt.Errorf("no work reaches node s-%d", node)
+			return fmt.Errorf("node s-%d received %d requests in %v, want more than %d", node, count, time.Since(start), awaitedRequests)
 		}
 	}
 }
 
 // restore writes the list with all nodes up.
-func (e *listEditor) restore() error { return e.replace(e.cluster.List(nil)) }
+func (e *listEditor) restore() error { return e.replaceFile(e.cluster.NodeList(nil)) }
 
-// replace replaces the list atomically.
-func (e *listEditor) replace(list string) error { return e.cluster.write(listFile, list) }
+// replaceFile replaces the list atomically.
+func (e *listEditor) replaceFile(list string) error { return e.cluster.writeFile(listFile, list) }
 
 func (e *listEditor) writeInPlace(list string) error {
 	return os.WriteFile(e.path, []byte(list), 0o600)
 }
 
-// writeSlowly truncates the list and writes it in pieces.
+// writeSlowly truncates the list and writes it in small chunks.
 func (e *listEditor) writeSlowly(list string) (err error) {
 	file, err := os.OpenFile(e.path, os.O_WRONLY|os.O_TRUNC, 0)
 	if err != nil {
@@ -294,9 +297,9 @@
 	return err
 }
 
-// without is the list without a node.
-func (e *listEditor) without(node int) string {
-	return e.cluster.List(func(k int, row string) string {
+// listWithout returns the list without a node.
+func (e *listEditor) listWithout(node int) string {
+	return e.cluster.NodeList(func(k int, row string) string {
 		if k == node {
 			return ""
 		}
@@ -304,9 +307,9 @@
 	})
 }
 
-// with is the list with a text in a node's row replaced.
-func (e *listEditor) with(node int, from, to string) string {
-	return e.cluster.List(func(k int, row string) string {
+// listWith returns the list with a text in a node's row replaced.
+func (e *listEditor) listWith(node int, from, to string) string {
+	return e.cluster.NodeList(func(k int, row string) string {
 		if k == node {
 			return strings.Replace(row, from, to, 1)
 		}
--- a/tools/measure/nodes.go
+++ b/tools/measure/nodes.go
@@ -42,7 +42,7 @@
 				by[e.Name] = x
 				order = append(order, e.Name)
 			}
-			x.most, x.work = max(x.most, e.Took), max(x.work, e.Work)
+			x.most, x.work = max(x.most, e.LastRequestAfter), max(x.work, e.RequestsAfter)
 		}
 	}
 	fmt.Printf("| edit | last new work after it, the most of %d runs | pieces of work after it |\n| --- | --- | --- |\n", runs)
@@ -60,7 +60,7 @@
 	return nil
 }
 
-func editsOnce() ([]cluster.Edit, error) {
+func editsOnce() ([]cluster.EditResult, error) {
 	dir, err := os.MkdirTemp("", "nodes")
 	if err != nil {
 		return nil, err
