--- a/internal/testkit/fake/block.go
+++ b/internal/testkit/fake/block.go
@@ -8,32 +8,33 @@
 	"github.com/tidwall/redcon"
 )
 
-// Block is a block node: it keeps what is written and gives it back.
+// Block is the block server of a storage node. It keeps pieces in memory.
 type Block struct {
 	mu   sync.Mutex
-	data map[string][]byte
-	seen []string // "COMMAND id"
+	data map[string][]byte // by piece
+	seen []string          // "COMMAND id" of each request
 	hook func(c redcon.Conn, cmd redcon.Command) bool
 }
 
-// NewBlock returns an empty node.
+// NewBlock returns a server without data.
 func NewBlock() *Block { return &Block{data: map[string][]byte{}} }
 
-// SetHook puts f before every command; where it returns true the command has been dealt with.
+// SetHook has f called before every command is served. If f returns true, the command is not served. A nil f removes
+// the hook.
 func (b *Block) SetHook(f func(c redcon.Conn, cmd redcon.Command) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.hook = f
 }
 
-// Seen lists the commands that came, each with its request's id.
+// Seen returns the received block commands, each as the command's name and the request's id.
 func (b *Block) Seen() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]string(nil), b.seen...)
 }
 
-// Serve answers until the listener is closed.
+// Serve serves connections until the listener is closed.
 func (b *Block) Serve(ln net.Listener) error { return redcon.Serve(ln, b.handle, nil, nil) }
 
 func (b *Block) handle(c redcon.Conn, cmd redcon.Command) {
--- a/internal/testkit/fake/discovery.go
+++ b/internal/testkit/fake/discovery.go
@@ -10,43 +10,44 @@
 	"poppyarch/internal/nodes/discovery"
 )
 
-// Discovery serves a node list, whole or as a watch.
+// Discovery is a discovery service. It answers with the full node list, or with the changes since a revision as soon as
+// there are any.
 type Discovery struct {
-	mu      sync.Mutex
-	rev     int64
-	order   []string
-	byUID   map[string]entry
-	changed chan struct{}
-	calls   []time.Time
-	down    bool
+	mu        sync.Mutex
+	revision  int64
+	order     []string
+	byID      map[string]entry
+	changed   chan struct{}
+	callTimes []time.Time
+	down      bool
 }
 
 type entry struct {
 	discovery.Endpoint
-	rev int64
+	revision int64
 }
 
-// NewDiscovery returns an empty list at version 0.
+// NewDiscovery returns a service with an empty list at revision 0.
 func NewDiscovery() *Discovery {
-	return &Discovery{byUID: map[string]entry{}, changed: make(chan struct{})}
+	return &Discovery{byID: map[string]entry{}, changed: make(chan struct{})}
 }
 
-// Set adds or changes entries.
-func (d *Discovery) Set(targets ...discovery.Endpoint) {
+// Set adds or replaces endpoints, as one revision.
+func (d *Discovery) Set(endpoints ...discovery.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.rev++
-	for _, t := range targets {
-		if _, ok := d.byUID[t.ID]; !ok {
-			d.order = append(d.order, t.ID)
+	d.revision++
+	for _, endpoint := range endpoints {
+		if _, ok := d.byID[endpoint.ID]; !ok {
+			d.order = append(d.order, endpoint.ID)
 		}
-		d.byUID[t.ID] = entry{t, d.rev}
+		d.byID[endpoint.ID] = entry{endpoint, d.revision}
 	}
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// SetDown has every call end in 503, also those that wait.
+// SetDown has every call answered with status 503, including those that are waiting for a change.
 func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -55,20 +56,20 @@
 	d.changed = make(chan struct{})
 }
 
-// Calls tells when calls came.
+// Calls returns the time of each call.
 func (d *Discovery) Calls() []time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append([]time.Time(nil), d.calls...)
+	return append([]time.Time(nil), d.callTimes...)
 }
 
-// List is the list as it stands: what is newer than after, or with -1 all.
+// List returns the endpoints that were changed after a revision, or the full list if after is -1.
 func (d *Discovery) List(after int64) discovery.List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := discovery.List{Revision: d.rev, Full: after < 0, Endpoints: []discovery.Endpoint{}}
-	for _, uid := range d.order {
-		if e := d.byUID[uid]; e.rev > after && (!l.Full || e.State != "removed") {
+	l := discovery.List{Revision: d.revision, Full: after < 0, Endpoints: []discovery.Endpoint{}}
+	for _, id := range d.order {
+		if e := d.byID[id]; e.revision > after && (!l.Full || e.State != "removed") {
 			l.Endpoints = append(l.Endpoints, e.Endpoint)
 		}
 	}
@@ -78,7 +79,7 @@
 // ServeHTTP answers GET /catalog/members.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
-	d.calls = append(d.calls, time.Now())
+	d.callTimes = append(d.callTimes, time.Now())
 	d.mu.Unlock()
 	if r.Method != http.MethodGet || r.URL.Path != "/catalog/members" {
 		http.NotFound(w, r)
@@ -92,9 +93,9 @@
 	timeout := time.After(time.Duration(min(max(wait, 0), 60000)) * time.Millisecond)
 	for waiting := after >= 0; waiting; {
 		d.mu.Lock()
-		news, changed := d.rev > after || d.down, d.changed
+		ready, changed := d.revision > after || d.down, d.changed
 		d.mu.Unlock()
-		if news {
+		if ready {
 			break
 		}
 		select {
--- a/internal/testkit/fake/node.go
+++ b/internal/testkit/fake/node.go
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// Node is a process that can be killed and started again at its address.
+// Node is an HTTP server that can be killed and restarted at its address, like a process.
 type Node struct {
 	Handler http.Handler
 
@@ -17,13 +17,13 @@
 	srv  *http.Server
 }
 
-// Start serves h on a loopback port that the system chooses.
+// Start starts a node that serves h on a loopback port chosen by the system.
 func Start(h http.Handler) (*Node, error) {
 	n := &Node{Handler: h, addr: "127.0.0.1:0"}
 	return n, n.Restart()
 }
 
-// Restart serves at the old address.
+// Restart serves at the node's previous address again.
 func (n *Node) Restart() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -37,25 +37,26 @@
 	return nil
 }
 
-// serve starts a process on a listener. The caller holds mu.
+// serve starts a server on a listener. The caller holds mu.
 func (n *Node) serve(ln *net.TCPListener) {
 	n.ln, n.srv = ln, &http.Server{Handler: n.Handler}
 	go func() { _ = n.srv.Serve(ln) }()
 }
 
-// Addr is where it listens.
+// Addr returns the node's address.
 func (n *Node) Addr() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.addr
 }
 
-// Replace ends the process and has the next one up at its address in the same moment: connections break, and none is
-// refused meanwhile. How long a port stays closed between Kill and Restart is up to the machine.
+// Replace replaces the running server with a new one at the same address. Open connections break, but no new connection
+// is refused in between, unlike between Kill and Restart, where the port is closed for a time that depends on the
+// machine.
 func (n *Node) Replace() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	f, err := n.ln.File() // the same socket: what comes before the next process accepts waits there
+	f, err := n.ln.File() // shares the socket, so new connections are queued until the new server accepts
 	if err != nil {
 		return err
 	}
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// Kill ends the process at once: its connections break.
+// Kill stops the server immediately. Its connections break.
 func (n *Node) Kill() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/testkit/fake/objects.go
+++ b/internal/testkit/fake/objects.go
@@ -1,5 +1,5 @@
-// Package fake has small stand-ins for the systems around a broker, written from the public specifications:
-// object servers, block nodes and discovery. Tests and the example use them; the broker never does.
+// Package fake has small fakes of the systems around a broker, written from the public specifications: object servers,
+// block servers, discovery and clients. Only tests, tools and examples use them, never the broker.
 package fake
 
 import (
@@ -17,51 +17,51 @@
 	"time"
 )
 
-// Objects is the state of one object server, which outlives its process: a Node serves it until it is killed, and
-// another may serve it again.
+// Objects is the object server of a storage node, with its objects in memory. It outlives the Node that serves it:
+// after the Node is killed, another one can serve the same objects.
 type Objects struct {
 	mu          sync.Mutex
 	objects     map[string]*object
 	uploads     map[string]*upload
-	seq         int
-	completions map[string]int                                            // by path
-	requests    []string                                                  // as they came, "METHOD target"
-	hook        func(w http.ResponseWriter, r *http.Request, next func()) // may break an answer
+	uploadCount int
+	completions map[string]int                                            // number of completed uploads by path
+	requests    []string                                                  // "METHOD target" of each request, in order
+	hook        func(w http.ResponseWriter, r *http.Request, next func()) // nil if there is none
 }
 
 type object struct {
-	body []byte
-	etag string
-	kind string
-	at   time.Time
+	body        []byte
+	etag        string
+	contentType string
+	modified    time.Time
 }
 
 type upload struct {
-	path  string
-	kind  string
-	parts map[int][]byte
+	path        string
+	contentType string
+	parts       map[int][]byte
 }
 
-// NewObjects returns an empty store.
+// NewObjects returns a server without objects.
 func NewObjects() *Objects {
 	return &Objects{objects: map[string]*object{}, uploads: map[string]*upload{}, completions: map[string]int{}}
 }
 
-// SetHook puts f before every request; f calls next to have it served.
+// SetHook has f called for every request. f calls next to serve the request. A nil f removes the hook.
 func (s *Objects) SetHook(f func(w http.ResponseWriter, r *http.Request, next func())) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hook = f
 }
 
-// Completions counts the uploads that became the object at path.
+// Completions returns the number of multipart uploads completed as the object at path.
 func (s *Objects) Completions(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.completions[path]
 }
 
-// Requests lists what came, as METHOD and target.
+// Requests returns the received requests in order, each as its method and target.
 func (s *Objects) Requests() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,10 +72,10 @@
 func (s *Objects) Put(path string, body []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.objects[path] = &object{body: body, etag: etag(body), kind: "application/octet-stream", at: time.Now()}
+	s.objects[path] = &object{body: body, etag: etag(body), contentType: "application/octet-stream", modified: time.Now()}
 }
 
-// Get returns an object's bytes, nil where there is none.
+// Get returns an object's bytes, or nil if there is no object at path.
 func (s *Objects) Get(path string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,7 +90,7 @@
 	return `"` + hex.EncodeToString(sum[:]) + `"`
 }
 
-// ServeHTTP serves one request.
+// ServeHTTP serves a request, or passes it to the hook.
 func (s *Objects) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	s.requests = append(s.requests, r.Method+" "+r.URL.RequestURI())
@@ -113,20 +113,20 @@
 	defer s.mu.Unlock()
 	switch {
 	case r.Method == http.MethodPost && q.Has("uploads"):
-		s.seq++
-		id := fmt.Sprintf("u%d", s.seq)
-		s.uploads[id] = &upload{path: r.URL.Path, kind: r.Header.Get("Content-Type"), parts: map[int][]byte{}}
-		document(w, fmt.Sprintf("<InitiateMultipartUploadResult><Bucket>b</Bucket><Key>k</Key><UploadId>%s</UploadId>"+
+		s.uploadCount++
+		id := fmt.Sprintf("u%d", s.uploadCount)
+		s.uploads[id] = &upload{path: r.URL.Path, contentType: r.Header.Get("Content-Type"), parts: map[int][]byte{}}
+		writeXML(w, fmt.Sprintf("<InitiateMultipartUploadResult><Bucket>b</Bucket><Key>k</Key><UploadId>%s</UploadId>"+
 			"</InitiateMultipartUploadResult>", id))
 	case q.Has("uploadId"):
 		u := s.uploads[q.Get("uploadId")]
 		if u == nil || u.path != r.URL.Path {
-			fail(w, 404, "NoSuchUpload")
+			writeError(w, 404, "NoSuchUpload")
 			return
 		}
-		s.upload(w, r, q.Get("uploadId"), u, body)
+		s.serveUpload(w, r, q.Get("uploadId"), u, body)
 	case r.Method == http.MethodPut:
-		o := &object{body: body, etag: etag(body), kind: kind(r), at: time.Now()}
+		o := &object{body: body, etag: etag(body), contentType: requestContentType(r), modified: time.Now()}
 		s.objects[r.URL.Path] = o
 		w.Header().Set("ETag", o.etag)
 	case r.Method == http.MethodDelete:
@@ -135,23 +135,23 @@
 	default:
 		o := s.objects[r.URL.Path]
 		if o == nil {
-			fail(w, 404, "NoSuchKey")
+			writeError(w, 404, "NoSuchKey")
 			return
 		}
 		w.Header().Set("ETag", o.etag)
-		w.Header().Set("Content-Type", o.kind)
-		// The standard library knows ranges and conditions as RFC 9110 has them.
-		http.ServeContent(w, r, "", o.at, bytes.NewReader(o.body))
+		w.Header().Set("Content-Type", o.contentType)
+		// The standard library implements range and conditional requests according to RFC 9110.
+		http.ServeContent(w, r, "", o.modified, bytes.NewReader(o.body))
 	}
 }
 
-// upload serves a request for one upload.
-func (s *Objects) upload(w http.ResponseWriter, r *http.Request, id string, u *upload, body []byte) {
+// serveUpload serves a request for an existing multipart upload.
+func (s *Objects) serveUpload(w http.ResponseWriter, r *http.Request, id string, u *upload, body []byte) {
 	switch r.Method {
 	case http.MethodPut:
 		n, err := strconv.Atoi(r.URL.Query().Get("partNumber"))
 		if err != nil || n < 1 {
-			fail(w, 400, "InvalidArgument")
+			writeError(w, 400, "InvalidArgument")
 			return
 		}
 		u.parts[n] = body
@@ -170,59 +170,59 @@
 			fmt.Fprintf(&b, "<Part><PartNumber>%d</PartNumber><ETag>%s</ETag><Size>%d</Size></Part>", n, etag(u.parts[n]),
 				len(u.parts[n]))
 		}
-		document(w, "<ListPartsResult><UploadId>"+id+"</UploadId>"+b.String()+"</ListPartsResult>")
+		writeXML(w, "<ListPartsResult><UploadId>"+id+"</UploadId>"+b.String()+"</ListPartsResult>")
 	case http.MethodPost:
 		s.complete(w, id, u, body)
 	}
 }
 
-// complete joins the parts that a call names.
+// complete creates the object from the parts that the request lists.
 func (s *Objects) complete(w http.ResponseWriter, id string, u *upload, body []byte) {
-	var c struct {
+	var request struct {
 		Part []struct {
 			PartNumber int
 			ETag       string
 		}
 	}
-	if xml.Unmarshal(body, &c) != nil {
-		fail(w, 400, "MalformedXML")
+	if xml.Unmarshal(body, &request) != nil {
+		writeError(w, 400, "MalformedXML")
 		return
 	}
-	var whole []byte
-	sum := md5.New()
-	for _, p := range c.Part {
+	var content []byte
+	partSums := md5.New()
+	for _, p := range request.Part {
 		b, ok := u.parts[p.PartNumber]
 		if !ok || strings.Trim(p.ETag, `"`) != strings.Trim(etag(b), `"`) {
-			fail(w, 400, "InvalidPart")
+			writeError(w, 400, "InvalidPart")
 			return
 		}
-		whole = append(whole, b...)
-		one := md5.Sum(b)
-		sum.Write(one[:])
+		content = append(content, b...)
+		sum := md5.Sum(b)
+		partSums.Write(sum[:])
 	}
-	tag := fmt.Sprintf(`"%x-%d"`, sum.Sum(nil), len(c.Part))
-	s.objects[u.path] = &object{body: whole, etag: tag, kind: u.kind, at: time.Now()}
+	tag := fmt.Sprintf(`"%x-%d"`, partSums.Sum(nil), len(request.Part))
+	s.objects[u.path] = &object{body: content, etag: tag, contentType: u.contentType, modified: time.Now()}
 	s.completions[u.path]++
 	delete(s.uploads, id)
-	document(w, "<CompleteMultipartUploadResult><ETag>&quot;"+strings.Trim(tag, `"`)+
+	writeXML(w, "<CompleteMultipartUploadResult><ETag>&quot;"+strings.Trim(tag, `"`)+
 		"&quot;</ETag></CompleteMultipartUploadResult>")
 }
 
-func document(w http.ResponseWriter, text string) {
+func writeXML(w http.ResponseWriter, text string) {
 	w.Header().Set("Content-Type", "application/xml")
 	_, _ = io.WriteString(w, xml.Header+text)
 }
 
-func fail(w http.ResponseWriter, status int, code string) {
+func writeError(w http.ResponseWriter, status int, code string) {
 	w.Header().Set("Content-Type", "application/xml")
 	w.WriteHeader(status)
 	_, _ = io.WriteString(w, xml.Header+"<Error><Code>"+code+"</Code></Error>")
 }
 
-// Cut serves a request on w, which may swallow some or all of the answer, past the hook.
+// Cut serves a request without calling the hook. A hook calls it with a w that drops some or all of the response.
 func (s *Objects) Cut(w http.ResponseWriter, r *http.Request) { s.serve(w, r) }
 
-func kind(r *http.Request) string {
+func requestContentType(r *http.Request) string {
 	if k := r.Header.Get("Content-Type"); k != "" {
 		return k
 	}
--- a/internal/testkit/fake/timed.go
+++ b/internal/testkit/fake/timed.go
@@ -10,105 +10,112 @@
 	"github.com/tidwall/redcon"
 )
 
-// Piece names a piece of data whose requests take so many microseconds of a core at speed 1.
+// Piece returns the id of a piece for Timed. Its low 24 bits hold the work of a request for the piece, in microseconds
+// of a core at speed 1; the other bits hold key.
 func Piece(key uint64, work int64) string {
-	const most = 1<<24 - 1
-	return pad(key<<24 | uint64(min(max(work, 0), most)))
+	const maxWork = 1<<24 - 1
+	return hex16(key<<24 | uint64(min(max(work, 0), maxWork)))
 }
 
-func pad(v uint64) string {
+// hex16 returns v as 16 hex digits.
+func hex16(v uint64) string {
 	s := strconv.FormatUint(v, 16)
 	return strings.Repeat("0", 16-len(s)) + s
 }
 
-// Timed is a block node that takes its time: it serves in turn of arrival on some cores, each request for as long as its piece says. What its
-// client has given up is worked on all the same.
+// Timed is the block server of a storage node with a limited speed. It serves requests in order of arrival, each on the
+// core that becomes free first. The id of a request's piece determines how long the request takes. Requests that their
+// client has abandoned are served all the same.
 type Timed struct {
 	Cores     int
-	Speed     float64       // 1: a core does a second of work in a second
-	Room      int           // requests that may wait; 0: any number
-	Handshake time.Duration // work of a new connection
+	Speed     float64       // seconds of work that a core does in a second
+	Room      int           // maximum number of waiting requests; 0 means no limit
+	Handshake time.Duration // work of a new connection, added to its first request
 
-	mu       sync.Mutex
-	free     []time.Time // when each core is
-	open     int
-	attempts int
-	conns    int
-	turned   int
+	mu         sync.Mutex
+	coreFreeAt []time.Time // time at which each core becomes free
+	pending    int         // requests that wait or are being served
+	attempts   int
+	conns      int
+	rejected   int
 }
 
-// Counts are the attempts that have come, new connections, and attempts that a full room has turned away.
-func (n *Timed) Counts() (attempts, conns, turned int) {
+// Counts returns the number of received attempts, of new connections, and of attempts rejected because the queue was
+// full.
+func (n *Timed) Counts() (attempts, conns, rejected int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.attempts, n.conns, n.turned
+	return n.attempts, n.conns, n.rejected
 }
 
-// Pause has all cores stand still for a while, once they are through with what they have.
+// Pause keeps the cores from starting new requests for d. Requests already scheduled are not delayed.
 func (n *Timed) Pause(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.begin()
+	n.initCores()
 	until := time.Now().Add(d)
-	for i := range n.free {
-		if n.free[i].Before(until) {
-			n.free[i] = until
+	for i := range n.coreFreeAt {
+		if n.coreFreeAt[i].Before(until) {
+			n.coreFreeAt[i] = until
 		}
 	}
 }
 
-// Serve answers until the listener is closed.
+// Serve serves connections until the listener is closed.
 func (n *Timed) Serve(ln net.Listener) error {
 	return redcon.Serve(ln, n.handle, func(c redcon.Conn) bool {
-		c.SetContext(new(bool)) // whether its first request has come
+		c.SetContext(new(bool)) // whether the connection has received a request
 		return true
 	}, nil)
 }
 
-func (n *Timed) begin() {
-	if n.free == nil {
-		n.free = make([]time.Time, max(n.Cores, 1))
+func (n *Timed) initCores() {
+	if n.coreFreeAt == nil {
+		n.coreFreeAt = make([]time.Time, max(n.Cores, 1))
 	}
 }
 
-// take books a request at the core that is free first, and says when it is done; ok is false where the room is full.
-func (n *Timed) take(now time.Time, work time.Duration, fresh bool) (done time.Time, ok bool) {
+// schedule assigns a request to the core that becomes free first and returns when the request is done. newConn tells
+// that it is the first request of its connection. ok is false if the queue is full.
+func (n *Timed) schedule(now time.Time, work time.Duration, newConn bool) (done time.Time, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.begin()
+	n.initCores()
 	n.attempts++
-	if fresh {
+	if newConn {
 		n.conns++
 		work += n.Handshake
 	}
-	if n.Room > 0 && n.open >= n.Room+len(n.free) {
-		n.turned++
+	if n.Room > 0 && n.pending >= n.Room+len(n.coreFreeAt) {
+		n.rejected++
 		return time.Time{}, false
 	}
 	core := 0
-	for i := range n.free {
-		if n.free[i].Before(n.free[core]) {
+	for i := range n.coreFreeAt {
+		if n.coreFreeAt[i].Before(n.coreFreeAt[core]) {
 			core = i
 		}
 	}
-	if n.free[core].Before(now) {
-		n.free[core] = now
+	if n.coreFreeAt[core].Before(now) {
+		n.coreFreeAt[core] = now
 	}
-	n.free[core] = n.free[core].Add(time.Duration(float64(work) / n.Speed))
-	n.open++
-	return n.free[core], true
+	n.coreFreeAt[core] = n.coreFreeAt[core].Add(time.Duration(float64(work) / n.Speed))
+	n.pending++
+	return n.coreFreeAt[core], true
 }
 
-// Take books a request of another protocol; done returns when it is through. ok is false where the room is full.
+// Take schedules a request of another protocol. done blocks until the request is done. ok is false if the queue is
+// full.
 func (n *Timed) Take(work time.Duration) (done func(), ok bool) {
-	at, ok := n.take(time.Now(), work, false)
-	return func() { n.end(at) }, ok
+	at, ok := n.schedule(time.Now(), work, false)
+	return func() { n.finish(at) }, ok
 }
 
-func (n *Timed) end(at time.Time) {
+// finish waits until the end of a request and removes it from the pending ones.
+func (n *Timed) finish(at time.Time) {
 	time.Sleep(time.Until(at))
 	n.mu.Lock()
-	n.open--
+	n.pending--
 	n.mu.Unlock()
 }
 
@@ -122,17 +129,17 @@
 		c.WriteError("ERR piece: " + strconv.Quote(string(cmd.Args[1])))
 		return
 	}
-	seen := c.Context().(*bool)
-	fresh := !*seen
-	*seen = true
-	done, ok := n.take(time.Now(), time.Duration(piece&(1<<24-1))*time.Microsecond, fresh)
+	used := c.Context().(*bool)
+	newConn := !*used
+	*used = true
+	done, ok := n.schedule(time.Now(), time.Duration(piece&(1<<24-1))*time.Microsecond, newConn)
 	if !ok {
 		c.WriteError("BUSY")
 		return
 	}
-	n.end(done)
+	n.finish(done)
 	c.WriteArray(3)
-	c.WriteBulk(cmd.Args[2]) // the request's id, by which its client knows the answer for its own
+	c.WriteBulk(cmd.Args[2]) // the request's id, by which the client matches the response to its request
 	c.WriteNull()
 	c.WriteNull()
 }
--- a/internal/testkit/fake/traffic.go
+++ b/internal/testkit/fake/traffic.go
@@ -16,83 +16,84 @@
 	"time"
 )
 
-// Traffic is clients of both fronts that check every answer: it must be the one made for their request, and no more
-// than one. A client whose broker goes away turns to the next.
+// Traffic runs clients of the block and object frontends. They check that each request gets the response made for it,
+// and only one. A client that loses its broker turns to the next one.
 type Traffic struct {
-	Blocks   []string // block fronts
-	Objects  []string // object fronts
+	Blocks   []string // addresses of block frontends
+	Objects  []string // addresses of object frontends
 	Read     string   // class of reads
-	Write    string   // class that never runs twice
+	Write    string   // class of writes, which must never be executed twice
 	Plan     string
-	Shards   int
-	Volume   uint64        // of the block clients; 0: one each
-	Clients  int           // of each kind
+	Shards   int           // number of shards
+	Volume   uint64        // volume of all block clients; 0 means a volume for each
+	Clients  int           // number of clients for each frontend protocol
 	Pause    time.Duration // between two requests of a client
-	Patience time.Duration // how long an answer is waited for
+	Patience time.Duration // request timeout; 0 means 10 s
 
-	Served    atomic.Int64
-	Refused   atomic.Int64
-	Failed    atomic.Int64 // answered so
-	Broken    atomic.Int64 // the connection ended without an answer
-	Silent    atomic.Int64 // no answer in time
-	Unreached atomic.Int64 // connections that no broker took; nothing was sent
-	Wrong     atomic.Int64 // an answer that was not made for the request, or a second one
+	Served        atomic.Int64
+	Refused       atomic.Int64
+	Failed        atomic.Int64 // answered with an error
+	Disconnected  atomic.Int64 // the connection ended before the response
+	Silent        atomic.Int64 // no response within the timeout
+	ConnectFailed atomic.Int64 // a connection could not be opened, so nothing was sent
+	Wrong         atomic.Int64 // a response for another request, or a second response
 
-	mu   sync.Mutex
-	what []string // the first few that were wrong
-	seq  atomic.Int64
+	mu         sync.Mutex
+	complaints []string // descriptions of the first ten wrong responses
+	lastID     atomic.Int64
 }
 
 // Sent counts the requests that were written to a connection.
 func (t *Traffic) Sent() int64 {
-	return t.Served.Load() + t.Refused.Load() + t.Failed.Load() + t.Broken.Load() + t.Silent.Load() + t.Wrong.Load()
+	return t.Served.Load() + t.Refused.Load() + t.Failed.Load() + t.Disconnected.Load() + t.Silent.Load() + t.Wrong.Load()
 }
 
-// String sums it up.
+// String summarizes the outcomes of all requests.
 func (t *Traffic) String() string {
-	return fmt.Sprintf("%d requests: %d served, %d refused, %d failed, %d cut off, %d without an answer, %d with a wrong or second one",
-		t.Sent(), t.Served.Load(), t.Refused.Load(), t.Failed.Load(), t.Broken.Load(), t.Silent.Load(), t.Wrong.Load())
+	return fmt.Sprintf("%d requests: %d served, %d refused, %d failed, %d disconnected, %d timed out, %d with a wrong or second response",
+		t.Sent(), t.Served.Load(), t.Refused.Load(), t.Failed.Load(), t.Disconnected.Load(), t.Silent.Load(), t.Wrong.Load())
 }
 
-// Complaints lists the first few wrong answers.
+// Complaints describes the first ten wrong responses.
 func (t *Traffic) Complaints() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return append([]string(nil), t.what...)
+	return append([]string(nil), t.complaints...)
 }
 
-func (t *Traffic) wrong(format string, args ...any) {
+func (t *Traffic) reportWrong(format string, args ...any) {
 	t.Wrong.Add(1)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.what) < 10 {
-		t.what = append(t.what, fmt.Sprintf(format, args...))
+	if len(t.complaints) < 10 {
+		t.complaints = append(t.complaints, fmt.Sprintf(format, args...))
 	}
 }
 
-// Run drives traffic until ctx is done, and returns when every answer that is owed has come or is overdue.
+// Run sends requests until ctx is done, and returns when each has been answered or has timed out.
 func (t *Traffic) Run(ctx context.Context) {
 	if t.Patience == 0 {
 		t.Patience = 10 * time.Second
 	}
-	var all sync.WaitGroup
+	var clients sync.WaitGroup
 	for k := range t.Clients {
 		if len(t.Blocks) > 0 {
-			all.Go(func() { t.blocks(ctx, k) })
+			clients.Go(func() { t.runBlockClient(ctx, k) })
 		}
 		if len(t.Objects) > 0 {
-			all.Go(func() { t.objects(ctx, k) })
+			clients.Go(func() { t.runObjectClient(ctx, k) })
 		}
 	}
-	all.Wait()
+	clients.Wait()
 }
 
-// conn is a client's connection to a block front.
+// conn is a client's connection to a block frontend.
 type conn struct {
 	net.Conn
 	r *bufio.Reader
 }
 
+// dial returns a connection to a block frontend, or nil if it cannot be opened.
 func (t *Traffic) dial(ctx context.Context, addr string) *conn {
 	d := net.Dialer{Timeout: time.Second}
 	c, err := d.DialContext(ctx, "tcp", addr)
@@ -102,8 +103,9 @@
 	return &conn{c, bufio.NewReader(c)}
 }
 
-func (t *Traffic) blocks(ctx context.Context, k int) {
-	at, volume := k, t.Volume
+// runBlockClient runs block client k until ctx is done. Every third request is a read.
+func (t *Traffic) runBlockClient(ctx context.Context, k int) {
+	broker, volume := k, t.Volume
 	if volume == 0 {
 		volume = uint64(k + 1)
 	}
@@ -119,21 +121,21 @@
 			c = nil
 		}
 		if c == nil {
-			at++
-			if c = t.dial(ctx, t.Blocks[at%len(t.Blocks)]); c == nil {
-				t.Unreached.Add(1)
-				t.rest(ctx)
+			broker++
+			if c = t.dial(ctx, t.Blocks[broker%len(t.Blocks)]); c == nil {
+				t.ConnectFailed.Add(1)
+				t.pause(ctx)
 				continue
 			}
 		}
-		id := strconv.FormatInt(t.seq.Add(1), 10)
+		id := strconv.FormatInt(t.lastID.Add(1), 10)
 		class, words := t.Write, []string{"BLK.WRITE"}
 		if n%3 == 2 {
 			class, words = t.Read, []string{"BLK.READ"}
 		}
 		shard, _ := strconv.Atoi(id)
 		shard %= max(t.Shards, 1)
-		piece := fmt.Sprintf("%016x", 1<<40+t.seq.Load()*7919+int64(k))
+		piece := fmt.Sprintf("%016x", 1<<40+t.lastID.Load()*7919+int64(k))
 		want := "v-" + id
 		words = append(words, piece, id, fmt.Sprintf("c=%s,t=%s,d=%d,volume=%016x,units=1,shard=%d,hosts=%d", class, t.Plan,
 			t.Patience.Milliseconds()/2, volume, shard, len(t.Blocks)))
@@ -142,15 +144,15 @@
 		} else {
 			want = ""
 		}
-		if !t.ask(c, words, want) {
+		if !t.roundTrip(c, words, want) {
 			_ = c.Close()
 			c = nil
 		}
-		t.rest(ctx)
+		t.pause(ctx)
 	}
 }
 
-func (t *Traffic) rest(ctx context.Context) {
+func (t *Traffic) pause(ctx context.Context) {
 	p := time.NewTimer(t.Pause)
 	defer p.Stop()
 	select {
@@ -159,7 +161,7 @@
 	}
 }
 
-// stale reports whether the broker has closed an idle connection, or has sent what nobody asked for.
+// stale reports whether the broker has closed the idle connection or has sent something without a request.
 func (c *conn) stale() bool {
 	_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
 	_, err := c.r.Peek(1)
@@ -167,8 +169,9 @@
 	return !errors.As(err, &ne) || !ne.Timeout()
 }
 
-// ask sends one command and reads its answer. It reports whether the connection can go on.
-func (t *Traffic) ask(c *conn, words []string, want string) bool {
+// roundTrip sends a command, reads the reply and counts the outcome. It reports whether the connection can be reused.
+// want is the expected value; "" accepts any.
+func (t *Traffic) roundTrip(c *conn, words []string, want string) bool {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "*%d\r\n", len(words))
 	for _, w := range words {
@@ -176,24 +179,24 @@
 	}
 	_ = c.SetDeadline(time.Now().Add(t.Patience))
 	if _, err := c.Write(b.Bytes()); err != nil {
-		t.Broken.Add(1)
+		t.Disconnected.Add(1)
 		return false
 	}
-	got, kind, err := answer(c.r)
+	got, replyType, err := readReply(c.r)
 	var ne net.Error
 	switch {
 	case errors.As(err, &ne) && ne.Timeout():
 		t.Silent.Add(1)
 	case err != nil:
-		t.Broken.Add(1)
-	case kind == '-' && strings.HasPrefix(got, "BUSY"):
+		t.Disconnected.Add(1)
+	case replyType == '-' && strings.HasPrefix(got, "BUSY"):
 		t.Refused.Add(1)
 		return true
-	case kind == '-':
+	case replyType == '-':
 		t.Failed.Add(1)
 		return true
 	case got != want && want != "":
-		t.wrong("%v: %q", words[:3], got)
+		t.reportWrong("%v: got %q, want %q", words[:3], got, want)
 	default:
 		t.Served.Add(1)
 		return true
@@ -201,51 +204,53 @@
 	return false
 }
 
-// answer reads one reply and returns its first string.
-func answer(r *bufio.Reader) (text string, kind byte, err error) {
+// readReply reads a RESP reply and returns its text, which for an array is that of the first element, and its type
+// byte.
+func readReply(r *bufio.Reader) (text string, replyType byte, err error) {
 	line, err := r.ReadString('\n')
 	if err != nil {
 		return "", 0, err
 	}
 	line = strings.TrimRight(line, "\r\n")
 	if line == "" {
-		return "", 0, errors.New("empty line")
+		return "", 0, errors.New("RESP reply begins with an empty line")
 	}
-	switch kind = line[0]; kind {
+	switch replyType = line[0]; replyType {
 	case '-', '+', ':':
-		return line[1:], kind, nil
+		return line[1:], replyType, nil
 	case '$':
 		n, err := strconv.Atoi(line[1:])
 		if err != nil || n < 0 {
-			return "", kind, err
+			return "", replyType, err
 		}
 		b := make([]byte, n+2)
 		_, err = io.ReadFull(r, b)
-		return string(b[:n]), kind, err
+		return string(b[:n]), replyType, err
 	case '*':
 		n, err := strconv.Atoi(line[1:])
 		if err != nil {
-			return "", kind, err
+			return "", replyType, err
 		}
 		for k := range n {
-			s, _, err := answer(r)
+			s, _, err := readReply(r)
 			if err != nil {
-				return "", kind, err
+				return "", replyType, err
 			}
 			if k == 0 {
 				text = s
 			}
 		}
-		return text, kind, nil
+		return text, replyType, nil
 	}
-	return "", kind, fmt.Errorf("reply %q", line)
+	return "", replyType, fmt.Errorf("RESP reply of unknown type: %q", line)
 }
 
-func (t *Traffic) objects(ctx context.Context, k int) {
+// runObjectClient runs object client k until ctx is done. It writes objects and reads each back.
+func (t *Traffic) runObjectClient(ctx context.Context, k int) {
 	tr := &http.Transport{MaxIdleConnsPerHost: 1}
 	defer tr.CloseIdleConnections()
 	client := &http.Client{Transport: tr, Timeout: t.Patience}
-	at := k
+	broker := k
 	do := func(method, url, body string) (int, string, error) {
 		req, err := http.NewRequest(method, url, strings.NewReader(body))
 		if err != nil {
@@ -260,8 +265,8 @@
 		return resp.StatusCode, string(b), err
 	}
 	for ctx.Err() == nil {
-		id := t.seq.Add(1)
-		url := fmt.Sprintf("http://%s/load/k%d", t.Objects[at%len(t.Objects)], id)
+		id := t.lastID.Add(1)
+		url := fmt.Sprintf("http://%s/load/k%d", t.Objects[broker%len(t.Objects)], id)
 		value := fmt.Sprint("v-", id)
 		for _, method := range []string{http.MethodPut, http.MethodGet} {
 			body := ""
@@ -271,15 +276,15 @@
 			status, got, err := do(method, url, body)
 			var op *net.OpError
 			if err != nil {
-				at++
+				broker++
 				switch {
 				case errors.As(err, &op) && op.Op == "dial":
-					t.Unreached.Add(1)
-					t.rest(ctx)
+					t.ConnectFailed.Add(1)
+					t.pause(ctx)
 				case strings.Contains(err.Error(), "Client.Timeout"):
 					t.Silent.Add(1)
 				default:
-					t.Broken.Add(1)
+					t.Disconnected.Add(1)
 				}
 				break
 			}
@@ -289,7 +294,7 @@
 			case status != http.StatusOK:
 				t.Failed.Add(1)
 			case method == http.MethodGet && got != value:
-				t.wrong("GET %s: %q", url, got)
+				t.reportWrong("GET %s: got %q, want %q", url, got, value)
 			default:
 				t.Served.Add(1)
 			}
@@ -297,22 +302,22 @@
 				break
 			}
 		}
-		t.rest(ctx)
+		t.pause(ctx)
 	}
 }
 
-// Twice lists the ids among a node's commands that came more than once with a class that must not.
-func Twice(seen ...[]string) (out []string) {
-	n := map[string]int{}
-	for _, list := range seen {
-		for _, s := range list {
-			if strings.HasPrefix(s, "BLK.WRITE ") {
-				n[s]++
-				if n[s] == 2 {
-					out = append(out, s)
+// Twice returns the writes that occur more than once in the results of Block.Seen of several servers.
+func Twice(seen ...[]string) (repeated []string) {
+	count := map[string]int{}
+	for _, commands := range seen {
+		for _, command := range commands {
+			if strings.HasPrefix(command, "BLK.WRITE ") {
+				count[command]++
+				if count[command] == 2 {
+					repeated = append(repeated, command)
 				}
 			}
 		}
 	}
-	return out
+	return repeated
 }
--- a/tools/measure/fleet.go
+++ b/tools/measure/fleet.go
@@ -65,7 +65,7 @@
 		return err
 	}
 	fmt.Printf("| %s | %d | %.2f s | %.2f s | %d | %.0f | %d | %d | %d | %d | %d | %d |\n", name, n, start.Seconds(), change.Seconds(), load.Sent(),
-		float64(load.Served.Load())/(change+time.Second).Seconds(), load.Unreached.Load(), load.Refused.Load(), load.Failed.Load(), load.Broken.Load(), load.Silent.Load(), load.Wrong.Load())
+		float64(load.Served.Load())/(change+time.Second).Seconds(), load.ConnectFailed.Load(), load.Refused.Load(), load.Failed.Load(), load.Disconnected.Load(), load.Silent.Load(), load.Wrong.Load())
 	return nil
 }
 
