--- a/internal/testkit/faultfs/faultfs.go
+++ b/internal/testkit/faultfs/faultfs.go
@@ -1,5 +1,5 @@
-// Package faultfs is a folder in memory that fails, fills up or dies at a call of the test's choosing. What was not
-// synced is lost at a crash, or half of it is. Tests use it in place of the disk.
+// Package faultfs has a folder in memory that replaces the disk in tests. A test chooses the call at which a sync
+// fails, the space runs out or the machine crashes. At a crash, data that was not synced is lost, all or half of it.
 package faultfs
 
 import (
@@ -13,82 +13,84 @@
 	"poppyarch/internal/fleet/journal"
 )
 
-// ErrCrashed is what every call gives once the machine is down.
+// ErrCrashed is returned by every call from a crash until Reboot, and by files opened before the crash.
 var ErrCrashed = errors.New("faultfs: crashed")
 
-// FS is the folder.
+// FS is a folder in memory. It implements journal.FS.
 type FS struct {
-	mu      sync.Mutex
-	names   map[string]*node // as the process sees them
-	durable map[string]*node // as they are after a crash
-	calls   int
-	crashAt int // the call that does not come to its end; 0: none
-	half    bool
-	down    bool
-	room    int // bytes that may still be written; negative: no bound
-	syncErr error
-	life    int
+	mu        sync.Mutex
+	names     map[string]*inode // the files as the process sees them
+	durable   map[string]*inode // the files that exist after a crash
+	calls     int               // counted by beginCall
+	crashAt   int               // number of the call in which the machine crashes; 0 if none
+	partial   bool              // see CrashAt
+	crashed   bool
+	spaceLeft int // bytes that can still be written; negative if unlimited
+	syncErr   error
+	boot      int // number of reboots
 }
 
-type node struct {
+type inode struct {
 	data   []byte
-	synced int // bytes that survive a crash
+	synced int // length of the data that survives a crash
 }
 
 // New returns an empty folder.
 func New() *FS {
-	return &FS{names: map[string]*node{}, durable: map[string]*node{}, room: -1}
+	return &FS{names: map[string]*inode{}, durable: map[string]*inode{}, spaceLeft: -1}
 }
 
-// CrashAt has the machine go down within the n-th call from now on, counted from 1. With half, a write or sync in
-// which it goes down has got half way.
-func (f *FS) CrashAt(n int, half bool) {
+// CrashAt makes the machine crash in the n-th modifying call from now on, counted from 1. That call has no durable
+// effect unless partial is set: then half of the data of a Write or Sync is durable, and a Rename or SyncDir is carried
+// out.
+func (f *FS) CrashAt(n int, partial bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.crashAt, f.half = f.calls+n, half
+	f.crashAt, f.partial = f.calls+n, partial
 }
 
-// SetRoom bounds the bytes that may still be written; negative lifts the bound.
+// SetRoom sets the number of bytes that can still be written before writes fail with ENOSPC. A negative number means no
+// limit.
 func (f *FS) SetRoom(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.room = n
+	f.spaceLeft = n
 }
 
-// FailSync has every sync fail with err, until nil.
+// FailSync makes every Sync of a file fail with err. nil ends this.
 func (f *FS) FailSync(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.syncErr = err
 }
 
-// Calls counts the calls that change something.
+// Calls returns the number of modifying calls so far.
 func (f *FS) Calls() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.calls
 }
 
-// Down reports whether the machine is down.
+// Down reports whether the machine has crashed and was not rebooted.
 func (f *FS) Down() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.down
+	return f.crashed
 }
 
-// Reboot brings the machine up again with what survived.
+// Reboot restarts the machine with the files and data that were durable. Files opened before stay unusable.
 func (f *FS) Reboot() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.life++
-	f.down, f.crashAt, f.names = false, 0, map[string]*node{}
+	f.boot++
+	f.crashed, f.crashAt, f.names = false, 0, map[string]*inode{}
 	for name, n := range f.durable {
 		n.data = n.data[:min(n.synced, len(n.data))]
 		f.names[name] = n
 	}
 }
 
-// Edit changes a file's bytes in place, as a failing disk would.
+// Edit replaces a file's content in place, like a failing disk that corrupts data.
 func (f *FS) Edit(name string, edit func([]byte) []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -97,133 +99,134 @@
 	n.synced = len(n.data)
 }
 
-// enter counts a call and reports whether it is the one in which the machine goes down.
-func (f *FS) enter() (last bool, err error) {
-	if f.down {
+// beginCall counts a modifying call and reports whether the machine crashes in it. It returns ErrCrashed if the machine
+// has crashed before.
+func (f *FS) beginCall() (crashing bool, err error) {
+	if f.crashed {
 		return false, ErrCrashed
 	}
 	f.calls++
 	if f.crashAt > 0 && f.calls >= f.crashAt {
-		f.down = true
+		f.crashed = true
 		return true, nil
 	}
 	return false, nil
 }
 
-// file is an open one. It does not outlive a crash.
+// file is an open file. It is unusable after a crash.
 type file struct {
-	fs   *FS
-	node *node
-	life int
+	fs    *FS
+	inode *inode
+	boot  int
 }
 
-func (x *file) enter() (bool, error) {
-	if x.life != x.fs.life {
+func (x *file) beginCall() (crashing bool, err error) {
+	if x.boot != x.fs.boot {
 		return false, ErrCrashed
 	}
-	return x.fs.enter()
+	return x.fs.beginCall()
 }
 
-// Write appends.
+// Write appends p to the file.
 func (x *file) Write(p []byte) (int, error) {
 	x.fs.mu.Lock()
 	defer x.fs.mu.Unlock()
-	last, err := x.enter()
+	crashing, err := x.beginCall()
 	if err != nil {
 		return 0, err
 	}
-	if last {
-		if x.fs.half { // and what the kernel held had just been written out
-			x.node.data = append(x.node.data, p[:len(p)/2]...)
-			x.node.synced = len(x.node.data)
+	if crashing {
+		if x.fs.partial { // the kernel has written back its cached data just before the crash
+			x.inode.data = append(x.inode.data, p[:len(p)/2]...)
+			x.inode.synced = len(x.inode.data)
 		}
 		return 0, ErrCrashed
 	}
 	n := len(p)
-	if x.fs.room >= 0 {
-		n = min(n, x.fs.room)
-		x.fs.room -= n
+	if x.fs.spaceLeft >= 0 {
+		n = min(n, x.fs.spaceLeft)
+		x.fs.spaceLeft -= n
 	}
-	x.node.data = append(x.node.data, p[:n]...)
+	x.inode.data = append(x.inode.data, p[:n]...)
 	if n < len(p) {
 		return n, syscall.ENOSPC
 	}
 	return n, nil
 }
 
-// Sync makes what was written durable.
+// Sync makes the written data durable.
 func (x *file) Sync() error {
 	x.fs.mu.Lock()
 	defer x.fs.mu.Unlock()
-	last, err := x.enter()
+	crashing, err := x.beginCall()
 	switch {
 	case err != nil:
 		return err
-	case last:
-		if x.fs.half {
-			x.node.synced += (len(x.node.data) - x.node.synced) / 2
+	case crashing:
+		if x.fs.partial {
+			x.inode.synced += (len(x.inode.data) - x.inode.synced) / 2
 		}
 		return ErrCrashed
 	case x.fs.syncErr != nil:
 		return x.fs.syncErr
 	}
-	x.node.synced = len(x.node.data)
+	x.inode.synced = len(x.inode.data)
 	return nil
 }
 
-// Truncate cuts.
+// Truncate shortens the file to size bytes.
 func (x *file) Truncate(size int64) error {
 	x.fs.mu.Lock()
 	defer x.fs.mu.Unlock()
-	last, err := x.enter()
+	crashing, err := x.beginCall()
 	if err != nil {
 		return err
 	}
-	if last {
+	if crashing {
 		return ErrCrashed
 	}
-	x.node.data = x.node.data[:size]
-	x.node.synced = min(x.node.synced, int(size))
+	x.inode.data = x.inode.data[:size]
+	x.inode.synced = min(x.inode.synced, int(size))
 	return nil
 }
 
-// Close does nothing that could fail.
+// Close closes the file. It never fails.
 func (x *file) Close() error { return nil }
 
-// Create makes an empty file. Its name survives a crash only after SyncDir.
+// Create creates an empty file. The file survives a crash only after SyncDir.
 func (f *FS) Create(name string) (journal.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	last, err := f.enter()
+	crashing, err := f.beginCall()
 	if err != nil {
 		return nil, err
 	}
-	if last {
+	if crashing {
 		return nil, ErrCrashed
 	}
-	f.names[name] = &node{}
-	return &file{f, f.names[name], f.life}, nil
+	f.names[name] = &inode{}
+	return &file{f, f.names[name], f.boot}, nil
 }
 
-// Append opens a file.
+// Append opens an existing file for appending.
 func (f *FS) Append(name string) (journal.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.down {
+	if f.crashed {
 		return nil, ErrCrashed
 	}
 	n := f.names[name]
 	if n == nil {
 		return nil, fs.ErrNotExist
 	}
-	return &file{f, n, f.life}, nil
+	return &file{f, n, f.boot}, nil
 }
 
-// ReadFile reads one.
+// ReadFile returns a file's content.
 func (f *FS) ReadFile(name string) ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.down {
+	if f.crashed {
 		return nil, ErrCrashed
 	}
 	n := f.names[name]
@@ -233,15 +236,15 @@
 	return slices.Clone(n.data), nil
 }
 
-// Rename puts one in another's place.
+// Rename renames a file and replaces an existing one of the new name. The change survives a crash only after SyncDir.
 func (f *FS) Rename(from, to string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	last, err := f.enter()
+	crashing, err := f.beginCall()
 	if err != nil {
 		return err
 	}
-	if last && !f.half {
+	if crashing && !f.partial {
 		return ErrCrashed
 	}
 	n := f.names[from]
@@ -250,22 +253,22 @@
 	}
 	f.names[to] = n
 	delete(f.names, from)
-	if last { // it got through to the disk just before
+	if crashing { // the change reached the disk just before the crash
 		f.durable = maps.Clone(f.names)
 		return ErrCrashed
 	}
 	return nil
 }
 
-// Remove deletes one.
+// Remove deletes a file. The change survives a crash only after SyncDir.
 func (f *FS) Remove(name string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	last, err := f.enter()
+	crashing, err := f.beginCall()
 	if err != nil {
 		return err
 	}
-	if last {
+	if crashing {
 		return ErrCrashed
 	}
 	if f.names[name] == nil {
@@ -275,29 +278,29 @@
 	return nil
 }
 
-// List names the files.
+// List returns the names of all files in order.
 func (f *FS) List() ([]string, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.down {
+	if f.crashed {
 		return nil, ErrCrashed
 	}
 	return slices.Sorted(maps.Keys(f.names)), nil
 }
 
-// SyncDir makes names durable.
+// SyncDir makes created, renamed and removed files durable.
 func (f *FS) SyncDir() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	last, err := f.enter()
+	crashing, err := f.beginCall()
 	if err != nil {
 		return err
 	}
-	if last && !f.half {
+	if crashing && !f.partial {
 		return ErrCrashed
 	}
 	f.durable = maps.Clone(f.names)
-	if last {
+	if crashing {
 		return ErrCrashed
 	}
 	return nil
