--- a/internal/testkit/compat/golden_test.go
+++ b/internal/testkit/compat/golden_test.go
@@ -13,9 +13,9 @@
 	"poppyarch/internal/fleet/state"
 )
 
-var update = flag.Bool("update", false, "write the files under testdata anew; only for forms that no released version has written")
+var update = flag.Bool("update", false, "rewrite the files under testdata; only for encodings that no released version has written")
 
-// compareGolden compares got with a file under testdata.
+// compareGolden fails the test if got differs from a file under testdata. With -update it writes the file first.
 func compareGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -39,13 +39,13 @@
 	return content
 }
 
-// filler sets every field of a value to something that is not its zero value, the same in every run.
+// filler sets every field of a value to a non-zero value, which is the same in every run.
 type filler struct {
 	next  int64
-	depth int
+	depth int // of the value being filled
 }
 
-// maxDepth bounds types that contain themselves.
+// maxDepth bounds the filling of recursive types.
 const maxDepth = 8
 
 func (f *filler) number() int64 {
--- a/internal/testkit/compat/json_test.go
+++ b/internal/testkit/compat/json_test.go
@@ -29,8 +29,8 @@
 	"poppyarch/internal/observability/record"
 )
 
-// jsonExamples has each type that is stored, sent or printed as JSON. The name of an example is its file's and does not follow
-// the type's. A zero value is filled before it is encoded.
+// jsonExamples has a value of each type that is stored, sent or printed as JSON, by the base name of its file under
+// testdata. File names do not change when types are renamed. Zero values are filled before they are encoded.
 var jsonExamples = map[string]any{
 	"agent-changes":           &agent.ReloadResult{},
 	"agent-reply":             &agent.Reply{},
@@ -102,7 +102,7 @@
 	"state-revision-instance": &state.InstanceChange{},
 }
 
-// TestJSONEncodingsAreStable holds the encoding of each type to the bytes that it had before.
+// TestJSONEncodingsAreStable checks that each type is encoded to the same bytes as by an earlier version.
 func TestJSONEncodingsAreStable(t *testing.T) {
 	for name, example := range jsonExamples {
 		t.Run(name, func(t *testing.T) {
@@ -119,7 +119,8 @@
 	}
 }
 
-// TestStoredJSONDecodesWithoutLoss decodes what a stored type was encoded to before and encodes it again.
+// TestStoredJSONDecodesWithoutLoss checks that the JSON that an earlier version wrote is the same after it has been
+// decoded and encoded again.
 func TestStoredJSONDecodesWithoutLoss(t *testing.T) {
 	for name, target := range map[string]any{
 		"api-apply":             &api.ApplyRequest{},
@@ -153,7 +154,7 @@
 				t.Fatal(err)
 			}
 			if !bytes.Equal(append(encoded, '\n'), stored) {
-				t.Errorf("encoded again it differs:\n%s", encoded)
+				t.Errorf("decoded and encoded again, the stored JSON differs:\n got: %s\nwant: %s", encoded, stored)
 			}
 		})
 	}
--- a/internal/testkit/compat/stored_test.go
+++ b/internal/testkit/compat/stored_test.go
@@ -16,7 +16,7 @@
 	"poppyarch/internal/observability/sketch"
 )
 
-// openJournal opens a journal folder that holds the given files and returns what was read and the folder.
+// openJournal opens a journal in a new folder with the given files. It returns the journal's contents and the folder.
 func openJournal(t *testing.T, files map[string][]byte) (*journal.Contents, string, error) {
 	t.Helper()
 	folder := t.TempDir()
@@ -50,7 +50,7 @@
 	return readFile(t, "testdata/manager/log-0")
 }
 
-// replayManagerLog applies the stored log to an empty state.
+// replayManagerLog applies the stored log to an empty state. It checks that each record is encoded as it was stored.
 func replayManagerLog(t *testing.T) *state.State {
 	t.Helper()
 	opened, _, err := openJournal(t, map[string][]byte{"log-0": managerLog(t)})
@@ -71,7 +71,7 @@
 			t.Fatalf("record %d: %v", i, err)
 		}
 		if !bytes.Equal(again, encoded) {
-			t.Errorf("record %d is encoded as\n%s\nand was stored as\n%s", i, again, encoded)
+			t.Errorf("record %d, decoded and encoded again, is\n%s\nwant\n%s", i, again, encoded)
 		}
 		if err := fleet.Apply(record); err != nil {
 			t.Fatalf("record %d: %v", i, err)
@@ -100,12 +100,13 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(again, stored) {
-		t.Errorf("restored and written again it differs:\n%s", again)
+		t.Errorf("restored and written again, the snapshot is\n%s\nwant\n%s", again, stored)
 	}
 }
 
-// TestJournalFilesAreWrittenAlike appends the stored log's records to an empty journal.
-func TestJournalFilesAreWrittenAlike(t *testing.T) {
+// TestJournalFileFormatIsStable checks that a journal with the records and the snapshot of an earlier version consists
+// of the same files.
+func TestJournalFileFormatIsStable(t *testing.T) {
 	opened, _, err := openJournal(t, map[string][]byte{"log-0": managerLog(t)})
 	if err != nil {
 		t.Fatal(err)
@@ -123,7 +124,7 @@
 		t.Fatal(err)
 	}
 	if got := readFile(t, filepath.Join(folder, "log-0")); !bytes.Equal(got, managerLog(t)) {
-		t.Error("the log's file differs from the stored one")
+		t.Error("the written log file differs from the stored one")
 	}
 	if err := log.Compact(readFile(t, "testdata/manager/snapshot.json")); err != nil {
 		t.Fatal(err)
@@ -140,12 +141,12 @@
 		t.Fatal(err)
 	}
 	if want := readFile(t, "testdata/manager/snapshot.json"); !bytes.Equal(opened.Snapshot, want) {
-		t.Errorf("the snapshot's content is\n%s\nwant\n%s", opened.Snapshot, want)
+		t.Errorf("the snapshot is\n%s\nwant\n%s", opened.Snapshot, want)
 	}
 }
 
-func TestTornManagerLogLosesOnlyTheUnfinishedRecord(t *testing.T) {
-	whole, _, err := openJournal(t, map[string][]byte{"log-0": managerLog(t)})
+func TestTornManagerLogLosesOnlyTheIncompleteRecord(t *testing.T) {
+	complete, _, err := openJournal(t, map[string][]byte{"log-0": managerLog(t)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -154,15 +155,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := len(torn.Records), len(whole.Records)-1; got != want {
+	if got, want := len(torn.Records), len(complete.Records)-1; got != want {
 		t.Errorf("%d records were read, want %d", got, want)
 	}
 	if torn.Report.TornBytes == 0 {
-		t.Error("the unfinished record is not reported")
+		t.Error("the incomplete record is not reported")
 	}
 }
 
-func TestDamagedManagerLogIsRefusedAndLeftAsItIs(t *testing.T) {
+func TestDamagedManagerLogIsRejectedAndNotChanged(t *testing.T) {
 	log := managerLog(t)
 	log[len(log)/2] ^= 1
 	opened, folder, err := openJournal(t, map[string][]byte{"log-0": log})
@@ -177,19 +178,19 @@
 	}
 }
 
-func TestDamagedManagerSnapshotIsRefused(t *testing.T) {
+func TestDamagedManagerSnapshotIsRejected(t *testing.T) {
 	stored := readFile(t, "testdata/manager/snapshot.json")
 	for name, damaged := range map[string][]byte{
-		"cut short":             stored[:len(stored)/2],
-		"names no instance":     bytes.Replace(stored, []byte(`"head":{"b1":`), []byte(`"head":{"b1":9`), 1),
-		"not an object at all ": []byte("[]"),
+		"truncated":         stored[:len(stored)/2],
+		"names no instance": bytes.Replace(stored, []byte(`"head":{"b1":`), []byte(`"head":{"b1":9`), 1),
+		"not an object":     []byte("[]"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			if bytes.Equal(damaged, stored) {
-				t.Fatal("nothing was damaged")
+				t.Fatal("the damaged snapshot equals the stored one")
 			}
 			if _, err := state.Restore(damaged, state.DefaultLimits()); err == nil {
-				t.Error("no error")
+				t.Error("the damaged snapshot was restored without an error")
 			}
 		})
 	}
@@ -221,7 +222,7 @@
 	return events
 }
 
-// encodeSegment returns a segment file of one frame.
+// encodeSegment returns a segment file with one frame.
 func encodeSegment(events []record.Event) []byte {
 	frame := record.Frame{Seq: 1, BaseTime: 1000, WrittenAt: 5000}
 	for i := range events {
@@ -230,11 +231,11 @@
 	return frame.Append(record.SegmentHeader("b1", "0123456789abcdef", 1))
 }
 
-func TestRecordSegmentsAreWrittenAlike(t *testing.T) {
+func TestRecordSegmentEncodingIsStable(t *testing.T) {
 	compareGolden(t, "records/segment", encodeSegment(sampleEvents()))
 }
 
-// decodeSegment returns a segment's events and how many bytes of it cannot be read.
+// decodeSegment returns the events of a segment and the number of its unreadable bytes.
 func decodeSegment(t *testing.T, segment []byte) (events []record.Event, damaged int) {
 	t.Helper()
 	name, boot, err := record.DecodeSegment(segment, func(part record.Part) {
@@ -260,7 +261,7 @@
 		t.Fatal(err)
 	}
 	if name != "b1" || boot != "0123456789abcdef" {
-		t.Errorf("the segment is %s's of boot %s", name, boot)
+		t.Errorf("the segment is of broker %q, boot %q, want b1 and 0123456789abcdef", name, boot)
 	}
 	return events, damaged
 }
@@ -269,17 +270,17 @@
 	stored := readFile(t, "testdata/records/segment")
 	events, damaged := decodeSegment(t, stored)
 	if damaged > 0 {
-		t.Errorf("%d bytes cannot be read", damaged)
+		t.Errorf("%d bytes are unreadable, want 0", damaged)
 	}
 	if want := len(sampleEvents()); len(events) != want {
 		t.Errorf("%d events were read, want %d", len(events), want)
 	}
 	if !bytes.Equal(encodeSegment(events), stored) {
-		t.Error("read and written again it differs")
+		t.Error("read and written again, the stored segment differs")
 	}
 }
 
-func TestDamagedRecordSegmentReportsWhatIsMissing(t *testing.T) {
+func TestDamagedRecordSegmentReportsUnreadableBytes(t *testing.T) {
 	stored := readFile(t, "testdata/records/segment")
 	damagedSegment := append(bytes.Clone(stored), stored[len(stored)-1])
 	events, damaged := decodeSegment(t, damagedSegment)
@@ -288,7 +289,7 @@
 	}
 }
 
-func TestNodeListsAreReadAndWrittenAlike(t *testing.T) {
+func TestNodeListFormatsAreStable(t *testing.T) {
 	rows := []nodefile.Row{*filled(&nodefile.Row{}).(*nodefile.Row)}
 	rows[0].ID, rows[0].State, rows[0].Addr, rows[0].Zone = "s-1", "draining", "127.0.0.1:7001", "room"
 	rows[0].Objects = "127.0.0.1:7002"
@@ -310,7 +311,7 @@
 	}
 }
 
-func TestInventoriesAreReadAlike(t *testing.T) {
+func TestInventoryFormatsAreStable(t *testing.T) {
 	for _, name := range []string{"inventory.csv", "inventory.yaml", "inventory-tour.yaml"} {
 		instances, err := inventory.Parse(name, readFile(t, "testdata/lists/"+name))
 		if err != nil {
--- a/internal/testkit/fixedseed/fixedseed.go
+++ b/internal/testkit/fixedseed/fixedseed.go
@@ -1,5 +1,5 @@
-// Package fixedseed has property tests draw the same cases in every run, so that a verdict never depends on luck.
-// -rapid.seed=N tries others.
+// Package fixedseed makes property tests draw the same cases in every run, so that their results do not depend on
+// chance. The flag -rapid.seed=N selects other cases.
 package fixedseed
 
 import (
@@ -7,16 +7,16 @@
 	"os"
 	"testing"
 
-	_ "pgregory.net/rapid" // defines the flags
+	_ "pgregory.net/rapid" // defines the flags that Set changes
 )
 
-// Main is a package's TestMain.
+// Main runs the tests of a package with a fixed seed. A package's TestMain calls it.
 func Main(m *testing.M) {
 	Set()
 	os.Exit(m.Run())
 }
 
-// Set fixes the seed unless the command line gives one.
+// Set fixes the seed unless the command line gives one, and stops rapid from writing files about failed cases.
 func Set() {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
--- a/internal/testkit/knownred/knownred.go
+++ b/internal/testkit/knownred/knownred.go
@@ -1,4 +1,5 @@
-// Package knownred reads KNOWN-RED.txt, the list of tests that are known to fail because of a fault that is not fixed yet.
+// Package knownred reads KNOWN-RED.txt, the list of tests that are known to fail because of a bug that is not fixed
+// yet.
 //
 // Each line is an entry of four fields:
 //
@@ -17,14 +18,14 @@
 // MaxEntries is how many tests may be listed at once.
 const MaxEntries = 3
 
-// Errors of a list. Parse returns them in a LineError.
+// Errors of a list, which Parse wraps in a LineError.
 var (
 	ErrMalformed = errors.New("not in the form PACKAGE TEST | COMMAND WITH SEED | WHAT WAS SEEN | issue N")
 	ErrDuplicate = errors.New("listed twice")
 	ErrTooMany   = fmt.Errorf("more than %d tests are listed", MaxEntries)
 )
 
-// LineError names the line of a list that is wrong.
+// LineError is an error in a line of a list.
 type LineError struct {
 	Line int // from 1
 	Text string
@@ -33,16 +34,15 @@
 
 func (e *LineError) Error() string { return fmt.Sprintf("line %d: %v: %q", e.Line, e.Err, e.Text) }
 
-// Unwrap returns the reason.
 func (e *LineError) Unwrap() error { return e.Err }
 
 // Entry is one listed test.
 type Entry struct {
 	Package string // import path
 	Test    string
-	Command string // that shows the failure, with its seed
-	Seen    string
-	Issue   string // number
+	Command string // reproduces the failure; includes the seed
+	Seen    string // the observed failure
+	Issue   string // issue number
 }
 
 func (e Entry) String() string {
@@ -51,7 +51,7 @@
 
 var entryPattern = regexp.MustCompile(`^(\S+) (Test\w+|Fuzz\w+) \| (\S[^|]*) \| (\S[^|]*) \| issue (\d+)$`)
 
-// Parse reads the text of a list. The error is a *LineError.
+// Parse parses the text of a list. Its errors are of type *LineError.
 func Parse(text string) ([]Entry, error) {
 	var entries []Entry
 	listed := map[string]bool{}
--- a/internal/testkit/knownred/knownred_test.go
+++ b/internal/testkit/knownred/knownred_test.go
@@ -44,15 +44,15 @@
 	}
 }
 
-func TestEntryIsPrintedAsItIsWritten(t *testing.T) {
+func TestEntryStringRoundTrips(t *testing.T) {
 	entries, err := Parse(sampleEntry)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got := entries[0].String(); got != sampleEntry {
-		t.Errorf("printed as %q, written as %q", got, sampleEntry)
+		t.Errorf("String() = %q, want the parsed text %q", got, sampleEntry)
 	}
 	if got := TestsByPackage(entries)["poppyarch/policy"]; !slices.Equal(got, []string{"TestA"}) {
-		t.Errorf("tests of the package are %v", got)
+		t.Errorf("tests of the package are %v, want [TestA]", got)
 	}
 }
