--- a/tools/measure/fleet.go
+++ b/tools/measure/fleet.go
@@ -17,33 +17,35 @@
 	"poppyarch/internal/testkit/fake"
 )
 
-// fleetCommand holds a rolling change of the fleet's manager and agents against one of the single agent, on loopback, under
-// the same load: how long it takes, and what clients see.
+// fleetCommand compares a rollout by the fleet's manager and agents with a rolling restart by a single agent without a
+// manager, under the same load: the time it takes and the outcomes of the clients' requests.
 func fleetCommand() *cobra.Command {
 	var runs int
-	c := &cobra.Command{Use: "fleet", Short: "compare a rolling change of a fleet with one of a single agent",
+	c := &cobra.Command{Use: "fleet", Short: "compare a rollout by a fleet's manager with one by a single agent",
 		RunE: func(*cobra.Command, []string) error { return measureRollouts(runs) }}
-	c.Flags().IntVar(&runs, "runs", 3, "repeats of each")
+	c.Flags().IntVar(&runs, "runs", 3, "runs of each variant")
 	return c
 }
 
 func measureRollouts(runs int) error {
 	fmt.Println("| way | run | start of 8 brokers | rolling change | requests | served a second | not reached | refused | failed | cut off | no answer | wrong |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-	for n := range runs {
-		for _, x := range []struct {
-			name string
-			f    func(context.Context, *cluster.Stack, *fake.Traffic, string) (time.Duration, time.Duration, error)
-		}{{"fleet", fleet}, {"fleet, agent killed in it", fleetKilled}, {"single agent", single}, {"single agent, killed", singleKilled}} {
-			if err := rolloutOnce(x.name, n+1, x.f); err != nil {
-				return fmt.Errorf("%s: %w", x.name, err)
+	for run := range runs {
+		for _, variant := range []struct {
+			name    string
+			rollout func(context.Context, *cluster.Stack, *fake.Traffic, string) (time.Duration, time.Duration, error)
+		}{{"fleet", rolloutByManager}, {"fleet, agent killed in it", rolloutByManagerWithCrash}, {"single agent", rolloutBySingleAgent}, {"single agent, killed", rolloutBySingleAgentWithCrash}} {
+			if err := measureRollout(variant.name, run+1, variant.rollout); err != nil {
+				return fmt.Errorf("%s: %w", variant.name, err)
 			}
 		}
 	}
 	return nil
 }
 
-func rolloutOnce(name string, n int, f func(context.Context, *cluster.Stack, *fake.Traffic, string) (time.Duration, time.Duration, error)) error {
+// measureRollout runs one variant on an installation of its own and prints its row of the table. rollout returns the
+// times that the start and the change of all brokers took.
+func measureRollout(name string, run int, rollout func(context.Context, *cluster.Stack, *fake.Traffic, string) (time.Duration, time.Duration, error)) error {
 	dir, err := os.MkdirTemp("", "fleet")
 	if err != nil {
 		return err
@@ -57,34 +59,35 @@
 	defer cancel()
 	load := &fake.Traffic{Blocks: s.Block, Objects: s.Front, Read: "artwork-read", Write: "job-new", Plan: "basis", Shards: 3, Clients: 4,
 		Pause: 5 * time.Millisecond}
-	start, change, err := f(ctx, s, load, program)
-	if e := s.Close(); err == nil {
-		err = e
+	start, change, err := rollout(ctx, s, load, program)
+	if closeErr := s.Close(); err == nil {
+		err = closeErr
 	}
 	if err != nil {
 		return err
 	}
-	fmt.Printf("| %s | %d | %.2f s | %.2f s | %d | %.0f | %d | %d | %d | %d | %d | %d |\n", name, n, start.Seconds(), change.Seconds(), load.Sent(),
+	fmt.Printf("| %s | %d | %.2f s | %.2f s | %d | %.0f | %d | %d | %d | %d | %d | %d |\n", name, run, start.Seconds(), change.Seconds(), load.Sent(),
 		float64(load.Served.Load())/(change+time.Second).Seconds(), load.ConnectFailed.Load(), load.Refused.Load(), load.Failed.Load(), load.Disconnected.Load(), load.Silent.Load(), load.Wrong.Load())
 	return nil
 }
 
-// under drives load while f runs, and half a second before and after.
-func under(ctx context.Context, load *fake.Traffic, f func() error) (time.Duration, error) {
-	on, stop := context.WithCancel(ctx)
-	var all sync.WaitGroup
-	all.Go(func() { load.Run(on) })
-	defer all.Wait()
+// timeUnderLoad returns how long f takes. The load runs from half a second before f until half a second after it.
+func timeUnderLoad(ctx context.Context, load *fake.Traffic, f func() error) (time.Duration, error) {
+	loadCtx, stop := context.WithCancel(ctx)
+	var clients sync.WaitGroup
+	clients.Go(func() { load.Run(loadCtx) })
+	defer clients.Wait()
 	defer stop()
 	time.Sleep(500 * time.Millisecond)
-	at := time.Now()
+	start := time.Now()
 	err := f()
-	took := time.Since(at)
+	duration := time.Since(start)
 	time.Sleep(500 * time.Millisecond)
-	return took, err
+	return duration, err
 }
 
-func settle(ctx context.Context, s *cluster.Stack) error {
+// waitUntilSettled waits until the manager reports that all instances run as specified.
+func waitUntilSettled(ctx context.Context, s *cluster.Stack) error {
 	for ctx.Err() == nil {
 		if o, err := s.Client.Overview(ctx, nil, nil); err == nil && o.Settled && o.Revision > 0 {
 			return nil
@@ -94,36 +97,38 @@
 	return ctx.Err()
 }
 
-func begin(ctx context.Context, s *cluster.Stack) (time.Duration, error) {
+// startFleet starts the manager, the agents and all brokers. It returns how long the apply command took.
+func startFleet(ctx context.Context, s *cluster.Stack) (time.Duration, error) {
 	if err := s.Start(ctx); err != nil {
 		return 0, err
 	}
 	if err := s.Inventory(map[string]string{"memory_mb": "96"}); err != nil {
 		return 0, err
 	}
-	at := time.Now()
+	begin := time.Now()
 	if out, err := s.Run("apply"); err != nil {
 		return 0, fmt.Errorf("%w: %s", err, out)
 	}
-	return time.Since(at), settle(ctx, s)
+	return time.Since(begin), waitUntilSettled(ctx, s)
 }
 
-func fleet(ctx context.Context, s *cluster.Stack, load *fake.Traffic, _ string) (start, change time.Duration, err error) {
-	return managed(ctx, s, load, false)
+func rolloutByManager(ctx context.Context, s *cluster.Stack, load *fake.Traffic, _ string) (start, change time.Duration, err error) {
+	return changeByManager(ctx, s, load, false)
 }
 
-func fleetKilled(ctx context.Context, s *cluster.Stack, load *fake.Traffic, _ string) (start, change time.Duration, err error) {
-	return managed(ctx, s, load, true)
+func rolloutByManagerWithCrash(ctx context.Context, s *cluster.Stack, load *fake.Traffic, _ string) (start, change time.Duration, err error) {
+	return changeByManager(ctx, s, load, true)
 }
 
-// managed changes all brokers by the fleet's manager; with kill its agent is killed in the middle of it.
-func managed(ctx context.Context, s *cluster.Stack, load *fake.Traffic, kill bool) (start, change time.Duration, err error) {
-	at := time.Now()
-	if _, err = begin(ctx, s); err != nil {
+// changeByManager starts the brokers and changes all of them through the fleet's manager. With kill, the agent is
+// killed during the change and restarted a second later.
+func changeByManager(ctx context.Context, s *cluster.Stack, load *fake.Traffic, kill bool) (start, change time.Duration, err error) {
+	begin := time.Now()
+	if _, err = startFleet(ctx, s); err != nil {
 		return
 	}
-	start = time.Since(at)
-	change, err = under(ctx, load, func() error {
+	start = time.Since(begin)
+	change, err = timeUnderLoad(ctx, load, func() error {
 		if err := s.Inventory(map[string]string{"memory_mb": "128"}); err != nil {
 			return err
 		}
@@ -138,43 +143,45 @@
 				return err
 			}
 		}
-		return settle(ctx, s)
+		return waitUntilSettled(ctx, s)
 	})
 	return
 }
 
-// agent starts the single agent and waits until all its instances run.
-func agent(s *cluster.Stack, program, dir string) (*exec.Cmd, error) {
+// startSingleAgent starts an agent that has no manager and waits until all its instances run.
+func startSingleAgent(s *cluster.Stack, program, dir string) (*exec.Cmd, error) {
 	cmd := exec.Command(program, "agent", "--inventory", filepath.Join(filepath.Dir(s.Config), "inventory.yaml"), "--run-dir", dir)
 	cmd.Stderr, _ = os.Create(filepath.Join(dir, "agent.log"))
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	for end := time.Now().Add(time.Minute); ; time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(time.Minute); ; time.Sleep(10 * time.Millisecond) {
 		if out, err := exec.Command(program, "status", "--run-dir", dir).CombinedOutput(); err == nil {
 			return cmd, nil
-		} else if time.Now().After(end) {
+		} else if time.Now().After(deadline) {
 			return cmd, fmt.Errorf("%w: %s", err, out)
 		}
 	}
 }
 
-func single(ctx context.Context, s *cluster.Stack, load *fake.Traffic, program string) (start, change time.Duration, err error) {
-	return alone(ctx, s, load, program, false)
+func rolloutBySingleAgent(ctx context.Context, s *cluster.Stack, load *fake.Traffic, program string) (start, change time.Duration, err error) {
+	return changeBySingleAgent(ctx, s, load, program, false)
 }
 
-func singleKilled(ctx context.Context, s *cluster.Stack, load *fake.Traffic, program string) (start, change time.Duration, err error) {
-	return alone(ctx, s, load, program, true)
+func rolloutBySingleAgentWithCrash(ctx context.Context, s *cluster.Stack, load *fake.Traffic, program string) (start, change time.Duration, err error) {
+	return changeBySingleAgent(ctx, s, load, program, true)
 }
 
-var agentKey = regexp.MustCompile(`, agent: m\d+`)
+var inventoryAgentKey = regexp.MustCompile(`, agent: m\d+`)
 
-func alone(ctx context.Context, s *cluster.Stack, load *fake.Traffic, program string, kill bool) (start, change time.Duration, err error) {
+// changeBySingleAgent starts the brokers and changes all of them through a single agent without a manager. With kill,
+// the agent is killed during the change and restarted a second later.
+func changeBySingleAgent(ctx context.Context, s *cluster.Stack, load *fake.Traffic, program string, kill bool) (start, change time.Duration, err error) {
 	dir := filepath.Join(filepath.Dir(s.Config), "single")
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		return 0, 0, err
 	}
-	write := func(memory string) error {
+	writeInventory := func(memory string) error {
 		if err := s.Inventory(map[string]string{"memory_mb": memory}); err != nil {
 			return err
 		}
@@ -183,43 +190,43 @@
 		if err != nil {
 			return err
 		}
-		return os.WriteFile(path, agentKey.ReplaceAll(b, nil), 0o600) // an earlier agent does not know the key
+		return os.WriteFile(path, inventoryAgentKey.ReplaceAll(b, nil), 0o600) // agents of earlier versions reject the key
 	}
-	if err := write("96"); err != nil {
+	if err := writeInventory("96"); err != nil {
 		return 0, 0, err
 	}
-	at := time.Now()
-	cmd, err := agent(s, program, dir)
+	begin := time.Now()
+	cmd, err := startSingleAgent(s, program, dir)
 	if err != nil {
 		return 0, 0, err
 	}
-	start = time.Since(at)
+	start = time.Since(begin)
 	defer func() {
 		_ = cmd.Process.Signal(syscall.SIGTERM)
 		_ = cmd.Wait()
 	}()
-	change, err = under(ctx, load, func() error {
-		if err := write("128"); err != nil {
+	change, err = timeUnderLoad(ctx, load, func() error {
+		if err := writeInventory("128"); err != nil {
 			return err
 		}
-		done := make(chan error, 1)
+		reloaded := make(chan error, 1)
 		go func() {
 			out, err := exec.Command(program, "reload", "--run-dir", dir).CombinedOutput()
 			if err != nil {
 				err = fmt.Errorf("%w: %s", err, out)
 			}
-			done <- err
+			reloaded <- err
 		}()
 		if !kill {
-			return <-done
+			return <-reloaded
 		}
 		time.Sleep(time.Second)
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
-		err := <-done
-		_ = err // it was killed
+		err := <-reloaded
+		_ = err // the reload command may fail because the agent was killed
 		time.Sleep(time.Second)
-		cmd, err = agent(s, program, dir)
+		cmd, err = startSingleAgent(s, program, dir)
 		return err
 	})
 	return start, change, err
--- a/tools/measure/incident.go
+++ b/tools/measure/incident.go
@@ -16,19 +16,19 @@
 	"poppyarch/internal/testkit/fake"
 )
 
-// incidentCommand plays a scripted incident over a whole installation on loopback, has the report made from the brokers'
-// records, and holds it against what really happened.
+// incidentCommand runs a scripted incident on a complete installation on loopback, creates the report from the brokers'
+// records, and compares it with what happened.
 func incidentCommand() *cobra.Command {
 	var out string
 	var unit time.Duration
-	c := &cobra.Command{Use: "incident", Short: "play a scripted incident and hold its report against what happened",
-		RunE: func(*cobra.Command, []string) error { return playIncident(out, unit) }}
+	c := &cobra.Command{Use: "incident", Short: "run a scripted incident and compare its report with what happened",
+		RunE: func(*cobra.Command, []string) error { return runScriptedIncident(out, unit) }}
 	c.Flags().StringVarP(&out, "output", "o", "incident.html", "the report")
-	c.Flags().DurationVar(&unit, "unit", time.Second, "how long a part of the script is")
+	c.Flags().DurationVar(&unit, "unit", time.Second, "duration of a unit of time of the script")
 	return c
 }
 
-func playIncident(out string, unit time.Duration) error {
+func runScriptedIncident(out string, unit time.Duration) error {
 	dir, err := os.MkdirTemp("", "incident")
 	if err != nil {
 		return err
@@ -56,25 +56,25 @@
 	if err != nil {
 		return err
 	}
-	a := incident.Analyse(streams, incident.DefaultOptions())
-	_ = report.Text(os.Stdout, a)
+	analysis := incident.Analyse(streams, incident.DefaultOptions())
+	_ = report.Text(os.Stdout, analysis)
 	fmt.Printf("\n%+v\n", *found)
 	f, err := os.Create(out)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = f.Close() }()
-	if err := report.HTML(f, a, "Scripted incident"); err != nil {
+	if err := report.HTML(f, analysis, "Scripted incident"); err != nil {
 		return err
 	}
-	wrong := check.Compare(a, truths, gaps, check.Options{Slack: 100_000, Gap: 700_000, Kinds: []incident.Kind{incident.BrokerDead, incident.NodeSilent,
+	differences := check.Compare(analysis, truths, gaps, check.Options{Slack: 100_000, Gap: 700_000, Kinds: []incident.Kind{incident.BrokerDead, incident.NodeSilent,
 		incident.DiscoveryDown, incident.NodeDrain, incident.VolumeSurge}})
-	for _, x := range wrong {
-		fmt.Println("WRONG:", x)
+	for _, difference := range differences {
+		fmt.Println("WRONG:", difference)
 	}
-	if len(wrong) > 0 {
-		return fmt.Errorf("%d things are wrong", len(wrong))
+	if len(differences) > 0 {
+		return fmt.Errorf("the report differs from what happened in %d points", len(differences))
 	}
-	fmt.Println("the report holds what was played")
+	fmt.Println("the report agrees with what happened")
 	return nil
 }
--- a/tools/measure/main.go
+++ b/tools/measure/main.go
@@ -1,4 +1,5 @@
-// Command measure runs the project's longer measurements, each on loopback, and prints tables in Markdown. No part of CI.
+// Command measure runs the project's longer measurements on loopback and prints their results as Markdown tables. CI
+// does not run it.
 package main
 
 import (
@@ -9,7 +10,7 @@
 	"github.com/spf13/cobra"
 )
 
-// program is the broker's binary, as an absolute path.
+// program is the absolute path of the poppyarch binary.
 var program string
 
 func main() {
@@ -20,7 +21,7 @@
 			return err
 		},
 	}
-	root.PersistentFlags().StringVar(&program, "program", "bin/poppyarch", "the broker's binary")
+	root.PersistentFlags().StringVar(&program, "program", "bin/poppyarch", "path of the poppyarch binary")
 	root.AddCommand(fleetCommand(), incidentCommand(), nodesCommand(), recordCommand(), subsetCommand())
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "measure:", err)
--- a/tools/measure/nodes.go
+++ b/tools/measure/nodes.go
@@ -13,54 +13,55 @@
 	"poppyarch/internal/testkit/fake"
 )
 
-// nodesCommand edits the list of storage nodes in every way under running brokers and load, and measures when new work
-// stops reaching the node that was taken away.
+// nodesCommand edits the list of storage nodes in various ways while brokers serve load, and measures when requests
+// stop reaching the node that was removed, drained or moved.
 func nodesCommand() *cobra.Command {
 	var runs int
-	c := &cobra.Command{Use: "nodes", Short: "edit node lists under load and measure when new work stops",
+	c := &cobra.Command{Use: "nodes", Short: "edit node lists under load and measure when requests to the removed node stop",
 		RunE: func(*cobra.Command, []string) error { return measureEdits(runs) }}
-	c.Flags().IntVar(&runs, "runs", 3, "repeats")
+	c.Flags().IntVar(&runs, "runs", 3, "number of runs")
 	return c
 }
 
 func measureEdits(runs int) error {
-	type sum struct {
-		most time.Duration
-		work int
+	type total struct {
+		maxLastRequestAfter time.Duration
+		maxRequestsAfter    int
 	}
 	var order []string
-	by := map[string]*sum{}
+	totals := map[string]*total{}
 	for range runs {
-		edits, err := editsOnce()
+		edits, err := editListsOnce()
 		if err != nil {
 			return err
 		}
 		for _, e := range edits {
-			x := by[e.Name]
+			x := totals[e.Name]
 			if x == nil {
-				x = &sum{}
-				by[e.Name] = x
+				x = &total{}
+				totals[e.Name] = x
 				order = append(order, e.Name)
 			}
-			x.most, x.work = max(x.most, e.LastRequestAfter), max(x.work, e.RequestsAfter)
+			x.maxLastRequestAfter, x.maxRequestsAfter = max(x.maxLastRequestAfter, e.LastRequestAfter), max(x.maxRequestsAfter, e.RequestsAfter)
 		}
 	}
 	fmt.Printf("| edit | last new work after it, the most of %d runs | pieces of work after it |\n| --- | --- | --- |\n", runs)
-	bad := 0
+	slow := 0
 	for _, name := range order {
-		x := by[name]
-		fmt.Printf("| %s | %d ms | %d |\n", name, x.most.Milliseconds(), x.work)
-		if x.most > 500*time.Millisecond {
-			bad++
+		x := totals[name]
+		fmt.Printf("| %s | %d ms | %d |\n", name, x.maxLastRequestAfter.Milliseconds(), x.maxRequestsAfter)
+		if x.maxLastRequestAfter > 500*time.Millisecond {
+			slow++
 		}
 	}
-	if bad > 0 {
-		return fmt.Errorf("%d edits took more than 500 ms", bad)
+	if slow > 0 {
+		return fmt.Errorf("after %d edits, requests reached the node for more than 500 ms", slow)
 	}
 	return nil
 }
 
-func editsOnce() ([]cluster.EditResult, error) {
+// editListsOnce runs all edits on an installation of its own.
+func editListsOnce() ([]cluster.EditResult, error) {
 	dir, err := os.MkdirTemp("", "nodes")
 	if err != nil {
 		return nil, err
@@ -76,10 +77,10 @@
 	defer func() { _ = s.Close() }()
 	load := &fake.Traffic{Blocks: s.Block, Objects: s.Front, Read: "artwork-read", Write: "job-new", Plan: "basis", Shards: 4, Clients: 4,
 		Pause: 2 * time.Millisecond}
-	on, stop := context.WithCancel(ctx)
-	var all sync.WaitGroup
-	all.Go(func() { load.Run(on) })
-	defer all.Wait()
+	loadCtx, stop := context.WithCancel(ctx)
+	var clients sync.WaitGroup
+	clients.Go(func() { load.Run(loadCtx) })
+	defer clients.Wait()
 	defer stop()
 	return s.Edits(ctx, time.Second, 20*time.Second)
 }
--- a/tools/measure/record.go
+++ b/tools/measure/record.go
@@ -23,48 +23,53 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// recordCommand measures what records cost: a broker's CPU for a request without, with sampled and with full recording, and
-// the time to collect and analyse logs of growing size.
+// recordCommand measures the cost of recording: a broker's CPU time per request without recording, with sampling and
+// with full recording, and the time to collect and analyse record logs of increasing size.
 func recordCommand() *cobra.Command {
 	var runs, events int
-	c := &cobra.Command{Use: "record", Short: "measure what records cost",
+	c := &cobra.Command{Use: "record", Short: "measure the cost of recording and of analysing records",
 		RunE: func(*cobra.Command, []string) error {
 			if err := measureRecording(runs); err != nil {
 				return err
 			}
-			return logs(events)
+			return measureAnalysis(events)
 		}}
-	c.Flags().IntVar(&runs, "runs", 5, "repeats of each kind of broker")
-	c.Flags().IntVar(&events, "events", 10_000_000, "of the largest log")
+	c.Flags().IntVar(&runs, "runs", 5, "runs of each recording mode")
+	c.Flags().IntVar(&events, "events", 10_000_000, "number of events of the largest log")
 	return c
 }
 
-// measureRecording runs one broker after the other under the same load, by turns, and compares their CPU for a request.
+// measureRecording runs a broker in each recording mode in turn, under the same load, and compares the CPU time per
+// request.
 func measureRecording(runs int) error {
-	kinds := []string{"off", "1 in 100", "full"}
+	modes := []string{"off", "1 in 100", "full"}
 	cpu := map[string][]float64{}
 	for range runs {
-		for _, kind := range kinds {
-			v, err := recordOnce(kind)
+		for _, mode := range modes {
+			seconds, err := measureCPUPerRequest(mode)
 			if err != nil {
 				return err
 			}
-			cpu[kind] = append(cpu[kind], v)
+			cpu[mode] = append(cpu[mode], seconds)
 		}
 	}
-	median := func(l []float64) float64 { l = slices.Sorted(slices.Values(l)); return l[len(l)/2] }
+	median := func(values []float64) float64 {
+		sorted := slices.Sorted(slices.Values(values))
+		return sorted[len(sorted)/2]
+	}
 	fmt.Println("| recording | CPU for a request, against off (median) | least | most |")
 	fmt.Println("| --- | --- | --- | --- |")
 	off := median(cpu["off"])
-	for _, kind := range kinds {
-		fmt.Printf("| %s | %.2f | %.2f | %.2f |\n", kind, median(cpu[kind])/off, slices.Min(cpu[kind])/off, slices.Max(cpu[kind])/off)
+	for _, mode := range modes {
+		fmt.Printf("| %s | %.2f | %.2f | %.2f |\n", mode, median(cpu[mode])/off, slices.Min(cpu[mode])/off, slices.Max(cpu[mode])/off)
 	}
 	fmt.Println()
 	return nil
 }
 
-// recordOnce returns a broker's CPU seconds for a request.
-func recordOnce(kind string) (float64, error) {
+// measureCPUPerRequest runs a broker in a recording mode under load and returns the CPU seconds that it used per
+// request.
+func measureCPUPerRequest(mode string) (float64, error) {
 	dir, err := os.MkdirTemp("", "record")
 	if err != nil {
 		return 0, err
@@ -80,11 +85,12 @@
 	if err != nil {
 		return 0, err
 	}
-	// One broker by itself: a listener instead of the object front, and the recorder.
-	with := map[string]string{"off": "", "1 in 100": fmt.Sprintf(`,"record":{"dir":%q,"sample":0.01}`, dir), "full": fmt.Sprintf(`,"record":{"dir":%q}`, dir)}[kind]
-	body := strings.TrimSpace(string(text))
-	body = strings.Replace(body[:len(body)-1]+fmt.Sprintf(`,"listen":%q%s}`, s.Block[0], with), `"object"`, `"unused"`, 1)
-	if err := os.WriteFile(path, []byte(body), 0o600); err != nil {
+	// The broker runs without an agent, so its configuration gets a block listener instead of the object frontend, and
+	// the recorder.
+	recorder := map[string]string{"off": "", "1 in 100": fmt.Sprintf(`,"record":{"dir":%q,"sample":0.01}`, dir), "full": fmt.Sprintf(`,"record":{"dir":%q}`, dir)}[mode]
+	config := strings.TrimSpace(string(text))
+	config = strings.Replace(config[:len(config)-1]+fmt.Sprintf(`,"listen":%q%s}`, s.Block[0], recorder), `"object"`, `"unused"`, 1)
+	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		return 0, err
 	}
 	cmd := exec.Command(program, "serve")
@@ -108,48 +114,49 @@
 		return 0, fmt.Errorf("%w: %s", err, b)
 	}
 	if load.Served.Load() < 1000 {
-		return 0, fmt.Errorf("only %v", load)
+		return 0, fmt.Errorf("too few requests served, want at least 1000: %v", load)
 	}
 	used := cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
 	return used.Seconds() / float64(load.Served.Load()), nil
 }
 
-// logs writes logs of growing size and measures reading them.
-func logs(most int) error {
+// measureAnalysis writes record logs of up to maxEvents events and measures how long it takes to collect and analyse
+// them.
+func measureAnalysis(maxEvents int) error {
 	fmt.Println("| events | bytes an event | collected, events a second | analysed, events a second | both, time against the smallest log, for an event | heap after, bytes an event |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- |")
-	base := 0.0
-	for n := 10_000; n <= most; n *= 10 {
+	smallestLog := 0.0 // seconds per event
+	for n := 10_000; n <= maxEvents; n *= 10 {
 		dir, err := os.MkdirTemp("", "record")
 		if err != nil {
 			return err
 		}
-		size, err := write(dir, n)
+		size, err := writeLog(dir, n)
 		if err != nil {
 			return err
 		}
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		at := time.Now()
+		start := time.Now()
 		streams, found, err := collect.Read(dir)
 		if err != nil {
 			return err
 		}
-		read := time.Since(at).Seconds()
-		at = time.Now()
-		a := incident.Analyse(streams, incident.DefaultOptions())
-		analysed := time.Since(at).Seconds()
+		collected := time.Since(start).Seconds()
+		start = time.Now()
+		analysis := incident.Analyse(streams, incident.DefaultOptions())
+		analysed := time.Since(start).Seconds()
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		each := (read + analysed) / float64(n)
-		if base == 0 {
-			base = each
+		perEvent := (collected + analysed) / float64(n)
+		if smallestLog == 0 {
+			smallestLog = perEvent
 		}
-		fmt.Printf("| %d | %.1f | %.2f million | %.2f million | %.2f | %.0f |\n", n, float64(size)/float64(n), float64(n)/read/1e6, float64(n)/analysed/1e6, each/base,
+		fmt.Printf("| %d | %.1f | %.2f million | %.2f million | %.2f | %.0f |\n", n, float64(size)/float64(n), float64(n)/collected/1e6, float64(n)/analysed/1e6, perEvent/smallestLog,
 			float64(after.HeapAlloc-before.HeapAlloc)/float64(n))
-		if a.Events < n || len(found.Faults) > 0 {
-			return fmt.Errorf("%d events of %d, faults %v", a.Events, n, found.Faults)
+		if analysis.Events < n || len(found.Faults) > 0 {
+			return fmt.Errorf("analysed %d of %d events, faults in the log: %v", analysis.Events, n, found.Faults)
 		}
 		runtime.KeepAlive(streams)
 		_ = os.RemoveAll(dir)
@@ -157,8 +164,8 @@
 	return nil
 }
 
-// write makes a log of n requests by four brokers, 500 a second each.
-func write(dir string, n int) (size int64, err error) {
+// writeLog writes a record log of n requests by four brokers, each at 500 requests a second. It returns the log's size.
+func writeLog(dir string, n int) (size int64, err error) {
 	r := rand.New(rand.NewPCG(1, 2))
 	const brokers = 4
 	start := clock.Micros(1_800_000_000_000_000)
@@ -168,9 +175,9 @@
 		if err != nil {
 			return 0, err
 		}
-		boot := record.Event{At: start, Kind: record.KindIncarnation, Incarnation: &record.Incarnation{Name: name, ID: fmt.Sprintf("%016x", b+1), StartedAt: start, HeartbeatInterval: 500_000, SampleFraction: 1,
+		incarnation := record.Event{At: start, Kind: record.KindIncarnation, Incarnation: &record.Incarnation{Name: name, ID: fmt.Sprintf("%016x", b+1), StartedAt: start, HeartbeatInterval: 500_000, SampleFraction: 1,
 			Classes: []record.Class{{Name: "artwork-read", LatencyObjective: 400_000, Deadline: 2_500_000, PriorityWeight: 2}}, Plans: []record.Plan{{Name: "basis", PriceFactor: 0.8}}}}
-		buf := boot.Append(nil, start)
+		buf := incarnation.Append(nil, start)
 		seq, at := uint64(0), start
 		flush := func() error {
 			seq++
@@ -180,12 +187,12 @@
 			buf = buf[:0]
 			return err
 		}
-		var tries [1]record.Attempt
+		var attempts [1]record.Attempt // reused for every request
 		for k := range n / brokers {
 			at += 2000
-			took := clock.Micros(r.ExpFloat64()*20_000) + 10_000
-			tries[0] = record.Attempt{Node: fmt.Sprintf("s-5be2a07%x", r.IntN(14)), SentAfter: 40, Duration: took - 50, Outcome: 0}
-			e := record.Event{At: at, Kind: record.KindRequest, Request: &record.Request{Volume: fmt.Sprintf("%016x", r.IntN(80)), Units: 2, Shard: 3, Duration: took, Attempts: tries[:]}}
+			duration := clock.Micros(r.ExpFloat64()*20_000) + 10_000
+			attempts[0] = record.Attempt{Node: fmt.Sprintf("s-5be2a07%x", r.IntN(14)), SentAfter: 40, Duration: duration - 50, Outcome: 0}
+			e := record.Event{At: at, Kind: record.KindRequest, Request: &record.Request{Volume: fmt.Sprintf("%016x", r.IntN(80)), Units: 2, Shard: 3, Duration: duration, Attempts: attempts[:]}}
 			buf = e.Append(buf, start)
 			if k%25 == 24 {
 				if err := flush(); err != nil {
