--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
 // Command simhost hosts instances of the decision module for the platform's simulator. It reads the simulator's
-// messages from standard input and answers on standard output. The instances share nothing.
+// messages from standard input and writes the responses to standard output. The instances share no state.
 package main
 
 import (
--- a/tools/runtests/main.go
+++ b/tools/runtests/main.go
@@ -1,6 +1,6 @@
-// Command runtests runs the tests of the packages that it is given, or of all, with the race detector, and every benchmark
-// once. Tests that KNOWN-RED.txt lists are skipped and printed. A list that is malformed, too long or names a test that does
-// not exist is a failure.
+// Command runtests runs the tests of the given packages, or of all packages, with the race detector, and every
+// benchmark once. Tests listed in KNOWN-RED.txt are skipped and printed. It fails if the list is malformed, too long or
+// names a test that does not exist.
 package main
 
 import (
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	packages, err := output("go", append([]string{"list"}, patterns...)...)
+	packages, err := commandOutput("go", append([]string{"list"}, patterns...)...)
 	if err != nil {
 		return err
 	}
@@ -45,20 +45,20 @@
 	return err
 }
 
-// testPackages runs all tests but the listed ones. Packages with listed tests are run one by one.
+// testPackages runs all tests except the listed ones. Packages with listed tests are tested one by one.
 func testPackages(packages []string, knownRed []knownred.Entry) error {
 	skipped := knownred.TestsByPackage(knownRed)
-	var complete []string
+	var unlisted []string // packages without listed tests
 	var failed error
 	for _, p := range packages {
 		if tests := skipped[p]; tests != nil {
-			failed = errors.Join(failed, test([]string{p}, "-skip", "^("+strings.Join(tests, "|")+")$"))
+			failed = errors.Join(failed, runTests([]string{p}, "-skip", "^("+strings.Join(tests, "|")+")$"))
 		} else {
-			complete = append(complete, p)
+			unlisted = append(unlisted, p)
 		}
 	}
-	if len(complete) > 0 {
-		failed = errors.Join(failed, test(complete))
+	if len(unlisted) > 0 {
+		failed = errors.Join(failed, runTests(unlisted))
 	}
 	return failed
 }
@@ -77,7 +77,7 @@
 		return nil, fmt.Errorf("%s: %w", knownRedFile, err)
 	}
 	for _, entry := range entries {
-		names, err := output("go", "test", "-list", "^"+entry.Test+"$", entry.Package)
+		names, err := commandOutput("go", "test", "-list", "^"+entry.Test+"$", entry.Package)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %s: %w", knownRedFile, entry.Package, err)
 		}
@@ -88,8 +88,8 @@
 	return entries, nil
 }
 
-// test runs the tests of packages with the race detector.
-func test(packages []string, flags ...string) error {
+// runTests runs the tests of packages with the race detector.
+func runTests(packages []string, flags ...string) error {
 	args := append([]string{"test", "-race", "-timeout", "5m"}, flags...)
 	cmd := exec.Command("go", append(args, packages...)...)
 	cmd.Stdout = os.Stdout
@@ -97,8 +97,8 @@
 	return cmd.Run()
 }
 
-// runBenchmarks runs every benchmark once at its smallest size, so that none stops working unnoticed. Its output is printed
-// only if one fails: figures of a single run mean nothing.
+// runBenchmarks runs every benchmark once at its smallest size to check that it still works. The output is printed only
+// if a benchmark fails, because the results of a single run are not meaningful.
 func runBenchmarks(patterns []string) error {
 	args := []string{"test", "-short", "-run", "^$", "-bench", ".", "-benchtime", "1x", "-timeout", "5m"}
 	out, err := exec.Command("go", append(args, patterns...)...).CombinedOutput()
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// output runs a command and returns its standard output.
-func output(name string, args ...string) (string, error) {
+// commandOutput runs a command and returns its standard output.
+func commandOutput(name string, args ...string) (string, error) {
 	cmd := exec.Command(name, args...)
 	cmd.Stderr = os.Stderr
 	out, err := cmd.Output()
