--- a/examples/tour/main.go
+++ b/examples/tour/main.go
@@ -1,5 +1,5 @@
-// Command tour is a newcomer's first minute: it puts a whole installation on loopback, drives traffic through both
-// fronts, rolls a change out, kills a broker in the middle of it, says what happened, and cleans up after itself.
+// Command tour demonstrates a complete installation in about a minute. It starts one on loopback, sends traffic through
+// both frontends, rolls out a change, kills a broker during the rollout, prints what happened, and cleans up.
 package main
 
 import (
@@ -23,8 +23,8 @@
 )
 
 func main() {
-	program := flag.String("program", "", "poppyarch; else beside this program")
-	pace := flag.Duration("pace", 700*time.Millisecond, "pause between the steps, for reading along")
+	program := flag.String("program", "", "path of poppyarch; by default in the folder of this program")
+	pace := flag.Duration("pace", 700*time.Millisecond, "pause between the steps, to follow the output")
 	flag.Parse()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	err := run(ctx, *program, *pace)
@@ -35,33 +35,35 @@
 	}
 }
 
-// guide shows each step and its result.
+// guide runs the steps of the tour and prints their results.
 type guide struct {
 	cluster *cluster.Stack
 	start   time.Time
 	pace    time.Duration
 }
 
-func (g *guide) say(format string, args ...any) {
+// logf prints a line with the time since the start.
+func (g *guide) logf(format string, args ...any) {
 	fmt.Printf("%6.2f s  %s\n", time.Since(g.start).Seconds(), fmt.Sprintf(format, args...))
 }
 
-func (g *guide) step(title string) {
+// heading pauses and prints the title of the next step.
+func (g *guide) heading(title string) {
 	time.Sleep(g.pace)
 	fmt.Printf("\n== %s\n", title)
 }
 
-// show runs a fleet command and prints it with its output.
-func (g *guide) show(args ...string) error {
+// runFleet runs a fleet command and prints it with its output.
+func (g *guide) runFleet(args ...string) error {
 	fmt.Println("$ poppyarch fleet", strings.Join(args, " "))
 	out, err := g.cluster.Run(args...)
-	for _, l := range strings.Split(strings.TrimRight(out, "\n"), "\n") {
-		fmt.Println("    " + l)
+	for _, line := range strings.Split(strings.TrimRight(out, "\n"), "\n") {
+		fmt.Println("    " + line)
 	}
 	return err
 }
 
-// findProgram returns the path of poppyarch, which is beside this program unless it is named.
+// findProgram returns the path of poppyarch. If program is empty, it is the one in the folder of this program.
 func findProgram(program string) (string, error) {
 	if program == "" {
 		self, err := os.Executable()
@@ -71,7 +73,7 @@
 		program = filepath.Join(filepath.Dir(self), "poppyarch")
 	}
 	if _, err := exec.LookPath(program); err != nil {
-		return "", fmt.Errorf("build first, by go build -o bin/ ./cmd/... ./examples/... there: %w", err)
+		return "", fmt.Errorf("cannot run poppyarch, build it with: go build -o bin/ ./cmd/... ./examples/...: %w", err)
 	}
 	return program, nil
 }
@@ -92,9 +94,9 @@
 	}
 	g := &guide{cluster: s, start: time.Now(), pace: pace}
 	defer func() {
-		g.step("Cleaning up")
+		g.heading("Cleaning up")
 		err = errors.Join(err, s.Close())
-		g.say("agents have drained their brokers, everything has ended")
+		g.logf("the agents have drained their brokers; all processes have ended")
 	}()
 	if err := g.install(ctx, dir); err != nil {
 		return err
@@ -112,22 +114,22 @@
 	if err := g.operateUnderLoad(ctx, load); err != nil {
 		return err
 	}
-	g.step("What the clients saw of all this")
-	g.say("%v", load)
-	fmt.Println("          cut off are requests whose connection ended with a killed or drained broker; no answer was wrong or came twice")
+	g.heading("Outcomes of the clients' requests")
+	g.logf("%v", load)
+	fmt.Println("          disconnected are requests whose connection ended with a killed or drained broker; a wrong or second response would be an error")
 	if n := load.Wrong.Load(); n > 0 {
-		return fmt.Errorf("%d wrong answers: %v", n, load.Complaints())
+		return fmt.Errorf("%d wrong responses: %v", n, load.Complaints())
 	}
 	return nil
 }
 
-// install starts the installation and rolls the first inventory out.
+// install starts the installation and rolls out the first inventory.
 func (g *guide) install(ctx context.Context, dir string) error {
-	fmt.Println("== An installation on loopback: discovery, 3 storage nodes, a manager, 2 agents, and 5 brokers to come")
+	fmt.Println("== An installation on loopback: discovery, 3 storage nodes, a manager and 2 agents, which will start 5 brokers")
 	if err := g.cluster.Start(ctx); err != nil {
 		return err
 	}
-	g.say("discovery and storage nodes serve; the manager answers; the agents have registered")
+	g.logf("discovery and the storage nodes serve; the manager answers; the agents have registered")
 	if err := g.cluster.Inventory(map[string]string{"memory_mb": "96"}); err != nil {
 		return err
 	}
@@ -135,77 +137,77 @@
 	if err != nil {
 		return err
 	}
-	g.step("The desired state: an inventory")
+	g.heading("The desired state: an inventory")
 	fmt.Println("    " + strings.ReplaceAll(strings.TrimRight(string(text), "\n"), "\n", "\n    "))
-	g.step("Applying it: a canary first, then waves, each one soaked before the next")
-	if err := g.show("apply", "--wait", "--note", "first"); err != nil {
+	g.heading("Applying it: a canary first, then in waves, with a soak time after each")
+	if err := g.runFleet("apply", "--wait", "--note", "first"); err != nil {
 		return err
 	}
-	if err := g.settled(ctx); err != nil {
+	if err := g.awaitSettled(ctx); err != nil {
 		return err
 	}
-	g.step("The fleet now")
-	return g.show("status")
+	g.heading("Status of the fleet")
+	return g.runFleet("status")
 }
 
 // operateUnderLoad changes the fleet while clients send requests.
 func (g *guide) operateUnderLoad(ctx context.Context, load *fake.Traffic) error {
-	g.step("Traffic through both frontends: blocks over RESP2, objects over HTTP")
+	g.heading("Traffic through both frontends: blocks over RESP2, objects over HTTP")
 	loadCtx, stop := context.WithCancel(ctx)
 	var traffic sync.WaitGroup
 	traffic.Go(func() { load.Run(loadCtx) })
 	defer traffic.Wait()
 	defer stop()
 	time.Sleep(g.pace)
-	g.say("so far %v", load)
+	g.logf("so far: %v", load)
 	if err := g.killBrokerDuringRollout(ctx); err != nil {
 		return err
 	}
-	g.step("An operator drains a storage node: at every broker at once, without a restart")
-	if err := g.show("nodes", "drain", "s-2", "--wait", "--note", "disk swap"); err != nil {
+	g.heading("An operator drains a storage node, at all brokers and without a restart")
+	if err := g.runFleet("nodes", "drain", "s-2", "--wait", "--note", "disk swap"); err != nil {
 		return err
 	}
-	if err := g.show("nodes", "clear", "s-2", "--wait"); err != nil {
+	if err := g.runFleet("nodes", "clear", "s-2", "--wait"); err != nil {
 		return err
 	}
-	g.step("Back to the first revision")
-	if err := g.show("rollout", "rollback", "--to", "1", "--wait"); err != nil {
+	g.heading("Rolling back to the first revision")
+	if err := g.runFleet("rollout", "rollback", "--to", "1", "--wait"); err != nil {
 		return err
 	}
-	return g.show("history")
+	return g.runFleet("history")
 }
 
-// killBrokerDuringRollout rolls a change out and kills a broker meanwhile.
+// killBrokerDuringRollout rolls out a change and kills a broker before it is complete.
 func (g *guide) killBrokerDuringRollout(ctx context.Context) error {
-	g.step("A change that restarts every broker, and a broker killed in the middle of it")
+	g.heading("A change that restarts every broker, and a broker killed during the rollout")
 	if err := g.cluster.Inventory(map[string]string{"memory_mb": "128", "log": "debug"}); err != nil {
 		return err
 	}
-	if err := g.show("plan"); err != nil {
+	if err := g.runFleet("plan"); err != nil {
 		return err
 	}
-	if err := g.show("apply", "--note", "more memory"); err != nil {
+	if err := g.runFleet("apply", "--note", "more memory"); err != nil {
 		return err
 	}
-	if err := g.follow(ctx, func(r state.RolloutStatus) bool { return r.Wave >= 1 }); err != nil {
+	if err := g.followRollout(ctx, func(r state.RolloutStatus) bool { return r.Wave >= 1 }); err != nil {
 		return err
 	}
 	if err := g.cluster.KillBroker(ctx, "b2"); err != nil {
-		g.say("b2 is just being restarted: %v", err)
+		g.logf("b2 not killed, it is being restarted: %v", err)
 	} else {
-		g.say("b2 killed with SIGKILL")
+		g.logf("b2 killed with SIGKILL")
 	}
-	if err := g.follow(ctx, func(r state.RolloutStatus) bool { return r.Phase == state.Done }); err != nil {
+	if err := g.followRollout(ctx, func(r state.RolloutStatus) bool { return r.Phase == state.Done }); err != nil {
 		return err
 	}
-	if err := g.settled(ctx); err != nil {
+	if err := g.awaitSettled(ctx); err != nil {
 		return err
 	}
-	return g.show("status")
+	return g.runFleet("status")
 }
 
-// follow tells a rollout's progress until ok.
-func (g *guide) follow(ctx context.Context, ok func(state.RolloutStatus) bool) error {
+// followRollout prints the progress of the newest rollout until done returns true. It fails if the rollout is paused.
+func (g *guide) followRollout(ctx context.Context, done func(state.RolloutStatus) bool) error {
 	last := ""
 	for {
 		progress, err := g.cluster.Client.Wait(ctx, 0, 50*time.Millisecond)
@@ -216,10 +218,10 @@
 			r := progress.Rollouts[0]
 			if text := fmt.Sprintf("rollout %d %s: wave %d of %d, %d of %d released, %d as wanted", r.Revision, r.Phase, min(r.Wave+1, r.Waves), r.Waves,
 				r.Released, r.Size, r.Current); text != last {
-				g.say("%s", text)
+				g.logf("%s", text)
 				last = text
 			}
-			if ok(r) {
+			if done(r) {
 				return nil
 			}
 			if r.Phase == state.Paused {
@@ -229,20 +231,21 @@
 	}
 }
 
-func (g *guide) settled(ctx context.Context) error {
+// awaitSettled waits until all instances run as specified.
+func (g *guide) awaitSettled(ctx context.Context) error {
 	for {
 		o, err := g.cluster.Client.Overview(ctx, nil, nil)
 		if err != nil {
 			return err
 		}
 		if o.Settled {
-			g.say("settled: %s", summary(o))
+			g.logf("settled: %s", fleetSummary(o))
 			return nil
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-func summary(o api.Overview) string {
-	return fmt.Sprintf("revision %d, %d of %d instances available, each current by its own word", o.Revision, o.Enabled-o.Unavailable, o.Enabled)
+func fleetSummary(o api.Overview) string {
+	return fmt.Sprintf("revision %d, %d of %d instances available, each of which reports that it is current", o.Revision, o.Enabled-o.Unavailable, o.Enabled)
 }
--- a/examples/toystore/main.go
+++ b/examples/toystore/main.go
@@ -1,5 +1,5 @@
-// Command toystore is a toy to try a broker with: discovery and a few storage nodes in one process, on loopback.
-// It keeps everything in memory and is no storage.
+// Command toystore runs a discovery service and a few storage nodes in one process on loopback, to try a broker with.
+// All data is kept in memory and lost when the process ends.
 package main
 
 import (
@@ -18,21 +18,21 @@
 )
 
 func main() {
-	at := flag.String("discovery", "127.0.0.1:8500", "where discovery listens")
-	nodes := flag.Int("nodes", 2, "storage nodes; each holds one shard")
-	port := flag.Int("port", 7100, "the first node's port; objects are served a hundred ports above")
+	discoveryAddr := flag.String("discovery", "127.0.0.1:8500", "address of the discovery service")
+	nodes := flag.Int("nodes", 2, "number of storage nodes; each holds one shard")
+	port := flag.Int("port", 7100, "block port of the first node; the object port is higher by 100")
 	flag.Parse()
-	if err := run(*at, *nodes, *port); err != nil {
+	if err := run(*discoveryAddr, *nodes, *port); err != nil {
 		fmt.Fprintln(os.Stderr, "toystore:", err)
 		os.Exit(1)
 	}
 }
 
-func run(at string, nodes, port int) error {
+func run(discoveryAddr string, nodes, port int) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	d := fake.NewDiscovery()
-	failed := make(chan error, 2*nodes+1)
+	service := fake.NewDiscovery()
+	failed := make(chan error, 2*nodes+1) // errors of the listeners
 	serve := func(addr string, serve func(net.Listener) error) error {
 		ln, err := net.Listen("tcp", addr)
 		if err != nil {
@@ -50,15 +50,15 @@
 		if err := serve(objects, srv.Serve); err != nil {
 			return err
 		}
-		d.Set(discovery.Endpoint{ID: fmt.Sprintf("s-toy%d", i), Addr: block, ObjectAddr: objects, Zone: "room",
+		service.Set(discovery.Endpoint{ID: fmt.Sprintf("s-toy%d", i), Addr: block, ObjectAddr: objects, Zone: "room",
 			Model: "toy", Shard: i, State: "up", Capacity: 1})
 		fmt.Printf("node s-toy%d: shard %d, blocks at %s, objects at %s\n", i, i, block, objects)
 	}
-	srv := &http.Server{Handler: d}
-	if err := serve(at, srv.Serve); err != nil {
+	srv := &http.Server{Handler: service}
+	if err := serve(discoveryAddr, srv.Serve); err != nil {
 		return err
 	}
-	fmt.Printf("discovery at http://%s/catalog/members\n", at)
+	fmt.Printf("discovery at http://%s/catalog/members\n", discoveryAddr)
 	select {
 	case <-ctx.Done():
 		return nil
