--- a/internal/testkit/cluster/list_edits.go
+++ b/internal/testkit/cluster/list_edits.go
@@ -15,7 +15,7 @@
 	"poppyarch/internal/nodes/discovery"
 )
 
-// EditResult tells how soon requests stopped reaching a node after an edit of the node list.
+// EditResult is the measured effect of an edit of the node list on a node.
 type EditResult struct {
 	Name             string
 	LastRequestAfter time.Duration // time from the end of the write to the last request that reached the node
--- a/internal/testkit/knownred/knownred.go
+++ b/internal/testkit/knownred/knownred.go
@@ -5,7 +5,7 @@
 //
 //	PACKAGE TEST | COMMAND WITH SEED | WHAT WAS SEEN | issue N
 //
-// Blank lines and lines that begin with # are ignored. A test is listed as a whole; subtests cannot be.
+// Blank lines and lines that begin with # are ignored. Only whole tests can be listed, not subtests.
 package knownred
 
 import (
@@ -15,7 +15,7 @@
 	"strings"
 )
 
-// MaxEntries is how many tests may be listed at once.
+// MaxEntries is the maximum number of listed tests.
 const MaxEntries = 3
 
 // Errors of a list, which Parse wraps in a LineError.
