--- a/internal/lab/rules/attempt.go
+++ b/internal/lab/rules/attempt.go
@@ -6,7 +6,7 @@
 func (c *Checker) attemptSent(r *history.Record) {
 	q := c.requests[r.Request]
 	if q == nil || q.received.Broker != r.Broker {
-		c.violate(ruleResponse, r, "attempt sent for a request that is not open at this broker")
+		c.violate(ruleResponse, r, "sent, and not open at this broker")
 		return
 	}
 	c.checkOpen(q, r)
@@ -29,9 +29,9 @@
 func (c *Checker) checkOpen(q *request, r *history.Record) {
 	switch {
 	case q.responded:
-		c.violate(ruleResponse, r, "attempt sent after the final response")
+		c.violate(ruleResponse, r, "sent after its final answer")
 	case c.isLate(q, r.At):
-		c.violate(ruleResponse, r, "attempt sent %d us after the client's deadline", r.At-q.received.Deadline)
+		c.violate(ruleResponse, r, "sent %d us after its client had given up", r.At-q.received.Deadline)
 	}
 }
 
@@ -41,12 +41,12 @@
 	a := &q.attempts[earlier]
 	switch class.Idempotency {
 	case NotIdempotent:
-		c.violate(ruleRetry, r, "earlier attempt %d may have run at node %d, and requests of this class must not run twice", earlier, a.node)
+		c.violate(ruleRetry, r, "attempt %d may have run at node %d, and the class must never run twice", earlier, a.node)
 	case IdempotentByKey:
 		if !class.DeduplicationScope.includes(c.node(a.node), c.node(r.Node)) {
-			c.violate(ruleRetry, r, "earlier attempt %d may have run at node %d, outside the deduplication scope of node %d", earlier, a.node, r.Node)
+			c.violate(ruleRetry, r, "attempt %d may have run at node %d, outside the group of node %d", earlier, a.node, r.Node)
 		} else if r.At > a.at+class.DeduplicationWindow {
-			c.violate(ruleRetry, r, "earlier attempt %d may have run, and was sent %d us ago, beyond the deduplication window", earlier, r.At-a.at)
+			c.violate(ruleRetry, r, "attempt %d may have run, %d us ago", earlier, r.At-a.at)
 		}
 	}
 }
@@ -67,11 +67,11 @@
 func (c *Checker) checkNode(r *history.Record) {
 	b := c.broker(r.Broker)
 	if !b.knows(r.Node, c.node(r.Node)) {
-		c.violate(ruleListed, r, "attempt sent to a node that was never on the broker's list")
+		c.violate(ruleListed, r, "sent to a node that the broker's list has never named")
 		return
 	}
 	state := b.notified[r.Node]
 	if state.state != history.Up && r.At > state.since+c.settings.DrainGrace {
-		c.violate(ruleDrain, r, "attempt sent %d us after the broker was notified that the node is not up", r.At-state.since)
+		c.violate(ruleDrain, r, "sent %d us after the broker was told", r.At-state.since)
 	}
 }
--- a/internal/lab/rules/checker.go
+++ b/internal/lab/rules/checker.go
@@ -87,7 +87,7 @@
 // Add checks the next record.
 func (c *Checker) Add(r *history.Record) {
 	if r.At < c.now {
-		c.violate(ruleHistory, r, "record time %d is before that of the previous record, %d", r.At, c.now)
+		c.violate(ruleHistory, r, "time runs back from %d", c.now)
 	}
 	c.now = r.At
 	switch r.Kind {
@@ -117,11 +117,11 @@
 
 func (c *Checker) requestReceived(r *history.Record) {
 	if c.requests[r.Request] != nil {
-		c.violate(ruleHistory, r, "request received twice")
+		c.violate(ruleHistory, r, "taken twice")
 		return
 	}
 	if int(r.Class) >= len(c.settings.Classes) {
-		c.violate(ruleHistory, r, "unknown class %d", r.Class)
+		c.violate(ruleHistory, r, "class %d is unknown", r.Class)
 		return
 	}
 	q := &request{received: *r}
@@ -152,19 +152,19 @@
 	q := c.requests[r.Request]
 	switch {
 	case q == nil:
-		c.violate(ruleResponse, r, "response to a request that is not open")
+		c.violate(ruleResponse, r, "answered, and not open")
 		return
 	case q.responded:
-		c.violate(ruleResponse, r, "second response to the request")
+		c.violate(ruleResponse, r, "answered twice")
 		return
 	case c.isLate(q, r.At):
-		c.violate(ruleResponse, r, "response sent %d us after the client's deadline", r.At-q.received.Deadline)
+		c.violate(ruleResponse, r, "answered %d us after its client had given up", r.At-q.received.Deadline)
 	}
 	q.responded = true
 	if r.Result == history.Rejected && c.settings.Classes[q.received.Class].Idempotency == NotIdempotent {
 		for i := range q.attempts {
 			if q.attempts[i].mayHaveRun() {
-				c.violate(ruleReject, r, "request rejected although attempt %d may have run", i)
+				c.violate(ruleReject, r, "refused though attempt %d may have run", i)
 			}
 		}
 	}
@@ -222,6 +222,6 @@
 	for _, id := range late {
 		q := c.requests[id]
 		r := &history.Record{At: at, Request: id, Broker: q.received.Broker, Node: noNode}
-		c.violate(ruleResponse, r, "no response; the client's deadline was at %d us", q.received.Deadline)
+		c.violate(ruleResponse, r, "never answered; its client gave up at %d us", q.received.Deadline)
 	}
 }
--- a/internal/lab/rules/order.go
+++ b/internal/lab/rules/order.go
@@ -63,10 +63,10 @@
 		return
 	}
 	if k.requests[0] != r.Request {
-		c.violate(ruleOrder, r, "attempt sent while the earlier request %x of its key is open", k.requests[0])
+		c.violate(ruleOrder, r, "sent while request %x of its key is open", k.requests[0])
 	}
 	quiet := c.settings.KeyQuietTime
 	if quiet > 0 && k.unknownSince > 0 && r.At < k.unknownSince+quiet {
-		c.violate(ruleOrder, r, "attempt sent %d us after an attempt of its key with an unknown outcome", r.At-k.unknownSince)
+		c.violate(ruleOrder, r, "sent %d us after an attempt of its key with an open end", r.At-k.unknownSince)
 	}
 }
--- a/internal/lab/rules/rate.go
+++ b/internal/lab/rules/rate.go
@@ -37,7 +37,7 @@
 	b.level = math.Min(limit.Burst, refilled) - q.received.Units
 	b.at = r.At
 	if b.level < -limit.Tolerance-roundingError {
-		c.violate(ruleLimit, r, "volume %d exceeds its rate limit and tolerance by %.2f units", q.received.Volume, -b.level-limit.Tolerance)
+		c.violate(ruleLimit, r, "volume %d is %.2f units beyond its limit and slack", q.received.Volume, -b.level-limit.Tolerance)
 	}
 }
 
@@ -53,6 +53,6 @@
 	retries := float64(len(b.retries))
 	budget := c.settings.RetryBudgetBase + c.settings.RetryBudgetRatio*float64(len(b.received))
 	if retries > budget {
-		c.violate(ruleBudget, r, "%.0f additional attempts within the window, %.1f allowed", retries, budget)
+		c.violate(ruleBudget, r, "%.0f further attempts, %.1f allowed", retries, budget)
 	}
 }
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -93,7 +93,7 @@
 		c.Add(&r)
 	}
 	c.Finish(100)
-	if got := c.Violations(); len(got) != 1 || got[0].Rule != "list" || !strings.Contains(got[0].Text, "never on the broker's list") {
+	if got := c.Violations(); len(got) != 1 || got[0].Rule != "list" || !strings.Contains(got[0].Text, "the broker's list has never named") {
 		t.Errorf("violations %v, want one of rule list", got)
 	}
 }
