--- a/cmd/poppyarch/lab.go
+++ b/cmd/poppyarch/lab.go
@@ -128,12 +128,12 @@
 			out.Printf("%s less %s, %d seeds:\n", args[1], args[2], f.runs)
 			for _, name := range comparedMeasures {
 				measure := experiment.Measures[name]
-				difference, err := statistics.Paired(experiment.Values(results[0], measure), experiment.Values(results[1], measure))
+				difference, err := statistics.PairedDifference(experiment.Values(results[0], measure), experiment.Values(results[1], measure))
 				if err != nil {
 					return err
 				}
 				verdict := "differs"
-				if difference.Holds(0) {
+				if difference.Contains(0) {
 					verdict = "no difference shown"
 				}
 				out.Printf("  %-12s %v  %s\n", name, difference, verdict)
@@ -179,7 +179,7 @@
 	out.Printf("%-10s %v", line.Design, line.Mean)
 	if line.Design != plan.Designs[0] {
 		verdict := ""
-		if line.Less.Holds(0) {
+		if line.Less.Contains(0) {
 			verdict = ", no difference shown"
 		}
 		out.Printf("  (%v%s)", line.Less, verdict)
--- a/cmd/poppyarch/lab_live.go
+++ b/cmd/poppyarch/lab_live.go
@@ -110,12 +110,12 @@
 	}
 	t := textoutput.NewTable(out, "", "MODEL", "SOCKETS", "DIFFERENCE")
 	for _, figure := range loadFigures {
-		difference, err := statistics.Paired(experiment.Values(c.socketResults, figure.value), experiment.Values(c.modelResults, figure.value))
+		difference, err := statistics.PairedDifference(experiment.Values(c.socketResults, figure.value), experiment.Values(c.modelResults, figure.value))
 		if err != nil {
 			return err
 		}
 		verdict := ""
-		if difference.Holds(0) && f.runs > 1 {
+		if difference.Contains(0) && f.runs > 1 {
 			verdict = ", none shown"
 		}
 		t.Printf("%s\t%v\t%v\t%s%s\n", figure.name, experiment.Over(c.modelResults, figure.value), experiment.Over(c.socketResults, figure.value),
--- a/internal/lab/chart/chart.go
+++ b/internal/lab/chart/chart.go
@@ -25,7 +25,7 @@
 // Point is a value with its interval at a position on the x axis.
 type Point struct {
 	X float64
-	Y statistics.Figure
+	Y statistics.Estimate
 }
 
 // Series is a line of points. The line has a gap at a point without a finite value; nothing is drawn through it.
@@ -90,7 +90,7 @@
 // segments splits a series at points without a finite value.
 func (s *Series) segments() (out [][]Point) {
 	var segment []Point
-	for _, p := range append(slices.Clone(s.Points), Point{Y: statistics.Figure{Mean: math.NaN()}}) {
+	for _, p := range append(slices.Clone(s.Points), Point{Y: statistics.Estimate{Mean: math.NaN()}}) {
 		if isFinite(p.Y.Mean) {
 			segment = append(segment, p)
 			continue
@@ -103,10 +103,10 @@
 	return out
 }
 
-// halfWidth returns half the width of a figure's interval, 0 if it is unknown.
-func halfWidth(f statistics.Figure) float64 {
-	if isFinite(f.Half) {
-		return f.Half
+// halfWidth returns half the width of an estimate's interval, 0 if it is unknown.
+func halfWidth(f statistics.Estimate) float64 {
+	if isFinite(f.HalfWidth) {
+		return f.HalfWidth
 	}
 	return 0
 }
--- a/internal/lab/chart/chart_test.go
+++ b/internal/lab/chart/chart_test.go
@@ -14,7 +14,7 @@
 func testSeries(name string, ys ...float64) Series {
 	s := Series{Name: name}
 	for i, y := range ys {
-		s.Points = append(s.Points, Point{X: float64(i + 1), Y: statistics.Figure{Mean: y, Half: 0.1, N: 3}})
+		s.Points = append(s.Points, Point{X: float64(i + 1), Y: statistics.Estimate{Mean: y, HalfWidth: 0.1, N: 3}})
 	}
 	return s
 }
@@ -52,7 +52,7 @@
 // No line is drawn through a point without a finite value, and an infinite interval is drawn as none.
 func TestLineHasGapsAtMissingValues(t *testing.T) {
 	s := testSeries("module", 0.5, math.NaN(), 0.7, 0.8)
-	s.Points[0].Y.Half = math.Inf(1)
+	s.Points[0].Y.HalfWidth = math.Inf(1)
 	if segments := s.segments(); len(segments) != 2 || len(segments[0]) != 1 || len(segments[1]) != 2 {
 		t.Errorf("segments %v, want one of 1 point and one of 2", segments)
 	}
@@ -69,7 +69,7 @@
 	for name, c := range map[string]*Chart{
 		"no series":       {},
 		"no finite value": {Series: []Series{testSeries("a", math.NaN())}},
-		"log axis with 0": {LogX: true, Series: []Series{{Points: []Point{{X: 0, Y: statistics.Figure{Mean: 1}}}}}},
+		"log axis with 0": {LogX: true, Series: []Series{{Points: []Point{{X: 0, Y: statistics.Estimate{Mean: 1}}}}}},
 		"too many series": tooMany,
 	} {
 		if _, err := c.Draw("svg", 300, 200); err == nil {
--- a/internal/lab/experiment/bisect.go
+++ b/internal/lab/experiment/bisect.go
@@ -29,7 +29,7 @@
 // Step is the estimate at one value of the key.
 type Step struct {
 	At    float64
-	Mean  statistics.Figure
+	Mean  statistics.Estimate
 	Above bool // the mean is at or above the bound
 	Sure  bool // the interval does not contain the bound
 }
@@ -129,8 +129,8 @@
 			return Step{}, err
 		}
 		values = append(values, batch...)
-		x := Step{At: at, Mean: statistics.Of(values)}
-		x.Above, x.Sure = x.Mean.Mean >= b.Bound, !x.Mean.Holds(b.Bound)
+		x := Step{At: at, Mean: statistics.EstimateMean(values)}
+		x.Above, x.Sure = x.Mean.Mean >= b.Bound, !x.Mean.Contains(b.Bound)
 		if x.Sure || len(values) == b.Most {
 			return x, nil
 		}
--- a/internal/lab/experiment/plan.go
+++ b/internal/lab/experiment/plan.go
@@ -79,8 +79,8 @@
 }
 
 // Over returns the mean of a measure over several runs, with its confidence interval.
-func Over(rs []*model.Result, measure func(*model.Result) float64) statistics.Figure {
-	return statistics.Of(Values(rs, measure))
+func Over(rs []*model.Result, measure func(*model.Result) float64) statistics.Estimate {
+	return statistics.EstimateMean(Values(rs, measure))
 }
 
 // measureNames returns the names of the measures, sorted. This is the order of their columns in a results file.
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -162,8 +162,8 @@
 type Line struct {
 	Values []string
 	Design string
-	Mean   statistics.Figure
-	Less   statistics.Figure // difference from the first design, paired by seed; zero for the first design
+	Mean   statistics.Estimate
+	Less   statistics.Estimate // difference from the first design, paired by seed; zero for the first design
 }
 
 // Run performs the missing runs, point by point, and reports the line of each design once a point is finished. It
@@ -191,10 +191,10 @@
 
 func (p *Plan) line(r *Results, pt Point, design string) Line {
 	values := r.consecutive(pt.Values, design, p.Seed, p.Measure)
-	l := Line{Values: pt.Values, Design: design, Mean: statistics.Of(values)}
+	l := Line{Values: pt.Values, Design: design, Mean: statistics.EstimateMean(values)}
 	if baseline := r.consecutive(pt.Values, p.Designs[0], p.Seed, p.Measure); design != p.Designs[0] {
 		n := min(len(baseline), len(values))
-		l.Less, _ = statistics.Paired(values[:n], baseline[:n])
+		l.Less, _ = statistics.PairedDifference(values[:n], baseline[:n])
 	}
 	return l
 }
@@ -207,10 +207,10 @@
 	}
 	for i, d := range p.Designs {
 		l := p.line(r, pt, d)
-		if f := l.Mean; i == 0 && !(f.Half <= p.Precision) {
+		if f := l.Mean; i == 0 && !(f.HalfWidth <= p.Precision) {
 			return false
 		}
-		if f := l.Less; i > 0 && !(f.Half <= p.Precision) {
+		if f := l.Less; i > 0 && !(f.HalfWidth <= p.Precision) {
 			return false
 		}
 	}
--- a/internal/lab/experiment/table.go
+++ b/internal/lab/experiment/table.go
@@ -66,17 +66,17 @@
 }
 
 // Mean returns the mean of a design's measure at a point over all seeds, with its confidence interval.
-func (t *Table) Mean(values []string, design, name string) statistics.Figure {
+func (t *Table) Mean(values []string, design, name string) statistics.Estimate {
 	var all []float64
 	for _, row := range t.rows[groupKey(values, design)] {
 		all = append(all, row.Measures[name])
 	}
 	slices.Sort(all) // map order is random, and a floating-point sum depends on the order of its terms
-	return statistics.Of(all)
+	return statistics.EstimateMean(all)
 }
 
 // Difference returns by how much a design differs from another, paired by the seeds that both have run.
-func (t *Table) Difference(values []string, design, base, name string) statistics.Figure {
+func (t *Table) Difference(values []string, design, base, name string) statistics.Estimate {
 	var seeds []uint64
 	a, b := t.rows[groupKey(values, design)], t.rows[groupKey(values, base)]
 	for seed := range a {
@@ -89,7 +89,7 @@
 	for i, seed := range seeds {
 		diff[i] = a[seed].Measures[name] - b[seed].Measures[name]
 	}
-	return statistics.Of(diff)
+	return statistics.EstimateMean(diff)
 }
 
 // AxisValues returns the column of a key and its distinct values, in the order of the file. Numbers is nil unless all
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -56,7 +56,7 @@
 	// Value by the part of the run in which the request was due.
 	offeredValue, servedValue                     [model.SeriesParts]float64
 	offeredInsideReserve, servedInsideReserve     float64
-	requestBatches, servedBatches, latencyBatches *statistics.Batches
+	requestBatches, servedBatches, latencyBatches *statistics.BatchMeans
 	latency, sendDelay                            sketch.Sketch
 	result                                        model.Result
 	connectionsLost, wrongResponses               int
@@ -90,7 +90,7 @@
 	}
 	classes := s.Ways()
 	from, to := time.Duration(s.WarmUp).Microseconds(), time.Duration(s.Duration).Microseconds()
-	r.counters = counters{requestBatches: statistics.NewBatches(from, to, batchCount), servedBatches: statistics.NewBatches(from, to, batchCount), latencyBatches: statistics.NewBatches(from, to, batchCount)}
+	r.counters = counters{requestBatches: statistics.NewBatchMeans(from, to, batchCount), servedBatches: statistics.NewBatchMeans(from, to, batchCount), latencyBatches: statistics.NewBatchMeans(from, to, batchCount)}
 	for _, a := range addrs {
 		r.pools = append(r.pools, &pool{addr: a})
 	}
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -48,7 +48,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if miss := math.Abs(r.Time.Mean - x.want); miss > 2*r.Time.Half || r.Time.Half > 0.15*x.want {
+		if miss := math.Abs(r.Time.Mean - x.want); miss > 2*r.Time.HalfWidth || r.Time.HalfWidth > 0.15*x.want {
 			t.Errorf("%s: mean response time %v, theory %.4g", name, r.Time, x.want)
 		}
 		if l := r.Served.Mean * r.Time.Mean; math.Abs(l-r.InSystem.Mean) > 0.01*l {
--- a/internal/lab/model/run.go
+++ b/internal/lab/model/run.go
@@ -18,40 +18,40 @@
 // batchCount is the number of batches of a run from which confidence intervals are computed.
 const batchCount = 20
 
-// Result is the result of one run. Figures and the quantiles of response times leave out the warm-up period; counts and
+// Result is the result of one run. Estimates and the quantiles of response times leave out the warm-up period; counts and
 // values are those of the whole run. Times are seconds.
 type Result struct {
-	Scenario          string            `json:"scenario"`
-	Design            string            `json:"design"`
-	Seed              uint64            `json:"seed"`
-	Asked             statistics.Figure `json:"asked"`    // requests per second, without clients' retries
-	Served            statistics.Figure `json:"served"`   // requests per second
-	Time              statistics.Figure `json:"time"`     // response time of served requests, from the client's first attempt
-	InSystem          statistics.Figure `json:"inside"`   // attempts in service or queued at all nodes together
-	Service           float64           `json:"service"`  // served value over offered value
-	Reserved          float64           `json:"reserved"` // the same, of requests within their volumes' reserved rates
-	Series            []float64         `json:"series"`   // Service by part of the run
-	Median            float64           `json:"median"`   // of the response time
-	P99               float64           `json:"p99"`
-	Quantiles         []float64         `json:"quantiles"` // of the response time, at the probabilities of the variable Quantiles
-	Full              int               `json:"full"`      // attempts rejected by a full queue
-	GivenUp           int               `json:"given_up"`  // requests whose client disconnected at the deadline
-	Refused           int               `json:"refused"`   // rejections sent to clients, those of retries included
-	Failed            int               `json:"failed"`    // failures sent to clients, those of retries included
-	Late              int               `json:"late"`      // served after the latency objective
-	BrokerUnreachable int               `json:"unheard"`   // requests to a broker that was down
-	Attempts          int               `json:"attempts"`
-	Handshakes        int               `json:"handshakes"`
-	Calls             int               `json:"calls"`      // polls of discovery
-	Fell              int               `json:"fell"`       // overloads of nodes in slow start
-	ColdPeak          float64           `json:"cold_peak"`  // largest load of a node in slow start, see Node.slowStartPeak
-	SlowStartArrivals int               `json:"cold_sends"` // attempts that reached nodes in slow start
-	MaxOpen           int               `json:"most_open"`  // largest number of open requests at one broker
-	IgnoredForwards   int               `json:"moot"`       // Forward actions that could not be carried out, see broker.send
-	Requests          int               `json:"requests"`
-	Events            uint64            `json:"events"`
-	Broken            map[string]int    `json:"broken,omitempty"` // number of violations by rule
-	Violations        []rules.Violation `json:"words,omitempty"`  // the first 10
+	Scenario          string              `json:"scenario"`
+	Design            string              `json:"design"`
+	Seed              uint64              `json:"seed"`
+	Asked             statistics.Estimate `json:"asked"`    // requests per second, without clients' retries
+	Served            statistics.Estimate `json:"served"`   // requests per second
+	Time              statistics.Estimate `json:"time"`     // response time of served requests, from the client's first attempt
+	InSystem          statistics.Estimate `json:"inside"`   // attempts in service or queued at all nodes together
+	Service           float64             `json:"service"`  // served value over offered value
+	Reserved          float64             `json:"reserved"` // the same, of requests within their volumes' reserved rates
+	Series            []float64           `json:"series"`   // Service by part of the run
+	Median            float64             `json:"median"`   // of the response time
+	P99               float64             `json:"p99"`
+	Quantiles         []float64           `json:"quantiles"` // of the response time, at the probabilities of the variable Quantiles
+	Full              int                 `json:"full"`      // attempts rejected by a full queue
+	GivenUp           int                 `json:"given_up"`  // requests whose client disconnected at the deadline
+	Refused           int                 `json:"refused"`   // rejections sent to clients, those of retries included
+	Failed            int                 `json:"failed"`    // failures sent to clients, those of retries included
+	Late              int                 `json:"late"`      // served after the latency objective
+	BrokerUnreachable int                 `json:"unheard"`   // requests to a broker that was down
+	Attempts          int                 `json:"attempts"`
+	Handshakes        int                 `json:"handshakes"`
+	Calls             int                 `json:"calls"`      // polls of discovery
+	Fell              int                 `json:"fell"`       // overloads of nodes in slow start
+	ColdPeak          float64             `json:"cold_peak"`  // largest load of a node in slow start, see Node.slowStartPeak
+	SlowStartArrivals int                 `json:"cold_sends"` // attempts that reached nodes in slow start
+	MaxOpen           int                 `json:"most_open"`  // largest number of open requests at one broker
+	IgnoredForwards   int                 `json:"moot"`       // Forward actions that could not be carried out, see broker.send
+	Requests          int                 `json:"requests"`
+	Events            uint64              `json:"events"`
+	Broken            map[string]int      `json:"broken,omitempty"` // number of violations by rule
+	Violations        []rules.Violation   `json:"words,omitempty"`  // the first 10
 }
 
 // Quantiles are the probabilities of Result.Quantiles.
@@ -105,7 +105,7 @@
 	loadFactor                                            float64 // present factor on the rates of all volumes
 	lastID, lastKey                                       uint64
 
-	arrivals, responseTimes, served                            *statistics.Batches
+	arrivals, responseTimes, served                            *statistics.BatchMeans
 	inSystem                                                   *statistics.TimeAverage
 	latency                                                    sketch.Sketch // microseconds
 	offeredValue, servedValue                                  valueSeries
@@ -260,8 +260,8 @@
 func prepare(s *Scenario, design string, seed uint64) *run {
 	from, to := s.WarmUp.us(), s.Duration.us()
 	r := &run{s: s, e: engine.New(seed), designName: design, classes: s.classes(), byName: map[string]*Node{}, measureFrom: from, loadFactor: 1,
-		arrivals: statistics.NewBatches(from, to, batchCount), responseTimes: statistics.NewBatches(from, to, batchCount),
-		served: statistics.NewBatches(from, to, batchCount), inSystem: statistics.NewTimeAverage(from, to, batchCount)}
+		arrivals: statistics.NewBatchMeans(from, to, batchCount), responseTimes: statistics.NewBatchMeans(from, to, batchCount),
+		served: statistics.NewBatchMeans(from, to, batchCount), inSystem: statistics.NewTimeAverage(from, to, batchCount)}
 	partLength := max(to/SeriesParts, 1)
 	r.offeredValue, r.servedValue = valueSeries{partLength, make([]float64, SeriesParts)}, valueSeries{partLength, make([]float64, SeriesParts)}
 	r.clientRandom, r.retryRandom, r.responseRandom, r.linkRandom = r.e.Stream("who"), r.e.Stream("again"), r.e.Stream("lots"), r.e.Stream("links")
--- a/internal/lab/model/scenario.go
+++ b/internal/lab/model/scenario.go
@@ -16,7 +16,7 @@
 	Brokers   int         `toml:"brokers"`
 	Zones     int         `toml:"zones"` // nodes and brokers are assigned to them round robin; 0 is the same as 1
 	Duration  Duration    `toml:"last"`
-	WarmUp    Duration    `toml:"warm"` // at the start of the run, left out of figures
+	WarmUp    Duration    `toml:"warm"` // at the start of the run, left out of estimates and quantiles
 	Nodes     []NodeGroup `toml:"nodes"`
 	Service   Service     `toml:"service"`
 	SlowStart SlowStart   `toml:"cold"`
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -226,11 +226,11 @@
 }
 
 // compare describes a difference and returns the class of its cell.
-func compare(difference statistics.Figure) (text, class string) {
+func compare(difference statistics.Estimate) (text, class string) {
 	switch {
-	case difference.N == 0 || math.IsInf(difference.Half, 1):
+	case difference.N == 0 || math.IsInf(difference.HalfWidth, 1):
 		return "too few seeds to compare", "same"
-	case difference.Holds(0):
+	case difference.Contains(0):
 		return difference.Signed() + ", not significant", "same"
 	case difference.Mean > 0:
 		return difference.Signed(), "more"
@@ -268,7 +268,7 @@
 		if d == base {
 			continue
 		}
-		more, less, same, largest, where := 0, 0, 0, statistics.Figure{}, ""
+		more, less, same, largest, where := 0, 0, 0, statistics.Estimate{}, ""
 		for _, p := range t.Points {
 			f := t.Difference(p, d, base, name)
 			switch _, class := compare(f); class {
@@ -332,7 +332,7 @@
 		for i, rs := range all {
 			c := Cell{Text: experiment.Over(rs, experiment.Measures[name]).String()}
 			if i > 0 {
-				difference, err := statistics.Paired(experiment.Values(rs, experiment.Measures[name]), experiment.Values(all[0], experiment.Measures[name]))
+				difference, err := statistics.PairedDifference(experiment.Values(rs, experiment.Measures[name]), experiment.Values(all[0], experiment.Measures[name]))
 				if err != nil {
 					return nil, err
 				}
--- a/internal/lab/statistics/statistics_test.go
+++ b/internal/lab/statistics/statistics_test.go
@@ -8,31 +8,31 @@
 
 // The interval of a single value is infinite and encoded as null. Paired differences leave out the variation that both
 // samples share.
-func TestFigures(t *testing.T) {
-	single := Of([]float64{3})
+func TestEstimates(t *testing.T) {
+	single := EstimateMean([]float64{3})
 	if text, err := json.Marshal(single); err != nil || string(text) != `{"mean":3,"half":null,"n":1}` {
-		t.Errorf("figure of one value encoded as %s, %v", text, err)
+		t.Errorf("estimate of one value encoded as %s, %v", text, err)
 	}
-	if text, err := json.Marshal(Of(nil)); err != nil || string(text) != `{"mean":null,"half":null,"n":0}` {
-		t.Errorf("figure of no values encoded as %s, %v", text, err)
+	if text, err := json.Marshal(EstimateMean(nil)); err != nil || string(text) != `{"mean":null,"half":null,"n":0}` {
+		t.Errorf("estimate of no values encoded as %s, %v", text, err)
 	}
-	f := Of([]float64{1, 2, 3}) // Student's t for two degrees of freedom is 4.303, the standard deviation 1
-	if math.Abs(f.Half-4.303/math.Sqrt(3)) > 1e-3 || !f.Holds(2) || f.Holds(5) {
-		t.Errorf("figure of 1, 2 and 3 is %v", f)
+	f := EstimateMean([]float64{1, 2, 3}) // Student's t for two degrees of freedom is 4.303, the standard deviation 1
+	if math.Abs(f.HalfWidth-4.303/math.Sqrt(3)) > 1e-3 || !f.Contains(2) || f.Contains(5) {
+		t.Errorf("estimate of 1, 2 and 3 is %v", f)
 	}
-	d, err := Paired([]float64{11, 102, 1003}, []float64{10, 101, 1002})
-	if err != nil || d.Mean != 1 || d.Half > 1e-9 {
+	d, err := PairedDifference([]float64{11, 102, 1003}, []float64{10, 101, 1002})
+	if err != nil || d.Mean != 1 || d.HalfWidth > 1e-9 {
 		t.Errorf("paired difference is %v, %v, want 1 without an interval", d, err)
 	}
-	if _, err := Paired([]float64{1}, nil); err == nil {
+	if _, err := PairedDifference([]float64{1}, nil); err == nil {
 		t.Error("one value was paired with none")
 	}
 }
 
 // Values from before the first batch, the warm-up, are not counted; the integral of a quantity is distributed over the
 // batches that it extends over.
-func TestBatchesAndTimeAverage(t *testing.T) {
-	b := NewBatches(100, 300, 2)
+func TestBatchMeansAndTimeAverage(t *testing.T) {
+	b := NewBatchMeans(100, 300, 2)
 	for _, at := range []int64{50, 100, 150, 250, 300} {
 		b.Add(at, float64(at))
 	}
--- a/internal/testkit/compat/json_test.go
+++ b/internal/testkit/compat/json_test.go
@@ -69,7 +69,7 @@
 	"incident-span":           &incident.Span{},
 	"inventory-instance":      &inventory.Instance{},
 	"journal-report":          &journal.RecoveryReport{},
-	"lab-figure":              &statistics.Figure{},
+	"lab-figure":              &statistics.Estimate{},
 	"lab-result":              &model.Result{},
 	"lab-violation":           &rules.Violation{},
 	"limits":                  &limits.Limits{},
