--- a/cmd/poppyarch/nodes_test.go
+++ b/cmd/poppyarch/nodes_test.go
@@ -12,7 +12,7 @@
 )
 
 // Edits the list of storage nodes in every way that brokers have to handle, under load through both frontends. Brokers must
-// stop sending new requests to nodes that were removed and keep sending requests to the others. tools/nodesmeasure measures
+// stop sending new requests to nodes that were removed and keep sending requests to the others. tools/measure measures
 // how long that takes; this test does not, so that a slow machine cannot fail it.
 func TestListsEditedUnderLoad(t *testing.T) {
 	dir := t.TempDir()
