--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -15,7 +15,7 @@
 	NodeNotified                   // Broker, Node, State, NodeStartedAt: the entry of a node in the broker's endpoint list
 	NodeStarted                    // Node, Shard, Zone: its slow start begins
 	NodeOverloaded                 // Node: it received more than it can serve in slow start, and crashed
-	BrokerDied                     // Broker: it crashed and lost all requests that it had received
+	BrokerCrashed                  // Broker: it crashed and lost all requests that it had received
 )
 
 // Result is the kind of a request's final response.
@@ -33,7 +33,7 @@
 
 // Values of State.
 const (
-	Up State = iota
+	Ready State = iota
 	Draining
 	Removed
 )
--- a/internal/lab/model/attempt.go
+++ b/internal/lab/model/attempt.go
@@ -84,7 +84,7 @@
 		return // the node crashed because of the overload, which ended its attempts
 	}
 	q := at.request
-	if n.state != history.Up {
+	if n.state != history.Ready {
 		b.reportOutcome(at, decision.Rejected)
 		return
 	}
--- a/internal/lab/model/broker.go
+++ b/internal/lab/model/broker.go
@@ -78,7 +78,7 @@
 	}
 	b.down, b.watching = true, false
 	b.epoch++
-	b.run.record(history.Record{Kind: history.BrokerDied, Broker: b.id})
+	b.run.record(history.Record{Kind: history.BrokerCrashed, Broker: b.id})
 	for _, n := range b.run.nodes {
 		for i := len(n.open) - 1; i >= 0; i-- { // in the order of the list, to keep runs deterministic
 			if at := n.open[i]; at.broker == b {
--- a/internal/lab/model/fault_injection.go
+++ b/internal/lab/model/fault_injection.go
@@ -137,7 +137,7 @@
 		r.crash(n)
 		epoch := n.epoch
 		r.e.After(duration, func() {
-			if n.epoch == epoch && n.state == history.Up {
+			if n.epoch == epoch && n.state == history.Ready {
 				r.restart(n)
 			}
 		})
@@ -151,14 +151,14 @@
 // flap crashes a node and removes it from discovery; after the duration it restarts under the same name, in slow start.
 // Repeated flaps make requests pay the cost of a cold start each time.
 func (r *run) flap(n *Node, duration int64) {
-	if n.down || n.unreachable || n.state != history.Up {
+	if n.down || n.unreachable || n.state != history.Ready {
 		return
 	}
 	n.state, n.down = history.Removed, true
 	r.crash(n)
 	r.discovery.publish(n)
 	r.e.After(duration, func() {
-		n.state = history.Up
+		n.state = history.Ready
 		r.restart(n)
 	})
 }
@@ -166,13 +166,13 @@
 // makeUnreachable makes a node unreachable, without any notice to brokers; after the duration it restarts in slow
 // start.
 func (r *run) makeUnreachable(n *Node, duration int64) {
-	if n.down || n.unreachable || n.state != history.Up {
+	if n.down || n.unreachable || n.state != history.Ready {
 		return
 	}
 	n.unreachable = true
 	n.stop()
 	r.e.After(duration, func() {
-		if n.unreachable && n.state == history.Up {
+		if n.unreachable && n.state == history.Ready {
 			r.restart(n)
 		}
 	})
@@ -188,7 +188,7 @@
 // replace drains a node and removes it after the duration; a new node with another name and the same shard starts
 // halfway through.
 func (r *run) replace(n *Node, duration int64) {
-	if n.state != history.Up {
+	if n.state != history.Ready {
 		return
 	}
 	n.state = history.Draining
--- a/internal/lab/rules/attempt.go
+++ b/internal/lab/rules/attempt.go
@@ -71,7 +71,7 @@
 		return
 	}
 	state := b.notified[r.Node]
-	if state.state != history.Up && r.At > state.since+c.settings.DrainGrace {
+	if state.state != history.Ready && r.At > state.since+c.settings.DrainGrace {
 		c.violate(ruleDrain, r, "attempt sent %d us after the broker was notified that the node is not up", r.At-state.since)
 	}
 }
--- a/internal/lab/rules/checker.go
+++ b/internal/lab/rules/checker.go
@@ -110,7 +110,7 @@
 		c.nodeStarted(r)
 	case history.NodeOverloaded:
 		c.nodeOverloaded(r)
-	case history.BrokerDied:
+	case history.BrokerCrashed:
 		c.brokerDied(r)
 	}
 }
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -52,21 +52,21 @@
 			records(receive(1, 2, 0), receive(10, 1, 0), send(11, 1, 0, 0), ended(12, 1, 0, true), send(13, 1, 1, 0), ended(14, 1, 1, true), send(15, 1, 2, 0), respond(18, 1, history.Failed), respond(18, 2, history.Failed))},
 		"attempt at a draining node": {"drain", records(receive(10, 1, 0), notified(11, 0, history.Draining, 0), send(512, 1, 0, 0), respond(600, 1, history.Served)),
 			records(receive(10, 1, 0), notified(11, 0, history.Draining, 0), send(511, 1, 0, 0), respond(600, 1, history.Served))},
-		"node never listed": {"list", records(receive(10, 1, 0), send(11, 1, 0, 9), respond(600, 1, history.Served)), records(receive(10, 1, 0), notified(10, 9, history.Up, 0), send(11, 1, 0, 9), respond(600, 1, history.Served))},
+		"node never listed": {"list", records(receive(10, 1, 0), send(11, 1, 0, 9), respond(600, 1, history.Served)), records(receive(10, 1, 0), notified(10, 9, history.Ready, 0), send(11, 1, 0, 9), respond(600, 1, history.Served))},
 		"request order": {"order", records(receive(10, 1, 3), receive(11, 2, 3), send(12, 2, 0, 0), respond(13, 2, history.Served), respond(13, 1, history.Failed)),
 			records(receive(10, 1, 3), receive(11, 2, 3), send(12, 1, 0, 0), ended(13, 1, 0, false), respond(13, 1, history.Served), send(14, 2, 0, 0), respond(15, 2, history.Served))},
 		"retry budget": {"budget", records(receive(10, 1, 0), send(11, 1, 0, 0), ended(12, 1, 0, true), send(13, 1, 1, 0), ended(14, 1, 1, true), send(15, 1, 2, 0), respond(16, 1, history.Failed)),
 			records(receive(10, 1, 0), send(11, 1, 0, 0), ended(12, 1, 0, true), send(13, 1, 1, 0), respond(16, 1, history.Failed))},
 		"rate limit": {"limit", records(large, send(11, 1, 0, 0), respond(12, 1, history.Served)), records(receive(10, 1, 0), send(11, 1, 0, 0), respond(12, 1, history.Served))},
-		"overload in slow start": {"cold", records(start, notified(6, 1, history.Up, 5), receive(10, 1, 0), send(11, 1, 0, 1), history.Record{At: 12, Kind: history.NodeOverloaded, Node: 1}, respond(13, 1, history.Failed)),
-			records(start, notified(6, 1, history.Up, 0), receive(10, 1, 0), send(11, 1, 0, 1), history.Record{At: 12, Kind: history.NodeOverloaded, Node: 1}, respond(13, 1, history.Failed))},
+		"overload in slow start": {"cold", records(start, notified(6, 1, history.Ready, 5), receive(10, 1, 0), send(11, 1, 0, 1), history.Record{At: 12, Kind: history.NodeOverloaded, Node: 1}, respond(13, 1, history.Failed)),
+			records(start, notified(6, 1, history.Ready, 0), receive(10, 1, 0), send(11, 1, 0, 1), history.Record{At: 12, Kind: history.NodeOverloaded, Node: 1}, respond(13, 1, history.Failed))},
 		"record out of time order": {"history", records(receive(10, 1, 0), respond(9, 1, history.Failed)), records(receive(10, 1, 0), respond(11, 1, history.Failed))},
 	} {
 		check := func(rs []history.Record) *Checker {
 			c := New(settings)
 			for i := range int32(4) {
 				c.AddNode(i, i, i%2)
-				c.Add(&history.Record{Kind: history.NodeNotified, Node: i, State: history.Up})
+				c.Add(&history.Record{Kind: history.NodeNotified, Node: i, State: history.Ready})
 			}
 			for i := range rs {
 				c.Add(&rs[i])
@@ -88,7 +88,7 @@
 func TestDeadBrokerForgetsItsRequestsAndNotifications(t *testing.T) {
 	c := New(Settings{Classes: []Class{{}}, DrainGrace: 500})
 	c.AddNode(0, 0, 0) // on the first list of the first process; a second process knows only what it is notified of
-	for _, r := range []history.Record{{Kind: history.RequestReceived, Request: 9, Deadline: 9}, {Kind: history.AttemptSent, Request: 9}, {Kind: history.AttemptEnded, Request: 9}, {Kind: history.ResponseSent, Request: 9}, {At: 1, Kind: history.RequestReceived, Request: 1, Deadline: 9}, {At: 2, Kind: history.BrokerDied}, {At: 3, Kind: history.RequestReceived, Request: 2, Deadline: 9},
+	for _, r := range []history.Record{{Kind: history.RequestReceived, Request: 9, Deadline: 9}, {Kind: history.AttemptSent, Request: 9}, {Kind: history.AttemptEnded, Request: 9}, {Kind: history.ResponseSent, Request: 9}, {At: 1, Kind: history.RequestReceived, Request: 1, Deadline: 9}, {At: 2, Kind: history.BrokerCrashed}, {At: 3, Kind: history.RequestReceived, Request: 2, Deadline: 9},
 		{At: 4, Kind: history.AttemptSent, Request: 2}, {At: 5, Kind: history.ResponseSent, Request: 2}} {
 		c.Add(&r)
 	}
