--- a/cmd/labplot/main.go
+++ b/cmd/labplot/main.go
@@ -170,7 +170,7 @@
 			running.Go(func() {
 				slots <- struct{}{}
 				defer func() { <-slots }()
-				all[k][i], errs[k*runs+i] = model.Play(s, d, seed+uint64(i))
+				all[k][i], errs[k*runs+i] = model.Run(s, d, seed+uint64(i))
 			})
 		}
 	}
--- a/cmd/poppyarch/lab.go
+++ b/cmd/poppyarch/lab.go
@@ -60,7 +60,7 @@
 				return printResults(cmd.OutOrStdout(), results)
 			}
 			out := textoutput.NewPrinter(cmd.OutOrStdout())
-			out.Printf("%s: %.3g of all cores asked for, %d runs of each design\n", scenario.Name, scenario.Offered(), f.runs)
+			out.Printf("%s: %.3g of all cores asked for, %d runs of each design\n", scenario.Name, scenario.OfferedLoad(), f.runs)
 			out.Section(func(out io.Writer) error { return printDesigns(out, results) })
 			return out.Err()
 		},
@@ -75,16 +75,16 @@
 	title string
 	value func(*model.Result) float64
 }{
-	{"SERVICE", func(r *model.Result) float64 { return r.Service }},
-	{"RESERVED", func(r *model.Result) float64 { return r.Reserved }},
-	{"SERVED/S", func(r *model.Result) float64 { return r.Served.Mean }},
-	{"TIME MS", func(r *model.Result) float64 { return 1000 * r.Time.Mean }},
-	{"P99 MS", func(r *model.Result) float64 { return 1000 * r.P99 }},
-	{"REFUSED", func(r *model.Result) float64 { return float64(r.Refused) }},
+	{"SERVICE", func(r *model.Result) float64 { return r.ServedValueRatio }},
+	{"RESERVED", func(r *model.Result) float64 { return r.ReservedValueRatio }},
+	{"SERVED/S", func(r *model.Result) float64 { return r.ServedRate.Mean }},
+	{"TIME MS", func(r *model.Result) float64 { return 1000 * r.ResponseTime.Mean }},
+	{"P99 MS", func(r *model.Result) float64 { return 1000 * r.P99ResponseTime }},
+	{"REFUSED", func(r *model.Result) float64 { return float64(r.Rejected) }},
 	{"FAILED", func(r *model.Result) float64 { return float64(r.Failed) }},
 	{"LATE", func(r *model.Result) float64 { return float64(r.Late) }},
 	{"CONNECTIONS", func(r *model.Result) float64 { return float64(r.Handshakes) }},
-	{"FELL", func(r *model.Result) float64 { return float64(r.Fell) }},
+	{"FELL", func(r *model.Result) float64 { return float64(r.Overloads) }},
 }
 
 // printDesigns prints a line for each design. Results are indexed by design and run.
@@ -101,7 +101,7 @@
 		}
 		broken := ""
 		for _, r := range runs {
-			broken += r.BrokenRules()
+			broken += r.ViolationSummary()
 		}
 		t.Printf("\t%s\n", broken)
 	}
@@ -304,7 +304,7 @@
 			running.Go(func() {
 				slots <- struct{}{}
 				defer func() { <-slots }()
-				result, err := model.Play(scenario, design, f.seed+uint64(i))
+				result, err := model.Run(scenario, design, f.seed+uint64(i))
 				if err != nil {
 					once.Do(func() { firstErr = err })
 				}
--- a/cmd/poppyarch/lab_live.go
+++ b/cmd/poppyarch/lab_live.go
@@ -90,7 +90,7 @@
 		if err != nil {
 			return nil, err
 		}
-		simulated, err := model.Play(scenario, "module", f.seed+i)
+		simulated, err := model.Run(scenario, "module", f.seed+i)
 		if err != nil {
 			return nil, err
 		}
@@ -104,7 +104,7 @@
 func (f *liveFlags) print(out io.Writer, c *liveComparison) error {
 	p := textoutput.NewPrinter(out)
 	p.Printf("%s: %d brokers, %d nodes, %v, %d seeds; the difference is sockets less model, seed by seed\n", c.scenario.Name,
-		c.scenario.Brokers, c.scenario.Count(), time.Duration(c.scenario.Duration), f.runs)
+		c.scenario.Brokers, c.scenario.NodeCount(), time.Duration(c.scenario.Duration), f.runs)
 	if p.Err() != nil {
 		return p.Err()
 	}
--- a/cmd/poppyarch/load.go
+++ b/cmd/poppyarch/load.go
@@ -61,7 +61,7 @@
 	{"inside reserves", experiment.Measures["reserved"]},
 	{"served a second", experiment.Measures["served"]},
 	{"mean time, ms", experiment.Measures["time_ms"]},
-	{"median, ms", func(r *model.Result) float64 { return 1000 * r.Median }},
+	{"median, ms", func(r *model.Result) float64 { return 1000 * r.MedianResponseTime }},
 	{"99th percentile, ms", experiment.Measures["p99_ms"]},
 	{"refused", experiment.Measures["refused"]},
 	{"failed", experiment.Measures["failed"]},
@@ -75,7 +75,7 @@
 	for _, figure := range loadFigures {
 		t.Printf("%s\t%.4g\n", figure.name, figure.value(measured.Result))
 	}
-	t.Printf("given up by their clients\t%d\n", measured.GivenUp)
+	t.Printf("given up by their clients\t%d\n", measured.ClientTimeouts)
 	printClientOverhead(t, []*driver.Report{measured})
 	return t.Flush()
 }
--- a/internal/lab/experiment/bisect.go
+++ b/internal/lab/experiment/bisect.go
@@ -149,7 +149,7 @@
 			if errs[i] = ctx.Err(); errs[i] != nil {
 				return
 			}
-			r, err := model.Play(s, design, first+uint64(i))
+			r, err := model.Run(s, design, first+uint64(i))
 			if err != nil {
 				errs[i] = err
 				return
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -135,7 +135,7 @@
 
 // Measures are read from the matching fields of a result, in their units.
 func TestMeasuresReadResult(t *testing.T) {
-	r := &model.Result{Service: 0.5, P99: 0.25, Broken: map[string]int{"cold": 2, "drain": 1}, Time: statistics.Estimate{Mean: 0.125}}
+	r := &model.Result{ServedValueRatio: 0.5, P99ResponseTime: 0.25, ViolationCounts: map[string]int{"cold": 2, "drain": 1}, ResponseTime: statistics.Estimate{Mean: 0.125}}
 	for name, want := range map[string]float64{"service": 0.5, "p99_ms": 250, "broken": 3, "time_ms": 125} {
 		if got := Measures[name](r); math.Abs(got-want) > 1e-9 {
 			t.Errorf("%s: %v, want %v", name, got, want)
--- a/internal/lab/experiment/plan.go
+++ b/internal/lab/experiment/plan.go
@@ -47,22 +47,22 @@
 
 // Measures maps the name of each measure to the function that reads it from the result of a run.
 var Measures = map[string]func(*model.Result) float64{
-	"service":     func(r *model.Result) float64 { return r.Service },
-	"reserved":    func(r *model.Result) float64 { return r.Reserved },
-	"served":      func(r *model.Result) float64 { return r.Served.Mean },
-	"time_ms":     func(r *model.Result) float64 { return 1000 * r.Time.Mean },
-	"p99_ms":      func(r *model.Result) float64 { return 1000 * r.P99 },
-	"refused":     func(r *model.Result) float64 { return float64(r.Refused) },
+	"service":     func(r *model.Result) float64 { return r.ServedValueRatio },
+	"reserved":    func(r *model.Result) float64 { return r.ReservedValueRatio },
+	"served":      func(r *model.Result) float64 { return r.ServedRate.Mean },
+	"time_ms":     func(r *model.Result) float64 { return 1000 * r.ResponseTime.Mean },
+	"p99_ms":      func(r *model.Result) float64 { return 1000 * r.P99ResponseTime },
+	"refused":     func(r *model.Result) float64 { return float64(r.Rejected) },
 	"failed":      func(r *model.Result) float64 { return float64(r.Failed) },
 	"late":        func(r *model.Result) float64 { return float64(r.Late) },
 	"attempts":    func(r *model.Result) float64 { return float64(r.Attempts) },
 	"connections": func(r *model.Result) float64 { return float64(r.Handshakes) },
-	"calls":       func(r *model.Result) float64 { return float64(r.Calls) },
-	"fell":        func(r *model.Result) float64 { return float64(r.Fell) },
-	"cold_peak":   func(r *model.Result) float64 { return r.ColdPeak },
+	"calls":       func(r *model.Result) float64 { return float64(r.DiscoveryPolls) },
+	"fell":        func(r *model.Result) float64 { return float64(r.Overloads) },
+	"cold_peak":   func(r *model.Result) float64 { return r.SlowStartPeak },
 	"broken": func(r *model.Result) float64 {
 		n := 0
-		for _, count := range r.Broken {
+		for _, count := range r.ViolationCounts {
 			n += count
 		}
 		return float64(n)
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -238,7 +238,7 @@
 		var running sync.WaitGroup
 		for _, j := range batch {
 			running.Go(func() {
-				res, err := model.Play(pt.Scenario, j.row.Design, j.row.Seed)
+				res, err := model.Run(pt.Scenario, j.row.Design, j.row.Seed)
 				if err != nil {
 					j.err = err
 					return
--- a/internal/lab/fit/fit.go
+++ b/internal/lab/fit/fit.go
@@ -281,7 +281,7 @@
 	s := &model.Scenario{Name: name, Brokers: len(t.Brokers), Duration: model.Duration(40 * time.Second), WarmUp: model.Duration(5 * time.Second)}
 	s.Load = model.Load{Rate: round(float64(len(t.Asked)) / seconds / t.SampleFraction), Work: micros(all), Distribution: w.Spread, Sigma: round(w.Sigma)}
 	s.Nodes = []model.NodeGroup{{Count: max(len(t.nodeNames()), 1), Cores: 2, Speed: 1, QueueCapacity: 40}}
-	s.Rules = model.Rules{Attempts: 3, DrainGrace: model.Duration(500 * time.Millisecond), ResponseGrace: model.Duration(50 * time.Millisecond), BurstValue: 0.3, ExcessValue: 0.08}
+	s.Rules = model.Rules{MaxAttempts: 3, DrainGrace: model.Duration(500 * time.Millisecond), ResponseGrace: model.Duration(50 * time.Millisecond), BurstValueFactor: 0.3, ExcessValueFactor: 0.08}
 	t.addClasses(s, means, all)
 	t.addPlans(s, seconds)
 	notes := []string{
@@ -351,8 +351,8 @@
 		if count[k] == 0 {
 			continue
 		}
-		x := model.Class{Name: c.Name, Share: round(float64(count[k]) / float64(len(t.Asked))), Work: round(means[k] / all), LatencyObjective: model.Duration(time.Duration(c.LatencyObjective) * time.Microsecond),
-			Deadline: model.Duration(time.Duration(max(c.Deadline, c.LatencyObjective)) * time.Microsecond), Priority: c.PriorityWeight, LateValue: 0.15, Idempotency: "always"}
+		x := model.Class{Name: c.Name, Share: round(float64(count[k]) / float64(len(t.Asked))), WorkFactor: round(means[k] / all), LatencyObjective: model.Duration(time.Duration(c.LatencyObjective) * time.Microsecond),
+			Deadline: model.Duration(time.Duration(max(c.Deadline, c.LatencyObjective)) * time.Microsecond), PriorityWeight: c.PriorityWeight, LateValue: 0.15, Idempotency: "always"}
 		if 2*withoutShard[k] > count[k] {
 			x.Writes, x.Idempotency = true, "never"
 		}
@@ -386,7 +386,7 @@
 	smallest := math.Inf(1)
 	var sizes []float64
 	for k, p := range t.Plans {
-		x := model.Plan{Name: p.Name, ReservedRate: 1, Weight: 1, Price: p.PriceFactor, Hosts: [2]int{math.MaxInt, 1}, Nodes: [2]int{math.MaxInt, 1}}
+		x := model.Plan{Name: p.Name, ReservedRate: 1, Weight: 1, PriceFactor: p.PriceFactor, BrokerRange: [2]int{math.MaxInt, 1}, NodeRange: [2]int{math.MaxInt, 1}}
 		total := 0
 		for _, v := range volumes {
 			if int(v.plan) != k {
@@ -394,8 +394,8 @@
 			}
 			x.Volumes++
 			total += v.count
-			x.Hosts = [2]int{min(x.Hosts[0], len(v.brokers)), max(x.Hosts[1], len(v.brokers))}
-			x.Nodes = [2]int{min(x.Nodes[0], max(len(v.shards), 1)), max(x.Nodes[1], len(v.shards))}
+			x.BrokerRange = [2]int{min(x.BrokerRange[0], len(v.brokers)), max(x.BrokerRange[1], len(v.brokers))}
+			x.NodeRange = [2]int{min(x.NodeRange[0], max(len(v.shards), 1)), max(x.NodeRange[1], len(v.shards))}
 		}
 		if x.Volumes == 0 {
 			continue
@@ -405,6 +405,6 @@
 		sizes, s.Plans = append(sizes, rate), append(s.Plans, x)
 	}
 	for i := range s.Plans {
-		s.Plans[i].Size = round(sizes[i] / smallest)
+		s.Plans[i].RelativeRate = round(sizes[i] / smallest)
 	}
 }
--- a/internal/lab/fit/fit_test.go
+++ b/internal/lab/fit/fit_test.go
@@ -87,19 +87,19 @@
 		if w.Spread != spread || w.N < 2500 || w.Distance > 0.05 || len(notes) != 5 {
 			t.Errorf("%s: %+v, %d notes", spread, w, len(notes))
 		}
-		if spread == "lognormal" && (math.Abs(w.Sigma-0.5) > 0.02 || math.Abs(time.Duration(s.Load.Work).Seconds()-0.0375) > 0.002 || math.Abs(s.Classes[1].Work/s.Classes[0].Work-2) > 0.1) {
+		if spread == "lognormal" && (math.Abs(w.Sigma-0.5) > 0.02 || math.Abs(time.Duration(s.Load.Work).Seconds()-0.0375) > 0.002 || math.Abs(s.Classes[1].WorkFactor/s.Classes[0].WorkFactor-2) > 0.1) {
 			t.Errorf("%+v, %+v", w, s.Classes)
 		}
 		if s.Brokers != 2 || s.Nodes[0].Count != 3 || math.Abs(s.Load.Rate-10) > 0.5 {
 			t.Errorf("%s: %d brokers, %d nodes, %v a second", spread, s.Brokers, s.Nodes[0].Count, s.Load.Rate)
 		}
-		if len(s.Plans) != 2 || s.Plans[0].Volumes != 4 || s.Plans[1].Name != "express" || s.Plans[1].Volumes != 2 || s.Plans[1].Hosts != [2]int{1, 1} || s.Plans[0].Nodes[1] != 3 {
+		if len(s.Plans) != 2 || s.Plans[0].Volumes != 4 || s.Plans[1].Name != "express" || s.Plans[1].Volumes != 2 || s.Plans[1].BrokerRange != [2]int{1, 1} || s.Plans[0].NodeRange[1] != 3 {
 			t.Errorf("%s: %+v", spread, s.Plans)
 		}
 		if c := s.Classes; len(c) != 2 || c[0].Share != 0.75 || c[0].Idempotency != "always" || !c[1].Writes || c[1].Idempotency != "never" || time.Duration(c[1].Deadline) != 5*time.Second {
 			t.Errorf("%s: %+v", spread, c)
 		}
-		if _, err := model.Play(s, "module", 1); err != nil {
+		if _, err := model.Run(s, "module", 1); err != nil {
 			t.Errorf("%s: the fitted scenario does not run: %v", spread, err)
 		}
 	}
--- a/internal/lab/load/install.go
+++ b/internal/lab/load/install.go
@@ -108,7 +108,7 @@
 
 // startBrokers configures and starts the brokers, and waits until they listen.
 func (in *Installation) startBrokers(o Options, disc string, known discovery.List, start Start) error {
-	settings, err := in.Scenario.Settings()
+	settings, err := in.Scenario.BrokerSettings()
 	if err != nil {
 		return err
 	}
@@ -161,7 +161,7 @@
 // retries, writes the first class that writes. Every volume is a bucket of its plan.
 func (in *Installation) objectSettings(addr string) (map[string]any, error) {
 	read, write := "", ""
-	for _, c := range in.Scenario.Ways() {
+	for _, c := range in.Scenario.RequestClasses() {
 		if c.Writes && write == "" {
 			write = c.Name
 		} else if !c.Writes && c.Idempotency == "always" && read == "" {
@@ -172,7 +172,7 @@
 		return nil, fmt.Errorf("scenario %s: the object API needs a class that reads with repeat = \"always\", a class that writes, and at least one plan", in.Scenario.Name)
 	}
 	buckets := map[string]string{}
-	volumes, err := model.Volumes(in.Scenario)
+	volumes, err := model.VolumePlans(in.Scenario)
 	if err != nil {
 		return nil, err
 	}
@@ -216,7 +216,7 @@
 		return nil, err
 	}
 	after := in.nodeCounts()
-	rep.Attempts, rep.Handshakes, rep.Full = after[0]-before[0], after[1]-before[1], after[2]-before[2]
+	rep.Attempts, rep.Handshakes, rep.QueueRejections = after[0]-before[0], after[1]-before[1], after[2]-before[2]
 	return rep, nil
 }
 
@@ -242,13 +242,13 @@
 // times until the context ends.
 func (in *Installation) runPauses(ctx context.Context, t *model.Fault, n *fake.Timed, seed, stream uint64) {
 	random := rand.New(rand.NewPCG(seed, stream))
-	if random.Float64() >= t.Share {
+	if random.Float64() >= t.Probability {
 		return
 	}
-	wait := time.Duration(t.At) + time.Duration(random.Float64()*float64(t.Over))
+	wait := time.Duration(t.StartsAt) + time.Duration(random.Float64()*float64(t.StartSpread))
 	for {
-		if t.At == 0 {
-			wait = time.Duration(random.ExpFloat64() * float64(t.Every-t.Duration))
+		if t.StartsAt == 0 {
+			wait = time.Duration(random.ExpFloat64() * float64(t.MeanInterval-t.Duration))
 		}
 		timer := time.NewTimer(wait)
 		select {
@@ -258,7 +258,7 @@
 			return
 		}
 		n.Pause(time.Duration(t.Duration))
-		if t.At > 0 {
+		if t.StartsAt > 0 {
 			return
 		}
 	}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -77,7 +77,7 @@
 // Play sends all requests at their intended start times. It returns once every client has a response or has given up.
 func (r *Run) Play(ctx context.Context) (*Report, error) {
 	s := r.Scenario
-	all, err := model.Clients(s, r.Seed)
+	all, err := model.Arrivals(s, r.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -88,7 +88,7 @@
 	if len(addrs) != s.Brokers {
 		return nil, fmt.Errorf("scenario %s: brokers: %d, but got %d addresses", s.Name, s.Brokers, len(addrs))
 	}
-	classes := s.Ways()
+	classes := s.RequestClasses()
 	from, to := time.Duration(s.WarmUp).Microseconds(), time.Duration(s.Duration).Microseconds()
 	r.counters = counters{requestBatches: statistics.NewBatchMeans(from, to, batchCount), servedBatches: statistics.NewBatchMeans(from, to, batchCount), latencyBatches: statistics.NewBatchMeans(from, to, batchCount)}
 	for _, a := range addrs {
@@ -121,7 +121,7 @@
 		if ctx.Err() != nil {
 			break
 		}
-		retries := random.Float64() < s.Load.Retry
+		retries := random.Float64() < s.Load.RetryFraction
 		running.Go(func() { r.runClient(ctx, a, &classes[a.Class], retries) })
 	}
 	running.Wait()
@@ -174,10 +174,10 @@
 	t.sendDelay.Add(delay.Microseconds())
 	t.result.Requests++
 	if k := r.seriesPart(a.At); k >= 0 {
-		t.offeredValue[k] += a.Worth
+		t.offeredValue[k] += a.Value
 	}
-	if a.Inside {
-		t.offeredInsideReserve += a.Worth
+	if a.WithinReserve {
+		t.offeredInsideReserve += a.Value
 	}
 }
 
@@ -195,7 +195,7 @@
 	defer r.mu.Unlock()
 	switch t := &r.counters; o {
 	case refused:
-		t.result.Refused++
+		t.result.Rejected++
 	case failed:
 		t.result.Failed++
 	case connectionLost:
@@ -203,7 +203,7 @@
 	case wrongResponse:
 		t.wrongResponses++
 	case abandoned:
-		t.result.GivenUp++
+		t.result.ClientTimeouts++
 	}
 }
 
@@ -217,11 +217,11 @@
 		t.latencyBatches.Add(a.At, latency.Seconds())
 		t.latency.Add(latency.Microseconds())
 	}
-	value := a.Worth
+	value := a.Value
 	if latency > time.Duration(class.LatencyObjective) {
 		value *= class.LateValue
 		t.result.Late++
-	} else if a.Inside {
+	} else if a.WithinReserve {
 		t.servedInsideReserve += value
 	}
 	if k := r.seriesPart(a.At); k >= 0 {
@@ -233,10 +233,10 @@
 	t := &r.counters
 	res := t.result
 	res.Scenario, res.Design, res.Seed = r.Scenario.Name, "sockets", r.Seed
-	res.Asked, res.Served, res.Time = t.requestBatches.Rate(), t.servedBatches.Rate(), t.latencyBatches.Mean()
-	res.Median, res.P99 = float64(t.latency.Quantile(0.5))/1e6, float64(t.latency.Quantile(0.99))/1e6
-	for _, at := range model.Quantiles {
-		res.Quantiles = append(res.Quantiles, float64(t.latency.Quantile(at))/1e6)
+	res.ArrivalRate, res.ServedRate, res.ResponseTime = t.requestBatches.Rate(), t.servedBatches.Rate(), t.latencyBatches.Mean()
+	res.MedianResponseTime, res.P99ResponseTime = float64(t.latency.Quantile(0.5))/1e6, float64(t.latency.Quantile(0.99))/1e6
+	for _, at := range model.QuantileProbabilities {
+		res.ResponseTimeQuantiles = append(res.ResponseTimeQuantiles, float64(t.latency.Quantile(at))/1e6)
 	}
 	offered, earned := 0.0, 0.0
 	for k := range t.offeredValue {
@@ -244,13 +244,13 @@
 		if t.offeredValue[k] > 0 {
 			part = math.Round(1e4*t.servedValue[k]/t.offeredValue[k]) / 1e4
 		}
-		offered, earned, res.Series = offered+t.offeredValue[k], earned+t.servedValue[k], append(res.Series, part)
+		offered, earned, res.ServedValueSeries = offered+t.offeredValue[k], earned+t.servedValue[k], append(res.ServedValueSeries, part)
 	}
 	if offered > 0 {
-		res.Service = earned / offered
+		res.ServedValueRatio = earned / offered
 	}
 	if t.offeredInsideReserve > 0 {
-		res.Reserved = t.servedInsideReserve / t.offeredInsideReserve
+		res.ReservedValueRatio = t.servedInsideReserve / t.offeredInsideReserve
 	}
 	return &Report{Result: &res, LateP50: float64(t.sendDelay.Quantile(0.5)) / 1e6, LateP99: float64(t.sendDelay.Quantile(0.99)) / 1e6, Cut: t.connectionsLost, Wrong: t.wrongResponses}
 }
@@ -318,7 +318,7 @@
 		plan = r.Scenario.Plans[a.Plan].Name
 	}
 	attributes := fmt.Sprintf("c=%s,t=%s,d=%d,volume=%s,units=%g,shard=%d,hosts=%d", class.Name, plan, max(time.Until(deadline).Milliseconds(), 1), volumeID(a.Volume),
-		a.Units, a.Shard, a.Hosts)
+		a.Units, a.Shard, a.BrokerCount)
 	var b strings.Builder
 	fmt.Fprintf(&b, "*%d\r\n", argumentCount)
 	for _, w := range []string{name, fake.Piece(a.Key, int64(a.Work)), id, attributes, "x"}[:argumentCount] {
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Brokers, s.Duration, s.WarmUp, s.Load.Rate, s.Load.Work, s.Load.Retry = 2, model.Duration(time.Second), 0, 60, model.Duration(time.Millisecond), 0
+	s.Brokers, s.Duration, s.WarmUp, s.Load.Rate, s.Load.Work, s.Load.RetryFraction = 2, model.Duration(time.Second), 0, 60, model.Duration(time.Millisecond), 0
 	for i := range s.Classes {
 		s.Classes[i].LatencyObjective, s.Classes[i].Deadline = model.Duration(timeout/2), model.Duration(timeout)
 	}
@@ -69,7 +69,7 @@
 func TestModelClientsDriveRealBrokers(t *testing.T) {
 	for _, objects := range []bool{false, true} {
 		s := smallScenario(t)
-		s.Faults = []model.Fault{{Kind: "pause", Share: 1, Every: model.Duration(time.Second), Duration: model.Duration(time.Millisecond)}}
+		s.Faults = []model.Fault{{Kind: "pause", Probability: 1, MeanInterval: model.Duration(time.Second), Duration: model.Duration(time.Millisecond)}}
 		records := t.TempDir()
 		in, err := Install(s, Options{Dir: t.TempDir(), Objects: objects, Records: records}, startInProcess(t))
 		if err != nil {
@@ -89,17 +89,17 @@
 		if n := len(trace.Asked); n < rep.Requests || !objects && n != rep.Requests || len(trace.Brokers) != 2 || trace.Faults != nil {
 			t.Errorf("objects %v: %d of %d requests recorded, brokers %v, faults %q", objects, n, rep.Requests, trace.Brokers, trace.Faults)
 		}
-		want, err := model.Play(s, "module", 3)
+		want, err := model.Run(s, "module", 3)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if rep.Requests != want.Requests || rep.Requests < 30 {
 			t.Errorf("objects %v: %d requests, want at least 30 and the %d of the simulation", objects, rep.Requests, want.Requests)
 		}
-		if rep.Wrong != 0 || rep.Cut != 0 || rep.GivenUp != 0 {
-			t.Errorf("objects %v: %d wrong responses, %d connections lost, %d requests given up, want none", objects, rep.Wrong, rep.Cut, rep.GivenUp)
+		if rep.Wrong != 0 || rep.Cut != 0 || rep.ClientTimeouts != 0 {
+			t.Errorf("objects %v: %d wrong responses, %d connections lost, %d requests given up, want none", objects, rep.Wrong, rep.Cut, rep.ClientTimeouts)
 		}
-		if rep.Attempts < rep.Requests-rep.Refused-rep.Failed || rep.Service <= 0 || rep.Service > 1 || rep.P99 < rep.Median {
+		if rep.Attempts < rep.Requests-rep.Rejected-rep.Failed || rep.ServedValueRatio <= 0 || rep.ServedValueRatio > 1 || rep.P99ResponseTime < rep.MedianResponseTime {
 			t.Errorf("objects %v: implausible result %+v", objects, rep.Result)
 		}
 	}
@@ -168,7 +168,7 @@
 func TestLoadIsOpenLoop(t *testing.T) {
 	s := smallScenario(t)
 	s.Brokers = 1
-	all, err := model.Clients(s, 1)
+	all, err := model.Arrivals(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -191,11 +191,11 @@
 		t.Fatal(err)
 	}
 	first, last := all[0].At, all[len(all)-1].At
-	if minimum := float64(last-first) / 1e6; rep.Quantiles[len(rep.Quantiles)-1] < minimum {
-		t.Errorf("the highest reported latency is %.3f s, the first client waited at least %.3f s", rep.Quantiles[len(rep.Quantiles)-1], minimum)
+	if minimum := float64(last-first) / 1e6; rep.ResponseTimeQuantiles[len(rep.ResponseTimeQuantiles)-1] < minimum {
+		t.Errorf("the highest reported latency is %.3f s, the first client waited at least %.3f s", rep.ResponseTimeQuantiles[len(rep.ResponseTimeQuantiles)-1], minimum)
 	}
-	if rep.GivenUp > 0 || rep.Wrong > 0 {
-		t.Errorf("%d requests given up, %d wrong responses, want none", rep.GivenUp, rep.Wrong)
+	if rep.ClientTimeouts > 0 || rep.Wrong > 0 {
+		t.Errorf("%d requests given up, %d wrong responses, want none", rep.ClientTimeouts, rep.Wrong)
 	}
 }
 
@@ -206,11 +206,11 @@
 		respond func(c net.Conn, words []string) bool
 		counted func(r *Report) int
 	}{
-		"refused":        {func(c net.Conn, _ []string) bool { return send(c, "-BUSY 5\r\n") }, func(r *Report) int { return r.Refused }},
+		"refused":        {func(c net.Conn, _ []string) bool { return send(c, "-BUSY 5\r\n") }, func(r *Report) int { return r.Rejected }},
 		"failed":         {func(c net.Conn, _ []string) bool { return send(c, "-ERR failed\r\n") }, func(r *Report) int { return r.Failed }},
 		"other id":       {func(c net.Conn, w []string) bool { sendValue(c, w[2]+"0"); return true }, func(r *Report) int { return r.Wrong }},
 		"truncated":      {func(c net.Conn, w []string) bool { send(c, "$9\r\n12"); return false }, func(r *Report) int { return r.Cut }},
-		"served, closed": {func(c net.Conn, w []string) bool { sendValue(c, w[2]); return false }, func(r *Report) int { return r.Requests - r.Cut - r.Wrong - r.Refused }},
+		"served, closed": {func(c net.Conn, w []string) bool { sendValue(c, w[2]); return false }, func(r *Report) int { return r.Requests - r.Cut - r.Wrong - r.Rejected }},
 	} {
 		s := smallScenario(t)
 		s.Brokers = 1
@@ -228,7 +228,7 @@
 func TestUnsupportedScenariosAreRejected(t *testing.T) {
 	for want, edit := range map[string]func(s *model.Scenario){
 		"trouble[0].kind: vanish": func(s *model.Scenario) {
-			s.Faults = []model.Fault{{Kind: "vanish", Share: 1, At: 1e9, Duration: 1e9}}
+			s.Faults = []model.Fault{{Kind: "vanish", Probability: 1, StartsAt: 1e9, Duration: 1e9}}
 		},
 		"nodes": func(s *model.Scenario) { s.Nodes = nil },
 	} {
@@ -242,8 +242,8 @@
 	if _, err := (&Run{Scenario: s, Blocks: []string{"127.0.0.1:1"}}).Play(t.Context()); err == nil || !strings.Contains(err.Error(), "brokers: 2, but got 1 addresses") {
 		t.Errorf("too few addresses: error %v", err)
 	}
-	s.Load.Reread = 0.3
-	if _, err := model.Clients(s, 1); err == nil || !strings.Contains(err.Error(), "load.reread") {
+	s.Load.RereadFraction = 0.3
+	if _, err := model.Arrivals(s, 1); err == nil || !strings.Contains(err.Error(), "load.reread") {
 		t.Errorf("reads of recent writes: error %v", err)
 	}
 }
--- a/internal/lab/model/attempt.go
+++ b/internal/lab/model/attempt.go
@@ -25,7 +25,7 @@
 	at.ended = true
 	at.node.removeOpen(at)
 	if at.job != nil {
-		at.job.cancelled = b.run.s.Service.DropsExpired
+		at.job.cancelled = b.run.s.Service.DropsCancelled
 	}
 	if at.conn != nil {
 		at.conn.end()
@@ -73,7 +73,7 @@
 		return
 	}
 	if fresh {
-		if limit := b.run.s.Service.Connections; limit > 0 && n.conns >= limit {
+		if limit := b.run.s.Service.MaxConnections; limit > 0 && n.conns >= limit {
 			b.reportOutcome(at, decision.Rejected)
 			return
 		}
@@ -134,7 +134,7 @@
 	at.ended = true
 	at.node.removeOpen(at)
 	if at.job != nil && o != decision.Served {
-		at.job.cancelled = b.run.s.Service.DropsExpired
+		at.job.cancelled = b.run.s.Service.DropsCancelled
 	}
 	if at.conn != nil {
 		if o == decision.Served || o == decision.Rejected || o == decision.NodeError {
--- a/internal/lab/model/client.go
+++ b/internal/lab/model/client.go
@@ -79,35 +79,35 @@
 	}
 	total := 0.0
 	for _, p := range r.s.Plans {
-		total += float64(p.Volumes) * p.Size
+		total += float64(p.Volumes) * p.RelativeRate
 	}
 	drawCount := func(x [2]int, limit int) int { return min(x[0]+rng.IntN(x[1]-x[0]+1), limit) }
 	for k, p := range r.s.Plans {
-		rate := r.s.Load.Rate * p.Size / total
+		rate := r.s.Load.Rate * p.RelativeRate / total
 		units := rate * meanUnits
-		price := p.Price
+		price := p.PriceFactor
 		if price == 0 {
 			price = 1
 		}
 		r.config.Plans = append(r.config.Plans, decision.Plan{Name: p.Name, Weight: p.Weight, PriceFactor: price, UsualRate: units, ReservedRate: p.ReservedRate * units,
-			RateLimit: p.RateLimit * units, RateLimitBurst: p.RateLimit*units + 2*maxUnits*float64(p.Hosts[1]), RateLimitTolerance: 0.1 * (p.RateLimit*units + 2*maxUnits*float64(p.Hosts[1]))})
+			RateLimit: p.RateLimit * units, RateLimitBurst: p.RateLimit*units + 2*maxUnits*float64(p.BrokerRange[1]), RateLimitTolerance: 0.1 * (p.RateLimit*units + 2*maxUnits*float64(p.BrokerRange[1]))})
 		for range p.Volumes {
 			v := &volume{id: int32(len(r.volumes)), plan: k, rate: rate, units: units, rateFactor: 1}
 			v.name = fmt.Sprintf("%08x", 0x1000+v.id)
-			for _, i := range rng.Perm(len(r.brokers))[:drawCount(p.Hosts, len(r.brokers))] {
+			for _, i := range rng.Perm(len(r.brokers))[:drawCount(p.BrokerRange, len(r.brokers))] {
 				v.brokers = append(v.brokers, int32(i))
 			}
-			for _, i := range rng.Perm(len(r.nodes))[:drawCount(p.Nodes, len(r.nodes))] {
+			for _, i := range rng.Perm(len(r.nodes))[:drawCount(p.NodeRange, len(r.nodes))] {
 				v.shards = append(v.shards, r.nodes[i].shard)
 			}
 			v.random = r.e.Stream("volume " + v.name)
-			if rng.Float64() < p.Busy {
+			if rng.Float64() < p.BusyFraction {
 				v.rate *= 1 + 2*rng.Float64()
 			}
 			capacity := p.ReservedRate*units + maxUnits
 			v.reserve = unitBucket{rate: p.ReservedRate * units, capacity: capacity, tokens: capacity}
 			v.burst = unitBucket{rate: 2 * units, capacity: 2*units + maxUnits, tokens: 2 * units}
-			if rng.Float64() < p.Surge {
+			if rng.Float64() < p.SurgeFraction {
 				r.startSurges(v)
 			}
 			r.volumes = append(r.volumes, v)
@@ -159,7 +159,7 @@
 	if len(r.s.Plans) > 0 {
 		for _, v := range r.volumes {
 			r.scheduleRequest(v, v.rateGeneration)
-			if len(v.brokers) > 1 && r.s.Load.Shift > 0 {
+			if len(v.brokers) > 1 && r.s.Load.PrimaryShiftInterval > 0 {
 				r.startPrimaryShifts(v)
 			}
 		}
@@ -186,7 +186,7 @@
 	rng := r.e.Stream("shifts of " + v.name)
 	var next func()
 	next = func() {
-		r.e.After(int64(rng.ExpFloat64()*float64(r.s.Load.Shift.us())), func() {
+		r.e.After(int64(rng.ExpFloat64()*float64(r.s.Load.PrimaryShiftInterval.us())), func() {
 			v.primary = (v.primary + 1) % len(v.brokers)
 			next()
 		})
@@ -206,8 +206,8 @@
 		}
 	}
 	class := &r.classes[q.class]
-	if class.Work > 0 {
-		q.work *= class.Work
+	if class.WorkFactor > 0 {
+		q.work *= class.WorkFactor
 	}
 	if v.random != nil {
 		q.units = math.Min(maxUnits, math.Max(1, math.Round(meanUnits*q.work/r.meanWork)))
@@ -220,12 +220,12 @@
 		switch {
 		case q.withinReserve:
 		case v.burst.take(now, q.units):
-			valueFactor = r.s.Rules.BurstValue
+			valueFactor = r.s.Rules.BurstValueFactor
 		default:
-			valueFactor = r.s.Rules.ExcessValue
+			valueFactor = r.s.Rules.ExcessValueFactor
 		}
 	}
-	q.value = class.Priority * r.config.Plans[v.plan].PriceFactor * valueFactor * q.units
+	q.value = class.PriorityWeight * r.config.Plans[v.plan].PriceFactor * valueFactor * q.units
 	r.offeredValue.add(now, q.value)
 	r.arrivals.Add(now, 1)
 	r.requests++
@@ -248,7 +248,7 @@
 	}
 	// The number of draws must not depend on the writes so far, which depend on the design.
 	reread, writeIndex, shardIndex, key := rng.Float64(), rng.IntN(len(v.recentWrites)), rng.IntN(len(v.shards)), rng.IntN(64)
-	if v.writeCount > 0 && reread < r.s.Load.Reread {
+	if v.writeCount > 0 && reread < r.s.Load.RereadFraction {
 		p := v.recentWrites[writeIndex%min(v.writeCount, len(v.recentWrites))]
 		q.key, q.shard = p.key, p.shard
 		return
@@ -296,19 +296,19 @@
 	b.receive(q)
 }
 
-// chooseBroker draws one of a volume's brokers. The k-th from the primary on has a weight of k^-Skew.
+// chooseBroker draws one of a volume's brokers. The k-th from the primary on has a weight of k^-ZipfExponent.
 func (r *run) chooseBroker(v *volume, rng *rand.Rand) int {
 	n := len(v.brokers)
-	if r.s.Load.Skew == 0 {
+	if r.s.Load.ZipfExponent == 0 {
 		return rng.IntN(n)
 	}
 	sum := 0.0
 	for k := range n {
-		sum += math.Pow(float64(k+1), -r.s.Load.Skew)
+		sum += math.Pow(float64(k+1), -r.s.Load.ZipfExponent)
 	}
 	x, k := rng.Float64()*sum, 0
 	for ; k < n-1; k++ {
-		if x -= math.Pow(float64(k+1), -r.s.Load.Skew); x < 0 {
+		if x -= math.Pow(float64(k+1), -r.s.Load.ZipfExponent); x < 0 {
 			break
 		}
 	}
@@ -317,34 +317,34 @@
 
 // Arrival is a new request of a client, without its retries.
 type Arrival struct {
-	At     int64 // microseconds since the start of the run
-	Broker int32
-	Class  int
-	Plan   int
-	Volume string
-	Hosts  int // number of brokers that the volume uses
-	Key    uint64
-	Shard  int32 // -1 for a new object
-	Units  float64
-	Work   float64 // microseconds of a core with speed 1
-	Worth  float64 // value of a response within the latency objective
-	Inside bool    // within its volume's reserved rate
+	At            int64 // microseconds since the start of the run
+	Broker        int32
+	Class         int
+	Plan          int
+	Volume        string
+	BrokerCount   int // of the volume
+	Key           uint64
+	Shard         int32 // -1 for a new object
+	Units         float64
+	Work          float64 // microseconds of a core with speed 1
+	Value         float64 // value of a response within the latency objective
+	WithinReserve bool    // within its volume's reserved rate
 }
 
-// Clients returns the new requests of a run's clients, the same that every design receives from Play with this seed. A
+// Arrivals returns the new requests of a run's clients, the same that every design receives from Run with this seed. A
 // scenario with rereads of recently written objects is rejected: the shards of these objects depend on the design.
-func Clients(s *Scenario, seed uint64) ([]Arrival, error) {
+func Arrivals(s *Scenario, seed uint64) ([]Arrival, error) {
 	if err := s.Check(); err != nil {
 		return nil, fmt.Errorf("scenario %s: %w", s.Name, err)
 	}
-	if s.Load.Reread > 0 {
-		return nil, fmt.Errorf("scenario %s: load.reread is %v, want 0: where a recently written object is stored depends on the design", s.Name, s.Load.Reread)
+	if s.Load.RereadFraction > 0 {
+		return nil, fmt.Errorf("scenario %s: load.reread is %v, want 0: where a recently written object is stored depends on the design", s.Name, s.Load.RereadFraction)
 	}
 	var all []Arrival
 	r := prepare(s, "", seed)
 	r.sink = func(q *request, broker int32) {
-		all = append(all, Arrival{At: q.firstSentAt, Broker: broker, Class: int(q.class), Plan: q.volume.plan, Volume: q.volume.name, Hosts: len(q.volume.brokers), Key: q.key,
-			Shard: q.shard, Units: q.units, Work: q.work, Worth: q.value, Inside: q.withinReserve})
+		all = append(all, Arrival{At: q.firstSentAt, Broker: broker, Class: int(q.class), Plan: q.volume.plan, Volume: q.volume.name, BrokerCount: len(q.volume.brokers), Key: q.key,
+			Shard: q.shard, Units: q.units, Work: q.work, Value: q.value, WithinReserve: q.withinReserve})
 	}
 	r.build()
 	r.makeVolumes()
@@ -354,9 +354,9 @@
 	return all, r.err
 }
 
-// Volumes returns the index of the plan of each volume of a scenario, by the volume's name. It does not depend on the
-// seed.
-func Volumes(s *Scenario) (map[string]int, error) {
+// VolumePlans returns the index of the plan of each volume of a scenario, by the volume's name. It does not depend on
+// the seed.
+func VolumePlans(s *Scenario) (map[string]int, error) {
 	if err := s.Check(); err != nil {
 		return nil, fmt.Errorf("scenario %s: %w", s.Name, err)
 	}
@@ -397,7 +397,7 @@
 	default:
 		r.failed++
 	}
-	if q.clientAttempt == 0 && r.s.Load.Retry > 0 && r.retryRandom.Float64() < r.s.Load.Retry {
+	if q.clientAttempt == 0 && r.s.Load.RetryFraction > 0 && r.retryRandom.Float64() < r.s.Load.RetryFraction {
 		retry := &request{firstSentAt: q.firstSentAt, work: q.work, units: q.units, key: q.key, value: q.value, volume: q.volume, class: q.class, shard: q.shard, clientAttempt: 1, withinReserve: q.withinReserve}
 		r.e.After(max(hint.Microseconds(), 50_000), func() { r.sendToBroker(retry, r.retryRandom) })
 	}
--- a/internal/lab/model/fault_injection.go
+++ b/internal/lab/model/fault_injection.go
@@ -69,15 +69,15 @@
 // independent times.
 func (r *run) scheduleFault(fault *Fault, rng *rand.Rand, n int, f func(i int)) {
 	for i := range n {
-		if rng.Float64() >= fault.Share {
+		if rng.Float64() >= fault.Probability {
 			continue
 		}
-		if fault.At > 0 {
-			r.e.At(fault.At.us()+int64(rng.Float64()*float64(fault.Over.us())), func() { f(i) })
+		if fault.StartsAt > 0 {
+			r.e.At(fault.StartsAt.us()+int64(rng.Float64()*float64(fault.StartSpread.us())), func() { f(i) })
 			continue
 		}
 		times := rand.New(rand.NewPCG(rng.Uint64(), uint64(i)))
-		between := float64((fault.Every - fault.Duration).us())
+		between := float64((fault.MeanInterval - fault.Duration).us())
 		var next func()
 		next = func() {
 			f(i)
--- a/internal/lab/model/members_test.go
+++ b/internal/lab/model/members_test.go
@@ -83,21 +83,21 @@
 	s := &Scenario{Name: "flap", Brokers: 4, Duration: Duration(20e9), WarmUp: Duration(time.Second), Nodes: []NodeGroup{{Count: 6, Cores: 2, Speed: 1, QueueCapacity: 20}},
 		SlowStart: SlowStart{InitialCapacity: 0.2, Duration: Duration(15e9), OverloadFactor: 3, Window: Duration(time.Second)}, Link: Link{Delay: Duration(time.Millisecond), IdleTimeout: Duration(5e9)},
 		Load:  Load{Rate: 60, Work: Duration(30e6), Distribution: "exponential", Deadline: Duration(2e9)},
-		Rules: Rules{Attempts: 3, DrainGrace: Duration(500e6), ResponseGrace: Duration(50e6), NotificationDeadline: Duration(10e9)}}
+		Rules: Rules{MaxAttempts: 3, DrainGrace: Duration(500e6), ResponseGrace: Duration(50e6), NotificationDeadline: Duration(10e9)}}
 	simulate := func(design string) *Result {
-		r, err := Play(s, design, 4)
+		r, err := Run(s, design, 4)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return r
 	}
-	if a, b := simulate("module"), simulate("members"); a.Service != b.Service || a.Attempts != b.Attempts {
-		t.Errorf("without faults: service %v and %v, %d and %d attempts", a.Service, b.Service, a.Attempts, b.Attempts)
+	if a, b := simulate("module"), simulate("members"); a.ServedValueRatio != b.ServedValueRatio || a.Attempts != b.Attempts {
+		t.Errorf("without faults: service %v and %v, %d and %d attempts", a.ServedValueRatio, b.ServedValueRatio, a.Attempts, b.Attempts)
 	}
-	s.Faults = []Fault{{Kind: "flap", Share: 0.3, Every: Duration(3e9), Duration: Duration(400e6)}}
+	s.Faults = []Fault{{Kind: "flap", Probability: 0.3, MeanInterval: Duration(3e9), Duration: Duration(400e6)}}
 	for _, d := range []string{"module", "members"} {
-		if r := simulate(d); len(r.Broken) > 0 || r.Service < 0.3 {
-			t.Errorf("%s: service %v, violated rules: %v", d, r.Service, r.BrokenRules())
+		if r := simulate(d); len(r.ViolationCounts) > 0 || r.ServedValueRatio < 0.3 {
+			t.Errorf("%s: service %v, violated rules: %v", d, r.ServedValueRatio, r.ViolationSummary())
 		}
 	}
 }
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -44,14 +44,14 @@
 		// The second moment of the service time is the square of its mean times e^(sigma^2), and sigma is 1.
 		"M/G/1": {singleNode(1, 25, "lognormal"), work + 25*work*work*math.E/(2*(1-0.5))},
 	} {
-		r, err := Play(x.s, "random", 3)
+		r, err := Run(x.s, "random", 3)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if miss := math.Abs(r.Time.Mean - x.want); miss > 2*r.Time.HalfWidth || r.Time.HalfWidth > 0.15*x.want {
-			t.Errorf("%s: mean response time %v, theory %.4g", name, r.Time, x.want)
+		if miss := math.Abs(r.ResponseTime.Mean - x.want); miss > 2*r.ResponseTime.HalfWidth || r.ResponseTime.HalfWidth > 0.15*x.want {
+			t.Errorf("%s: mean response time %v, theory %.4g", name, r.ResponseTime, x.want)
 		}
-		if l := r.Served.Mean * r.Time.Mean; math.Abs(l-r.InSystem.Mean) > 0.01*l {
+		if l := r.ServedRate.Mean * r.ResponseTime.Mean; math.Abs(l-r.InSystem.Mean) > 0.01*l {
 			t.Errorf("%s: %.4g requests in the system, %.4g by Little's law", name, r.InSystem.Mean, l)
 		}
 	}
@@ -61,19 +61,19 @@
 func TestRunsAreDeterministic(t *testing.T) {
 	s := &Scenario{Brokers: 7, Duration: Duration(20 * time.Second), Nodes: []NodeGroup{{Count: 12, Cores: 2, Speed: 0.9, QueueCapacity: 20}},
 		Load:    Load{Rate: 800, Work: Duration(20 * time.Millisecond), Distribution: "exponential", Deadline: Duration(time.Second)},
-		Service: Service{DropsExpired: true},
-		Faults:  []Fault{{Kind: "pause", Share: 1, Every: Duration(5 * time.Second), Duration: Duration(100 * time.Millisecond)}, {Kind: "silence", Share: 0.2, Every: Duration(9 * time.Second), Duration: Duration(3 * time.Second)}}}
+		Service: Service{DropsCancelled: true},
+		Faults:  []Fault{{Kind: "pause", Probability: 1, MeanInterval: Duration(5 * time.Second), Duration: Duration(100 * time.Millisecond)}, {Kind: "silence", Probability: 0.2, MeanInterval: Duration(9 * time.Second), Duration: Duration(3 * time.Second)}}}
 	for _, d := range Designs() {
-		a, err := Play(s, d, 5)
-		b, _ := Play(s, d, 5)
-		c, _ := Play(s, "random", 5)
+		a, err := Run(s, d, 5)
+		b, _ := Run(s, d, 5)
+		c, _ := Run(s, "random", 5)
 		if err != nil || !reflect.DeepEqual(a, b) {
 			t.Errorf("%s: error %v, or two runs with the same seed differ", d, err)
 		}
-		if a.Requests != c.Requests || a.Asked != c.Asked {
-			t.Errorf("%s: %d requests, %v per second; random: %d, %v", d, a.Requests, a.Asked, c.Requests, c.Asked)
+		if a.Requests != c.Requests || a.ArrivalRate != c.ArrivalRate {
+			t.Errorf("%s: %d requests, %v per second; random: %d, %v", d, a.Requests, a.ArrivalRate, c.Requests, c.ArrivalRate)
 		}
-		if a.Refused+a.Failed == 0 || len(a.Broken) > 0 || a.IgnoredForwards > 0 {
+		if a.Rejected+a.Failed == 0 || len(a.ViolationCounts) > 0 || a.IgnoredForwards > 0 {
 			t.Errorf("%s: no request was refused, or rules were violated, or forwards were ignored: %+v", d, a)
 		}
 	}
@@ -105,15 +105,15 @@
 	for key, invalidate := range map[string]func(*Scenario){
 		"load.rate": func(s *Scenario) { s.Load.Rate = 0 }, "load.spread": func(s *Scenario) { s.Load.Distribution = "x" },
 		"nodes[0].cores": func(s *Scenario) { s.Nodes[0].Cores = 0 }, "warm": func(s *Scenario) { s.WarmUp = s.Duration },
-		"trouble[0].every": func(s *Scenario) { s.Faults = []Fault{{Kind: "pause", Share: 1, Every: 1, Duration: 2}} },
+		"trouble[0].every": func(s *Scenario) { s.Faults = []Fault{{Kind: "pause", Probability: 1, MeanInterval: 1, Duration: 2}} },
 	} {
 		s := singleNode(1, 1, "constant")
 		invalidate(s)
-		if _, err := Play(s, "random", 1); err == nil || !strings.Contains(err.Error(), key) {
+		if _, err := Run(s, "random", 1); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("error %v does not name the key %s", err, key)
 		}
 	}
-	if _, err := Play(singleNode(1, 1, "constant"), "best", 1); err == nil || !strings.Contains(err.Error(), "best") {
+	if _, err := Run(singleNode(1, 1, "constant"), "best", 1); err == nil || !strings.Contains(err.Error(), "best") {
 		t.Errorf("error %v does not name the unknown design best", err)
 	}
 }
@@ -135,7 +135,7 @@
 				Load: Load{Rate: 28 * float64(nodes), Work: Duration(50 * time.Millisecond), Distribution: "exponential"}}
 			events := uint64(0)
 			for range b.N {
-				r, err := Play(s, "two", 1)
+				r, err := Run(s, "two", 1)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -172,7 +172,7 @@
 						}
 					}
 				}()
-				r, err := Play(s, "two", 1)
+				r, err := Run(s, "two", 1)
 				close(stop)
 				<-done
 				if err != nil {
@@ -190,15 +190,15 @@
 func faultScenario(faults ...Fault) *Scenario {
 	ms := func(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
 	return &Scenario{Name: "fleet", Brokers: 8, Zones: 2, Duration: ms(12_000), Nodes: []NodeGroup{{8, 2, 0.95, 30}, {4, 2, 0.6, 30}},
-		Service:   Service{Connections: 60, Handshake: ms(4), CachedKeys: 2, CacheMissCost: 0.4, DeferredWrite: 0.3, FlushInterval: ms(2000)},
+		Service:   Service{MaxConnections: 60, Handshake: ms(4), CachedKeys: 2, CacheHitSaving: 0.4, DeferredWriteFraction: 0.3, FlushInterval: ms(2000)},
 		SlowStart: SlowStart{InitialCapacity: 0.2, Duration: ms(8000), OverloadFactor: 3, Window: ms(1000)}, Link: Link{Delay: 500, Jitter: 500, Handshake: 1000, IdleTimeout: ms(5000)},
 		Discovery: Discovery{CallRate: 50, Timeout: ms(2000), Delay: ms(300)},
-		Load:      Load{Rate: 200, Work: ms(52), Distribution: "lognormal", Sigma: 0.3, Retry: 0.4, Reread: 0.3, Shift: ms(5000), Skew: 0.8},
-		Classes: []Class{{Name: "read", Share: 0.65, Work: 0.8, LatencyObjective: ms(400), Deadline: ms(2500), Priority: 2, LateValue: 0.1, Idempotency: "always"},
-			{Name: "new", Share: 0.35, Work: 1.4, LatencyObjective: ms(600), Deadline: ms(5000), Priority: 2, LateValue: 0.1, Idempotency: "never", Writes: true}},
-		Plans: []Plan{{Name: "basis", Volumes: 40, Size: 1, ReservedRate: 0.3, Weight: 1, Price: 0.8, Hosts: [2]int{1, 3}, Nodes: [2]int{1, 4}, Busy: 0.2, Surge: 0.1},
-			{Name: "express", Volumes: 30, Size: 2, ReservedRate: 1.2, Weight: 3, Price: 1.5, Hosts: [2]int{1, 3}, Nodes: [2]int{1, 4}, RateLimit: 4}},
-		Rules: Rules{Attempts: 3, ResponseGrace: ms(50), BurstValue: 0.3, ExcessValue: 0.08, NotificationDeadline: ms(10_000)}, Faults: faults}
+		Load:      Load{Rate: 200, Work: ms(52), Distribution: "lognormal", Sigma: 0.3, RetryFraction: 0.4, RereadFraction: 0.3, PrimaryShiftInterval: ms(5000), ZipfExponent: 0.8},
+		Classes: []Class{{Name: "read", Share: 0.65, WorkFactor: 0.8, LatencyObjective: ms(400), Deadline: ms(2500), PriorityWeight: 2, LateValue: 0.1, Idempotency: "always"},
+			{Name: "new", Share: 0.35, WorkFactor: 1.4, LatencyObjective: ms(600), Deadline: ms(5000), PriorityWeight: 2, LateValue: 0.1, Idempotency: "never", Writes: true}},
+		Plans: []Plan{{Name: "basis", Volumes: 40, RelativeRate: 1, ReservedRate: 0.3, Weight: 1, PriceFactor: 0.8, BrokerRange: [2]int{1, 3}, NodeRange: [2]int{1, 4}, BusyFraction: 0.2, SurgeFraction: 0.1},
+			{Name: "express", Volumes: 30, RelativeRate: 2, ReservedRate: 1.2, Weight: 3, PriceFactor: 1.5, BrokerRange: [2]int{1, 3}, NodeRange: [2]int{1, 4}, RateLimit: 4}},
+		Rules: Rules{MaxAttempts: 3, ResponseGrace: ms(50), BurstValueFactor: 0.3, ExcessValueFactor: 0.08, NotificationDeadline: ms(10_000)}, Faults: faults}
 }
 
 // The module keeps every rule under each kind of fault, and under all kinds at the same time. Runs are deterministic,
@@ -207,14 +207,14 @@
 	s := func(n float64) Duration { return Duration(n * float64(time.Second)) }
 	var all []Fault
 	for _, kind := range FaultKinds() {
-		x := Fault{Kind: kind, Share: 0.5, At: s(3), Duration: s(2.5), Over: s(1)}
+		x := Fault{Kind: kind, Probability: 0.5, StartsAt: s(3), Duration: s(2.5), StartSpread: s(1)}
 		if faultHasFactor[kind] {
 			x.Factor = map[string]float64{"slow": 0.3, "hot": 6, "load": 1.8, "late": 4, "lossy": 0.5, "error": 0.5}[kind]
 		}
 		all = append(all, x)
 	}
-	baseline, err := Play(faultScenario(), "module", 1)
-	if err != nil || baseline.Service < 0.9 || baseline.Requests < 2000 {
+	baseline, err := Run(faultScenario(), "module", 1)
+	if err != nil || baseline.ServedValueRatio < 0.9 || baseline.Requests < 2000 {
 		t.Fatalf("run without faults: error %v, result %+v", err, baseline)
 	}
 	harmful := 0
@@ -223,17 +223,17 @@
 		if len(list) > 1 {
 			name = "all"
 		}
-		r, err := Play(faultScenario(list...), "module", 1)
+		r, err := Run(faultScenario(list...), "module", 1)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		if len(r.Broken) > 0 || r.IgnoredForwards > 0 || r.GivenUp > 0 && name != "broker" {
-			t.Errorf("%s: violated rules: %v%v, %d ignored forwards, %d clients gave up", name, r.BrokenRules(), r.Violations, r.IgnoredForwards, r.GivenUp)
+		if len(r.ViolationCounts) > 0 || r.IgnoredForwards > 0 || r.ClientTimeouts > 0 && name != "broker" {
+			t.Errorf("%s: violated rules: %v%v, %d ignored forwards, %d clients gave up", name, r.ViolationSummary(), r.Violations, r.IgnoredForwards, r.ClientTimeouts)
 		}
-		if r.Service < baseline.Service-0.005 {
+		if r.ServedValueRatio < baseline.ServedValueRatio-0.005 {
 			harmful++
 		}
-		if again, _ := Play(faultScenario(list...), "module", 1); !reflect.DeepEqual(r, again) {
+		if again, _ := Run(faultScenario(list...), "module", 1); !reflect.DeepEqual(r, again) {
 			t.Errorf("%s: two runs with the same seed differ", name)
 		}
 	}
@@ -253,27 +253,27 @@
 // The simulation distinguishes designs: the random design overloads nodes in slow start, which the checker reports, and
 // the oracle, which sees the true state of all nodes, has the best service.
 func TestSimulationDistinguishesDesigns(t *testing.T) {
-	s := faultScenario(Fault{Kind: "replace", Share: 0.7, At: Duration(2 * time.Second), Duration: Duration(2 * time.Second), Over: Duration(time.Second)})
+	s := faultScenario(Fault{Kind: "replace", Probability: 0.7, StartsAt: Duration(2 * time.Second), Duration: Duration(2 * time.Second), StartSpread: Duration(time.Second)})
 	s.Load.Rate = 320
 	got := map[string]*Result{}
 	for _, d := range Designs() {
-		r, err := Play(s, d, 2)
+		r, err := Run(s, d, 2)
 		if err != nil {
 			t.Fatal(err)
 		}
 		got[d] = r
 	}
-	if got["random"].Fell == 0 || got["random"].Broken["cold"] == 0 {
+	if got["random"].Overloads == 0 || got["random"].ViolationCounts["cold"] == 0 {
 		t.Errorf("random overloaded no node in slow start, or the checker did not report it: %+v", got["random"])
 	}
 	for _, d := range []string{"module", "oracle"} {
-		if got[d].Fell > 0 || len(got[d].Broken) > 0 || got[d].Service < got["random"].Service {
+		if got[d].Overloads > 0 || len(got[d].ViolationCounts) > 0 || got[d].ServedValueRatio < got["random"].ServedValueRatio {
 			t.Errorf("%s overloaded nodes, violated rules or had less service than random: %+v", d, got[d])
 		}
 	}
 	for d, r := range got {
-		if r.Service > got["oracle"].Service+0.01 {
-			t.Errorf("%s has service %.3f, better than the oracle's %.3f", d, r.Service, got["oracle"].Service)
+		if r.ServedValueRatio > got["oracle"].ServedValueRatio+0.01 {
+			t.Errorf("%s has service %.3f, better than the oracle's %.3f", d, r.ServedValueRatio, got["oracle"].ServedValueRatio)
 		}
 	}
 }
--- a/internal/lab/model/node.go
+++ b/internal/lab/model/node.go
@@ -153,9 +153,9 @@
 	if n.service == nil {
 		return work
 	}
-	if j.write && n.service.DeferredWrite > 0 {
-		n.deferredWork += work * n.service.DeferredWrite
-		work *= 1 - n.service.DeferredWrite
+	if j.write && n.service.DeferredWriteFraction > 0 {
+		n.deferredWork += work * n.service.DeferredWriteFraction
+		work *= 1 - n.service.DeferredWriteFraction
 	}
 	if limit := n.service.CachedKeys; limit > 0 && j.key != 0 {
 		cached := false
@@ -167,7 +167,7 @@
 			}
 		}
 		if cached && j.firstAttempt {
-			work *= 1 - n.service.CacheMissCost
+			work *= 1 - n.service.CacheHitSaving
 		}
 		if n.cachedKeys = append(n.cachedKeys, j.key); len(n.cachedKeys) > limit {
 			n.cachedKeys = n.cachedKeys[1:]
--- a/internal/lab/model/run.go
+++ b/internal/lab/model/run.go
@@ -21,41 +21,41 @@
 // Result is the result of one run. Estimates and the quantiles of response times leave out the warm-up period; counts and
 // values are those of the whole run. Times are seconds.
 type Result struct {
-	Scenario          string              `json:"scenario"`
-	Design            string              `json:"design"`
-	Seed              uint64              `json:"seed"`
-	Asked             statistics.Estimate `json:"asked"`    // requests per second, without clients' retries
-	Served            statistics.Estimate `json:"served"`   // requests per second
-	Time              statistics.Estimate `json:"time"`     // response time of served requests, from the client's first attempt
-	InSystem          statistics.Estimate `json:"inside"`   // attempts in service or queued at all nodes together
-	Service           float64             `json:"service"`  // served value over offered value
-	Reserved          float64             `json:"reserved"` // the same, of requests within their volumes' reserved rates
-	Series            []float64           `json:"series"`   // Service by part of the run
-	Median            float64             `json:"median"`   // of the response time
-	P99               float64             `json:"p99"`
-	Quantiles         []float64           `json:"quantiles"` // of the response time, at the probabilities of the variable Quantiles
-	Full              int                 `json:"full"`      // attempts rejected by a full queue
-	GivenUp           int                 `json:"given_up"`  // requests whose client disconnected at the deadline
-	Refused           int                 `json:"refused"`   // rejections sent to clients, those of retries included
-	Failed            int                 `json:"failed"`    // failures sent to clients, those of retries included
-	Late              int                 `json:"late"`      // served after the latency objective
-	BrokerUnreachable int                 `json:"unheard"`   // requests to a broker that was down
-	Attempts          int                 `json:"attempts"`
-	Handshakes        int                 `json:"handshakes"`
-	Calls             int                 `json:"calls"`      // polls of discovery
-	Fell              int                 `json:"fell"`       // overloads of nodes in slow start
-	ColdPeak          float64             `json:"cold_peak"`  // largest load of a node in slow start, see Node.slowStartPeak
-	SlowStartArrivals int                 `json:"cold_sends"` // attempts that reached nodes in slow start
-	MaxOpen           int                 `json:"most_open"`  // largest number of open requests at one broker
-	IgnoredForwards   int                 `json:"moot"`       // Forward actions that could not be carried out, see broker.send
-	Requests          int                 `json:"requests"`
-	Events            uint64              `json:"events"`
-	Broken            map[string]int      `json:"broken,omitempty"` // number of violations by rule
-	Violations        []rules.Violation   `json:"words,omitempty"`  // the first 10
+	Scenario              string              `json:"scenario"`
+	Design                string              `json:"design"`
+	Seed                  uint64              `json:"seed"`
+	ArrivalRate           statistics.Estimate `json:"asked"`    // requests per second, without clients' retries
+	ServedRate            statistics.Estimate `json:"served"`   // requests per second
+	ResponseTime          statistics.Estimate `json:"time"`     // response time of served requests, from the client's first attempt
+	InSystem              statistics.Estimate `json:"inside"`   // attempts in service or queued at all nodes together
+	ServedValueRatio      float64             `json:"service"`  // served value over offered value
+	ReservedValueRatio    float64             `json:"reserved"` // the same, of requests within their volumes' reserved rates
+	ServedValueSeries     []float64           `json:"series"`   // ServedValueRatio by part of the run
+	MedianResponseTime    float64             `json:"median"`
+	P99ResponseTime       float64             `json:"p99"`
+	ResponseTimeQuantiles []float64           `json:"quantiles"` // of the response time, at QuantileProbabilities
+	QueueRejections       int                 `json:"full"`      // attempts rejected by a full queue
+	ClientTimeouts        int                 `json:"given_up"`  // requests whose client disconnected at the deadline
+	Rejected              int                 `json:"refused"`   // rejections sent to clients, those of retries included
+	Failed                int                 `json:"failed"`    // failures sent to clients, those of retries included
+	Late                  int                 `json:"late"`      // served after the latency objective
+	BrokerUnreachable     int                 `json:"unheard"`   // requests to a broker that was down
+	Attempts              int                 `json:"attempts"`
+	Handshakes            int                 `json:"handshakes"`
+	DiscoveryPolls        int                 `json:"calls"`
+	Overloads             int                 `json:"fell"`       // of nodes in slow start
+	SlowStartPeak         float64             `json:"cold_peak"`  // largest load of a node in slow start, see Node.slowStartPeak
+	SlowStartArrivals     int                 `json:"cold_sends"` // attempts that reached nodes in slow start
+	MaxOpen               int                 `json:"most_open"`  // largest number of open requests at one broker
+	IgnoredForwards       int                 `json:"moot"`       // Forward actions that could not be carried out, see broker.send
+	Requests              int                 `json:"requests"`
+	Events                uint64              `json:"events"`
+	ViolationCounts       map[string]int      `json:"broken,omitempty"` // number of violations by rule
+	Violations            []rules.Violation   `json:"words,omitempty"`  // the first 10
 }
 
-// Quantiles are the probabilities of Result.Quantiles.
-var Quantiles = []float64{0.01, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 0.95, 0.98, 0.99}
+// QuantileProbabilities are the probabilities of Result.ResponseTimeQuantiles.
+var QuantileProbabilities = []float64{0.01, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 0.95, 0.98, 0.99}
 
 // valueSeries is the sum of values by part of the run.
 type valueSeries struct {
@@ -76,7 +76,7 @@
 	return s
 }
 
-// SeriesParts is the number of parts of a run in Result.Series.
+// SeriesParts is the number of parts of a run in Result.ServedValueSeries.
 const SeriesParts = 60
 
 // run is the state of one simulation run.
@@ -154,7 +154,7 @@
 	}
 	r.nodes = append(r.nodes, n)
 	r.byName[n.name] = n
-	if every := r.s.Service.FlushInterval.us(); every > 0 && r.s.Service.DeferredWrite > 0 {
+	if every := r.s.Service.FlushInterval.us(); every > 0 && r.s.Service.DeferredWriteFraction > 0 {
 		rng := r.e.Stream("flush of " + n.name)
 		var next func()
 		next = func() {
@@ -174,8 +174,8 @@
 // configure sets the brokers' configuration from the scenario, apart from the plans, which makeVolumes adds.
 func (r *run) configure() {
 	s := r.s
-	c := decision.Config{Brokers: s.Brokers, MaxAttempts: s.Rules.Attempts, PollsEndpoints: true, MaxPollInterval: time.Duration(s.Rules.NotificationDeadline), SendsRetryAfter: true, MaxRetryAfter: 5 * time.Second,
-		MeanUnits: meanUnits, MaxUnits: maxUnits, QuotaPriorityWeight: s.Rules.BurstValue, SlowStartFraction: s.SlowStart.InitialCapacity, SlowStartDuration: time.Duration(s.SlowStart.Duration)}
+	c := decision.Config{Brokers: s.Brokers, MaxAttempts: s.Rules.MaxAttempts, PollsEndpoints: true, MaxPollInterval: time.Duration(s.Rules.NotificationDeadline), SendsRetryAfter: true, MaxRetryAfter: 5 * time.Second,
+		MeanUnits: meanUnits, MaxUnits: maxUnits, QuotaPriorityWeight: s.Rules.BurstValueFactor, SlowStartFraction: s.SlowStart.InitialCapacity, SlowStartDuration: time.Duration(s.SlowStart.Duration)}
 	if c.MaxAttempts == 0 {
 		c.MaxAttempts = 1 << 20
 	}
@@ -197,7 +197,7 @@
 		c.ConnectionReuseWindow, c.HandshakeCost = time.Duration(s.Link.IdleTimeout), float64(s.Service.Handshake.us()+s.Link.Handshake.us())/r.meanWork
 	}
 	for _, k := range r.classes {
-		x := decision.Class{Name: k.Name, LatencyObjective: time.Duration(k.LatencyObjective), Deadline: time.Duration(k.Deadline), PriorityWeight: k.Priority}
+		x := decision.Class{Name: k.Name, LatencyObjective: time.Duration(k.LatencyObjective), Deadline: time.Duration(k.Deadline), PriorityWeight: k.PriorityWeight}
 		if k.Idempotency == "never" {
 			x.Idempotency = decision.NotIdempotent
 		}
@@ -208,7 +208,7 @@
 
 // checkerSettings returns the settings of the rule checker.
 func (r *run) checkerSettings() rules.Settings {
-	t := rules.Settings{MaxAttempts: int32(r.s.Rules.Attempts), DrainGrace: r.s.Rules.DrainGrace.us(), ResponseGrace: r.s.Rules.ResponseGrace.us(), SlowStartWindow: r.s.SlowStart.Window.us()}
+	t := rules.Settings{MaxAttempts: int32(r.s.Rules.MaxAttempts), DrainGrace: r.s.Rules.DrainGrace.us(), ResponseGrace: r.s.Rules.ResponseGrace.us(), SlowStartWindow: r.s.SlowStart.Window.us()}
 	if t.DrainGrace == 0 {
 		t.DrainGrace = 500_000
 	}
@@ -226,9 +226,9 @@
 	return t
 }
 
-// Play runs a scenario with one design at all brokers. With the same seed, every design meets the same requests and
+// Run simulates a scenario with one design at all brokers. With the same seed, every design meets the same requests and
 // faults.
-func Play(s *Scenario, design string, seed uint64) (*Result, error) {
+func Run(s *Scenario, design string, seed uint64) (*Result, error) {
 	if err := s.Check(); err != nil {
 		return nil, fmt.Errorf("scenario %s: %w", s.Name, err)
 	}
@@ -314,32 +314,32 @@
 }
 
 func (r *run) result(design string, seed uint64, to int64) *Result {
-	res := &Result{Scenario: r.s.Name, Design: design, Seed: seed, Asked: r.arrivals.Rate(), Served: r.served.Rate(), Time: r.responseTimes.Mean(), InSystem: r.inSystem.Mean(to),
-		Full: r.queueRejections, GivenUp: r.clientTimeouts, Refused: r.rejected, Failed: r.failed, Late: r.late, BrokerUnreachable: r.brokerUnreachable, Attempts: r.attempts, Handshakes: r.handshakes,
-		Calls: r.discovery.calls, Fell: r.overloads, MaxOpen: r.maxOpen, IgnoredForwards: r.ignoredForwards, Events: r.e.EventCount(), Requests: r.requests}
-	res.Median, res.P99 = float64(r.latency.Quantile(0.5))/1e6, float64(r.latency.Quantile(0.99))/1e6
-	for _, at := range Quantiles {
-		res.Quantiles = append(res.Quantiles, float64(r.latency.Quantile(at))/1e6)
+	res := &Result{Scenario: r.s.Name, Design: design, Seed: seed, ArrivalRate: r.arrivals.Rate(), ServedRate: r.served.Rate(), ResponseTime: r.responseTimes.Mean(), InSystem: r.inSystem.Mean(to),
+		QueueRejections: r.queueRejections, ClientTimeouts: r.clientTimeouts, Rejected: r.rejected, Failed: r.failed, Late: r.late, BrokerUnreachable: r.brokerUnreachable, Attempts: r.attempts, Handshakes: r.handshakes,
+		DiscoveryPolls: r.discovery.calls, Overloads: r.overloads, MaxOpen: r.maxOpen, IgnoredForwards: r.ignoredForwards, Events: r.e.EventCount(), Requests: r.requests}
+	res.MedianResponseTime, res.P99ResponseTime = float64(r.latency.Quantile(0.5))/1e6, float64(r.latency.Quantile(0.99))/1e6
+	for _, at := range QuantileProbabilities {
+		res.ResponseTimeQuantiles = append(res.ResponseTimeQuantiles, float64(r.latency.Quantile(at))/1e6)
 	}
 	if offered := r.offeredValue.sum(); offered > 0 {
-		res.Service = r.servedValue.sum() / offered
+		res.ServedValueRatio = r.servedValue.sum() / offered
 	}
 	if r.offeredReservedValue > 0 {
-		res.Reserved = r.servedReservedValue / r.offeredReservedValue
+		res.ReservedValueRatio = r.servedReservedValue / r.offeredReservedValue
 	}
 	for k, offered := range r.offeredValue.parts {
 		part := 0.0
 		if offered > 0 {
 			part = math.Round(1e4*r.servedValue.parts[k]/offered) / 1e4
 		}
-		res.Series = append(res.Series, part)
+		res.ServedValueSeries = append(res.ServedValueSeries, part)
 	}
 	for _, n := range r.nodes {
-		res.ColdPeak = max(res.ColdPeak, n.slowStartPeak)
+		res.SlowStartPeak = max(res.SlowStartPeak, n.slowStartPeak)
 	}
 	res.SlowStartArrivals = r.slowStartArrivals
 	if c := r.checker.Counts(); len(c) > 0 {
-		res.Broken, res.Violations = c, r.checker.Violations()
+		res.ViolationCounts, res.Violations = c, r.checker.Violations()
 		if len(res.Violations) > 10 {
 			res.Violations = res.Violations[:10]
 		}
@@ -347,19 +347,19 @@
 	return res
 }
 
-// BrokenRules lists the violated rules with the number of violations of each, the most frequent first.
-func (res *Result) BrokenRules() string {
-	names := make([]string, 0, len(res.Broken))
-	for k := range res.Broken {
+// ViolationSummary lists the violated rules with the number of violations of each, the most frequent first.
+func (res *Result) ViolationSummary() string {
+	names := make([]string, 0, len(res.ViolationCounts))
+	for k := range res.ViolationCounts {
 		names = append(names, k)
 	}
 	sort.Slice(names, func(i, j int) bool {
 		a, b := names[i], names[j]
-		return res.Broken[a] > res.Broken[b] || res.Broken[a] == res.Broken[b] && a < b
+		return res.ViolationCounts[a] > res.ViolationCounts[b] || res.ViolationCounts[a] == res.ViolationCounts[b] && a < b
 	})
 	out := ""
 	for _, k := range names {
-		out += fmt.Sprintf("%s %d ", k, res.Broken[k])
+		out += fmt.Sprintf("%s %d ", k, res.ViolationCounts[k])
 	}
 	return out
 }
--- a/internal/lab/model/scenario.go
+++ b/internal/lab/model/scenario.go
@@ -68,13 +68,13 @@
 
 // Service holds the properties that all nodes share.
 type Service struct {
-	DropsExpired  bool     `toml:"drops"`       // a waiting request is skipped once its attempt is over
-	Connections   int      `toml:"connections"` // largest number at a node; 0 if there is no limit
-	Handshake     Duration `toml:"handshake"`   // work of a new connection at the node
-	CachedKeys    int      `toml:"remembers"`   // the most recent keys; another request for one of them costs less
-	CacheMissCost float64  `toml:"seek"`        // fraction of a request's work that a cached key saves
-	DeferredWrite float64  `toml:"defer"`       // fraction of a write's work that is deferred
-	FlushInterval Duration `toml:"flush"`       // mean time between flushes of deferred work
+	DropsCancelled        bool     `toml:"drops"`       // a queued request is dropped once its attempt is over
+	MaxConnections        int      `toml:"connections"` // largest number at a node; 0 if there is no limit
+	Handshake             Duration `toml:"handshake"`   // work of a new connection at the node
+	CachedKeys            int      `toml:"remembers"`   // the most recent keys; another request for one of them costs less
+	CacheHitSaving        float64  `toml:"seek"`        // fraction of a request's work that a cached key saves
+	DeferredWriteFraction float64  `toml:"defer"`       // fraction of a write's work that is deferred
+	FlushInterval         Duration `toml:"flush"`       // mean time between flushes of deferred work
 }
 
 // SlowStart is the reduced capacity of nodes after a start, which grows linearly. Without Duration nodes start warm.
@@ -104,25 +104,25 @@
 
 // Load is the load of all brokers together.
 type Load struct {
-	Rate         float64  `toml:"rate"`     // requests per second
-	Work         Duration `toml:"work"`     // mean work of a request for a core with speed 1
-	Distribution string   `toml:"spread"`   // of the work: "exponential", "constant" or "lognormal"
-	Sigma        float64  `toml:"sigma"`    // of the lognormal distribution
-	Deadline     Duration `toml:"patience"` // of requests, if the scenario has no classes; 0 if there is none
-	Retry        float64  `toml:"retry"`    // fraction of clients that retry once after a rejection or failure
-	Reread       float64  `toml:"reread"`   // fraction of reads that read one of the objects written last
-	Shift        Duration `toml:"shift"`    // mean time after which another broker gets most of a volume's load; 0 for never
-	Skew         float64  `toml:"skew"`     // exponent of the Zipf distribution of a volume's load over its brokers; 0 if uniform
+	Rate                 float64  `toml:"rate"`     // requests per second
+	Work                 Duration `toml:"work"`     // mean work of a request for a core with speed 1
+	Distribution         string   `toml:"spread"`   // of the work: "exponential", "constant" or "lognormal"
+	Sigma                float64  `toml:"sigma"`    // of the lognormal distribution
+	Deadline             Duration `toml:"patience"` // of requests, if the scenario has no classes; 0 if there is none
+	RetryFraction        float64  `toml:"retry"`    // fraction of clients that retry once after a rejection or failure
+	RereadFraction       float64  `toml:"reread"`   // fraction of reads that read one of the objects written last
+	PrimaryShiftInterval Duration `toml:"shift"`    // mean time after which another broker gets most of a volume's load; 0 for never
+	ZipfExponent         float64  `toml:"skew"`     // exponent of the Zipf distribution of a volume's load over its brokers; 0 if uniform
 }
 
 // Class is a class of requests.
 type Class struct {
 	Name             string   `toml:"name"`
 	Share            float64  `toml:"share"` // of all requests, in relation to the other classes'
-	Work             float64  `toml:"work"`  // in relation to the load's mean; 0 is the same as 1
+	WorkFactor       float64  `toml:"work"`  // in relation to the load's mean; 0 is the same as 1
 	LatencyObjective Duration `toml:"aim"`
 	Deadline         Duration `toml:"patience"`
-	Priority         float64  `toml:"worth"`  // weight of a request served within its objective
+	PriorityWeight   float64  `toml:"worth"`  // weight of a request served within its objective
 	LateValue        float64  `toml:"late"`   // fraction of that weight for a request served after its objective
 	Idempotency      string   `toml:"repeat"` // "always" or "never"
 	Writes           bool     `toml:"writes"` // its requests write new objects, which any node may store
@@ -130,26 +130,26 @@
 
 // Plan is the service level of volumes.
 type Plan struct {
-	Name         string  `toml:"name"`
-	Volumes      int     `toml:"volumes"`
-	Size         float64 `toml:"size"`    // usual rate in relation to other plans' volumes
-	ReservedRate float64 `toml:"reserve"` // fraction of the usual rate
-	RateLimit    float64 `toml:"limit"`   // multiple of the usual rate; 0 if there is no limit
-	Weight       float64 `toml:"weight"`
-	Price        float64 `toml:"price"`
-	Hosts        [2]int  `toml:"hosts"` // range of the number of brokers of a volume
-	Nodes        [2]int  `toml:"nodes"` // range of the number of nodes with its data
-	Busy         float64 `toml:"busy"`  // fraction of volumes whose rate is always up to three times the usual one
-	Surge        float64 `toml:"surge"` // fraction of volumes with short surges of many times the usual rate
+	Name          string  `toml:"name"`
+	Volumes       int     `toml:"volumes"`
+	RelativeRate  float64 `toml:"size"`    // usual rate in relation to other plans' volumes
+	ReservedRate  float64 `toml:"reserve"` // fraction of the usual rate
+	RateLimit     float64 `toml:"limit"`   // multiple of the usual rate; 0 if there is no limit
+	Weight        float64 `toml:"weight"`
+	PriceFactor   float64 `toml:"price"`
+	BrokerRange   [2]int  `toml:"hosts"` // range of the number of brokers of a volume
+	NodeRange     [2]int  `toml:"nodes"` // range of the number of nodes with its data
+	BusyFraction  float64 `toml:"busy"`  // fraction of volumes whose rate is always up to three times the usual one
+	SurgeFraction float64 `toml:"surge"` // fraction of volumes with short surges of many times the usual rate
 }
 
 // Rules are bounds that brokers must keep, and the values of work beyond the reserved rate.
 type Rules struct {
-	Attempts             int      `toml:"attempts"` // of a request; 0 if there is no limit
+	MaxAttempts          int      `toml:"attempts"` // of a request; 0 if there is no limit
 	DrainGrace           Duration `toml:"grace"`    // after a notification of a drain
 	ResponseGrace        Duration `toml:"slack"`    // after a request's deadline
-	BurstValue           float64  `toml:"share"`    // factor on the value of work beyond the reserved rate
-	ExcessValue          float64  `toml:"beyond"`   // factor on the value of work beyond the reserved rate and twice the usual rate
+	BurstValueFactor     float64  `toml:"share"`    // factor on the value of work beyond the reserved rate
+	ExcessValueFactor    float64  `toml:"beyond"`   // factor on the value of work beyond the reserved rate and twice the usual rate
 	NotificationDeadline Duration `toml:"ask"`      // after which a broker counts as notified even if it has not polled; 0: never
 }
 
@@ -162,11 +162,11 @@
 	if deadline == 0 {
 		deadline = Duration(1000 * time.Hour)
 	}
-	return []Class{{Name: "work", Share: 1, Work: 1, LatencyObjective: deadline, Deadline: deadline, Priority: 1, Idempotency: idempotent, Writes: true}}
+	return []Class{{Name: "work", Share: 1, WorkFactor: 1, LatencyObjective: deadline, Deadline: deadline, PriorityWeight: 1, Idempotency: idempotent, Writes: true}}
 }
 
-// Cores returns the capacity of all nodes, in cores with speed 1.
-func (s *Scenario) Cores() float64 {
+// TotalCores returns the capacity of all nodes, in cores with speed 1.
+func (s *Scenario) TotalCores() float64 {
 	cores := 0.0
 	for _, k := range s.Nodes {
 		cores += float64(k.Count*k.Cores) * k.Speed
@@ -174,17 +174,17 @@
 	return cores
 }
 
-// Count returns the number of nodes.
-func (s *Scenario) Count() (n int) {
+// NodeCount returns the number of nodes.
+func (s *Scenario) NodeCount() (n int) {
 	for _, k := range s.Nodes {
 		n += k.Count
 	}
 	return n
 }
 
-// Offered returns the usual load as a fraction of the capacity of all nodes.
-func (s *Scenario) Offered() float64 {
-	return s.Load.Rate * time.Duration(s.Load.Work).Seconds() / s.Cores()
+// OfferedLoad returns the usual load as a fraction of the capacity of all nodes.
+func (s *Scenario) OfferedLoad() float64 {
+	return s.Load.Rate * time.Duration(s.Load.Work).Seconds() / s.TotalCores()
 }
 
 // work returns a function that draws the work of a request, in microseconds.
--- a/internal/lab/model/settings_test.go
+++ b/internal/lab/model/settings_test.go
@@ -22,7 +22,7 @@
 		if err := toml.Unmarshal(text, s); err != nil {
 			t.Fatal(err)
 		}
-		encoded, err := s.Settings()
+		encoded, err := s.BrokerSettings()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -38,8 +38,8 @@
 	}
 }
 
-// Clients returns as many requests as each design receives from Play with the same seed.
-func TestClientsMatchPlay(t *testing.T) {
+// Arrivals returns as many requests as each design receives from Run with the same seed.
+func TestArrivalsMatchRun(t *testing.T) {
 	text, err := os.ReadFile("../../../examples/lab/live.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -48,9 +48,9 @@
 	if err := toml.Unmarshal(text, s); err != nil {
 		t.Fatal(err)
 	}
-	s.Duration, s.Load.Retry = model.Duration(8e9), 0
-	s.Faults = append(s.Faults, model.Fault{Kind: "hot", Share: 0.5, At: 2e9, Duration: 2e9, Factor: 4}, model.Fault{Kind: "crash", Share: 0.5, At: 3e9, Duration: 1e9})
-	all, err := model.Clients(s, 5)
+	s.Duration, s.Load.RetryFraction = model.Duration(8e9), 0
+	s.Faults = append(s.Faults, model.Fault{Kind: "hot", Probability: 0.5, StartsAt: 2e9, Duration: 2e9, Factor: 4}, model.Fault{Kind: "crash", Probability: 0.5, StartsAt: 3e9, Duration: 1e9})
+	all, err := model.Arrivals(s, 5)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,15 +60,15 @@
 			t.Fatalf("invalid arrival, or before the previous one at %d: %+v", at, a)
 		}
 		at = a.At
-		offeredValue += a.Worth
+		offeredValue += a.Value
 	}
 	for _, design := range []string{"module", "random"} {
-		r, err := model.Play(s, design, 5)
+		r, err := model.Run(s, design, 5)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if r.Requests != len(all) || offeredValue <= 0 {
-			t.Errorf("%s: %d requests, want the %d of Clients, with a value above 0, got %v", design, r.Requests, len(all), offeredValue)
+			t.Errorf("%s: %d requests, want the %d of Arrivals, with a value above 0, got %v", design, r.Requests, len(all), offeredValue)
 		}
 	}
 }
--- a/internal/lab/model/validate.go
+++ b/internal/lab/model/validate.go
@@ -91,10 +91,10 @@
 	c.requireDuration("load.work", l.Work > 0, l.Work)
 	c.duration("load.patience", l.Deadline)
 	c.notNegative("load.sigma", l.Sigma)
-	c.fraction("load.retry", l.Retry)
-	c.fraction("load.reread", l.Reread)
-	c.duration("load.shift", l.Shift)
-	c.notNegative("load.skew", l.Skew)
+	c.fraction("load.retry", l.RetryFraction)
+	c.fraction("load.reread", l.RereadFraction)
+	c.duration("load.shift", l.PrimaryShiftInterval)
+	c.notNegative("load.skew", l.ZipfExponent)
 }
 
 func (l *Load) checkDistribution(c *validator) {
@@ -106,12 +106,12 @@
 }
 
 func (s *Service) check(c *validator) {
-	c.require("service.connections", s.Connections >= 0, s.Connections)
+	c.require("service.connections", s.MaxConnections >= 0, s.MaxConnections)
 	c.duration("service.handshake", s.Handshake)
 	c.require("service.remembers", s.CachedKeys >= 0, s.CachedKeys)
-	c.fraction("service.seek", s.CacheMissCost)
-	c.fraction("service.defer", s.DeferredWrite)
-	c.requireDuration("service.flush", s.FlushInterval >= 0 && (s.DeferredWrite == 0 || s.FlushInterval > 0), s.FlushInterval)
+	c.fraction("service.seek", s.CacheHitSaving)
+	c.fraction("service.defer", s.DeferredWriteFraction)
+	c.requireDuration("service.flush", s.FlushInterval >= 0 && (s.DeferredWriteFraction == 0 || s.FlushInterval > 0), s.FlushInterval)
 }
 
 func (s *SlowStart) check(c *validator) {
@@ -137,11 +137,11 @@
 }
 
 func (r *Rules) check(c *validator) {
-	c.require("rules.attempts", r.Attempts >= 0, r.Attempts)
+	c.require("rules.attempts", r.MaxAttempts >= 0, r.MaxAttempts)
 	c.duration("rules.grace", r.DrainGrace)
 	c.duration("rules.slack", r.ResponseGrace)
-	c.fraction("rules.share", r.BurstValue)
-	c.fraction("rules.beyond", r.ExcessValue)
+	c.fraction("rules.share", r.BurstValueFactor)
+	c.fraction("rules.beyond", r.ExcessValueFactor)
 	c.duration("rules.ask", r.NotificationDeadline)
 }
 
@@ -154,10 +154,10 @@
 
 func (k *Class) check(c *validator) {
 	c.positive("share", k.Share)
-	c.notNegative("work", k.Work)
+	c.notNegative("work", k.WorkFactor)
 	c.requireDuration("aim", k.LatencyObjective > 0, k.LatencyObjective)
 	c.requireDuration("patience", k.Deadline >= k.LatencyObjective, k.Deadline)
-	c.notNegative("worth", k.Priority)
+	c.notNegative("worth", k.PriorityWeight)
 	c.fraction("late", k.LateValue)
 	if k.Idempotency != idempotent && k.Idempotency != notIdempotent {
 		c.errorf("repeat: %q is unknown, want always or never", k.Idempotency)
@@ -166,15 +166,15 @@
 
 func (p *Plan) check(c *validator) {
 	c.require("volumes", p.Volumes > 0, p.Volumes)
-	c.positive("size", p.Size)
+	c.positive("size", p.RelativeRate)
 	c.notNegative("reserve", p.ReservedRate)
 	c.notNegative("limit", p.RateLimit)
 	c.positive("weight", p.Weight)
-	c.notNegative("price", p.Price)
-	c.fraction("busy", p.Busy)
-	c.fraction("surge", p.Surge)
-	c.require("hosts", p.Hosts[0] >= 1 && p.Hosts[1] >= p.Hosts[0], p.Hosts)
-	c.require("nodes", p.Nodes[0] >= 1 && p.Nodes[1] >= p.Nodes[0], p.Nodes)
+	c.notNegative("price", p.PriceFactor)
+	c.fraction("busy", p.BusyFraction)
+	c.fraction("surge", p.SurgeFraction)
+	c.require("hosts", p.BrokerRange[0] >= 1 && p.BrokerRange[1] >= p.BrokerRange[0], p.BrokerRange)
+	c.require("nodes", p.NodeRange[0] >= 1 && p.NodeRange[1] >= p.NodeRange[0], p.NodeRange)
 }
 
 func (f *Fault) check(c *validator) {
@@ -182,10 +182,10 @@
 	if !known {
 		c.errorf("kind: %q is unknown, want one of %v", f.Kind, FaultKinds())
 	}
-	c.fraction("share", f.Share)
-	c.requireDuration("every", f.Every == 0 && f.At > 0 || f.At == 0 && f.Every > f.Duration, f.Every)
+	c.fraction("share", f.Probability)
+	c.requireDuration("every", f.MeanInterval == 0 && f.StartsAt > 0 || f.StartsAt == 0 && f.MeanInterval > f.Duration, f.MeanInterval)
 	c.requireDuration("last", f.Duration > 0, f.Duration)
-	c.duration("at", f.At)
-	c.duration("over", f.Over)
+	c.duration("at", f.StartsAt)
+	c.duration("over", f.StartSpread)
 	c.require("factor", !hasFactor && f.Factor == 0 || hasFactor && f.Factor > 0, f.Factor)
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -302,17 +302,17 @@
 		return nil, fmt.Errorf("scenario %s: no results", s.Name)
 	}
 	sec := &Section{Title: s.Name, Lead: fmt.Sprintf("%d brokers, %d nodes, %v, offered load %.3g of all cores; %d seeds of each design. Shaded areas are 95%% confidence intervals.",
-		s.Brokers, s.Count(), time.Duration(s.Duration), s.Offered(), len(all[0]))}
+		s.Brokers, s.NodeCount(), time.Duration(s.Duration), s.OfferedLoad(), len(all[0]))}
 	serviceChart := &chart.Chart{Title: "service over the run", X: "seconds", Y: "service", Curve: true, YFromZero: true, Bands: faultBands(s)}
 	latencyChart := &chart.Chart{Title: "time from a client's first attempt to its response", X: "fraction of the served requests", Y: "ms", Curve: true, YFromZero: true}
 	part := time.Duration(s.Duration).Seconds() / model.SeriesParts
 	for _, rs := range all {
 		service, latency := chart.Series{Name: rs[0].Design}, chart.Series{Name: rs[0].Design}
 		for k := range model.SeriesParts {
-			service.Points = append(service.Points, chart.Point{X: (float64(k) + 0.5) * part, Y: experiment.Over(rs, func(r *model.Result) float64 { return r.Series[k] })})
+			service.Points = append(service.Points, chart.Point{X: (float64(k) + 0.5) * part, Y: experiment.Over(rs, func(r *model.Result) float64 { return r.ServedValueSeries[k] })})
 		}
-		for k, at := range model.Quantiles {
-			latency.Points = append(latency.Points, chart.Point{X: at, Y: experiment.Over(rs, func(r *model.Result) float64 { return 1000 * r.Quantiles[k] })})
+		for k, at := range model.QuantileProbabilities {
+			latency.Points = append(latency.Points, chart.Point{X: at, Y: experiment.Over(rs, func(r *model.Result) float64 { return 1000 * r.ResponseTimeQuantiles[k] })})
 		}
 		serviceChart.Series, latencyChart.Series = append(serviceChart.Series, service), append(latencyChart.Series, latency)
 	}
@@ -345,7 +345,7 @@
 	sec.Tables = append(sec.Tables, t)
 	for _, rs := range all {
 		for _, r := range rs {
-			if b := r.BrokenRules(); b != "" {
+			if b := r.ViolationSummary(); b != "" {
 				sec.Findings = append(sec.Findings, fmt.Sprintf("%s, seed %d, broke rules: %s", r.Design, r.Seed, strings.TrimSpace(b)))
 			}
 		}
@@ -359,12 +359,12 @@
 // faultBands returns a band for each fault that occurs once.
 func faultBands(s *model.Scenario) (out []chart.Band) {
 	for _, fault := range s.Faults {
-		if fault.At == 0 {
+		if fault.StartsAt == 0 {
 			continue
 		}
-		from := time.Duration(fault.At).Seconds()
-		out = append(out, chart.Band{From: from, To: min(from+time.Duration(fault.Over+fault.Duration).Seconds(), time.Duration(s.Duration).Seconds()),
-			Name: fmt.Sprintf("%s %.3g", fault.Kind, fault.Share)})
+		from := time.Duration(fault.StartsAt).Seconds()
+		out = append(out, chart.Band{From: from, To: min(from+time.Duration(fault.StartSpread+fault.Duration).Seconds(), time.Duration(s.Duration).Seconds()),
+			Name: fmt.Sprintf("%s %.3g", fault.Kind, fault.Probability)})
 	}
 	return out
 }
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -121,12 +121,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Brokers, s.Load.Rate, s.Duration, s.Faults[1].At = 4, 60, model.Duration(6e9), model.Duration(1e9)
+	s.Brokers, s.Load.Rate, s.Duration, s.Faults[1].StartsAt = 4, 60, model.Duration(6e9), model.Duration(1e9)
 	var all [][]*model.Result
 	for _, d := range []string{"module", "two"} {
 		var rs []*model.Result
 		for seed := range uint64(2) {
-			r, err := model.Play(s, d, seed+1)
+			r, err := model.Run(s, d, seed+1)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -134,7 +134,7 @@
 		}
 		all = append(all, rs)
 	}
-	all[1][0].Broken = map[string]int{"cold": 2}
+	all[1][0].ViolationCounts = map[string]int{"cold": 2}
 	sec, err := ScenarioSection(s, all, View{})
 	if err != nil {
 		t.Fatal(err)
@@ -145,7 +145,7 @@
 	if len(sec.Findings) != 1 || sec.Findings[0] != "two, seed 1, broke rules: cold 2" {
 		t.Errorf("unexpected findings %q", sec.Findings)
 	}
-	if q := all[0][0].Quantiles; len(q) != len(model.Quantiles) || q[0] <= 0 || q[len(q)-1] < q[0] {
+	if q := all[0][0].ResponseTimeQuantiles; len(q) != len(model.QuantileProbabilities) || q[0] <= 0 || q[len(q)-1] < q[0] {
 		t.Errorf("quantiles %v", q)
 	}
 }
--- a/internal/lab/search/evaluate.go
+++ b/internal/lab/search/evaluate.go
@@ -27,7 +27,7 @@
 		running.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			*to, *err = model.Play(scenario, design, s.Seed+uint64(i))
+			*to, *err = model.Run(scenario, design, s.Seed+uint64(i))
 		})
 	}
 	for i := range s.Runs {
@@ -47,9 +47,9 @@
 func compare(tested, reference []*model.Result) Verdict {
 	var v Verdict
 	for i := range tested {
-		v.Shortfall -= tested[i].Service / float64(len(tested))
-		v.Shortfall += reference[i].Service / float64(len(tested))
-		for rule := range tested[i].Broken {
+		v.Shortfall -= tested[i].ServedValueRatio / float64(len(tested))
+		v.Shortfall += reference[i].ServedValueRatio / float64(len(tested))
+		for rule := range tested[i].ViolationCounts {
 			if !slices.Contains(v.Rules, rule) {
 				v.Rules = append(v.Rules, rule)
 			}
--- a/internal/lab/search/fault.go
+++ b/internal/lab/search/fault.go
@@ -14,11 +14,11 @@
 func (s *Search) drawFault(random *rand.Rand) model.Fault {
 	kinds := model.FaultKinds()
 	f := model.Fault{
-		Kind:     kinds[random.IntN(len(kinds))],
-		Share:    uniform(random, 0.1, 1),
-		At:       s.drawTime(random, 0.1, 0.6),
-		Duration: s.drawTime(random, 0.02, 0.3),
-		Over:     s.drawTime(random, 0, 0.2),
+		Kind:        kinds[random.IntN(len(kinds))],
+		Probability: uniform(random, 0.1, 1),
+		StartsAt:    s.drawTime(random, 0.1, 0.6),
+		Duration:    s.drawTime(random, 0.02, 0.3),
+		StartSpread: s.drawTime(random, 0, 0.2),
 	}
 	switch f.Kind {
 	case "slow", "lossy", "error":
--- a/internal/lab/search/search.go
+++ b/internal/lab/search/search.go
@@ -107,8 +107,8 @@
 	case choice == 1 && len(faults) > 1:
 		return slices.Delete(faults, i, i+1)
 	case choice == 2:
-		faults[i].At = s.drawFault(random).At
-		faults[i].Over = s.drawFault(random).Over
+		faults[i].StartsAt = s.drawFault(random).StartsAt
+		faults[i].StartSpread = s.drawFault(random).StartSpread
 	default:
 		faults[i] = s.drawFault(random)
 	}
--- a/internal/lab/search/search_test.go
+++ b/internal/lab/search/search_test.go
@@ -46,9 +46,9 @@
 	if err := toml.Unmarshal(text, decoded); err != nil {
 		t.Fatal(err)
 	}
-	r, err := model.Play(decoded, "random", s.Seed)
-	if err != nil || r.Broken["cold"] == 0 {
-		t.Errorf("repeated run: error %v, broken rules %v, want cold", err, r.Broken)
+	r, err := model.Run(decoded, "random", s.Seed)
+	if err != nil || r.ViolationCounts["cold"] == 0 {
+		t.Errorf("repeated run: error %v, broken rules %v, want cold", err, r.ViolationCounts)
 	}
 	if again, _ := s.Run(context.Background(), func(int, Verdict) {}); !reflect.DeepEqual(found, again) {
 		t.Error("two searches with the same seed differ")
--- a/internal/lab/search/shrink.go
+++ b/internal/lab/search/shrink.go
@@ -10,16 +10,16 @@
 
 // Limits below which faults are not shrunk any further.
 const (
-	minShare    = 0.02
-	minDuration = model.Duration(20 * time.Millisecond)
+	minProbability = 0.02
+	minDuration    = model.Duration(20 * time.Millisecond)
 )
 
 // reductions make a fault smaller in place. Each returns false if the fault cannot become smaller in that way.
-var reductions = []func(*model.Fault) bool{halveShare, halveDuration, removeSpread}
+var reductions = []func(*model.Fault) bool{halveProbability, halveDuration, removeSpread}
 
-func halveShare(f *model.Fault) bool {
-	f.Share /= 2
-	return f.Share > minShare
+func halveProbability(f *model.Fault) bool {
+	f.Probability /= 2
+	return f.Probability > minProbability
 }
 
 func halveDuration(f *model.Fault) bool {
@@ -29,8 +29,8 @@
 
 // removeSpread makes a fault start at all its targets at the same time.
 func removeSpread(f *model.Fault) bool {
-	spread := f.Over > 0
-	f.Over = 0
+	spread := f.StartSpread > 0
+	f.StartSpread = 0
 	return spread
 }
 
