--- a/cmd/labplot/main.go
+++ b/cmd/labplot/main.go
@@ -47,7 +47,7 @@
 	c := &cobra.Command{Use: "plot RESULTS.csv -o FILE", Args: cobra.ExactArgs(1),
 		Short: "Draw measures of a sweep with confidence intervals, one numbered file for each combination of the other keys",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			t, err := experiment.Load(args[0])
+			t, err := experiment.ReadTable(args[0])
 			if err != nil {
 				return err
 			}
@@ -132,7 +132,7 @@
 func fileSection(path string, v report.View, designs []string, runs int, seed uint64) (*report.Section, error) {
 	name := strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
 	if filepath.Ext(path) != ".toml" {
-		t, err := experiment.Load(path)
+		t, err := experiment.ReadTable(path)
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/poppyarch/lab.go
+++ b/cmd/poppyarch/lab.go
@@ -97,7 +97,7 @@
 	for _, runs := range results {
 		t.Printf("%s", runs[0].Design)
 		for _, column := range designColumns {
-			t.Printf("\t%v", experiment.Over(runs, column.value))
+			t.Printf("\t%v", experiment.Mean(runs, column.value))
 		}
 		broken := ""
 		for _, r := range runs {
@@ -128,7 +128,7 @@
 			out.Printf("%s less %s, %d seeds:\n", args[1], args[2], f.runs)
 			for _, name := range comparedMeasures {
 				measure := experiment.Measures[name]
-				difference, err := statistics.PairedDifference(experiment.Values(results[0], measure), experiment.Values(results[1], measure))
+				difference, err := statistics.PairedDifference(experiment.MeasureValues(results[0], measure), experiment.MeasureValues(results[1], measure))
 				if err != nil {
 					return err
 				}
@@ -151,11 +151,11 @@
 		Use: "sweep PLAN -o RESULTS", Short: "Run designs over a grid until the intervals are narrow enough; continues an interrupted sweep",
 		Args: checkArgs(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			plan, err := experiment.Read(args[0])
+			plan, err := experiment.ReadPlan(args[0])
 			if err != nil {
 				return &exitError{exitUsage, err}
 			}
-			results, err := experiment.Open(path, plan.Keys())
+			results, err := experiment.OpenResults(path, plan.Keys())
 			if err != nil {
 				return &exitError{exitUsage, err}
 			}
@@ -163,7 +163,7 @@
 			defer stop()
 			out := textoutput.NewPrinter(cmd.OutOrStdout())
 			out.Printf("%s; the others less %s, seed by seed\n", plan.Measure, plan.Designs[0])
-			err = plan.Run(ctx, results, func(line experiment.Line) { printSweepLine(out, plan, line) })
+			err = plan.Run(ctx, results, func(estimate experiment.DesignEstimate) { printSweepLine(out, plan, estimate) })
 			return errors.Join(err, results.Close(), out.Err())
 		},
 	}
@@ -172,19 +172,19 @@
 	return c
 }
 
-func printSweepLine(out *textoutput.Printer, plan *experiment.Plan, line experiment.Line) {
+func printSweepLine(out *textoutput.Printer, plan *experiment.Plan, estimate experiment.DesignEstimate) {
 	for i, key := range plan.Keys() {
-		out.Printf("%s=%s ", key, line.Values[i])
+		out.Printf("%s=%s ", key, estimate.Values[i])
 	}
-	out.Printf("%-10s %v", line.Design, line.Mean)
-	if line.Design != plan.Designs[0] {
+	out.Printf("%-10s %v", estimate.Design, estimate.Mean)
+	if estimate.Design != plan.Designs[0] {
 		verdict := ""
-		if line.Less.Contains(0) {
+		if estimate.Difference.Contains(0) {
 			verdict = ", no difference shown"
 		}
-		out.Printf("  (%v%s)", line.Less, verdict)
+		out.Printf("  (%v%s)", estimate.Difference, verdict)
 	}
-	out.Printf("  %d seeds\n", line.Mean.N)
+	out.Printf("  %d seeds\n", estimate.Mean.N)
 }
 
 func labBisect() *cobra.Command {
@@ -204,7 +204,7 @@
 			if err != nil {
 				return &exitError{exitUsage, err}
 			}
-			out.Printf("%s crosses %v between %s=%.6g and %.6g\n", b.Measure, b.Bound, b.Key, found.Near.At, found.Far.At)
+			out.Printf("%s crosses %v between %s=%.6g and %.6g\n", b.Measure, b.Bound, b.Key, found.Near.Value, found.Far.Value)
 			return out.Err()
 		},
 	}
@@ -216,7 +216,7 @@
 	f.StringVarP(&b.Design, "design", "d", "module", "design to simulate")
 	f.StringVarP(&b.Measure, "measure", "m", "service", "measure that crosses the bound")
 	f.IntVar(&b.Runs, "runs", 6, "seeds per step")
-	f.IntVar(&b.Most, "most", 24, "maximum number of seeds for a step whose interval contains the bound")
+	f.IntVar(&b.MaxRuns, "most", 24, "maximum number of seeds for a step whose interval contains the bound")
 	f.Uint64Var(&b.Seed, "seed", 1, "the first seed")
 	f.IntVar(&b.Steps, "steps", 7, "number of times the range is halved")
 	return c
@@ -228,10 +228,10 @@
 		side = "at or above"
 	}
 	certainty := ""
-	if !step.Sure {
+	if !step.Significant {
 		certainty = ", not sure"
 	}
-	out.Printf("%s=%.6g  %s %v  %d seeds, %s %v%s\n", b.Key, step.At, b.Measure, step.Mean, step.Mean.N, side, b.Bound, certainty)
+	out.Printf("%s=%.6g  %s %v  %d seeds, %s %v%s\n", b.Key, step.Value, b.Measure, step.Mean, step.Mean.N, side, b.Bound, certainty)
 }
 
 func labSearch() *cobra.Command {
--- a/cmd/poppyarch/lab_live.go
+++ b/cmd/poppyarch/lab_live.go
@@ -110,7 +110,7 @@
 	}
 	t := textoutput.NewTable(out, "", "MODEL", "SOCKETS", "DIFFERENCE")
 	for _, figure := range loadFigures {
-		difference, err := statistics.PairedDifference(experiment.Values(c.socketResults, figure.value), experiment.Values(c.modelResults, figure.value))
+		difference, err := statistics.PairedDifference(experiment.MeasureValues(c.socketResults, figure.value), experiment.MeasureValues(c.modelResults, figure.value))
 		if err != nil {
 			return err
 		}
@@ -118,7 +118,7 @@
 		if difference.Contains(0) && f.runs > 1 {
 			verdict = ", none shown"
 		}
-		t.Printf("%s\t%v\t%v\t%s%s\n", figure.name, experiment.Over(c.modelResults, figure.value), experiment.Over(c.socketResults, figure.value),
+		t.Printf("%s\t%v\t%v\t%s%s\n", figure.name, experiment.Mean(c.modelResults, figure.value), experiment.Mean(c.socketResults, figure.value),
 			difference.Signed(), verdict)
 	}
 	printClientOverhead(t, c.reports)
--- a/internal/lab/experiment/bisect.go
+++ b/internal/lab/experiment/bisect.go
@@ -21,17 +21,17 @@
 	Measure  string
 	Bound    float64
 	Runs     int // seeds added at a time
-	Most     int // maximum number of seeds of a step whose interval contains the bound
+	MaxRuns  int // maximum number of seeds of a step whose interval contains the bound
 	Seed     uint64
 	Steps    int // maximum number of halvings
 }
 
 // Step is the estimate at one value of the key.
 type Step struct {
-	At    float64
-	Mean  statistics.Estimate
-	Above bool // the mean is at or above the bound
-	Sure  bool // the interval does not contain the bound
+	Value       float64
+	Mean        statistics.Estimate
+	Above       bool // the mean is at or above the bound
+	Significant bool // the interval does not contain the bound
 }
 
 // Found holds the two steps between which the measure crosses the bound. Near is on the side of From.
@@ -50,8 +50,8 @@
 		return fmt.Errorf("from and to: both are %v, want two different values", b.From)
 	case b.Runs < 2:
 		return fmt.Errorf("runs: %d, a confidence interval needs at least 2", b.Runs)
-	case b.Most < b.Runs:
-		return fmt.Errorf("most: %d is less than runs (%d)", b.Most, b.Runs)
+	case b.MaxRuns < b.Runs:
+		return fmt.Errorf("most: %d is less than runs (%d)", b.MaxRuns, b.Runs)
 	case b.Steps < 1:
 		return fmt.Errorf("steps: %d, want 1 or more", b.Steps)
 	}
@@ -82,11 +82,11 @@
 		return f, fmt.Errorf("%s is %s %v at both ends, %v and %v", b.Measure, side, b.Bound, b.From, b.To)
 	}
 	for range b.Steps {
-		middle := (f.Near.At + f.Far.At) / 2
+		middle := (f.Near.Value + f.Far.Value) / 2
 		if b.takesIntegersOnly() {
 			middle = float64(int(middle))
 		}
-		if middle == f.Near.At || middle == f.Far.At {
+		if middle == f.Near.Value || middle == f.Far.Value {
 			break
 		}
 		s, err := b.evaluate(ctx, middle)
@@ -123,15 +123,15 @@
 	}
 	var values []float64
 	for {
-		n := min(b.Runs, b.Most-len(values))
+		n := min(b.Runs, b.MaxRuns-len(values))
 		batch, err := measureSeeds(ctx, s, b.Design, b.Seed+uint64(len(values)), n, Measures[b.Measure])
 		if err != nil {
 			return Step{}, err
 		}
 		values = append(values, batch...)
-		x := Step{At: at, Mean: statistics.EstimateMean(values)}
-		x.Above, x.Sure = x.Mean.Mean >= b.Bound, !x.Mean.Contains(b.Bound)
-		if x.Sure || len(values) == b.Most {
+		x := Step{Value: at, Mean: statistics.EstimateMean(values)}
+		x.Above, x.Significant = x.Mean.Mean >= b.Bound, !x.Mean.Contains(b.Bound)
+		if x.Significant || len(values) == b.MaxRuns {
 			return x, nil
 		}
 	}
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -30,20 +30,20 @@
 }
 
 // runSweep runs a plan into a results file. Unless cancelAfter is 0, the run is cancelled after that many lines.
-func runSweep(t *testing.T, path, out string, cancelAfter int) (reported []Line) {
+func runSweep(t *testing.T, path, out string, cancelAfter int) (reported []DesignEstimate) {
 	t.Helper()
-	p, err := Read(path)
+	p, err := ReadPlan(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := Open(out, p.Keys())
+	r, err := OpenResults(out, p.Keys())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = r.Close() }()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	err = p.Run(ctx, r, func(l Line) {
+	err = p.Run(ctx, r, func(l DesignEstimate) {
 		if reported = append(reported, l); len(reported) == cancelAfter {
 			cancel()
 		}
@@ -60,7 +60,7 @@
 	path := writePlan(t, plan)
 	uninterrupted, interrupted := filepath.Join(t.TempDir(), "a.csv"), filepath.Join(t.TempDir(), "b.csv")
 	want := runSweep(t, path, uninterrupted, 0)
-	if len(want) != 8 || want[0].Mean.N != 3 || want[1].Less.N != 3 {
+	if len(want) != 8 || want[0].Mean.N != 3 || want[1].Difference.N != 3 {
 		t.Fatalf("unexpected lines %+v", want)
 	}
 	runSweep(t, path, interrupted, 3)
@@ -115,7 +115,7 @@
 		"most: 2 is less than runs (3)":                     {"most = 9", "most = 2"},
 		"invalid syntax":                                    {"[[1, 60.0]", "[[1.5, 60.0]"},
 	} {
-		if _, err := Read(writePlan(t, strings.Replace(plan, x[0], x[1], 1))); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "p.toml") {
+		if _, err := ReadPlan(writePlan(t, strings.Replace(plan, x[0], x[1], 1))); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "p.toml") {
 			t.Errorf("error %v, want %s", err, want)
 		}
 	}
@@ -124,7 +124,7 @@
 		if err := os.WriteFile(out, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Open(out, []string{"brokers"}); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "r.csv") {
+		if _, err := OpenResults(out, []string{"brokers"}); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "r.csv") {
 			t.Errorf("error %v, want %s", err, want)
 		}
 		if left, _ := os.ReadFile(out); string(left) != text {
@@ -151,11 +151,11 @@
 		t.Fatal(err)
 	}
 	s.Brokers, s.Nodes[0].Count, s.Load.Deadline, s.Duration = 1, 1, 0, model.Duration(200e9)
-	b := &Bisection{Scenario: s, Key: "load.rate", From: 5, To: 45, Design: "random", Measure: "time_ms", Bound: 50, Runs: 4, Most: 8, Seed: 1, Steps: 5}
+	b := &Bisection{Scenario: s, Key: "load.rate", From: 5, To: 45, Design: "random", Measure: "time_ms", Bound: 50, Runs: 4, MaxRuns: 8, Seed: 1, Steps: 5}
 	steps := 0
 	f, err := b.Run(context.Background(), func(Step) { steps++ })
-	if want := 30.0; err != nil || steps != 7 || f.Near.Above || !f.Far.Above || f.Near.At > want+1.5 || f.Far.At < want-1.5 || f.Far.At-f.Near.At > 1.26 {
-		t.Errorf("error %v, %d steps, crossing between %v and %v, want %v", err, steps, f.Near.At, f.Far.At, want)
+	if want := 30.0; err != nil || steps != 7 || f.Near.Above || !f.Far.Above || f.Near.Value > want+1.5 || f.Far.Value < want-1.5 || f.Far.Value-f.Near.Value > 1.26 {
+		t.Errorf("error %v, %d steps, crossing between %v and %v, want %v", err, steps, f.Near.Value, f.Far.Value, want)
 	}
 	b.To = 6
 	if _, err := b.Run(context.Background(), func(Step) {}); err == nil || !strings.Contains(err.Error(), "under 50 at both ends, 5 and 6") {
@@ -164,10 +164,10 @@
 	b.Key, b.From, b.To, b.Bound = "nodes[0].count", 1, 4, 30
 	b.Scenario.Load.Rate = 40
 	if f, err := b.Run(context.Background(), func(s Step) {
-		if s.At != float64(int(s.At)) {
-			t.Errorf("evaluated %v nodes, want an integer", s.At)
+		if s.Value != float64(int(s.Value)) {
+			t.Errorf("evaluated %v nodes, want an integer", s.Value)
 		}
-	}); err != nil || f.Far.At-f.Near.At != 1 {
+	}); err != nil || f.Far.Value-f.Near.Value != 1 {
 		t.Errorf("error %v, found %+v, want adjacent integers", err, f)
 	}
 	for want, invalidate := range map[string]func(b *Bisection){"load.joy: unknown key": func(b *Bisection) { b.Key = "load.joy" }, "steps: 0": func(b *Bisection) { b.Steps = 0 },
--- a/internal/lab/experiment/plan.go
+++ b/internal/lab/experiment/plan.go
@@ -69,8 +69,8 @@
 	},
 }
 
-// Values returns a measure of each run.
-func Values(rs []*model.Result, measure func(*model.Result) float64) []float64 {
+// MeasureValues returns a measure of each run.
+func MeasureValues(rs []*model.Result, measure func(*model.Result) float64) []float64 {
 	out := make([]float64, len(rs))
 	for i, r := range rs {
 		out[i] = measure(r)
@@ -78,9 +78,9 @@
 	return out
 }
 
-// Over returns the mean of a measure over several runs, with its confidence interval.
-func Over(rs []*model.Result, measure func(*model.Result) float64) statistics.Estimate {
-	return statistics.EstimateMean(Values(rs, measure))
+// Mean returns the mean of a measure over several runs, with its confidence interval.
+func Mean(rs []*model.Result, measure func(*model.Result) float64) statistics.Estimate {
+	return statistics.EstimateMean(MeasureValues(rs, measure))
 }
 
 // measureNames returns the names of the measures, sorted. This is the order of their columns in a results file.
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// Read reads a plan and its scenario, and checks the scenario of every point of the grid.
-func Read(path string) (*Plan, error) {
+// ReadPlan reads a plan and its scenario, and checks the scenario of every point of the grid.
+func ReadPlan(path string) (*Plan, error) {
 	p := &Plan{Measure: "service", Runs: 8, MaxRuns: 64, Seed: 1}
 	if err := decode(path, p); err != nil {
 		return nil, err
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -43,8 +43,8 @@
 	completeBytes int // size of the complete lines that were found
 }
 
-// Open reads the results of a file, creates it if it is missing, and prepares it for appending.
-func Open(path string, keys []string) (*Results, error) {
+// OpenResults reads the results of a file, creates it if it is missing, and prepares it for appending.
+func OpenResults(path string, keys []string) (*Results, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
 		return nil, err
@@ -158,17 +158,17 @@
 	}
 }
 
-// Line is the estimate for one design at one point.
-type Line struct {
-	Values []string
-	Design string
-	Mean   statistics.Estimate
-	Less   statistics.Estimate // difference from the first design, paired by seed; zero for the first design
+// DesignEstimate is the estimate for one design at one point.
+type DesignEstimate struct {
+	Values     []string
+	Design     string
+	Mean       statistics.Estimate
+	Difference statistics.Estimate // difference from the first design, paired by seed; zero for the first design
 }
 
-// Run performs the missing runs, point by point, and reports the line of each design once a point is finished. It
+// Run performs the missing runs, point by point, and reports the estimate for each design once a point is finished. It
 // stops when the context is cancelled.
-func (p *Plan) Run(ctx context.Context, r *Results, report func(Line)) error {
+func (p *Plan) Run(ctx context.Context, r *Results, report func(DesignEstimate)) error {
 	points, err := p.Points()
 	if err != nil {
 		return err
@@ -183,20 +183,20 @@
 			}
 		}
 		for _, d := range p.Designs {
-			report(p.line(r, pt, d))
+			report(p.estimate(r, pt, d))
 		}
 	}
 	return nil
 }
 
-func (p *Plan) line(r *Results, pt Point, design string) Line {
+func (p *Plan) estimate(r *Results, pt Point, design string) DesignEstimate {
 	values := r.consecutive(pt.Values, design, p.Seed, p.Measure)
-	l := Line{Values: pt.Values, Design: design, Mean: statistics.EstimateMean(values)}
+	e := DesignEstimate{Values: pt.Values, Design: design, Mean: statistics.EstimateMean(values)}
 	if baseline := r.consecutive(pt.Values, p.Designs[0], p.Seed, p.Measure); design != p.Designs[0] {
 		n := min(len(baseline), len(values))
-		l.Less, _ = statistics.PairedDifference(values[:n], baseline[:n])
+		e.Difference, _ = statistics.PairedDifference(values[:n], baseline[:n])
 	}
-	return l
+	return e
 }
 
 // preciseEnough reports whether the intervals of the first design's mean and of the other designs' differences from it
@@ -206,11 +206,11 @@
 		return true
 	}
 	for i, d := range p.Designs {
-		l := p.line(r, pt, d)
-		if f := l.Mean; i == 0 && !(f.HalfWidth <= p.Precision) {
+		e := p.estimate(r, pt, d)
+		if f := e.Mean; i == 0 && !(f.HalfWidth <= p.Precision) {
 			return false
 		}
-		if f := l.Less; i > 0 && !(f.HalfWidth <= p.Precision) {
+		if f := e.Difference; i > 0 && !(f.HalfWidth <= p.Precision) {
 			return false
 		}
 	}
--- a/internal/lab/experiment/table.go
+++ b/internal/lab/experiment/table.go
@@ -19,8 +19,8 @@
 	rows    map[string]map[uint64]*Row // by point and design, then by seed
 }
 
-// Load reads a results file. It ignores an incomplete last line and does not change the file.
-func Load(path string) (*Table, error) {
+// ReadTable reads a results file. It ignores an incomplete last line and does not change the file.
+func ReadTable(path string) (*Table, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -309,10 +309,10 @@
 	for _, rs := range all {
 		service, latency := chart.Series{Name: rs[0].Design}, chart.Series{Name: rs[0].Design}
 		for k := range model.SeriesParts {
-			service.Points = append(service.Points, chart.Point{X: (float64(k) + 0.5) * part, Y: experiment.Over(rs, func(r *model.Result) float64 { return r.ServedValueSeries[k] })})
+			service.Points = append(service.Points, chart.Point{X: (float64(k) + 0.5) * part, Y: experiment.Mean(rs, func(r *model.Result) float64 { return r.ServedValueSeries[k] })})
 		}
 		for k, at := range model.QuantileProbabilities {
-			latency.Points = append(latency.Points, chart.Point{X: at, Y: experiment.Over(rs, func(r *model.Result) float64 { return 1000 * r.ResponseTimeQuantiles[k] })})
+			latency.Points = append(latency.Points, chart.Point{X: at, Y: experiment.Mean(rs, func(r *model.Result) float64 { return 1000 * r.ResponseTimeQuantiles[k] })})
 		}
 		serviceChart.Series, latencyChart.Series = append(serviceChart.Series, service), append(latencyChart.Series, latency)
 	}
@@ -330,9 +330,9 @@
 	for _, name := range []string{"service", "reserved", "served", "time_ms", "p99_ms", "refused", "failed", "late", "attempts", "connections", "calls", "fell", "cold_peak", "broken"} {
 		row := []Cell{{Text: Label(name)}}
 		for i, rs := range all {
-			c := Cell{Text: experiment.Over(rs, experiment.Measures[name]).String()}
+			c := Cell{Text: experiment.Mean(rs, experiment.Measures[name]).String()}
 			if i > 0 {
-				difference, err := statistics.PairedDifference(experiment.Values(rs, experiment.Measures[name]), experiment.Values(all[0], experiment.Measures[name]))
+				difference, err := statistics.PairedDifference(experiment.MeasureValues(rs, experiment.Measures[name]), experiment.MeasureValues(all[0], experiment.Measures[name]))
 				if err != nil {
 					return nil, err
 				}
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -38,7 +38,7 @@
 	if err := os.WriteFile(path, []byte(b.String()), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	table, err := experiment.Load(path)
+	table, err := experiment.ReadTable(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,7 +109,7 @@
 	if err := os.WriteFile(path, []byte("a,b\n1,2\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := experiment.Load(path); err == nil || !strings.Contains(err.Error(), path+": line 1") {
+	if _, err := experiment.ReadTable(path); err == nil || !strings.Contains(err.Error(), path+": line 1") {
 		t.Errorf("not a results file: error %v", err)
 	}
 }
