--- a/cmd/poppyarch/lab_fit.go
+++ b/cmd/poppyarch/lab_fit.go
@@ -23,8 +23,8 @@
 			if err != nil {
 				return &exitError{exitUsage, err}
 			}
-			for _, fault := range trace.Faults {
-				cmd.PrintErrln(fault)
+			for _, readError := range trace.ReadErrors {
+				cmd.PrintErrln(readError)
 			}
 			scenario, work, notes, err := trace.Scenario(strings.TrimSuffix(filepath.Base(out), filepath.Ext(out)))
 			if err != nil {
@@ -35,7 +35,7 @@
 				return err
 			}
 			head := fmt.Sprintf("# Fitted to %d requests of %d brokers. Work: %s, from %d of %d attempts that were alone at their nodes; it differs from them by %.3f at most.\n# Not recorded:\n",
-				len(trace.Asked), scenario.Brokers, work.Spread, work.N, work.Of, work.Distance)
+				len(trace.Requests), scenario.Brokers, work.Distribution, work.Samples, work.ServedAttempts, work.Distance)
 			for _, note := range notes {
 				head += "# " + note + "\n"
 			}
--- a/internal/lab/fit/fit.go
+++ b/internal/lab/fit/fit.go
@@ -27,9 +27,9 @@
 	Classes        []record.Class
 	Plans          []record.Plan
 	Brokers        map[string]bool
-	Asked          []Request // all recorded requests
+	Requests       []Request // all recorded requests
 	SampleFraction float64   // smallest fraction of requests that a broker recorded individually
-	Faults         []string  // files and records that could not be read
+	ReadErrors     []string  // files and records that could not be read
 }
 
 // Request is a recorded request with the name of its broker.
@@ -40,7 +40,7 @@
 }
 
 // Read reads all segments below the given folders; a path may also name a single segment. Segments that cannot be read
-// are skipped and listed in Faults.
+// are skipped and listed in ReadErrors.
 func Read(paths ...string) (*Trace, error) {
 	t := &Trace{Brokers: map[string]bool{}, SampleFraction: 1}
 	seen := map[string]bool{} // frames that were read; copies of a segment count once
@@ -55,7 +55,7 @@
 		}
 		err = filepath.WalkDir(path, func(at string, d os.DirEntry, err error) error {
 			if err != nil {
-				t.Faults = append(t.Faults, err.Error())
+				t.ReadErrors = append(t.ReadErrors, err.Error())
 			} else if !d.IsDir() && filepath.Ext(at) == ".seg" {
 				t.readSegment(at, seen)
 			}
@@ -65,10 +65,10 @@
 			return nil, err
 		}
 	}
-	if len(t.Asked) == 0 {
+	if len(t.Requests) == 0 {
 		return nil, errors.New("the records contain no individual requests; check that the brokers record them")
 	}
-	slices.SortFunc(t.Asked, func(a, b Request) int { return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Broker, b.Broker)) })
+	slices.SortFunc(t.Requests, func(a, b Request) int { return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Broker, b.Broker)) })
 	return t, nil
 }
 
@@ -76,13 +76,13 @@
 func (t *Trace) readSegment(path string, seen map[string]bool) {
 	b, err := os.ReadFile(path)
 	if err != nil {
-		t.Faults = append(t.Faults, err.Error())
+		t.ReadErrors = append(t.ReadErrors, err.Error())
 		return
 	}
-	fault := func(err error) { t.Faults = append(t.Faults, fmt.Sprintf("%s: %v", path, err)) }
+	report := func(err error) { t.ReadErrors = append(t.ReadErrors, fmt.Sprintf("%s: %v", path, err)) }
 	name, boot, err := record.DecodeSegment(b, func(record.Part) {})
 	if err != nil {
-		fault(err)
+		report(err)
 		return
 	}
 	var wallClock, startedAt clock.Micros
@@ -91,7 +91,7 @@
 	var requests []Request
 	_, _, _ = record.DecodeSegment(b, func(p record.Part) {
 		if p.Damaged > 0 {
-			fault(fmt.Errorf("%d bytes cannot be read", p.Damaged))
+			report(fmt.Errorf("%d bytes cannot be read", p.Damaged))
 		}
 		if p.Last {
 			return
@@ -106,7 +106,7 @@
 			var e record.Event
 			ok, err := d.Next(&e)
 			if err != nil {
-				fault(fmt.Errorf("frame %d: %w", p.Frame.Seq, err))
+				report(fmt.Errorf("frame %d: %w", p.Frame.Seq, err))
 				return
 			}
 			if !ok {
@@ -118,7 +118,7 @@
 				if t.Classes == nil {
 					t.Classes, t.Plans = e.Incarnation.Classes, e.Incarnation.Plans
 				} else if !slices.Equal(t.Classes, e.Incarnation.Classes) || !slices.Equal(t.Plans, e.Incarnation.Plans) {
-					fault(errors.New("classes or plans differ from those of earlier segments; its requests are counted by the index of their class and plan"))
+					report(errors.New("classes or plans differ from those of earlier segments; its requests are counted by the index of their class and plan"))
 				}
 				t.SampleFraction = min(t.SampleFraction, e.Incarnation.SampleFraction)
 			case e.Request != nil:
@@ -129,7 +129,7 @@
 		}
 	})
 	if !known && len(requests) > 0 {
-		fault(errors.New("no incarnation event: its clock cannot be related to the wall clock"))
+		report(errors.New("no incarnation event: its clock cannot be related to the wall clock"))
 		return
 	}
 	for i := range requests {
@@ -138,18 +138,18 @@
 	if len(requests) > 0 {
 		t.Brokers[name] = true
 	}
-	t.Asked = append(t.Asked, requests...)
+	t.Requests = append(t.Requests, requests...)
 }
 
 // Work is the distribution of the nodes' service time, fitted to attempts that overlapped no other recorded attempt at
 // their node.
 type Work struct {
-	Spread   string  // name of the distribution, as in a scenario
-	Mean     float64 // microseconds
-	Sigma    float64 // of a lognormal distribution
-	Distance float64 // Kolmogorov-Smirnov distance between the fitted and the observed distribution, 0 to 1
-	N        int     // attempts that it was fitted to
-	Of       int     // all served attempts
+	Distribution   string  // as in a scenario
+	Mean           float64 // microseconds
+	Sigma          float64 // of a lognormal distribution
+	Distance       float64 // Kolmogorov-Smirnov distance between the fitted and the observed distribution, 0 to 1
+	Samples        int     // attempts that it was fitted to
+	ServedAttempts int     // all, overlapping ones included
 }
 
 // nodeAttempt is the time that an attempt spent at a node.
@@ -173,10 +173,10 @@
 // serviceTimes returns the durations of served attempts that overlapped no other attempt at their node, and the number
 // of all served attempts. The duration of an overlapping attempt includes time in the node's queue.
 func (t *Trace) serviceTimes() (times []serviceTime, servedAttempts int) {
-	span := max(float64(t.Asked[len(t.Asked)-1].At-t.Asked[0].At), 1) // microseconds
+	span := max(float64(t.Requests[len(t.Requests)-1].At-t.Requests[0].At), 1) // microseconds
 	nodes := map[string][]nodeAttempt{}
-	for i := range t.Asked {
-		q := &t.Asked[i]
+	for i := range t.Requests {
+		q := &t.Requests[i]
 		for _, a := range q.Attempts {
 			from := q.At + a.SentAfter
 			nodes[a.Node] = append(nodes[a.Node], nodeAttempt{from, from + a.Duration, q, decision.Outcome(a.Outcome) == decision.Served})
@@ -222,9 +222,9 @@
 		total += s.weight
 	}
 	mean, dev := stat.MeanStdDev(xs, weights)
-	w := Work{Mean: mean, N: len(times)}
+	w := Work{Mean: mean, Samples: len(times)}
 	if dev < 0.02*mean {
-		w.Spread = "constant"
+		w.Distribution = "constant"
 		return w, nil
 	}
 	var normal distuv.Normal // of the logarithms
@@ -237,9 +237,9 @@
 		return 2*parameters - 2*sum*float64(len(xs))/total
 	}
 	cdf := ex.CDF
-	w.Spread = "exponential"
+	w.Distribution = "exponential"
 	if score(ln.LogProb, 2) < score(ex.LogProb, 1) {
-		w.Spread, w.Sigma, cdf = "lognormal", ln.Sigma, ln.CDF
+		w.Distribution, w.Sigma, cdf = "lognormal", ln.Sigma, ln.CDF
 	}
 	cumulative := 0.0
 	for i, x := range xs {
@@ -272,14 +272,14 @@
 	if err != nil {
 		return nil, w, nil, err
 	}
-	w.Of = servedAttempts
-	first, last := t.Asked[0].At, t.Asked[len(t.Asked)-1].At
+	w.ServedAttempts = servedAttempts
+	first, last := t.Requests[0].At, t.Requests[len(t.Requests)-1].At
 	seconds := float64(last-first) / 1e6
 	if seconds < 1 {
 		return nil, w, nil, fmt.Errorf("the records span %.3f s, at least 1 s is needed to determine the request rate", seconds)
 	}
 	s := &model.Scenario{Name: name, Brokers: len(t.Brokers), Duration: model.Duration(40 * time.Second), WarmUp: model.Duration(5 * time.Second)}
-	s.Load = model.Load{Rate: round(float64(len(t.Asked)) / seconds / t.SampleFraction), Work: micros(all), Distribution: w.Spread, Sigma: round(w.Sigma)}
+	s.Load = model.Load{Rate: round(float64(len(t.Requests)) / seconds / t.SampleFraction), Work: micros(all), Distribution: w.Distribution, Sigma: round(w.Sigma)}
 	s.Nodes = []model.NodeGroup{{Count: max(len(t.nodeNames()), 1), Cores: 2, Speed: 1, QueueCapacity: 40}}
 	s.Rules = model.Rules{MaxAttempts: 3, DrainGrace: model.Duration(500 * time.Millisecond), ResponseGrace: model.Duration(50 * time.Millisecond), BurstValueFactor: 0.3, ExcessValueFactor: 0.08}
 	t.addClasses(s, means, all)
@@ -327,8 +327,8 @@
 
 func (t *Trace) nodeNames() map[string]bool {
 	out := map[string]bool{}
-	for i := range t.Asked {
-		for _, a := range t.Asked[i].Attempts {
+	for i := range t.Requests {
+		for _, a := range t.Requests[i].Attempts {
 			out[a.Node] = true
 		}
 	}
@@ -339,8 +339,8 @@
 // requests name no shard is taken to write new objects.
 func (t *Trace) addClasses(s *model.Scenario, means []float64, all float64) {
 	count, withoutShard := make([]int, len(t.Classes)), make([]int, len(t.Classes))
-	for i := range t.Asked {
-		if q := &t.Asked[i]; int(q.Class) < len(count) {
+	for i := range t.Requests {
+		if q := &t.Requests[i]; int(q.Class) < len(count) {
 			count[q.Class]++
 			if q.Shard < 0 {
 				withoutShard[q.Class]++
@@ -351,7 +351,7 @@
 		if count[k] == 0 {
 			continue
 		}
-		x := model.Class{Name: c.Name, Share: round(float64(count[k]) / float64(len(t.Asked))), WorkFactor: round(means[k] / all), LatencyObjective: model.Duration(time.Duration(c.LatencyObjective) * time.Microsecond),
+		x := model.Class{Name: c.Name, Share: round(float64(count[k]) / float64(len(t.Requests))), WorkFactor: round(means[k] / all), LatencyObjective: model.Duration(time.Duration(c.LatencyObjective) * time.Microsecond),
 			Deadline: model.Duration(time.Duration(max(c.Deadline, c.LatencyObjective)) * time.Microsecond), PriorityWeight: c.PriorityWeight, LateValue: 0.15, Idempotency: "always"}
 		if 2*withoutShard[k] > count[k] {
 			x.Writes, x.Idempotency = true, "never"
@@ -370,8 +370,8 @@
 		shards  map[int64]bool
 	}
 	volumes := map[string]*volume{}
-	for i := range t.Asked {
-		q := &t.Asked[i]
+	for i := range t.Requests {
+		q := &t.Requests[i]
 		v := volumes[q.Volume]
 		if v == nil {
 			v = &volume{plan: q.Plan, brokers: map[string]bool{}, shards: map[int64]bool{}}
--- a/internal/lab/fit/fit_test.go
+++ b/internal/lab/fit/fit_test.go
@@ -84,7 +84,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if w.Spread != spread || w.N < 2500 || w.Distance > 0.05 || len(notes) != 5 {
+		if w.Distribution != spread || w.Samples < 2500 || w.Distance > 0.05 || len(notes) != 5 {
 			t.Errorf("%s: %+v, %d notes", spread, w, len(notes))
 		}
 		if spread == "lognormal" && (math.Abs(w.Sigma-0.5) > 0.02 || math.Abs(time.Duration(s.Load.Work).Seconds()-0.0375) > 0.002 || math.Abs(s.Classes[1].WorkFactor/s.Classes[0].WorkFactor-2) > 0.1) {
@@ -123,7 +123,7 @@
 		t.Fatal(err)
 	}
 	trace, err = Read(dir)
-	if err != nil || len(trace.Faults) != 1 || !strings.Contains(trace.Faults[0], "bad.seg") {
-		t.Errorf("error %v, faults %q, want one about bad.seg", err, trace.Faults)
+	if err != nil || len(trace.ReadErrors) != 1 || !strings.Contains(trace.ReadErrors[0], "bad.seg") {
+		t.Errorf("error %v, read errors %q, want one about bad.seg", err, trace.ReadErrors)
 	}
 }
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -86,8 +86,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if n := len(trace.Asked); n < rep.Requests || !objects && n != rep.Requests || len(trace.Brokers) != 2 || trace.Faults != nil {
-			t.Errorf("objects %v: %d of %d requests recorded, brokers %v, faults %q", objects, n, rep.Requests, trace.Brokers, trace.Faults)
+		if n := len(trace.Requests); n < rep.Requests || !objects && n != rep.Requests || len(trace.Brokers) != 2 || trace.ReadErrors != nil {
+			t.Errorf("objects %v: %d of %d requests recorded, brokers %v, read errors %q", objects, n, rep.Requests, trace.Brokers, trace.ReadErrors)
 		}
 		want, err := model.Run(s, "module", 3)
 		if err != nil {
