--- a/cmd/poppyarch/lab_live.go
+++ b/cmd/poppyarch/lab_live.go
@@ -79,14 +79,14 @@
 		return nil, err
 	}
 	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
-	installation, err := driver.Install(scenario, driver.Options{Dir: dir, Objects: f.objects, Records: f.records}, startBroker)
+	installation, err := driver.Install(scenario, driver.Options{Dir: dir, UseObjectAPI: f.objects, Records: f.records}, startBroker)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = installation.Close() }() // the results are complete; the brokers' logs say how they ended
 	comparison = &liveComparison{scenario: scenario}
 	for i := range uint64(f.runs) {
-		report, err := installation.Play(ctx, f.seed+i)
+		report, err := installation.Run(ctx, f.seed+i)
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/poppyarch/load.go
+++ b/cmd/poppyarch/load.go
@@ -18,23 +18,23 @@
 
 // loadCommand returns the command that drives running brokers with the clients of a scenario.
 func loadCommand() *cobra.Command {
-	run := &driver.Run{}
+	generator := &driver.Generator{}
 	var asJSON bool
 	c := &cobra.Command{
 		Use: "load SCENARIO (--block ADDR,... | --object ADDR,...)", Args: checkArgs(cobra.ExactArgs(1)),
 		Short: "Drive running brokers with a scenario's open-loop clients",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var err error
-			if run.Scenario, err = experiment.ReadScenario(args[0]); err != nil {
+			if generator.Scenario, err = experiment.ReadScenario(args[0]); err != nil {
 				return &exitError{exitUsage, err}
 			}
-			if (len(run.Blocks) == 0) == (len(run.Objects) == 0) {
+			if (len(generator.BlockAddrs) == 0) == (len(generator.ObjectAddrs) == 0) {
 				return &exitError{exitUsage, fmt.Errorf("exactly one of --block and --object must list an address for each of the scenario's %d brokers",
-					run.Scenario.Brokers)}
+					generator.Scenario.Brokers)}
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			measured, err := run.Play(ctx)
+			measured, err := generator.Run(ctx)
 			if err != nil {
 				return err
 			}
@@ -44,9 +44,9 @@
 			return printLoadReport(cmd.OutOrStdout(), measured)
 		},
 	}
-	c.Flags().StringSliceVar(&run.Blocks, "block", nil, "addresses of block frontends, in the order of the scenario's brokers")
-	c.Flags().StringSliceVar(&run.Objects, "object", nil, "addresses of object frontends, in the order of the scenario's brokers")
-	c.Flags().Uint64Var(&run.Seed, "seed", 1, "seed of the clients' random numbers")
+	c.Flags().StringSliceVar(&generator.BlockAddrs, "block", nil, "addresses of block frontends, in the order of the scenario's brokers")
+	c.Flags().StringSliceVar(&generator.ObjectAddrs, "object", nil, "addresses of object frontends, in the order of the scenario's brokers")
+	c.Flags().Uint64Var(&generator.Seed, "seed", 1, "seed of the clients' random numbers")
 	c.Flags().BoolVar(&asJSON, "json", false, "print the result as JSON")
 	return c
 }
@@ -86,10 +86,10 @@
 	median, p99 := 0.0, 0.0
 	cut, wrong := 0, 0
 	for _, r := range reports {
-		median = max(median, r.LateP50)
-		p99 = max(p99, r.LateP99)
-		cut += r.Cut
-		wrong += r.Wrong
+		median = max(median, r.SendDelayP50)
+		p99 = max(p99, r.SendDelayP99)
+		cut += r.ConnectionsLost
+		wrong += r.WrongResponses
 	}
 	t.Printf("clients' own lateness, ms\t%.3g, 99th percentile %.3g\n", 1000*median, 1000*p99)
 	t.Printf("connections cut, wrong answers\t%d, %d\n", cut, wrong)
--- a/internal/lab/load/install.go
+++ b/internal/lab/load/install.go
@@ -22,9 +22,9 @@
 // Installation is a running deployment of a scenario on loopback: simulated nodes and discovery in this process, and
 // real brokers.
 type Installation struct {
-	Scenario *model.Scenario
-	Blocks   []string // addresses of the brokers' block API
-	Objects  []string // addresses of their object API, if it is used instead
+	Scenario    *model.Scenario
+	BlockAddrs  []string // addresses of the brokers' block API
+	ObjectAddrs []string // addresses of their object API, if it is used instead
 
 	nodes []*fake.Timed
 	stops []func() error
@@ -35,9 +35,9 @@
 
 // Options configure an installation.
 type Options struct {
-	Dir     string // folder for the brokers' configuration files
-	Objects bool   // use the object API (HTTP) instead of the block protocol
-	Records string // folder for the brokers' records; they do not record if it is empty
+	Dir          string // folder for the brokers' configuration files
+	UseObjectAPI bool   // use the object API (HTTP) instead of the block protocol
+	Records      string // folder for the brokers' records; they do not record if it is empty
 }
 
 // Install starts the nodes, discovery and brokers of a scenario. Of the scenario's faults it supports pauses and those
@@ -69,7 +69,7 @@
 				return in, err
 			}
 			t := discovery.Endpoint{ID: fmt.Sprintf("s-%04d", len(in.nodes)), Addr: block, Zone: "room", Shard: len(in.nodes), State: "up", Capacity: 1}
-			if o.Objects {
+			if o.UseObjectAPI {
 				objects := fake.NewObjects()
 				objects.SetHook(func(w http.ResponseWriter, r *http.Request, next func()) {
 					done, ok := n.Take(ObjectWork(r.URL.Path))
@@ -124,16 +124,16 @@
 		if o.Records != "" {
 			doc["record"] = m{"dir": filepath.Join(o.Records, name)}
 		}
-		if o.Objects {
+		if o.UseObjectAPI {
 			object, err := in.objectSettings(addr)
 			if err != nil {
 				return err
 			}
 			doc["object"] = object
-			in.Objects = append(in.Objects, addr)
+			in.ObjectAddrs = append(in.ObjectAddrs, addr)
 		} else {
 			doc["listen"] = addr
-			in.Blocks = append(in.Blocks, addr)
+			in.BlockAddrs = append(in.BlockAddrs, addr)
 		}
 		text, err := json.MarshalIndent(doc, "", " ")
 		if err != nil {
@@ -196,8 +196,9 @@
 	}
 }
 
-// Play runs the scenario's clients and its pauses, and returns the measurements of clients and nodes.
-func (in *Installation) Play(ctx context.Context, seed uint64) (*Report, error) {
+// Run sends the requests of the scenario's clients, simulates its pauses of nodes, and returns the measurements of
+// clients and nodes.
+func (in *Installation) Run(ctx context.Context, seed uint64) (*Report, error) {
 	pausing, stop := context.WithCancel(ctx)
 	var pauses sync.WaitGroup
 	defer pauses.Wait()
@@ -210,8 +211,8 @@
 		}
 	}
 	before := in.nodeCounts()
-	r := &Run{Scenario: in.Scenario, Seed: seed, Blocks: in.Blocks, Objects: in.Objects}
-	rep, err := r.Play(ctx)
+	generator := &Generator{Scenario: in.Scenario, Seed: seed, BlockAddrs: in.BlockAddrs, ObjectAddrs: in.ObjectAddrs}
+	rep, err := generator.Run(ctx)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -24,12 +24,12 @@
 	"poppyarch/internal/testkit/fake"
 )
 
-// Run sends the requests of a scenario's clients.
-type Run struct {
-	Scenario *model.Scenario
-	Seed     uint64
-	Blocks   []string // addresses of the block API, one for each broker of the scenario
-	Objects  []string // addresses of the object API; if there are any, all requests go there
+// Generator sends the requests of a scenario's clients.
+type Generator struct {
+	Scenario    *model.Scenario
+	Seed        uint64
+	BlockAddrs  []string // addresses of the block API, one for each broker of the scenario
+	ObjectAddrs []string // addresses of the object API; if there are any, all requests go there
 
 	pools         []*pool // connections of the block clients, by broker
 	start         time.Time
@@ -42,10 +42,10 @@
 // Report holds the measurements of the clients. The caller adds those of nodes and brokers.
 type Report struct {
 	*model.Result
-	LateP50 float64 `json:"late_p50"` // seconds from a request's intended start time to its sending
-	LateP99 float64 `json:"late_p99"`
-	Cut     int     `json:"cut"`   // connections that ended without a response
-	Wrong   int     `json:"wrong"` // responses that do not belong to the request
+	SendDelayP50    float64 `json:"late_p50"` // seconds from a request's intended start time to its sending
+	SendDelayP99    float64 `json:"late_p99"`
+	ConnectionsLost int     `json:"cut"`   // connections that ended without a response
+	WrongResponses  int     `json:"wrong"` // responses that do not belong to the request
 }
 
 // batchCount is the number of batches that confidence intervals are computed from, as in the simulation.
@@ -74,43 +74,43 @@
 	abandoned      // the client's deadline passed
 )
 
-// Play sends all requests at their intended start times. It returns once every client has a response or has given up.
-func (r *Run) Play(ctx context.Context) (*Report, error) {
-	s := r.Scenario
-	all, err := model.Arrivals(s, r.Seed)
+// Run sends all requests at their intended start times. It returns once every client has a response or has given up.
+func (g *Generator) Run(ctx context.Context) (*Report, error) {
+	s := g.Scenario
+	all, err := model.Arrivals(s, g.Seed)
 	if err != nil {
 		return nil, err
 	}
-	addrs := r.Blocks
-	if len(r.Objects) > 0 {
-		addrs = r.Objects
+	addrs := g.BlockAddrs
+	if len(g.ObjectAddrs) > 0 {
+		addrs = g.ObjectAddrs
 	}
 	if len(addrs) != s.Brokers {
 		return nil, fmt.Errorf("scenario %s: brokers: %d, but got %d addresses", s.Name, s.Brokers, len(addrs))
 	}
 	classes := s.RequestClasses()
 	from, to := time.Duration(s.WarmUp).Microseconds(), time.Duration(s.Duration).Microseconds()
-	r.counters = counters{requestBatches: statistics.NewBatchMeans(from, to, batchCount), servedBatches: statistics.NewBatchMeans(from, to, batchCount), latencyBatches: statistics.NewBatchMeans(from, to, batchCount)}
+	g.counters = counters{requestBatches: statistics.NewBatchMeans(from, to, batchCount), servedBatches: statistics.NewBatchMeans(from, to, batchCount), latencyBatches: statistics.NewBatchMeans(from, to, batchCount)}
 	for _, a := range addrs {
-		r.pools = append(r.pools, &pool{addr: a})
+		g.pools = append(g.pools, &pool{addr: a})
 	}
 	defer func() {
-		for _, p := range r.pools {
+		for _, p := range g.pools {
 			p.close()
 		}
 	}()
-	if len(r.Objects) > 0 {
-		if r.objectClients, err = newObjectClients(ctx, r.Objects, s.UnitWork(), all, classes); err != nil {
+	if len(g.ObjectAddrs) > 0 {
+		if g.objectClients, err = newObjectClients(ctx, g.ObjectAddrs, s.UnitWork(), all, classes); err != nil {
 			return nil, err
 		}
-		defer r.objectClients.close()
+		defer g.objectClients.close()
 	}
-	random := rand.New(rand.NewPCG(r.Seed, 7))
-	r.start = time.Now()
+	random := rand.New(rand.NewPCG(g.Seed, 7))
+	g.start = time.Now()
 	var running sync.WaitGroup
 	for i := range all {
 		a := &all[i]
-		if delay := time.Until(r.wallTime(a.At)); delay > 0 {
+		if delay := time.Until(g.wallTime(a.At)); delay > 0 {
 			t := time.NewTimer(delay)
 			select {
 			case <-t.C:
@@ -122,24 +122,26 @@
 			break
 		}
 		retries := random.Float64() < s.Load.RetryFraction
-		running.Go(func() { r.runClient(ctx, a, &classes[a.Class], retries) })
+		running.Go(func() { g.runClient(ctx, a, &classes[a.Class], retries) })
 	}
 	running.Wait()
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	return r.buildReport(), nil
+	return g.buildReport(), nil
 }
 
 // wallTime converts microseconds of the scenario to wall-clock time.
-func (r *Run) wallTime(us int64) time.Time { return r.start.Add(time.Duration(us) * time.Microsecond) }
+func (g *Generator) wallTime(us int64) time.Time {
+	return g.start.Add(time.Duration(us) * time.Microsecond)
+}
 
 // runClient makes a request and, if retries is set, one retry after a refusal or a failure.
-func (r *Run) runClient(ctx context.Context, a *model.Arrival, class *model.Class, retries bool) {
-	intended := r.wallTime(a.At)
-	r.countRequest(a, time.Since(intended))
-	o, hint := r.attempt(ctx, a, class, intended)
-	r.countOutcome(o)
+func (g *Generator) runClient(ctx context.Context, a *model.Arrival, class *model.Class, retries bool) {
+	intended := g.wallTime(a.At)
+	g.countRequest(a, time.Since(intended))
+	o, hint := g.attempt(ctx, a, class, intended)
+	g.countOutcome(o)
 	if (o == refused || o == failed) && retries {
 		t := time.NewTimer(max(hint, 50*time.Millisecond))
 		select {
@@ -148,32 +150,32 @@
 			t.Stop()
 			return
 		}
-		o, _ = r.attempt(ctx, a, class, time.Now())
-		r.countOutcome(o)
+		o, _ = g.attempt(ctx, a, class, time.Now())
+		g.countOutcome(o)
 	}
 	if o == served {
-		r.countServed(a, class, time.Since(intended))
+		g.countServed(a, class, time.Since(intended))
 	}
 }
 
 // attempt makes one attempt, with a deadline counted from start. It returns the outcome and, for a refusal, the time
 // after which the broker suggests a retry.
-func (r *Run) attempt(ctx context.Context, a *model.Arrival, class *model.Class, start time.Time) (outcome, time.Duration) {
+func (g *Generator) attempt(ctx context.Context, a *model.Arrival, class *model.Class, start time.Time) (outcome, time.Duration) {
 	deadline := start.Add(time.Duration(class.Deadline))
-	if r.objectClients != nil {
-		return r.objectClients.attempt(ctx, a, class, deadline)
+	if g.objectClients != nil {
+		return g.objectClients.attempt(ctx, a, class, deadline)
 	}
-	return r.blockAttempt(ctx, a, class, deadline)
+	return g.blockAttempt(ctx, a, class, deadline)
 }
 
-func (r *Run) countRequest(a *model.Arrival, delay time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	t := &r.counters
+func (g *Generator) countRequest(a *model.Arrival, delay time.Duration) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	t := &g.counters
 	t.requestBatches.Add(a.At, 1)
 	t.sendDelay.Add(delay.Microseconds())
 	t.result.Requests++
-	if k := r.seriesPart(a.At); k >= 0 {
+	if k := g.seriesPart(a.At); k >= 0 {
 		t.offeredValue[k] += a.Value
 	}
 	if a.WithinReserve {
@@ -182,18 +184,18 @@
 }
 
 // seriesPart returns the index of the part of the run that holds a time, or -1 if it is past the last one.
-func (r *Run) seriesPart(at int64) int {
-	per := max(time.Duration(r.Scenario.Duration).Microseconds()/model.SeriesParts, 1)
+func (g *Generator) seriesPart(at int64) int {
+	per := max(time.Duration(g.Scenario.Duration).Microseconds()/model.SeriesParts, 1)
 	if k := int(at / per); k < model.SeriesParts {
 		return k
 	}
 	return -1
 }
 
-func (r *Run) countOutcome(o outcome) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	switch t := &r.counters; o {
+func (g *Generator) countOutcome(o outcome) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	switch t := &g.counters; o {
 	case refused:
 		t.result.Rejected++
 	case failed:
@@ -208,12 +210,12 @@
 }
 
 // countServed counts a served request in the same way as the simulation.
-func (r *Run) countServed(a *model.Arrival, class *model.Class, latency time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	t := &r.counters
-	t.servedBatches.Add(time.Since(r.start).Microseconds(), 1)
-	if a.At >= time.Duration(r.Scenario.WarmUp).Microseconds() {
+func (g *Generator) countServed(a *model.Arrival, class *model.Class, latency time.Duration) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	t := &g.counters
+	t.servedBatches.Add(time.Since(g.start).Microseconds(), 1)
+	if a.At >= time.Duration(g.Scenario.WarmUp).Microseconds() {
 		t.latencyBatches.Add(a.At, latency.Seconds())
 		t.latency.Add(latency.Microseconds())
 	}
@@ -224,15 +226,15 @@
 	} else if a.WithinReserve {
 		t.servedInsideReserve += value
 	}
-	if k := r.seriesPart(a.At); k >= 0 {
+	if k := g.seriesPart(a.At); k >= 0 {
 		t.servedValue[k] += value
 	}
 }
 
-func (r *Run) buildReport() *Report {
-	t := &r.counters
+func (g *Generator) buildReport() *Report {
+	t := &g.counters
 	res := t.result
-	res.Scenario, res.Design, res.Seed = r.Scenario.Name, "sockets", r.Seed
+	res.Scenario, res.Design, res.Seed = g.Scenario.Name, "sockets", g.Seed
 	res.ArrivalRate, res.ServedRate, res.ResponseTime = t.requestBatches.Rate(), t.servedBatches.Rate(), t.latencyBatches.Mean()
 	res.MedianResponseTime, res.P99ResponseTime = float64(t.latency.Quantile(0.5))/1e6, float64(t.latency.Quantile(0.99))/1e6
 	for _, at := range model.QuantileProbabilities {
@@ -252,7 +254,7 @@
 	if t.offeredInsideReserve > 0 {
 		res.ReservedValueRatio = t.servedInsideReserve / t.offeredInsideReserve
 	}
-	return &Report{Result: &res, LateP50: float64(t.sendDelay.Quantile(0.5)) / 1e6, LateP99: float64(t.sendDelay.Quantile(0.99)) / 1e6, Cut: t.connectionsLost, Wrong: t.wrongResponses}
+	return &Report{Result: &res, SendDelayP50: float64(t.sendDelay.Quantile(0.5)) / 1e6, SendDelayP99: float64(t.sendDelay.Quantile(0.99)) / 1e6, ConnectionsLost: t.connectionsLost, WrongResponses: t.wrongResponses}
 }
 
 // pool holds the idle connections of the block clients to one broker.
@@ -306,16 +308,16 @@
 }
 
 // blockAttempt makes one attempt over the block protocol.
-func (r *Run) blockAttempt(ctx context.Context, a *model.Arrival, class *model.Class, deadline time.Time) (outcome, time.Duration) {
-	p := r.pools[a.Broker]
-	id := strconv.FormatUint(r.seq.Add(1), 10)
+func (g *Generator) blockAttempt(ctx context.Context, a *model.Arrival, class *model.Class, deadline time.Time) (outcome, time.Duration) {
+	p := g.pools[a.Broker]
+	id := strconv.FormatUint(g.seq.Add(1), 10)
 	name, argumentCount := "BLK.READ", 4
 	if class.Writes {
 		name, argumentCount = "BLK.WRITE", 5
 	}
 	plan := "all"
-	if a.Plan < len(r.Scenario.Plans) {
-		plan = r.Scenario.Plans[a.Plan].Name
+	if a.Plan < len(g.Scenario.Plans) {
+		plan = g.Scenario.Plans[a.Plan].Name
 	}
 	attributes := fmt.Sprintf("c=%s,t=%s,d=%d,volume=%s,units=%g,shard=%d,hosts=%d", class.Name, plan, max(time.Until(deadline).Milliseconds(), 1), volumeID(a.Volume),
 		a.Units, a.Shard, a.BrokerCount)
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -71,11 +71,11 @@
 		s := smallScenario(t)
 		s.Faults = []model.Fault{{Kind: "pause", Probability: 1, MeanInterval: model.Duration(time.Second), Duration: model.Duration(time.Millisecond)}}
 		records := t.TempDir()
-		in, err := Install(s, Options{Dir: t.TempDir(), Objects: objects, Records: records}, startInProcess(t))
+		in, err := Install(s, Options{Dir: t.TempDir(), UseObjectAPI: objects, Records: records}, startInProcess(t))
 		if err != nil {
 			t.Fatal(err)
 		}
-		rep, err := in.Play(t.Context(), 3)
+		rep, err := in.Run(t.Context(), 3)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -96,8 +96,8 @@
 		if rep.Requests != want.Requests || rep.Requests < 30 {
 			t.Errorf("objects %v: %d requests, want at least 30 and the %d of the simulation", objects, rep.Requests, want.Requests)
 		}
-		if rep.Wrong != 0 || rep.Cut != 0 || rep.ClientTimeouts != 0 {
-			t.Errorf("objects %v: %d wrong responses, %d connections lost, %d requests given up, want none", objects, rep.Wrong, rep.Cut, rep.ClientTimeouts)
+		if rep.WrongResponses != 0 || rep.ConnectionsLost != 0 || rep.ClientTimeouts != 0 {
+			t.Errorf("objects %v: %d wrong responses, %d connections lost, %d requests given up, want none", objects, rep.WrongResponses, rep.ConnectionsLost, rep.ClientTimeouts)
 		}
 		if rep.Attempts < rep.Requests-rep.Rejected-rep.Failed || rep.ServedValueRatio <= 0 || rep.ServedValueRatio > 1 || rep.P99ResponseTime < rep.MedianResponseTime {
 			t.Errorf("objects %v: implausible result %+v", objects, rep.Result)
@@ -186,7 +186,7 @@
 		sendValue(c, words[2])
 		return true
 	})
-	rep, err := (&Run{Scenario: s, Seed: 1, Blocks: []string{at}}).Play(t.Context())
+	rep, err := (&Generator{Scenario: s, Seed: 1, BlockAddrs: []string{at}}).Run(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -194,8 +194,8 @@
 	if minimum := float64(last-first) / 1e6; rep.ResponseTimeQuantiles[len(rep.ResponseTimeQuantiles)-1] < minimum {
 		t.Errorf("the highest reported latency is %.3f s, the first client waited at least %.3f s", rep.ResponseTimeQuantiles[len(rep.ResponseTimeQuantiles)-1], minimum)
 	}
-	if rep.ClientTimeouts > 0 || rep.Wrong > 0 {
-		t.Errorf("%d requests given up, %d wrong responses, want none", rep.ClientTimeouts, rep.Wrong)
+	if rep.ClientTimeouts > 0 || rep.WrongResponses > 0 {
+		t.Errorf("%d requests given up, %d wrong responses, want none", rep.ClientTimeouts, rep.WrongResponses)
 	}
 }
 
@@ -208,18 +208,18 @@
 	}{
 		"refused":        {func(c net.Conn, _ []string) bool { return send(c, "-BUSY 5\r\n") }, func(r *Report) int { return r.Rejected }},
 		"failed":         {func(c net.Conn, _ []string) bool { return send(c, "-ERR failed\r\n") }, func(r *Report) int { return r.Failed }},
-		"other id":       {func(c net.Conn, w []string) bool { sendValue(c, w[2]+"0"); return true }, func(r *Report) int { return r.Wrong }},
-		"truncated":      {func(c net.Conn, w []string) bool { send(c, "$9\r\n12"); return false }, func(r *Report) int { return r.Cut }},
-		"served, closed": {func(c net.Conn, w []string) bool { sendValue(c, w[2]); return false }, func(r *Report) int { return r.Requests - r.Cut - r.Wrong - r.Rejected }},
+		"other id":       {func(c net.Conn, w []string) bool { sendValue(c, w[2]+"0"); return true }, func(r *Report) int { return r.WrongResponses }},
+		"truncated":      {func(c net.Conn, w []string) bool { send(c, "$9\r\n12"); return false }, func(r *Report) int { return r.ConnectionsLost }},
+		"served, closed": {func(c net.Conn, w []string) bool { sendValue(c, w[2]); return false }, func(r *Report) int { return r.Requests - r.ConnectionsLost - r.WrongResponses - r.Rejected }},
 	} {
 		s := smallScenario(t)
 		s.Brokers = 1
-		rep, err := (&Run{Scenario: s, Seed: 2, Blocks: []string{serveStub(t, test.respond)}}).Play(t.Context())
+		rep, err := (&Generator{Scenario: s, Seed: 2, BlockAddrs: []string{serveStub(t, test.respond)}}).Run(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
 		if got := test.counted(rep); got != rep.Requests || got == 0 {
-			t.Errorf("%s: counted for %d of %d requests: %+v, %d connections lost, %d wrong responses", name, got, rep.Requests, rep.Result, rep.Cut, rep.Wrong)
+			t.Errorf("%s: counted for %d of %d requests: %+v, %d connections lost, %d wrong responses", name, got, rep.Requests, rep.Result, rep.ConnectionsLost, rep.WrongResponses)
 		}
 	}
 }
@@ -239,7 +239,7 @@
 		}
 	}
 	s := smallScenario(t)
-	if _, err := (&Run{Scenario: s, Blocks: []string{"127.0.0.1:1"}}).Play(t.Context()); err == nil || !strings.Contains(err.Error(), "brokers: 2, but got 1 addresses") {
+	if _, err := (&Generator{Scenario: s, BlockAddrs: []string{"127.0.0.1:1"}}).Run(t.Context()); err == nil || !strings.Contains(err.Error(), "brokers: 2, but got 1 addresses") {
 		t.Errorf("too few addresses: error %v", err)
 	}
 	s.Load.RereadFraction = 0.3
