--- a/cmd/poppyarch/lab.go
+++ b/cmd/poppyarch/lab.go
@@ -264,7 +264,7 @@
 			if err := os.WriteFile(path, append([]byte(head), text...), 0o644); err != nil {
 				return err
 			}
-			out.Printf("made small: %s %v, %d plays, %s\n", finder.Design, found.Verdict, found.Plays, path)
+			out.Printf("made small: %s %v, %d plays, %s\n", finder.Design, found.Verdict, found.Evaluations, path)
 			return out.Err()
 		},
 	}
--- a/internal/lab/search/search.go
+++ b/internal/lab/search/search.go
@@ -29,9 +29,9 @@
 
 // Case is a scenario that a search has found.
 type Case struct {
-	Scenario *model.Scenario
-	Verdict  Verdict
-	Plays    int // evaluated candidates and smaller cases
+	Scenario    *model.Scenario
+	Verdict     Verdict
+	Evaluations int // of candidates and of smaller cases
 }
 
 // Run evaluates candidates and shrinks the worst one. Half of the candidates are drawn at random, half are mutations
@@ -48,7 +48,7 @@
 		return nil, err
 	}
 	scenario, err := s.scenarioWith(worst.faults)
-	return &Case{Scenario: scenario, Verdict: worst.verdict, Plays: worst.evaluations}, err
+	return &Case{Scenario: scenario, Verdict: worst.verdict, Evaluations: worst.evaluations}, err
 }
 
 func (s *Search) check() error {
