--- a/internal/lab/model/run.go
+++ b/internal/lab/model/run.go
@@ -18,8 +18,8 @@
 // batchCount is the number of batches of a run from which confidence intervals are computed.
 const batchCount = 20
 
-// Result is the result of one run. Estimates and the quantiles of response times leave out the warm-up period; counts and
-// values are those of the whole run. Times are seconds.
+// Result is the result of one run. Estimates and the quantiles of response times leave out the warm-up period; counts
+// and values are those of the whole run. Times are seconds.
 type Result struct {
 	Scenario              string              `json:"scenario"`
 	Design                string              `json:"design"`
