--- a/cmd/poppyarch/lab_live.go
+++ b/cmd/poppyarch/lab_live.go
@@ -79,18 +79,18 @@
 		return nil, err
 	}
 	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
-	installation, err := driver.Install(scenario, driver.Options{Dir: dir, Objects: f.objects, Records: f.records}, startBroker)
+	installation, err := driver.Install(scenario, driver.Options{Dir: dir, UseObjectAPI: f.objects, Records: f.records}, startBroker)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = installation.Close() }() // the results are complete; the brokers' logs say how they ended
 	comparison = &liveComparison{scenario: scenario}
 	for i := range uint64(f.runs) {
-		report, err := installation.Play(ctx, f.seed+i)
+		report, err := installation.Run(ctx, f.seed+i)
 		if err != nil {
 			return nil, err
 		}
-		simulated, err := model.Play(scenario, "module", f.seed+i)
+		simulated, err := model.Run(scenario, "module", f.seed+i)
 		if err != nil {
 			return nil, err
 		}
@@ -104,21 +104,21 @@
 func (f *liveFlags) print(out io.Writer, c *liveComparison) error {
 	p := textoutput.NewPrinter(out)
 	p.Printf("%s: %d brokers, %d nodes, %v, %d seeds; the difference is sockets less model, seed by seed\n", c.scenario.Name,
-		c.scenario.Brokers, c.scenario.Count(), time.Duration(c.scenario.Duration), f.runs)
+		c.scenario.Brokers, c.scenario.NodeCount(), time.Duration(c.scenario.Duration), f.runs)
 	if p.Err() != nil {
 		return p.Err()
 	}
 	t := textoutput.NewTable(out, "", "MODEL", "SOCKETS", "DIFFERENCE")
 	for _, figure := range loadFigures {
-		difference, err := statistics.Paired(experiment.Values(c.socketResults, figure.value), experiment.Values(c.modelResults, figure.value))
+		difference, err := statistics.PairedDifference(experiment.MeasureValues(c.socketResults, figure.value), experiment.MeasureValues(c.modelResults, figure.value))
 		if err != nil {
 			return err
 		}
 		verdict := ""
-		if difference.Holds(0) && f.runs > 1 {
+		if difference.Contains(0) && f.runs > 1 {
 			verdict = ", none shown"
 		}
-		t.Printf("%s\t%v\t%v\t%s%s\n", figure.name, experiment.Over(c.modelResults, figure.value), experiment.Over(c.socketResults, figure.value),
+		t.Printf("%s\t%v\t%v\t%s%s\n", figure.name, experiment.Mean(c.modelResults, figure.value), experiment.Mean(c.socketResults, figure.value),
 			difference.Signed(), verdict)
 	}
 	printClientOverhead(t, c.reports)
--- a/internal/lab/experiment/plan.go
+++ b/internal/lab/experiment/plan.go
@@ -47,30 +47,30 @@
 
 // Measures maps the name of each measure to the function that reads it from the result of a run.
 var Measures = map[string]func(*model.Result) float64{
-	"service":     func(r *model.Result) float64 { return r.Service },
-	"reserved":    func(r *model.Result) float64 { return r.Reserved },
-	"served":      func(r *model.Result) float64 { return r.Served.Mean },
-	"time_ms":     func(r *model.Result) float64 { return 1000 * r.Time.Mean },
-	"p99_ms":      func(r *model.Result) float64 { return 1000 * r.P99 },
-	"refused":     func(r *model.Result) float64 { return float64(r.Refused) },
+	"service":     func(r *model.Result) float64 { return r.ServedValueRatio },
+	"reserved":    func(r *model.Result) float64 { return r.ReservedValueRatio },
+	"served":      func(r *model.Result) float64 { return r.ServedRate.Mean },
+	"time_ms":     func(r *model.Result) float64 { return 1000 * r.ResponseTime.Mean },
+	"p99_ms":      func(r *model.Result) float64 { return 1000 * r.P99ResponseTime },
+	"refused":     func(r *model.Result) float64 { return float64(r.Rejected) },
 	"failed":      func(r *model.Result) float64 { return float64(r.Failed) },
 	"late":        func(r *model.Result) float64 { return float64(r.Late) },
 	"attempts":    func(r *model.Result) float64 { return float64(r.Attempts) },
 	"connections": func(r *model.Result) float64 { return float64(r.Handshakes) },
-	"calls":       func(r *model.Result) float64 { return float64(r.Calls) },
-	"fell":        func(r *model.Result) float64 { return float64(r.Fell) },
-	"cold_peak":   func(r *model.Result) float64 { return r.ColdPeak },
+	"calls":       func(r *model.Result) float64 { return float64(r.DiscoveryPolls) },
+	"fell":        func(r *model.Result) float64 { return float64(r.Overloads) },
+	"cold_peak":   func(r *model.Result) float64 { return r.SlowStartPeak },
 	"broken": func(r *model.Result) float64 {
 		n := 0
-		for _, count := range r.Broken {
+		for _, count := range r.ViolationCounts {
 			n += count
 		}
 		return float64(n)
 	},
 }
 
-// Values returns a measure of each run.
-func Values(rs []*model.Result, measure func(*model.Result) float64) []float64 {
+// MeasureValues returns a measure of each run.
+func MeasureValues(rs []*model.Result, measure func(*model.Result) float64) []float64 {
 	out := make([]float64, len(rs))
 	for i, r := range rs {
 		out[i] = measure(r)
@@ -78,9 +78,9 @@
 	return out
 }
 
-// Over returns the mean of a measure over several runs, with its confidence interval.
-func Over(rs []*model.Result, measure func(*model.Result) float64) statistics.Figure {
-	return statistics.Of(Values(rs, measure))
+// Mean returns the mean of a measure over several runs, with its confidence interval.
+func Mean(rs []*model.Result, measure func(*model.Result) float64) statistics.Estimate {
+	return statistics.EstimateMean(MeasureValues(rs, measure))
 }
 
 // measureNames returns the names of the measures, sorted. This is the order of their columns in a results file.
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// Read reads a plan and its scenario, and checks the scenario of every point of the grid.
-func Read(path string) (*Plan, error) {
+// ReadPlan reads a plan and its scenario, and checks the scenario of every point of the grid.
+func ReadPlan(path string) (*Plan, error) {
 	p := &Plan{Measure: "service", Runs: 8, MaxRuns: 64, Seed: 1}
 	if err := decode(path, p); err != nil {
 		return nil, err
--- a/internal/lab/load/install.go
+++ b/internal/lab/load/install.go
@@ -22,9 +22,9 @@
 // Installation is a running deployment of a scenario on loopback: simulated nodes and discovery in this process, and
 // real brokers.
 type Installation struct {
-	Scenario *model.Scenario
-	Blocks   []string // addresses of the brokers' block API
-	Objects  []string // addresses of their object API, if it is used instead
+	Scenario    *model.Scenario
+	BlockAddrs  []string // addresses of the brokers' block API
+	ObjectAddrs []string // addresses of their object API, if it is used instead
 
 	nodes []*fake.Timed
 	stops []func() error
@@ -35,9 +35,9 @@
 
 // Options configure an installation.
 type Options struct {
-	Dir     string // folder for the brokers' configuration files
-	Objects bool   // use the object API (HTTP) instead of the block protocol
-	Records string // folder for the brokers' records; they do not record if it is empty
+	Dir          string // folder for the brokers' configuration files
+	UseObjectAPI bool   // use the object API (HTTP) instead of the block protocol
+	Records      string // folder for the brokers' records; they do not record if it is empty
 }
 
 // Install starts the nodes, discovery and brokers of a scenario. Of the scenario's faults it supports pauses and those
@@ -69,7 +69,7 @@
 				return in, err
 			}
 			t := discovery.Endpoint{ID: fmt.Sprintf("s-%04d", len(in.nodes)), Addr: block, Zone: "room", Shard: len(in.nodes), State: "up", Capacity: 1}
-			if o.Objects {
+			if o.UseObjectAPI {
 				objects := fake.NewObjects()
 				objects.SetHook(func(w http.ResponseWriter, r *http.Request, next func()) {
 					done, ok := n.Take(ObjectWork(r.URL.Path))
@@ -108,7 +108,7 @@
 
 // startBrokers configures and starts the brokers, and waits until they listen.
 func (in *Installation) startBrokers(o Options, disc string, known discovery.List, start Start) error {
-	settings, err := in.Scenario.Settings()
+	settings, err := in.Scenario.BrokerSettings()
 	if err != nil {
 		return err
 	}
@@ -124,16 +124,16 @@
 		if o.Records != "" {
 			doc["record"] = m{"dir": filepath.Join(o.Records, name)}
 		}
-		if o.Objects {
+		if o.UseObjectAPI {
 			object, err := in.objectSettings(addr)
 			if err != nil {
 				return err
 			}
 			doc["object"] = object
-			in.Objects = append(in.Objects, addr)
+			in.ObjectAddrs = append(in.ObjectAddrs, addr)
 		} else {
 			doc["listen"] = addr
-			in.Blocks = append(in.Blocks, addr)
+			in.BlockAddrs = append(in.BlockAddrs, addr)
 		}
 		text, err := json.MarshalIndent(doc, "", " ")
 		if err != nil {
@@ -161,7 +161,7 @@
 // retries, writes the first class that writes. Every volume is a bucket of its plan.
 func (in *Installation) objectSettings(addr string) (map[string]any, error) {
 	read, write := "", ""
-	for _, c := range in.Scenario.Ways() {
+	for _, c := range in.Scenario.RequestClasses() {
 		if c.Writes && write == "" {
 			write = c.Name
 		} else if !c.Writes && c.Idempotency == "always" && read == "" {
@@ -172,7 +172,7 @@
 		return nil, fmt.Errorf("scenario %s: the object API needs a class that reads with repeat = \"always\", a class that writes, and at least one plan", in.Scenario.Name)
 	}
 	buckets := map[string]string{}
-	volumes, err := model.Volumes(in.Scenario)
+	volumes, err := model.VolumePlans(in.Scenario)
 	if err != nil {
 		return nil, err
 	}
@@ -196,8 +196,9 @@
 	}
 }
 
-// Play runs the scenario's clients and its pauses, and returns the measurements of clients and nodes.
-func (in *Installation) Play(ctx context.Context, seed uint64) (*Report, error) {
+// Run sends the requests of the scenario's clients, simulates its pauses of nodes, and returns the measurements of
+// clients and nodes.
+func (in *Installation) Run(ctx context.Context, seed uint64) (*Report, error) {
 	pausing, stop := context.WithCancel(ctx)
 	var pauses sync.WaitGroup
 	defer pauses.Wait()
@@ -210,13 +211,13 @@
 		}
 	}
 	before := in.nodeCounts()
-	r := &Run{Scenario: in.Scenario, Seed: seed, Blocks: in.Blocks, Objects: in.Objects}
-	rep, err := r.Play(ctx)
+	generator := &Generator{Scenario: in.Scenario, Seed: seed, BlockAddrs: in.BlockAddrs, ObjectAddrs: in.ObjectAddrs}
+	rep, err := generator.Run(ctx)
 	if err != nil {
 		return nil, err
 	}
 	after := in.nodeCounts()
-	rep.Attempts, rep.Handshakes, rep.Full = after[0]-before[0], after[1]-before[1], after[2]-before[2]
+	rep.Attempts, rep.Handshakes, rep.QueueRejections = after[0]-before[0], after[1]-before[1], after[2]-before[2]
 	return rep, nil
 }
 
@@ -242,13 +243,13 @@
 // times until the context ends.
 func (in *Installation) runPauses(ctx context.Context, t *model.Fault, n *fake.Timed, seed, stream uint64) {
 	random := rand.New(rand.NewPCG(seed, stream))
-	if random.Float64() >= t.Share {
+	if random.Float64() >= t.Probability {
 		return
 	}
-	wait := time.Duration(t.At) + time.Duration(random.Float64()*float64(t.Over))
+	wait := time.Duration(t.StartsAt) + time.Duration(random.Float64()*float64(t.StartSpread))
 	for {
-		if t.At == 0 {
-			wait = time.Duration(random.ExpFloat64() * float64(t.Every-t.Duration))
+		if t.StartsAt == 0 {
+			wait = time.Duration(random.ExpFloat64() * float64(t.MeanInterval-t.Duration))
 		}
 		timer := time.NewTimer(wait)
 		select {
@@ -258,7 +259,7 @@
 			return
 		}
 		n.Pause(time.Duration(t.Duration))
-		if t.At > 0 {
+		if t.StartsAt > 0 {
 			return
 		}
 	}
--- a/internal/lab/rules/attempt.go
+++ b/internal/lab/rules/attempt.go
@@ -71,7 +71,7 @@
 		return
 	}
 	state := b.notified[r.Node]
-	if state.state != history.Up && r.At > state.since+c.settings.DrainGrace {
+	if state.state != history.Ready && r.At > state.since+c.settings.DrainGrace {
 		c.violate(ruleDrain, r, "sent %d us after the broker was told", r.At-state.since)
 	}
 }
