--- a/internal/broker/config/limits.go
+++ b/internal/broker/config/limits.go
@@ -87,7 +87,7 @@
 		NodeConns:   freeDescriptors / 3,
 
 		MaxInFlight:                    4096,
-		MaxBodyBytes:                   memoryBytes / 6,
+		MaxTotalBodyBytes:              memoryBytes / 6,
 		MaxPipeline:                    128,
 		MaxMessageBytes:                72 << 10,
 		MaxArgs:                        16,
@@ -102,7 +102,7 @@
 		ClientIdleTimeout:              10 * second,
 		ClientLingerTimeout:            200 * millisecond,
 		BusyRetryAfter:                 200 * millisecond,
-		AnswerMargin:                   5 * millisecond,
+		ResponseMargin:                 5 * millisecond,
 		DrainAcceptTime:                500 * millisecond,
 		DrainTotalTime:                 5*second + 500*millisecond,
 
@@ -173,8 +173,8 @@
 	}
 	l.ClientRequestTimeout = longest // the client has given up by then
 	l.DrainTotalTime = max(l.DrainTotalTime, longest+500*millisecond)
-	l.DrainAnswerTime = min(longest, maxKillDeadline) + killSlack - killMargin
-	l.DrainServeTime = max(l.DrainAnswerTime-drainAnswerReserve, l.DrainAcceptTime)
+	l.DrainResponseTime = min(longest, maxKillDeadline) + killSlack - killMargin
+	l.DrainServeTime = max(l.DrainResponseTime-drainAnswerReserve, l.DrainAcceptTime)
 }
 
 // descriptorReserve is the number of descriptors that connections must leave free.
--- a/internal/broker/core/broker.go
+++ b/internal/broker/core/broker.go
@@ -60,7 +60,7 @@
 	defer b.limiter.Release()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	deadline := r.Deadline - b.lim.AnswerMargin
+	deadline := r.Deadline - b.lim.ResponseMargin
 	expiry := time.AfterFunc(clock.Duration(deadline-b.clock.Now()), func() { cancel(ErrDeadlineExceeded) })
 	defer expiry.Stop()
 
--- a/internal/broker/core/harness_test.go
+++ b/internal/broker/core/harness_test.go
@@ -55,7 +55,7 @@
 	h.endpoints.Update([]Node{{ID: testNode, Addr: "x"}}, true)
 	d.UpdateEndpoints([]decision.Endpoint{{Node: testNode, Shard: 0}}, true)
 	go RunDecisions(ctx, d, h.clock)
-	h.broker = NewBroker(d, h.endpoints, NewConcurrencyLimiter(2), b, h.clock, &limits.Limits{AnswerMargin: 5000})
+	h.broker = NewBroker(d, h.endpoints, NewConcurrencyLimiter(2), b, h.clock, &limits.Limits{ResponseMargin: 5000})
 	return h
 }
 
--- a/internal/broker/limits/limits.go
+++ b/internal/broker/limits/limits.go
@@ -15,14 +15,14 @@
 	NodeConns   int   `json:"node_conns"`   // connections to storage nodes
 
 	// Requests in flight and their sizes.
-	MaxInFlight     int   `json:"max_open"`     // admitted requests without a response
-	MaxBodyBytes    int64 `json:"max_bodies"`   // message bytes held for all of them
-	MaxPipeline     int   `json:"max_pipeline"` // requests in flight on one client connection
-	MaxMessageBytes int   `json:"max_message"`  // size of one command
-	MaxArgs         int   `json:"max_args"`     // arguments of one command
-	MaxValueBytes   int   `json:"max_value"`    // size of one value in a request or a response
-	MaxID           int   `json:"max_id"`       // length of a request's ID
-	MaxParams       int   `json:"max_params"`   // length of a command's list of names and values
+	MaxInFlight       int   `json:"max_open"`     // admitted requests without a response
+	MaxTotalBodyBytes int64 `json:"max_bodies"`   // message bytes held for all of them
+	MaxPipeline       int   `json:"max_pipeline"` // requests in flight on one client connection
+	MaxMessageBytes   int   `json:"max_message"`  // size of one command
+	MaxArgs           int   `json:"max_args"`     // arguments of one command
+	MaxValueBytes     int   `json:"max_value"`    // size of one value in a request or a response
+	MaxID             int   `json:"max_id"`       // length of a request's ID
+	MaxParams         int   `json:"max_params"`   // length of a command's list of names and values
 
 	// Client connections.
 	ClientWriteTimeout             clock.Micros `json:"client_write"`  // for a client to take its response
@@ -36,14 +36,14 @@
 
 	// Responses.
 	BusyRetryAfter clock.Micros `json:"busy_hint"`     // Retry-After of rejections while the process is at its limits
-	AnswerMargin   clock.Micros `json:"answer_margin"` // how long before the client's deadline a response is sent
+	ResponseMargin clock.Micros `json:"answer_margin"` // how long before the client's deadline a response is sent
 
 	// Graceful shutdown. All times count from SIGTERM. Connections are accepted until DrainAcceptTime by the object
 	// frontend and by a frontend without clients.
-	DrainAcceptTime clock.Micros `json:"drain_accept"`
-	DrainServeTime  clock.Micros `json:"drain_serve"`  // end of the admission of requests by the block frontend
-	DrainAnswerTime clock.Micros `json:"drain_answer"` // all its requests are answered by then, ahead of SIGKILL
-	DrainTotalTime  clock.Micros `json:"drain_total"`  // the process ends by then
+	DrainAcceptTime   clock.Micros `json:"drain_accept"`
+	DrainServeTime    clock.Micros `json:"drain_serve"`  // end of the admission of requests by the block frontend
+	DrainResponseTime clock.Micros `json:"drain_answer"` // all its requests are answered by then, ahead of SIGKILL
+	DrainTotalTime    clock.Micros `json:"drain_total"`  // the process ends by then
 
 	// Storage nodes.
 	ConnectTimeout            clock.Micros `json:"connect"`       // for establishing a connection
--- a/internal/frontend/block/drain_test.go
+++ b/internal/frontend/block/drain_test.go
@@ -12,11 +12,11 @@
 func TestDrainServesThenClosesIdleAndAnswersPending(t *testing.T) {
 	lim := testLimits()
 	lim.DrainServeTime = hour
-	lim.DrainAnswerTime = 100 * millisecond
+	lim.DrainResponseTime = 100 * millisecond
 	h := newHarness(t, lim, 8)
 	busy, busyIn := h.dial()
 	send(busy, readCommand("a"))
-	if req := <-h.broker.requests; req.Deadline-h.server.clock.Now() <= lim.DrainAnswerTime {
+	if req := <-h.broker.requests; req.Deadline-h.server.clock.Now() <= lim.DrainResponseTime {
 		t.Error("the deadline of a request that arrived before the drain is limited to that of a drain")
 	}
 	idle, idleIn := h.dial()
@@ -76,7 +76,7 @@
 // A request that no node answers gets its reply by the drain deadline. A request that arrives after it is rejected.
 func TestDrainAnswersAllRequestsByItsDeadline(t *testing.T) {
 	lim := testLimits()
-	lim.DrainAnswerTime = 50 * millisecond
+	lim.DrainResponseTime = 50 * millisecond
 	lim.DrainServeTime = hour
 	h := newHarness(t, lim, 4)
 	c, in := h.dial()
--- a/internal/frontend/block/harness_test.go
+++ b/internal/frontend/block/harness_test.go
@@ -32,7 +32,7 @@
 		MaxArgs:                        8,
 		MaxValueBytes:                  2048,
 		MaxPipeline:                    8,
-		MaxBodyBytes:                   1 << 20,
+		MaxTotalBodyBytes:              1 << 20,
 		MaxID:                          16,
 		MaxParams:                      200,
 		ClientWriteTimeout:             clock.FromDuration(testTimeout),
@@ -43,7 +43,7 @@
 		ClientIdleTimeout:              hour,
 		ClientLingerTimeout:            200 * millisecond,
 		BusyRetryAfter:                 150 * millisecond,
-		DrainAnswerTime:                hour,
+		DrainResponseTime:              hour,
 	}
 }
 
--- a/internal/frontend/block/server.go
+++ b/internal/frontend/block/server.go
@@ -61,7 +61,7 @@
 			freed:           make(chan struct{}, 1),
 			conns:           map[*conn]struct{}{},
 		},
-		inFlight: inFlight{maxBytes: lim.MaxBodyBytes, ids: map[string]struct{}{}},
+		inFlight: inFlight{maxBytes: lim.MaxTotalBodyBytes, ids: map[string]struct{}{}},
 		drain:    drainState{done: make(chan struct{})},
 	}
 	s.drain.base, s.drain.expire = context.WithCancelCause(context.Background())
--- a/internal/frontend/block/server_test.go
+++ b/internal/frontend/block/server_test.go
@@ -111,7 +111,7 @@
 
 func TestRequestBeyondTheLimitOnBytesInFlightIsRejected(t *testing.T) {
 	lim := testLimits()
-	lim.MaxBodyBytes = int64(len(readCommand("a"))) + 10
+	lim.MaxTotalBodyBytes = int64(len(readCommand("a"))) + 10
 	h := newHarness(t, lim, 4)
 	c, in := h.dial()
 	send(c, readCommand("a"))
--- a/internal/frontend/object/complete_test.go
+++ b/internal/frontend/object/complete_test.go
@@ -52,7 +52,7 @@
 			DefaultPlan:   "p",
 		},
 		Limits: limits.Limits{
-			MaxBodyBytes:       1 << 20,
+			MaxTotalBodyBytes:  1 << 20,
 			MaxCompletionBytes: 1 << 10,
 			MaxParts:           10,
 			ReadBackTime:       1_000_000,
--- a/internal/frontend/object/exchange.go
+++ b/internal/frontend/object/exchange.go
@@ -147,7 +147,7 @@
 	switch {
 	case resp.Status == core.Success:
 		return resp.Value, nil
-	case x.server.clock.Now() >= req.Deadline-2*x.server.lim.AnswerMargin:
+	case x.server.clock.Now() >= req.Deadline-2*x.server.lim.ResponseMargin:
 		return nil, errTimeout // whatever the outcome of the last attempt, the client's deadline has passed
 	case resp.Status == core.Rejection:
 		x.w.Header().Set("Retry-After", strconv.FormatInt(retryAfterSeconds(resp.RetryAfter), 10))
@@ -174,7 +174,7 @@
 	if size > maxBytes {
 		return errTooLarge
 	}
-	if x.server.bodyBytes.Add(size) > x.server.lim.MaxBodyBytes {
+	if x.server.bodyBytes.Add(size) > x.server.lim.MaxTotalBodyBytes {
 		x.server.bodyBytes.Add(-size)
 		x.w.Header().Set("Retry-After", bodyRetryAfter)
 		return errSlowDown
