--- a/internal/broker/core/attempt_test.go
+++ b/internal/broker/core/attempt_test.go
@@ -71,7 +71,7 @@
 			h := newHarness(ctx, t, b, keyedClass(decision.DedupEverywhere))
 			req := h.request()
 			var checks atomic.Int32
-			req.ClientGone = func() bool { return int(checks.Add(1)) > wantStarted }
+			req.ClientDisconnected = func() bool { return int(checks.Add(1)) > wantStarted }
 			resp := h.broker.Handle(ctx, req)
 			if b.started != wantStarted || checks.Load() != int32(wantStarted+1) || resp.Status != Failure {
 				t.Errorf("%d attempts started after %d checks, want %d; status %d", b.started, checks.Load(), wantStarted, resp.Status)
--- a/internal/broker/core/broker.go
+++ b/internal/broker/core/broker.go
@@ -139,7 +139,7 @@
 	if notAfter != 0 && e.broker.clock.Now() > notAfter {
 		return false
 	}
-	if e.request.ClientGone != nil && e.request.ClientGone() {
+	if e.request.ClientDisconnected != nil && e.request.ClientDisconnected() {
 		e.cancel(ErrClientDisconnected)
 		return false
 	}
--- a/internal/broker/core/request.go
+++ b/internal/broker/core/request.go
@@ -46,9 +46,9 @@
 	dispatcher.RequestInfo
 	NotIdempotent bool // whether the request must not be executed twice
 	Work          W
-	// ClientGone reports whether the client has disconnected, even if its frontend has not detected that yet. It is
-	// called right before each attempt, which is not made if it reports true. It may be nil.
-	ClientGone func() bool
+	// ClientDisconnected reports whether the client has disconnected, even if its frontend has not detected that yet.
+	// It is called right before each attempt, which is not made if it reports true. It may be nil.
+	ClientDisconnected func() bool
 }
 
 // Attempt is one attempt of a request at one node.
--- a/internal/frontend/block/conn.go
+++ b/internal/frontend/block/conn.go
@@ -145,8 +145,8 @@
 	}
 	// Commands that a client sent before it disconnected may be read after the disconnect, if this process was delayed
 	// or several commands arrived together.
-	req.ClientGone = func() bool { return socket.PeerClosed(c.Conn) }
-	if (!c.hasRequested.Load() || c.pending.Load() > 0) && req.ClientGone() {
+	req.ClientDisconnected = func() bool { return socket.PeerClosed(c.Conn) }
+	if (!c.hasRequested.Load() || c.pending.Load() > 0) && req.ClientDisconnected() {
 		return core.ErrClientDisconnected
 	}
 	r := &reply{requestID: string(req.Work.RequestID)}
--- a/internal/frontend/block/drain.go
+++ b/internal/frontend/block/drain.go
@@ -37,8 +37,8 @@
 // because clients learn of a restart late and would have no broker until the next one has started. Without any
 // connections, it stops accepting after Limits.DrainAcceptTime. Then it closes the listener, closes each connection as
 // soon as it has no pending reply, and returns when no connection is left. All requests are answered within
-// Limits.DrainResponseTime of the call, even if their clients would wait longer: the process may be killed after that. If
-// ctx is done earlier, Drain returns its error.
+// Limits.DrainResponseTime of the call, even if their clients would wait longer: the process may be killed after that.
+// If ctx is done earlier, Drain returns its error.
 func (s *Server) Drain(ctx context.Context) error {
 	start := s.clock.Now()
 	s.drain.deadline.Store(start + s.lim.DrainResponseTime)
--- a/internal/frontend/block/race_test.go
+++ b/internal/frontend/block/race_test.go
@@ -73,18 +73,19 @@
 	}
 }
 
-// After QUIT or malformed input the server reads no further input, so that only ClientGone can detect a disconnect.
+// After QUIT or malformed input the server reads no further input, so that only ClientDisconnected can detect a
+// disconnect.
 func TestDisconnectAfterTheLastCommandIsDetected(t *testing.T) {
 	for _, last := range []string{encodeCommand("QUIT"), "nonsense\r\n"} {
 		h := newHarness(t, testLimits(), 4)
 		c, _ := h.dial()
 		send(c, readCommand("a")+last)
 		req := <-h.broker.requests
-		if req.ClientGone == nil || req.ClientGone() {
-			t.Fatalf("%q: ClientGone is missing or reports a connected client as disconnected", last)
+		if req.ClientDisconnected == nil || req.ClientDisconnected() {
+			t.Fatalf("%q: ClientDisconnected is missing or reports a connected client as disconnected", last)
 		}
 		disconnect(c)
-		await(t, "the disconnect to be detected", req.ClientGone)
+		await(t, "the disconnect to be detected", req.ClientDisconnected)
 		h.broker.response("a") <- success("v")
 	}
 }
@@ -103,7 +104,7 @@
 	send(c, all.String())
 	req := <-h.broker.requests
 	disconnect(c)
-	await(t, "the disconnect to be detected", req.ClientGone)
+	await(t, "the disconnect to be detected", req.ClientDisconnected)
 	for i := range 12 {
 		h.broker.response(string(rune('a' + i))) <- success("v")
 	}
--- a/internal/frontend/object/backend.go
+++ b/internal/frontend/object/backend.go
@@ -63,8 +63,8 @@
 			Brokers:  cfg.Policy.Brokers,
 			Deadline: deadline,
 		},
-		NotIdempotent: cfg.Policy.Classes[class].Idempotency == decision.NotIdempotent,
-		ClientGone:    clientGone(x.r.Context()),
+		NotIdempotent:      cfg.Policy.Classes[class].Idempotency == decision.NotIdempotent,
+		ClientDisconnected: clientDisconnected(x.r.Context()),
 		Work: &objectstore.Request{
 			Method: method,
 			Target: path.EscapedPath() + query,
--- a/internal/frontend/object/listener.go
+++ b/internal/frontend/object/listener.go
@@ -138,10 +138,10 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// clientGone returns a function that reports whether a request's client has disconnected, or nil if the connection is
-// not known. The HTTP server itself detects a disconnect only after it has read the request's body, and not if more
+// clientDisconnected returns a function that reports whether a request's client has disconnected, or nil if the
+// connection is not known. The HTTP server itself detects a disconnect only after it has read the request's body, and not if more
 // input follows the body.
-func clientGone(ctx context.Context) func() bool {
+func clientDisconnected(ctx context.Context) func() bool {
 	c, ok := ctx.Value(connKey{}).(net.Conn)
 	if !ok {
 		return nil
--- a/internal/frontend/object/server.go
+++ b/internal/frontend/object/server.go
@@ -80,8 +80,8 @@
 
 // Drain shuts the server down gracefully. It continues to accept clients for Limits.DrainAcceptTime, then closes idle
 // connections, and returns when all requests have been answered. Requests whose response has not begun are answered
-// within Limits.DrainResponseTime of the call, because the process may be killed after that. If ctx is done earlier, all
-// connections are closed and its error is returned.
+// within Limits.DrainResponseTime of the call, because the process may be killed after that. If ctx is done earlier,
+// all connections are closed and its error is returned.
 func (s *Server) Drain(ctx context.Context) error {
 	s.drainDeadline.Store(s.clock.Now() + s.lim.DrainResponseTime)
 	expiry := time.AfterFunc(clock.Duration(s.lim.DrainResponseTime), s.expire)
