--- a/internal/fleet/manager/commands.go
+++ b/internal/fleet/manager/commands.go
@@ -62,7 +62,7 @@
 // ChangeNodes changes the operators' overrides of storage nodes.
 func (m *Manager) ChangeNodes(request *api.NodesRequest) (api.Reply, error) {
 	return m.execute(&request.Command, func(now clock.Micros) (*state.Record, *state.Plan, error) {
-		record, err := m.state.SetNodes(&request.Command, request.Changes, now)
+		record, err := m.state.SetNodeOverrides(&request.Command, request.Changes, now)
 		return record, nil, err
 	})
 }
--- a/internal/fleet/reconcile/property_test.go
+++ b/internal/fleet/reconcile/property_test.go
@@ -161,7 +161,7 @@
 	if report.AppliedEdition > s.applied {
 		s.t.Fatalf("report is %+v, but the broker has applied edition %d only", report, s.applied)
 	}
-	if !s.running && (report.Incarnation != "" || report.Process == state.Running) {
+	if !s.running && (report.Incarnation != "" || report.Process == state.ProcessRunning) {
 		s.t.Fatalf("report is %+v, but no process runs", report)
 	}
 }
--- a/internal/fleet/reconcile/report.go
+++ b/internal/fleet/reconcile/report.go
@@ -19,14 +19,14 @@
 	case NoProcess:
 		report.Process = c.stoppedState()
 	case StartIntended:
-		report.Process = state.Unknown
+		report.Process = state.ProcessUnknown
 	case Draining:
-		report.Process = state.Draining
+		report.Process = state.ProcessDraining
 		report.PID = c.Process.PID
 	case Running:
-		report.Process = state.Starting
+		report.Process = state.ProcessStarting
 		if c.calls.answered {
-			report.Process = state.Running
+			report.Process = state.ProcessRunning
 		}
 		report.PID = c.Process.PID
 		report.StartDigest = c.StartDigest
@@ -44,11 +44,11 @@
 func (c *Controller) stoppedState() state.ProcessState {
 	switch {
 	case c.Desired.Released:
-		return state.Absent
+		return state.ProcessAbsent
 	case c.Desired.Run && len(c.crashes.recent) > 0:
-		return state.Backoff
+		return state.ProcessBackoff
 	}
-	return state.Stopped
+	return state.ProcessStopped
 }
 
 // flapping drops crashes older than the crash window, and reports whether the rest reach the flapping threshold.
--- a/internal/fleet/state/availability.go
+++ b/internal/fleet/state/availability.go
@@ -111,7 +111,7 @@
 		i.agent.nonconforming[i.name] = i
 	}
 	ended := i.observed.known &&
-		i.observed.report.Process == Absent &&
+		i.observed.report.Process == ProcessAbsent &&
 		!i.agent.session.silent &&
 		i.agent.hasAcknowledged(i.name)
 	if ended && i.belongsElsewhere() {
--- a/internal/fleet/state/bench_test.go
+++ b/internal/fleet/state/bench_test.go
@@ -97,7 +97,7 @@
 		}
 		f.reports[a] = append(f.reports[a], Report{
 			Name:           assignment.Name,
-			Process:        Running,
+			Process:        ProcessRunning,
 			Incarnation:    "b" + assignment.Name,
 			AppliedEdition: assignment.TargetEdition,
 			StartDigest:    assignment.Desired.Start.Digest(),
@@ -130,7 +130,7 @@
 		if !current {
 			notCurrent++
 		}
-		if i.observed.known && i.observed.report.Process == Absent && i.release.desired == nil {
+		if i.observed.known && i.observed.report.Process == ProcessAbsent && i.release.desired == nil {
 			departed = append(departed, name)
 		}
 	}
--- a/internal/fleet/state/instance.go
+++ b/internal/fleet/state/instance.go
@@ -34,7 +34,7 @@
 
 // serving reports whether the instance was serving according to its latest report.
 func (o *observation) serving() bool {
-	return o.known && o.report.Process == Running && o.report.Healthy
+	return o.known && o.report.Process == ProcessRunning && o.report.Healthy
 }
 
 // attach makes the named agent the holder of an instance.
@@ -115,13 +115,13 @@
 	desired := i.release.desired
 	switch {
 	case desired == nil:
-		return report.Process == Absent
+		return report.Process == ProcessAbsent
 	case desired.Agent != a.name:
 		return false // it has to be handed over first
 	case !desired.Enabled:
-		return report.Process == Stopped
+		return report.Process == ProcessStopped
 	}
-	return report.Process == Running &&
+	return report.Process == ProcessRunning &&
 		report.Incarnation != "" &&
 		report.AppliedEdition == s.targetEdition(i) &&
 		report.StartDigest == i.release.startDigest
--- a/internal/fleet/state/instance_status.go
+++ b/internal/fleet/state/instance_status.go
@@ -29,7 +29,7 @@
 
 // ProcessText returns the state of the process, with "unknown" for Unknown.
 func (s *InstanceStatus) ProcessText() string {
-	if s.Report.Process == Unknown {
+	if s.Report.Process == ProcessUnknown {
 		return "unknown"
 	}
 	return string(s.Report.Process)
@@ -115,7 +115,7 @@
 		return "to end, is " + process
 	case desired.Agent != i.agent.name:
 		return "to move to agent " + desired.Agent + ", is " + process + " at " + i.agent.name
-	case !desired.Enabled && i.observed.report.Process != Stopped:
+	case !desired.Enabled && i.observed.report.Process != ProcessStopped:
 		return "to stop, is " + process
 	case !desired.Enabled:
 		return ""
@@ -129,9 +129,9 @@
 	switch {
 	case s.hasRejected(i):
 		return "turned revision down: " + report.Error
-	case report.Process != Running && report.Error != "":
+	case report.Process != ProcessRunning && report.Error != "":
 		return "is " + string(report.Process) + ": " + report.Error
-	case report.Process != Running:
+	case report.Process != ProcessRunning:
 		return "is " + string(report.Process)
 	case report.Incarnation == "":
 		return "its broker does not answer"
--- a/internal/fleet/state/node_overrides.go
+++ b/internal/fleet/state/node_overrides.go
@@ -21,8 +21,8 @@
 	return s.desired.nodes.list, s.desired.nodes.revision
 }
 
-// SetNodes returns the record that changes the overrides of storage nodes, or nil if nothing changes.
-func (s *State) SetNodes(c *Command, changes []NodeChange, at clock.Micros) (*Record, error) {
+// SetNodeOverrides returns the record that changes the overrides of storage nodes, or nil if nothing changes.
+func (s *State) SetNodeOverrides(c *Command, changes []NodeChange, at clock.Micros) (*Record, error) {
 	if err := s.checkExpectedRevision(c); err != nil {
 		return nil, err
 	}
--- a/internal/fleet/state/observe.go
+++ b/internal/fleet/state/observe.go
@@ -80,7 +80,7 @@
 	}
 	for name, i := range a.instances {
 		if !reported[name] {
-			i.observed = observation{report: Report{Name: name, Process: Absent}, at: s.now, known: true}
+			i.observed = observation{report: Report{Name: name, Process: ProcessAbsent}, at: s.now, known: true}
 			s.reindex(i)
 		}
 	}
--- a/internal/fleet/state/property_test.go
+++ b/internal/fleet/state/property_test.go
@@ -56,7 +56,7 @@
 // trace logs every record and call of a run.
 const trace = false
 
-var testLimits = Limits{MaxRevisions: 50, MaxCommands: 50, AgentTimeout: 3_000_000, MaxReleases: 4}
+var testLimits = Limits{MaxRevisions: 50, MaxCommands: 50, AgentTimeout: 3_000_000, MaxReleasesPerRecord: 4}
 
 // apply encodes a record, decodes it as a replay would, applies it and appends it to the journal. It ignores nil.
 func (f *simulatedFleet) apply(r *Record) {
@@ -186,14 +186,14 @@
 func (f *simulatedFleet) report(sim *simulatedAgent, name string) Report {
 	b := sim.brokers[name]
 	a := sim.assignments[name]
-	r := Report{Name: name, Process: Stopped}
+	r := Report{Name: name, Process: ProcessStopped}
 	switch {
 	case b == nil && (a.Desired == nil || a.Release):
-		r.Process = Absent
+		r.Process = ProcessAbsent
 	case b != nil && b.crashes > 2:
-		r.Process, r.Flapping, r.Crashes = Backoff, true, b.crashes
+		r.Process, r.Flapping, r.Crashes = ProcessBackoff, true, b.crashes
 	case b != nil:
-		r.Process, r.Incarnation, r.AppliedEdition, r.StartDigest, r.Healthy = Running, b.incarnation, b.appliedEdition, b.startDigest, b.healthy
+		r.Process, r.Incarnation, r.AppliedEdition, r.StartDigest, r.Healthy = ProcessRunning, b.incarnation, b.appliedEdition, b.startDigest, b.healthy
 	}
 	return r
 }
@@ -423,7 +423,7 @@
 	if rapid.Bool().Draw(t, "withdraw") {
 		change.Override = nil
 	}
-	r, err := f.s.SetNodes(f.command(), []NodeChange{change}, f.now)
+	r, err := f.s.SetNodeOverrides(f.command(), []NodeChange{change}, f.now)
 	if err != nil && !errors.Is(err, ErrNotFound) {
 		t.Fatal(err)
 	}
--- a/internal/fleet/state/release.go
+++ b/internal/fleet/state/release.go
@@ -19,7 +19,7 @@
 	names = s.appendWithinLimit(active, names)
 	stuck := len(names) == 0 && active.blocked != "" && len(active.wave.nonconforming) == 0
 	if stuck {
-		names = ofLaterWaves[:min(len(ofLaterWaves), s.limits.MaxReleases)]
+		names = ofLaterWaves[:min(len(ofLaterWaves), s.limits.MaxReleasesPerRecord)]
 	}
 	if len(names) == 0 {
 		return nil
@@ -32,12 +32,12 @@
 }
 
 // outOfServiceMembers lists the unreleased members that are out of service: those of the current wave, up to
-// Limits.MaxReleases, and those of later waves.
+// Limits.MaxReleasesPerRecord, and those of later waves.
 func (s *State) outOfServiceMembers(r *rollout) (ofWave, ofLaterWaves []string) {
 	for _, name := range slices.Sorted(maps.Keys(r.outOfService)) {
 		if r.members[name].wave != r.wave.index {
 			ofLaterWaves = append(ofLaterWaves, name)
-		} else if len(ofWave) < s.limits.MaxReleases {
+		} else if len(ofWave) < s.limits.MaxReleasesPerRecord {
 			ofWave = append(ofWave, name)
 		}
 	}
@@ -50,7 +50,7 @@
 	unavailable, total := s.Unavailable()
 	limit := max(r.strategy.MaxUnavailable.Of(total), 1)
 	for _, name := range r.wave.unreleased {
-		if len(names) >= s.limits.MaxReleases {
+		if len(names) >= s.limits.MaxReleasesPerRecord {
 			return names
 		}
 		if r.outOfService[name] {
--- a/internal/fleet/state/report.go
+++ b/internal/fleet/state/report.go
@@ -5,13 +5,13 @@
 
 // The states of a process.
 const (
-	Unknown  ProcessState = ""       // there is no report
-	Absent   ProcessState = "absent" // the agent has neither a process nor files of the instance
-	Stopped  ProcessState = "stopped"
-	Starting ProcessState = "starting"
-	Running  ProcessState = "running"
-	Draining ProcessState = "draining"
-	Backoff  ProcessState = "backoff" // crashed and waiting for its next start
+	ProcessUnknown  ProcessState = ""       // there is no report
+	ProcessAbsent   ProcessState = "absent" // the agent has neither a process nor files of the instance
+	ProcessStopped  ProcessState = "stopped"
+	ProcessStarting ProcessState = "starting"
+	ProcessRunning  ProcessState = "running"
+	ProcessDraining ProcessState = "draining"
+	ProcessBackoff  ProcessState = "backoff" // crashed and waiting for its next start
 )
 
 // Report is the latest observation of one instance by its agent.
--- a/internal/fleet/state/rollout_test.go
+++ b/internal/fleet/state/rollout_test.go
@@ -97,14 +97,14 @@
 		for name, i := range f.s.agents.byName["a"].instances {
 			r := Report{
 				Name:           name,
-				Process:        Running,
+				Process:        ProcessRunning,
 				Incarnation:    "b-" + name + i.release.startDigest,
 				AppliedEdition: f.s.targetEdition(i),
 				StartDigest:    i.release.startDigest,
 				Healthy:        true,
 			}
 			if f.down[name] {
-				r = Report{Name: name, Process: Backoff, Error: "killed", Flapping: f.flapping[name], Crashes: 3}
+				r = Report{Name: name, Process: ProcessBackoff, Error: "killed", Flapping: f.flapping[name], Crashes: 3}
 			}
 			reports = append(reports, r)
 		}
@@ -217,7 +217,7 @@
 			}
 		}
 	}
-	stopped := Report{Name: "n0", Process: Stopped}
+	stopped := Report{Name: "n0", Process: ProcessStopped}
 	f.sequence++
 	if err := f.sync(f.sequence, oldVersion, stopped); err != nil {
 		t.Fatal(err)
--- a/internal/fleet/state/state.go
+++ b/internal/fleet/state/state.go
@@ -2,12 +2,12 @@
 // observed state that agents report, and the rollouts that bring the fleet to the desired state, and decides what the
 // manager does next.
 //
-// The package does no I/O, starts no goroutine and reads no clock. Its inputs are commands (Propose, Rollback, SetNodes
-// and others), agents' calls (Observe) and the time (Step); the time is Unix time in microseconds, and an earlier time
-// than the latest one counts as the latest one. Its outputs are Records, assignments and statuses. A Record takes
-// effect only when the caller has stored it and calls Apply. If it cannot be stored, the state is unchanged, and Step
-// returns the same record again. Reports of agents are not stored: agents send them again after a restart of the
-// manager.
+// The package does no I/O, starts no goroutine and reads no clock. Its inputs are commands (Propose, Rollback,
+// SetNodeOverrides and others), agents' calls (Observe) and the time (Step); the time is Unix time in microseconds, and
+// an earlier time than the latest one counts as the latest one. Its outputs are Records, assignments and statuses. A
+// Record takes effect only when the caller has stored it and calls Apply. If it cannot be stored, the state is
+// unchanged, and Step returns the same record again. Reports of agents are not stored: agents send them again after a
+// restart of the manager.
 package state
 
 import (
@@ -19,19 +19,19 @@
 
 // Limits bounds the state.
 type Limits struct {
-	MaxRevisions int          // revisions kept for rollback
-	MaxCommands  int          // commands whose results are kept, to recognize repeated commands
-	AgentTimeout clock.Micros // without a call for this long an agent is silent: its instances' state is unknown
-	MaxReleases  int          // instances released by one record
+	MaxRevisions         int          // revisions kept for rollback
+	MaxCommands          int          // commands whose results are kept, to recognize repeated commands
+	AgentTimeout         clock.Micros // without a call for this long an agent is silent: its instances' state is unknown
+	MaxReleasesPerRecord int          // instances released by one record
 }
 
 // DefaultLimits returns limits that suit agents which call at least once a second.
 func DefaultLimits() Limits {
 	return Limits{
-		MaxRevisions: 500,
-		MaxCommands:  4096,
-		AgentTimeout: 5_000_000,
-		MaxReleases:  256,
+		MaxRevisions:         500,
+		MaxCommands:          4096,
+		AgentTimeout:         5_000_000,
+		MaxReleasesPerRecord: 256,
 	}
 }
 
--- a/internal/fleet/supervisor/assignments.go
+++ b/internal/fleet/supervisor/assignments.go
@@ -104,7 +104,7 @@
 		if assignments.Full && !listed {
 			release = true
 		}
-		ended := instance.handle == nil && instance.Report(s.clock.Now()).Process == state.Absent
+		ended := instance.handle == nil && instance.Report(s.clock.Now()).Process == state.ProcessAbsent
 		if release && instance.Desired.Released && ended {
 			names = append(names, name)
 		}
--- a/internal/observability/console/console_test.go
+++ b/internal/observability/console/console_test.go
@@ -26,7 +26,7 @@
 	for k := range n {
 		name := fmt.Sprintf("n%03d", k)
 		o.Instances = append(o.Instances, state.InstanceStatus{Name: name, Agent: "m1", Enabled: true, Current: k != 1, Available: k != 1, Age: clock.Micros(k) * 3_000_000,
-			Reason: strings.Repeat("because ", k%20), Report: state.Report{Process: state.Running, Incarnation: "b"}})
+			Reason: strings.Repeat("because ", k%20), Report: state.Report{Process: state.ProcessRunning, Incarnation: "b"}})
 		o.Stats = append(o.Stats, api.BrokerStats{Name: name, Age: 400_000, InFlight: 3, Stats: &control.Stats{Span: 1_000_000,
 			Requests: []control.RequestStats{{Class: "artwork-read", Plan: "express", Served: 100, Late: 2, Rejected: 3, P50: 12_000, P99: 90_000}},
 			Nodes:    []control.NodeStats{{Node: "s-5be2a07c", Served: 90, TimedOut: 1, P50: 11_000, P99: 88_000}},
