--- a/internal/fleet/journal/errors.go
+++ b/internal/fleet/journal/errors.go
@@ -39,11 +39,11 @@
 
 // Damage is one part of a file that cannot be read.
 type Damage struct {
-	File   string `json:"file"`
-	Offset int64  `json:"offset"`         // of the first byte that cannot be read
-	Bytes  int64  `json:"bytes"`          // from Offset to the end of the file
-	KeptAs string `json:"kept,omitempty"` // name that the file was renamed to; empty if it has not been renamed
-	Reason string `json:"text"`
+	File      string `json:"file"`
+	Offset    int64  `json:"offset"`         // of the first byte that cannot be read
+	Bytes     int64  `json:"bytes"`          // from Offset to the end of the file
+	RenamedTo string `json:"kept,omitempty"` // new name of the file; empty if it has not been renamed
+	Reason    string `json:"text"`
 }
 
 func (d Damage) String() string {
--- a/internal/fleet/journal/journal_test.go
+++ b/internal/fleet/journal/journal_test.go
@@ -191,7 +191,7 @@
 		}
 		// If the damage is accepted, the journal continues in new files and keeps the damaged ones.
 		j, contents, err := journal.Open(fs, journal.Options{AcceptDamage: true})
-		if err != nil || contents.Report.Damaged[0].KeptAs == "" {
+		if err != nil || contents.Report.Damaged[0].RenamedTo == "" {
 			t.Fatalf("byte %d changed: open with AcceptDamage returns error %v, report %+v", offset, err, contents.Report)
 		}
 		if err := j.Append([]byte("more")); err != nil {
--- a/internal/fleet/journal/open.go
+++ b/internal/fleet/journal/open.go
@@ -219,8 +219,8 @@
 	j := r.journal
 	for k := range r.contents.Report.Damaged {
 		d := &r.contents.Report.Damaged[k]
-		d.KeptAs = damagedPrefix + d.File
-		if err := j.fs.Rename(d.File, d.KeptAs); err != nil {
+		d.RenamedTo = damagedPrefix + d.File
+		if err := j.fs.Rename(d.File, d.RenamedTo); err != nil {
 			return fmt.Errorf("journal: %w", err)
 		}
 	}
--- a/internal/fleet/manager/commit.go
+++ b/internal/fleet/manager/commit.go
@@ -75,7 +75,7 @@
 		m.log.Warn("manager: cut off an incomplete last record of the journal", "bytes", report.TornBytes)
 	}
 	for _, d := range report.Damaged {
-		m.log.Error("manager: damaged journal", "file", d.File, "offset", d.Offset, "bytes", d.Bytes, "kept", d.KeptAs, "what", d.Reason)
+		m.log.Error("manager: damaged journal", "file", d.File, "offset", d.Offset, "bytes", d.Bytes, "kept", d.RenamedTo, "what", d.Reason)
 		m.journalFault = "records were lost: " + d.File + ": " + d.Reason
 	}
 }
