--- a/internal/fleet/api/errors.go
+++ b/internal/fleet/api/errors.go
@@ -9,9 +9,9 @@
 
 // Errors of the manager, in addition to those of package state. Each is sent as a code.
 var (
-	ErrEpoch   = errors.New("the manager has restarted")            // sessions with its earlier incarnation have ended
-	ErrStorage = errors.New("the manager cannot write its journal") // nothing has changed
-	ErrRequest = errors.New("faulty request")                       // a retry would fail again
+	ErrManagerRestarted = errors.New("the manager has restarted")            // sessions with its earlier incarnation have ended
+	ErrStorage          = errors.New("the manager cannot write its journal") // nothing has changed
+	ErrRequest          = errors.New("faulty request")                       // a retry would fail again
 )
 
 // ErrUnavailable is the client's error if there was no response. Whether the manager has carried out the request is
@@ -26,7 +26,7 @@
 }
 
 var wireErrors = []wireError{
-	{ErrEpoch, "epoch", http.StatusGone},
+	{ErrManagerRestarted, "epoch", http.StatusGone},
 	{ErrStorage, "storage", http.StatusInsufficientStorage},
 	{ErrRequest, "request", http.StatusBadRequest},
 	{state.ErrConflict, "conflict", http.StatusConflict},
--- a/internal/fleet/manager/agents.go
+++ b/internal/fleet/manager/agents.go
@@ -29,15 +29,16 @@
 	return api.Registration{Token: r.Token, Epoch: m.epoch, FleetID: m.state.FleetID(), Edition: m.state.Edition()}, nil
 }
 
-// checkEpoch returns api.ErrEpoch for a call of a session with an earlier incarnation of the manager.
+// checkEpoch returns api.ErrManagerRestarted for a call of a session with an earlier incarnation of the manager.
 func (m *Manager) checkEpoch(epoch string) error {
 	if epoch != m.epoch {
-		return fmt.Errorf("epoch %s: %w", epoch, api.ErrEpoch)
+		return fmt.Errorf("epoch %s: %w", epoch, api.ErrManagerRestarted)
 	}
 	return nil
 }
 
-// Report processes an agent's report. It returns api.ErrEpoch or state.ErrFenced if the agent's session has ended.
+// Report processes an agent's report. It returns api.ErrManagerRestarted or state.ErrFenced if the agent's session has
+// ended.
 func (m *Manager) Report(request *api.ReportRequest) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fleet/manager/manager_test.go
+++ b/internal/fleet/manager/manager_test.go
@@ -52,12 +52,12 @@
 	closeManager(t, m)
 	m = openManager(t, fs, Options{})
 	report.Seq = 2
-	if err := m.Report(report); !errors.Is(err, api.ErrEpoch) {
-		t.Errorf("report of an earlier session returned %v, want ErrEpoch", err)
+	if err := m.Report(report); !errors.Is(err, api.ErrManagerRestarted) {
+		t.Errorf("report of an earlier session returned %v, want ErrManagerRestarted", err)
 	}
 	poll := &api.AssignmentsRequest{Agent: "a", Token: session.Token, Epoch: session.Epoch}
-	if _, err := m.Assignments(t.Context(), poll); !errors.Is(err, api.ErrEpoch) {
-		t.Errorf("poll of an earlier session returned %v, want ErrEpoch", err)
+	if _, err := m.Assignments(t.Context(), poll); !errors.Is(err, api.ErrManagerRestarted) {
+		t.Errorf("poll of an earlier session returned %v, want ErrManagerRestarted", err)
 	}
 }
 
