--- a/internal/broker/server/nodelists.go
+++ b/internal/broker/server/nodelists.go
@@ -49,7 +49,7 @@
 
 // run reads the files whenever they change, until ctx is done.
 func (l *nodeLists) run(ctx context.Context) {
-	w, err := filewatch.New(filewatch.DefaultTimes())
+	w, err := filewatch.New(filewatch.DefaultConfig())
 	if err != nil {
 		l.log.Warn("nodes: no file change notifications from the system, the lists are polled", "err", err)
 	}
@@ -61,10 +61,10 @@
 		if !ok {
 			return
 		}
-		update := l.read(func() bool { return change.Settled && w.Same() })
+		update := l.read(func() bool { return change.Settled && w.Unchanged() })
 		unsettled = !update.settled
 		w.Watch(l.readPaths)
-		l.logUpdate(&update, time.Since(change.Since))
+		l.logUpdate(&update, time.Since(change.DetectedAt))
 	}
 }
 
--- a/internal/nodes/filewatch/filewatch.go
+++ b/internal/nodes/filewatch/filewatch.go
@@ -33,16 +33,16 @@
 	return out, nil
 }
 
-// Times holds the delays of a Watcher.
-type Times struct {
+// Config holds the delays of a Watcher.
+type Config struct {
 	PollInterval time.Duration // time between checks of the files if the system sends no notification
 	SettleTime   time.Duration // the files count as settled after this time without a change
 	MaxDelay     time.Duration // a change is reported this long after it was first seen, even if the files have not settled
 }
 
-// DefaultTimes returns delays with which a write takes effect well within half a second.
-func DefaultTimes() Times {
-	return Times{PollInterval: 150 * time.Millisecond, SettleTime: 40 * time.Millisecond, MaxDelay: 160 * time.Millisecond}
+// DefaultConfig returns delays with which a write takes effect well within half a second.
+func DefaultConfig() Config {
+	return Config{PollInterval: 150 * time.Millisecond, SettleTime: 40 * time.Millisecond, MaxDelay: 160 * time.Millisecond}
 }
 
 // fileState identifies the content of a file by its metadata.
@@ -67,13 +67,13 @@
 
 // Change reports that files have changed and should be read.
 type Change struct {
-	Since   time.Time // when the change was first seen
-	Settled bool      // the files are no longer being written, so rows that are missing have been removed
+	DetectedAt time.Time // when the change was first seen
+	Settled    bool      // the files are no longer being written, so rows that are missing have been removed
 }
 
 // Watcher watches the files set by Watch.
 type Watcher struct {
-	times       Times
+	config      Config
 	states      map[string]fileState
 	notifier    *fsnotify.Watcher // nil if the files are only polled
 	watchedDirs map[string]bool
@@ -81,8 +81,8 @@
 
 // New returns a watcher without files. If the system provides no file change notifications, New returns an error
 // together with a usable watcher that only polls.
-func New(t Times) (*Watcher, error) {
-	w := &Watcher{times: t, states: map[string]fileState{}, watchedDirs: map[string]bool{}}
+func New(config Config) (*Watcher, error) {
+	w := &Watcher{config: config, states: map[string]fileState{}, watchedDirs: map[string]bool{}}
 	notifier, err := fsnotify.NewWatcher()
 	if err == nil {
 		w.notifier = notifier
@@ -159,11 +159,11 @@
 		firstChange, lastChange = time.Now(), time.Now()
 	}
 	for {
-		wait := w.times.PollInterval
+		wait := w.config.PollInterval
 		if !lastChange.IsZero() {
-			wait = min(w.times.SettleTime-time.Since(lastChange), w.times.PollInterval)
+			wait = min(w.config.SettleTime-time.Since(lastChange), w.config.PollInterval)
 			if !unsettled {
-				wait = min(wait, w.times.MaxDelay-time.Since(firstChange))
+				wait = min(wait, w.config.MaxDelay-time.Since(firstChange))
 			}
 		}
 		t := time.NewTimer(max(wait, time.Millisecond))
@@ -188,17 +188,17 @@
 		}
 		switch {
 		case lastChange.IsZero():
-		case time.Since(lastChange) >= w.times.SettleTime:
+		case time.Since(lastChange) >= w.config.SettleTime:
 			return Change{firstChange, true}, true
-		case !unsettled && time.Since(firstChange) >= w.times.MaxDelay:
+		case !unsettled && time.Since(firstChange) >= w.config.MaxDelay:
 			return Change{firstChange, false}, true
 		}
 	}
 }
 
-// Same reports whether the files are unchanged since Next reported the last change. If so, the caller has read a
+// Unchanged reports whether the files are unchanged since Next reported the last change. If so, the caller has read a
 // consistent content in between.
-func (w *Watcher) Same() bool {
+func (w *Watcher) Unchanged() bool {
 	for p, old := range w.states {
 		if stat(p) != old {
 			return false
--- a/internal/nodes/filewatch/filewatch_test.go
+++ b/internal/nodes/filewatch/filewatch_test.go
@@ -80,7 +80,7 @@
 			return settled, false
 		}
 		content, _ := os.ReadFile(path) // a file that does not exist at the moment counts as empty
-		unsettled = !change.Settled || !w.Same()
+		unsettled = !change.Settled || !w.Unchanged()
 		if !unsettled {
 			settled = string(content)
 		}
@@ -98,7 +98,7 @@
 			if err := editor.overwrite("0"); err != nil {
 				t.Fatal(err)
 			}
-			w, err := New(DefaultTimes())
+			w, err := New(DefaultConfig())
 			if err != nil {
 				t.Log(err)
 			}
@@ -137,7 +137,7 @@
 	if err := os.WriteFile(path, []byte("old"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	w, _ := New(Times{PollInterval: 20 * time.Millisecond, SettleTime: 2 * time.Second, MaxDelay: testTimeout})
+	w, _ := New(Config{PollInterval: 20 * time.Millisecond, SettleTime: 2 * time.Second, MaxDelay: testTimeout})
 	defer w.Close()
 	w.Watch([]string{path})
 	const want = "a list of some length"
