--- a/internal/broker/server/nodeset.go
+++ b/internal/broker/server/nodeset.go
@@ -175,13 +175,13 @@
 // applySubset updates the subset of nodes that this broker uses and returns the changes to publish. A changed node that
 // is draining or out of service is always included, and another node takes its place in the subset.
 func (s *nodeSet) applySubset(changed []membership.Member) (out []membership.Member) {
-	var up []routing.Entry
+	var up []routing.ShardNode
 	var unavailable []string
 	listed := map[string]bool{}
 	for _, m := range changed {
 		listed[m.ID] = true
 		if m.State == membership.Up {
-			up = append(up, routing.Entry{Node: routing.Node{ID: m.ID, Weight: m.Capacity}, Shard: m.Shard})
+			up = append(up, routing.ShardNode{Node: routing.Node{ID: m.ID, Weight: m.Capacity}, Shard: m.Shard})
 		} else {
 			unavailable = append(unavailable, m.ID)
 		}
--- a/internal/nodes/routing/broker_subset.go
+++ b/internal/nodes/routing/broker_subset.go
@@ -21,7 +21,7 @@
 
 // Change applies added and changed entries and removed nodes. It returns the nodes that the broker starts to use and
 // those that it stops using, both sorted.
-func (s *Subset) Change(entries []Entry, removed []string) (added, dropped []string) {
+func (s *Subset) Change(entries []ShardNode, removed []string) (added, dropped []string) {
 	touched := s.touchedShards(entries, removed)
 	s.table = s.table.Change(entries, removed)
 	before := map[string]bool{}
@@ -52,7 +52,7 @@
 }
 
 // touchedShards returns the shards that the entries and the removed nodes belong to, before or after the change.
-func (s *Subset) touchedShards(entries []Entry, removed []string) map[int]bool {
+func (s *Subset) touchedShards(entries []ShardNode, removed []string) map[int]bool {
 	touched := map[int]bool{}
 	for _, id := range removed {
 		if shard, ok := s.table.byID[id]; ok {
--- a/internal/nodes/routing/routing_test.go
+++ b/internal/nodes/routing/routing_test.go
@@ -74,32 +74,32 @@
 // subsetModel is a subset together with its expected content.
 type subsetModel struct {
 	subset *Subset
-	nodes  map[string]Entry // by ID
-	used   map[string]bool  // nodes in use, accumulated from the reported changes
+	nodes  map[string]ShardNode // by ID
+	used   map[string]bool      // nodes in use, accumulated from the reported changes
 }
 
 // testShards are in different chunks of the table.
 var testShards = []int{0, 70, 140}
 
 // drawChange returns entries to set and nodes to remove, without naming a node twice.
-func drawChange(t *rapid.T) (entries []Entry, removed []string) {
+func drawChange(t *rapid.T) (entries []ShardNode, removed []string) {
 	for range rapid.IntRange(1, 4).Draw(t, "changes") {
 		id := fmt.Sprint("n", rapid.IntRange(0, 9).Draw(t, "node"))
 		shard := rapid.SampledFrom(testShards).Draw(t, "shard")
-		if slices.Contains(removed, id) || slices.ContainsFunc(entries, func(x Entry) bool { return x.ID == id }) {
+		if slices.Contains(removed, id) || slices.ContainsFunc(entries, func(x ShardNode) bool { return x.ID == id }) {
 			continue
 		}
 		if rapid.IntRange(0, 2).Draw(t, "remove") == 0 {
 			removed = append(removed, id)
 		} else {
-			entries = append(entries, Entry{Node: Node{ID: id, Weight: 1}, Shard: shard})
+			entries = append(entries, ShardNode{Node: Node{ID: id, Weight: 1}, Shard: shard})
 		}
 	}
 	return entries, removed
 }
 
 // change applies a change and checks that no node is reported as added or dropped wrongly.
-func (m *subsetModel) change(t *rapid.T, entries []Entry, removed []string) {
+func (m *subsetModel) change(t *rapid.T, entries []ShardNode, removed []string) {
 	t.Helper()
 	for _, id := range removed {
 		delete(m.nodes, id)
@@ -162,7 +162,7 @@
 // TestTableAndSubsetFollowChanges also checks that earlier epochs of the table stay unchanged.
 func TestTableAndSubsetFollowChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &subsetModel{subset: NewSubset("b1", rapid.IntRange(0, 3).Draw(t, "k")), nodes: map[string]Entry{}, used: map[string]bool{}}
+		m := &subsetModel{subset: NewSubset("b1", rapid.IntRange(0, 3).Draw(t, "k")), nodes: map[string]ShardNode{}, used: map[string]bool{}}
 		var earlier *Table
 		var earlierNodes []Node
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -183,10 +183,10 @@
 // BenchmarkLookup looks up the nodes of a shard in the table, in a map of lists, and by a scan over all nodes.
 func BenchmarkLookup(b *testing.B) {
 	const n = 10_000
-	var set []Entry
+	var set []ShardNode
 	byShard := map[int][]Node{}
 	for k, x := range makeNodes(n) {
-		set = append(set, Entry{x, k % 4096})
+		set = append(set, ShardNode{x, k % 4096})
 		byShard[k%4096] = append(byShard[k%4096], x)
 	}
 	t := NewTable().Change(set, nil)
@@ -216,14 +216,14 @@
 // BenchmarkEpoch makes the next epoch after a change of one node, by sharing chunks and by copying a map.
 func BenchmarkEpoch(b *testing.B) {
 	const n = 10_000
-	var set []Entry
+	var set []ShardNode
 	for k, x := range makeNodes(n) {
-		set = append(set, Entry{x, k})
+		set = append(set, ShardNode{x, k})
 	}
 	b.Run("table", func(b *testing.B) {
 		t := NewTable().Change(set, nil)
 		for k := 0; b.Loop(); k++ {
-			t = t.Change([]Entry{{set[k%n].Node, (k + 1) % n}}, nil)
+			t = t.Change([]ShardNode{{set[k%n].Node, (k + 1) % n}}, nil)
 		}
 	})
 	b.Run("map", func(b *testing.B) {
--- a/internal/nodes/routing/table.go
+++ b/internal/nodes/routing/table.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Entry is a node with the shard it holds.
-type Entry struct {
+// ShardNode is a node with the shard it holds.
+type ShardNode struct {
 	Node
 	Shard int
 }
@@ -46,7 +46,7 @@
 
 // Change returns the table of the next epoch, with the entries added or changed and the removed nodes deleted. Only the
 // newest table can be changed; for an older one Change returns nil.
-func (t *Table) Change(entries []Entry, removed []string) *Table {
+func (t *Table) Change(entries []ShardNode, removed []string) *Table {
 	if *t.newest != t.Epoch {
 		return nil
 	}
