--- a/internal/host/inventory/yaml.go
+++ b/internal/host/inventory/yaml.go
@@ -52,7 +52,7 @@
 			switch f {
 			case yamltree.NotMapping:
 				return d.errorAt(n, keyPath, errors.New("must be a mapping"))
-			case yamltree.KeyNotPlain:
+			case yamltree.KeyNotScalar:
 				return d.errorAt(n, keyPath, errors.New("keys must be plain names"))
 			default:
 				return d.errorAt(n, joinKeys(keyPath, key), errors.New("key given twice"))
--- a/internal/nodes/nodefile/yaml.go
+++ b/internal/nodes/nodefile/yaml.go
@@ -88,9 +88,9 @@
 			switch f {
 			case yamltree.NotMapping:
 				t.fault(n, keyPath, "must be a mapping")
-			case yamltree.KeyNotPlain:
+			case yamltree.KeyNotScalar:
 				t.fault(n, keyPath, "keys must be plain names")
-			case yamltree.KeyRepeated:
+			case yamltree.DuplicateKey:
 				t.fault(n, keyPath+"."+key, "key given twice: the first value is used")
 			}
 			return nil
--- a/internal/yamltree/yamltree.go
+++ b/internal/yamltree/yamltree.go
@@ -14,16 +14,16 @@
 
 // Kinds of faults.
 const (
-	NotMapping  Fault = iota // the node is not a mapping
-	KeyNotPlain              // a key is not a scalar, or is a merge key
-	KeyRepeated              // a key occurs more than once in the mapping
+	NotMapping   Fault = iota // the node is not a mapping
+	KeyNotScalar              // a key is not a scalar, or is a merge key
+	DuplicateKey              // a key occurs more than once in the mapping
 )
 
 // Visitor is called by EachPair. An error that one of its functions returns ends the walk.
 type Visitor struct {
 	// Pair is called for each pair of a key and a value.
 	Pair func(key string, keyNode, value *yaml.Node) error
-	// Fault is called with the faulty node. key is the repeated key for KeyRepeated and empty for other faults. If
+	// Fault is called with the faulty node. key is the repeated key for DuplicateKey and empty for other faults. If
 	// Fault returns nil, the walk continues after the faulty pair.
 	Fault func(f Fault, at *yaml.Node, key string) error
 }
@@ -44,9 +44,9 @@
 		var err error
 		switch {
 		case key.Kind != yaml.ScalarNode || key.Tag == "!!merge":
-			err = v.Fault(KeyNotPlain, key, "")
+			err = v.Fault(KeyNotScalar, key, "")
 		case seen[key.Value]:
-			err = v.Fault(KeyRepeated, key, key.Value)
+			err = v.Fault(DuplicateKey, key, key.Value)
 		default:
 			seen[key.Value] = true
 			err = v.Pair(key.Value, key, n.Content[i+1])
