--- a/internal/broker/server/process.go
+++ b/internal/broker/server/process.go
@@ -33,8 +33,8 @@
 	controlHook func(point string)) error {
 	// Must come first, since an unhandled SIGHUP ends the process. SIGHUP is handled until the process ends, also
 	// during a drain. Two signals in quick succession count as one, and the configuration is read after the second.
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
 	cfg, err := config.Load(getenv)
 	if err != nil {
 		return &ConfigError{err}
@@ -49,9 +49,9 @@
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	return Run(ctx, cfg, listen, &Reloader{
-		Hangups:     hangups,
-		Getenv:      getenv,
-		Level:       &level,
-		ControlHook: controlHook,
+		ReloadSignals: reloadSignals,
+		Getenv:        getenv,
+		Level:         &level,
+		ControlHook:   controlHook,
 	}, log)
 }
--- a/internal/broker/server/reload.go
+++ b/internal/broker/server/reload.go
@@ -10,10 +10,10 @@
 
 // Reloader reloads the configuration of a running broker.
 type Reloader struct {
-	Hangups     <-chan os.Signal // each signal triggers a reload
-	Getenv      func(string) string
-	Level       *slog.LevelVar     // log level, set at a reload and by the control endpoint
-	ControlHook func(point string) // see control.Server.SetHook; nil except in tests
+	ReloadSignals <-chan os.Signal // each signal triggers a reload
+	Getenv        func(string) string
+	Level         *slog.LevelVar     // log level, set at a reload and by the control endpoint
+	ControlHook   func(point string) // see control.Server.SetHook; nil except in tests
 }
 
 // run reloads the configuration at each SIGHUP until ctx is done. An invalid configuration changes nothing.
@@ -22,7 +22,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.Hangups:
+		case <-r.ReloadSignals:
 		}
 		next, needRestart, err := cfg.Reload(r.Getenv)
 		if err != nil {
