--- a/internal/broker/control/handler.go
+++ b/internal/broker/control/handler.go
@@ -60,7 +60,7 @@
 }
 
 // httpStatus returns the HTTP status of a response with this code.
-func (c Code) httpStatus() int {
+func (c ResultCode) httpStatus() int {
 	switch c {
 	case CodeApplied:
 		return http.StatusOK
--- a/internal/broker/control/ledger.go
+++ b/internal/broker/control/ledger.go
@@ -7,10 +7,11 @@
 	"fmt"
 )
 
-// Ledger decides which changes one boot applies: it keeps the revision that the boot holds, the highest fencing token
-// and the outcomes of the latest commands by idempotency key. It does no I/O. It is not safe for concurrent use.
+// Ledger decides which changes one incarnation applies: it keeps the revision that the incarnation holds, the highest
+// fencing token and the outcomes of the latest commands by idempotency key. It does no I/O. It is not safe for
+// concurrent use.
 type Ledger struct {
-	boot        string
+	incarnation string
 	revision    uint64
 	token       uint64
 	maxCommands int // maximum number of outcomes kept
@@ -25,20 +26,21 @@
 	outcome Outcome
 }
 
-// NewLedger returns the ledger of a boot that holds revision 0. It keeps the outcomes of the last maxCommands commands.
-func NewLedger(boot string, maxCommands int) *Ledger {
+// NewLedger returns the ledger of an incarnation that holds revision 0. It keeps the outcomes of the last maxCommands
+// commands.
+func NewLedger(incarnation string, maxCommands int) *Ledger {
 	return &Ledger{
-		boot:        boot,
+		incarnation: incarnation,
 		maxCommands: maxCommands,
 		outcomes:    map[string]recordedOutcome{},
 	}
 }
 
-// Boot returns the identifier of the boot.
-func (l *Ledger) Boot() string { return l.boot }
+// Incarnation returns the identifier of the incarnation.
+func (l *Ledger) Incarnation() string { return l.incarnation }
 
-// Applied returns the revision that the boot holds.
-func (l *Ledger) Applied() uint64 { return l.revision }
+// AppliedRevision returns the revision that the incarnation holds.
+func (l *Ledger) AppliedRevision() uint64 { return l.revision }
 
 // Token returns the highest fencing token seen.
 func (l *Ledger) Token() uint64 { return l.token }
@@ -54,8 +56,8 @@
 		return l.reject(CodeFenced, "token %d is older than %d", c.FencingToken, l.token)
 	}
 	l.token = c.FencingToken
-	if c.Boot != l.boot {
-		return l.reject(CodeWrongBoot, "meant for boot %s, this is %s", c.Boot, l.boot)
+	if c.Incarnation != l.incarnation {
+		return l.reject(CodeWrongIncarnation, "meant for boot %s, this is %s", c.Incarnation, l.incarnation)
 	}
 	if earlier, ok := l.outcomes[c.ID]; ok {
 		return l.repeat(c, earlier)
@@ -76,7 +78,7 @@
 		o = l.reject(CodeRejected, "%v", err)
 	} else {
 		l.revision = c.Revision
-		o = &Outcome{Code: CodeApplied, Boot: l.boot, AppliedRevision: l.revision, Effects: effects}
+		o = &Outcome{Code: CodeApplied, Incarnation: l.incarnation, AppliedRevision: l.revision, Effects: effects}
 	}
 	l.outcomes[c.ID] = recordedOutcome{digest: digestOf(c), outcome: *o}
 	l.order = append(l.order, c.ID)
@@ -99,11 +101,11 @@
 }
 
 // reject returns the outcome of a change that is not applied.
-func (l *Ledger) reject(code Code, format string, args ...any) *Outcome {
+func (l *Ledger) reject(code ResultCode, format string, args ...any) *Outcome {
 	return &Outcome{
 		Code:            code,
 		Reason:          fmt.Sprintf(format, args...),
-		Boot:            l.boot,
+		Incarnation:     l.incarnation,
 		AppliedRevision: l.revision,
 	}
 }
--- a/internal/broker/control/ledger_test.go
+++ b/internal/broker/control/ledger_test.go
@@ -15,16 +15,16 @@
 // ledgerModel drives a ledger and keeps the state that its decisions are checked against.
 type ledgerModel struct {
 	ledger       *Ledger
-	boots        int            // boots started so far
-	applications map[string]int // in the current boot, by idempotency key
-	sent         []Change       // to all boots
-	highestToken uint64         // seen by the current boot
+	incarnations int            // incarnations started so far
+	applications map[string]int // in the current incarnation, by idempotency key
+	sent         []Change       // to all incarnations
+	highestToken uint64         // seen by the current incarnation
 }
 
-// restart starts the next boot.
+// restart starts the next incarnation.
 func (m *ledgerModel) restart() {
-	m.boots++
-	m.ledger = NewLedger(fmt.Sprint("b", m.boots), 1000)
+	m.incarnations++
+	m.ledger = NewLedger(fmt.Sprint("b", m.incarnations), 1000)
 	m.applications = map[string]int{}
 	m.highestToken = 0
 }
@@ -47,9 +47,9 @@
 	c := Change{
 		ID:           fmt.Sprint("c", n),
 		FencingToken: uint64(rapid.IntRange(1, 3).Draw(t, "token")),
-		Boot:         m.ledger.Boot(),
-		BaseRevision: m.ledger.Applied(),
-		Revision:     m.ledger.Applied() + uint64(rapid.IntRange(0, 2).Draw(t, "revision increment")),
+		Incarnation:  m.ledger.Incarnation(),
+		BaseRevision: m.ledger.AppliedRevision(),
+		Revision:     m.ledger.AppliedRevision() + uint64(rapid.IntRange(0, 2).Draw(t, "revision increment")),
 	}
 	if rapid.IntRange(0, 3).Draw(t, "wrong base") == 0 {
 		c.BaseRevision++
@@ -60,12 +60,12 @@
 
 // handle passes a change to the ledger and checks its decision.
 func (m *ledgerModel) handle(t *rapid.T, c Change) {
-	before := m.ledger.Applied()
+	before := m.ledger.AppliedRevision()
 	o := m.ledger.Admit(&c)
 	if o == nil {
 		o = m.apply(t, c, before)
-	} else if m.ledger.Applied() != before || o.Code == CodeApplied && !o.Repeated {
-		t.Fatalf("%+v was not admitted, but the boot went from revision %d to %d with outcome %+v", c, before, m.ledger.Applied(), o)
+	} else if m.ledger.AppliedRevision() != before || o.Code == CodeApplied && !o.Repeated {
+		t.Fatalf("%+v was not admitted, but the incarnation went from revision %d to %d with outcome %+v", c, before, m.ledger.AppliedRevision(), o)
 	}
 	if o.Code != CodeRejected || o.Reason != "id: missing" {
 		m.highestToken = max(m.highestToken, c.FencingToken)
@@ -74,7 +74,7 @@
 
 // apply checks that an admitted change may be applied, and records its result.
 func (m *ledgerModel) apply(t *rapid.T, c Change, before uint64) *Outcome {
-	if c.FencingToken < m.highestToken || c.Boot != m.ledger.Boot() || c.BaseRevision != before || c.Revision <= before {
+	if c.FencingToken < m.highestToken || c.Incarnation != m.ledger.Incarnation() || c.BaseRevision != before || c.Revision <= before {
 		t.Fatalf("%+v was admitted at revision %d", c, before)
 	}
 	var err error
@@ -86,16 +86,16 @@
 	if m.applications[c.ID] > 1 {
 		t.Fatalf("change %s was applied twice", c.ID)
 	}
-	after := m.ledger.Applied()
+	after := m.ledger.AppliedRevision()
 	if (err == nil) != (o.Code == CodeApplied) || err == nil && after != c.Revision || err != nil && after != before {
 		t.Fatalf("recorded %+v with error %v: outcome %+v, revision %d", c, err, o, after)
 	}
 	return o
 }
 
-// Agents send changes that are repeated, out of date, interleaved with those of other agents or meant for another boot.
-// A boot applies each command at most once, its revision only increases, and only from the base revision of a change.
-// The changes of an agent are rejected once a higher fencing token has been seen.
+// Agents send changes that are repeated, out of date, interleaved with those of other agents or meant for another
+// incarnation. An incarnation applies each command at most once, its revision only increases, and only from the base
+// revision of a change. The changes of an agent are rejected once a higher fencing token has been seen.
 func TestLedgerAppliesEachCommandAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &ledgerModel{}
--- a/internal/broker/control/messages.go
+++ b/internal/broker/control/messages.go
@@ -11,36 +11,36 @@
 type Change struct {
 	ID            string              `json:"id"`       // idempotency key of the command
 	FencingToken  uint64              `json:"token"`    // of the agent; one below the highest one seen is rejected
-	Boot          string              `json:"boot"`     // the boot that the change is meant for
-	BaseRevision  uint64              `json:"base"`     // the revision that the boot must hold
+	Incarnation   string              `json:"boot"`     // the incarnation that the change is meant for
+	BaseRevision  uint64              `json:"base"`     // the revision that the incarnation must hold
 	Revision      uint64              `json:"revision"` // the revision held afterwards; greater than BaseRevision
 	FleetRevision uint64              `json:"rev"`      // the fleet revision that it comes from, for information
 	Live          spec.LiveSettings   `json:"live"`
 	NodeOverrides []spec.NodeOverride `json:"nodes"`
 }
 
-// Code is the result of a change.
-type Code string
+// ResultCode is the result of a change.
+type ResultCode string
 
 // Codes as they are sent.
 const (
-	CodeApplied    Code = "taken"    // the change is in force
-	CodeFenced     Code = "fenced"   // an agent with a higher fencing token has sent a change
-	CodeWrongBoot  Code = "boot"     // the change was meant for another boot
-	CodeStaleBase  Code = "base"     // the boot holds another revision than BaseRevision
-	CodeRejected   Code = "refused"  // the change is invalid; Outcome.Reason names the field
-	CodeIDConflict Code = "misnamed" // the idempotency key belongs to a different change
-	CodeDraining   Code = "draining" // the broker is shutting down
+	CodeApplied          ResultCode = "taken"    // the change is in force
+	CodeFenced           ResultCode = "fenced"   // an agent with a higher fencing token has sent a change
+	CodeWrongIncarnation ResultCode = "boot"     // the change was meant for another incarnation
+	CodeStaleBase        ResultCode = "base"     // the incarnation holds another revision than BaseRevision
+	CodeRejected         ResultCode = "refused"  // the change is invalid; Outcome.Reason names the field
+	CodeIDConflict       ResultCode = "misnamed" // the idempotency key belongs to a different change
+	CodeDraining         ResultCode = "draining" // the broker is shutting down
 )
 
 // Outcome is the response to a change.
 type Outcome struct {
-	Code            Code     `json:"code"`
-	Reason          string   `json:"reason,omitempty"`
-	Repeated        bool     `json:"repeated,omitempty"` // outcome of an earlier attempt with the same idempotency key
-	Boot            string   `json:"boot"`
-	AppliedRevision uint64   `json:"applied"` // the revision that the boot holds now
-	Effects         []Effect `json:"did,omitempty"`
+	Code            ResultCode `json:"code"`
+	Reason          string     `json:"reason,omitempty"`
+	Repeated        bool       `json:"repeated,omitempty"` // outcome of an earlier attempt with the same idempotency key
+	Incarnation     string     `json:"boot"`
+	AppliedRevision uint64     `json:"applied"` // the revision that the incarnation holds now
+	Effects         []Effect   `json:"did,omitempty"`
 }
 
 // Effect is one setting that a change altered.
@@ -53,7 +53,7 @@
 // State is the response to GET /v1/state.
 type State struct {
 	Name                 string            `json:"name"`
-	Boot                 string            `json:"boot"`
+	Incarnation          string            `json:"boot"`
 	PID                  int               `json:"pid"`
 	StartDigest          string            `json:"started"` // digest of the start settings, from the configuration
 	AppliedRevision      uint64            `json:"applied"` // 0 until a change has been applied
--- a/internal/broker/control/server.go
+++ b/internal/broker/control/server.go
@@ -34,7 +34,7 @@
 // maxCommands is the number of outcomes that the ledger keeps.
 const maxCommands = 256
 
-// Server is the control endpoint of one boot. The methods that set callbacks are called before Serve.
+// Server is the control endpoint of one incarnation. The methods that set callbacks are called before Serve.
 type Server struct {
 	broker      Broker
 	log         *slog.Logger
@@ -59,16 +59,16 @@
 	acceptRemovals func() int
 }
 
-// NewServer returns the endpoint of a boot that holds revision 0. startDigest is the digest of the start settings, from
-// the configuration.
-func NewServer(name, boot, startDigest string, b Broker, log *slog.Logger) *Server {
+// NewServer returns the endpoint of an incarnation that holds revision 0. startDigest is the digest of the start
+// settings, from the configuration.
+func NewServer(name, incarnation, startDigest string, b Broker, log *slog.Logger) *Server {
 	return &Server{
 		broker:      b,
 		log:         log,
 		name:        name,
 		startDigest: startDigest,
 		startedAt:   time.Now(),
-		ledger:      NewLedger(boot, maxCommands),
+		ledger:      NewLedger(incarnation, maxCommands),
 	}
 }
 
@@ -102,10 +102,10 @@
 	defer s.mu.Unlock()
 	st := State{
 		Name:            s.name,
-		Boot:            s.ledger.Boot(),
+		Incarnation:     s.ledger.Incarnation(),
 		PID:             os.Getpid(),
 		StartDigest:     s.startDigest,
-		AppliedRevision: s.ledger.Applied(),
+		AppliedRevision: s.ledger.AppliedRevision(),
 		FleetRevision:   s.fleetRevision,
 		FencingToken:    s.ledger.Token(),
 		StartedAt:       s.startedAt,
--- a/internal/broker/control/server_test.go
+++ b/internal/broker/control/server_test.go
@@ -28,8 +28,8 @@
 
 func (f *fakeBroker) FillState(st *State) { st.NodeCount = 7 }
 
-// startServer runs a server of boot b1 on a Unix socket and returns a client. stop waits until the server has ended and
-// fails the test if it returned an error.
+// startServer runs a server of incarnation b1 on a Unix socket and returns a client. stop waits until the server has
+// ended and fails the test if it returned an error.
 func startServer(t *testing.T, b Broker) (s *Server, c *Client, stop func()) {
 	t.Helper()
 	s = NewServer("n1", "b1", "d1", b, slog.New(slog.DiscardHandler))
@@ -65,7 +65,7 @@
 			panic(http.ErrAbortHandler) // closes the connection without a response
 		}
 	})
-	change := &Change{ID: "c1", FencingToken: 1, Boot: "b1", Revision: 5}
+	change := &Change{ID: "c1", FencingToken: 1, Incarnation: "b1", Revision: 5}
 	if _, err := c.Change(t.Context(), change); err == nil {
 		t.Fatal("got an outcome although the connection was closed before the response")
 	}
@@ -73,12 +73,12 @@
 	if err != nil || o.Code != CodeApplied || !o.Repeated || o.AppliedRevision != 5 || b.applied != 1 {
 		t.Fatalf("retry: error %v, outcome %+v, applied %d times", err, o, b.applied)
 	}
-	o, err = c.Change(t.Context(), &Change{ID: "c2", FencingToken: 1, Boot: "b1", BaseRevision: 5, Revision: 6, Live: spec.LiveSettings{MaxInFlight: -1}})
+	o, err = c.Change(t.Context(), &Change{ID: "c2", FencingToken: 1, Incarnation: "b1", BaseRevision: 5, Revision: 6, Live: spec.LiveSettings{MaxInFlight: -1}})
 	if err != nil || o.Code != CodeRejected || o.AppliedRevision != 5 {
 		t.Fatalf("invalid change: error %v, outcome %+v", err, o)
 	}
 	s.Drain()
-	o, err = c.Change(t.Context(), &Change{ID: "c3", FencingToken: 1, Boot: "b1", BaseRevision: 5, Revision: 6})
+	o, err = c.Change(t.Context(), &Change{ID: "c3", FencingToken: 1, Incarnation: "b1", BaseRevision: 5, Revision: 6})
 	if err != nil || o.Code != CodeDraining {
 		t.Fatalf("change while draining: error %v, outcome %+v", err, o)
 	}
--- a/internal/broker/server/control.go
+++ b/internal/broker/server/control.go
@@ -9,8 +9,8 @@
 	"poppyarch/internal/broker/control"
 )
 
-// newBootID returns a random identifier of a boot, which is one run of a broker process.
-func newBootID() string {
+// newIncarnationID returns a random identifier of an incarnation, which is one run of a broker process.
+func newIncarnationID() string {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // never fails
 	return hex.EncodeToString(b[:])
@@ -19,9 +19,9 @@
 // startControl starts the control endpoint, which serves until ctx is done. rejectChanges makes it reject all further
 // changes.
 func (b *broker) startControl(ctx context.Context) (rejectChanges func(), err error) {
-	id := newBootID()
+	id := newIncarnationID()
 	if b.recording != nil {
-		id = b.recording.bootID // the control endpoint and the records use the same ID
+		id = b.recording.incarnationID // the control endpoint and the records use the same ID
 	}
 	ln, err := control.Listen(b.cfg.Control.Listen)
 	if err != nil {
--- a/internal/broker/server/control_test.go
+++ b/internal/broker/server/control_test.go
@@ -44,7 +44,7 @@
 	o, err := c.Change(c.t.Context(), &control.Change{
 		ID:            fmt.Sprint("c", c.changes),
 		FencingToken:  1,
-		Boot:          st.Boot,
+		Incarnation:   st.Incarnation,
 		BaseRevision:  st.AppliedRevision,
 		Revision:      st.AppliedRevision + 1,
 		NodeOverrides: nodes,
@@ -66,8 +66,8 @@
 	return o
 }
 
-// hasRecordedDrain reports whether the records in the broker's memory come from the current boot and contain the drain
-// of a node.
+// hasRecordedDrain reports whether the records in the broker's memory come from the current incarnation and contain the
+// drain of a node.
 func (c *controlClient) hasRecordedDrain(node string) bool {
 	c.t.Helper()
 	segment, err := c.Records(c.t.Context(), 1<<24)
@@ -83,7 +83,7 @@
 	for _, e := range analysis.Episodes {
 		drained = drained || e.Kind == incident.NodeDrain && e.Subject == node
 	}
-	return s.Boot.ID == c.state().Boot && s.Boot.Name == "t1" && drained && len(analysis.Nodes) >= 2
+	return s.Boot.ID == c.state().Incarnation && s.Boot.Name == "t1" && drained && len(analysis.Nodes) >= 2
 }
 
 // A broker accepts changes while it serves. A node drained by an operator gets no new requests, even if discovery lists
@@ -95,7 +95,7 @@
 	extra := fmt.Sprintf(`,"control":{"listen":%q,"started":"d1"},"record":{"beat_ms":100}`, addr)
 	base, stop := f.startBroker(extra)
 	c := newControlClient(t, addr)
-	if st := c.state(); st.AppliedRevision != 0 || st.StartDigest != "d1" || st.Boot == "" {
+	if st := c.state(); st.AppliedRevision != 0 || st.StartDigest != "d1" || st.Incarnation == "" {
 		t.Fatalf("state after the start: %+v", st)
 	}
 	storeIndex := f.putObject(base, "/b/k", []byte("x"))
@@ -133,10 +133,10 @@
 	}
 	eventually(t, "the drain is in the records", func() bool { return c.hasRecordedDrain(id) })
 
-	firstBoot := c.state().Boot
+	firstIncarnation := c.state().Incarnation
 	stop()
 	f.startBroker(extra)
-	if st := c.state(); st.Boot == firstBoot || st.AppliedRevision != 0 {
+	if st := c.state(); st.Incarnation == firstIncarnation || st.AppliedRevision != 0 {
 		t.Errorf("after a restart: %+v", st)
 	}
 }
--- a/internal/broker/server/recording.go
+++ b/internal/broker/server/recording.go
@@ -27,7 +27,7 @@
 // recording records nothing.
 type recording struct {
 	cfg           *config.Config
-	bootID        string
+	incarnationID string
 	recorder      *record.Recorder
 	ring          *record.Ring                     // nil if records go to files
 	discoveryDown atomic.Bool                      // whether the last call to discovery failed
@@ -40,7 +40,7 @@
 	if cfg.Record == nil {
 		return nil, nil
 	}
-	r := &recording{cfg: cfg, bootID: newBootID()}
+	r := &recording{cfg: cfg, incarnationID: newIncarnationID()}
 	sink, err := r.newSink()
 	if err != nil {
 		return nil, err
@@ -53,7 +53,7 @@
 	}
 	r.recorder = record.New(options, r.incarnation(), c.Now, r.heartbeatFiller(limiter, endpoints), sink)
 	go r.recorder.Run() // close waits for it
-	log.Info("record: started", "dir", o.Dir, "sample", o.SampleFraction, "boot", r.bootID)
+	log.Info("record: started", "dir", o.Dir, "sample", o.SampleFraction, "boot", r.incarnationID)
 	return r, nil
 }
 
@@ -61,10 +61,10 @@
 func (r *recording) newSink() (record.Sink, error) {
 	o := r.cfg.Record
 	if o.Dir == "" {
-		r.ring = record.NewRing(r.cfg.Name, r.bootID, int(o.TotalBytes))
+		r.ring = record.NewRing(r.cfg.Name, r.incarnationID, int(o.TotalBytes))
 		return r.ring, nil
 	}
-	dir, err := record.NewDirectory(o.Dir, r.cfg.Name, r.bootID, o.SegmentBytes, o.TotalBytes)
+	dir, err := record.NewDirectory(o.Dir, r.cfg.Name, r.incarnationID, o.SegmentBytes, o.TotalBytes)
 	if err != nil {
 		return nil, fmt.Errorf("record.dir: %w", err)
 	}
@@ -73,7 +73,7 @@
 
 // incarnation describes this run of the broker process for the records.
 func (r *recording) incarnation() record.Incarnation {
-	incarnation := record.Incarnation{Name: r.cfg.Name, ID: r.bootID}
+	incarnation := record.Incarnation{Name: r.cfg.Name, ID: r.incarnationID}
 	for _, k := range r.cfg.Policy.Classes {
 		incarnation.Classes = append(incarnation.Classes, record.Class{
 			Name:             k.Name,
--- a/internal/fleet/reconcile/controller_test.go
+++ b/internal/fleet/reconcile/controller_test.go
@@ -28,7 +28,7 @@
 }
 
 func brokerState(incarnation string, applied uint64) *control.State {
-	return &control.State{Boot: incarnation, PID: testPID, StartDigest: "d", AppliedRevision: applied}
+	return &control.State{Incarnation: incarnation, PID: testPID, StartDigest: "d", AppliedRevision: applied}
 }
 
 // nextCommand returns the command that Next returns at testTime. It fails the test for any other action.
@@ -46,8 +46,8 @@
 	now := testTime
 	c.RecordProbe(now, brokerState("b1", 0), true, nil)
 	for _, other := range []*control.State{
-		{Boot: "b9", PID: 99, StartDigest: "d", AppliedRevision: 5},
-		{Boot: "b9", PID: testPID, StartDigest: "x", AppliedRevision: 5},
+		{Incarnation: "b9", PID: 99, StartDigest: "d", AppliedRevision: 5},
+		{Incarnation: "b9", PID: testPID, StartDigest: "x", AppliedRevision: 5},
 	} {
 		c.RecordProbe(now, other, true, nil)
 		if r := c.Report(now); r.Incarnation != "b1" || r.AppliedEdition != 0 {
@@ -73,7 +73,7 @@
 	if command := nextCommand(t, c); command.ID == superseded.ID || command.TargetEdition != 8 {
 		t.Fatalf("second command is %+v, want a new id and target edition 8", command)
 	}
-	c.RecordOutcome(now, superseded.ID, &control.Outcome{Code: control.CodeApplied, Boot: "b1", AppliedRevision: 5}, nil)
+	c.RecordOutcome(now, superseded.ID, &control.Outcome{Code: control.CodeApplied, Incarnation: "b1", AppliedRevision: 5}, nil)
 	if r := c.Report(now); r.AppliedEdition != 0 || c.Pending == nil || c.Pending.TargetEdition != 8 {
 		t.Fatalf("after the outcome of a superseded command: %+v, pending %+v", r, c.Pending)
 	}
@@ -93,7 +93,7 @@
 	if command.Incarnation != "b2" {
 		t.Fatalf("command is %+v, want incarnation b2", command)
 	}
-	c.RecordOutcome(now, command.ID, &control.Outcome{Code: control.CodeApplied, Boot: "b2", AppliedRevision: 8}, nil)
+	c.RecordOutcome(now, command.ID, &control.Outcome{Code: control.CodeApplied, Incarnation: "b2", AppliedRevision: 8}, nil)
 	if r := c.Report(now); r.AppliedEdition != 8 || r.Incarnation != "b2" {
 		t.Fatalf("report is %+v, want incarnation b2 with edition 8", r)
 	}
@@ -116,7 +116,7 @@
 	now := testTime
 	c.RecordProbe(now, brokerState("b1", 0), true, nil)
 	command := nextCommand(t, c)
-	c.RecordOutcome(now, command.ID, &control.Outcome{Code: control.CodeRejected, Reason: "live.log: x", Boot: "b1"}, nil)
+	c.RecordOutcome(now, command.ID, &control.Outcome{Code: control.CodeRejected, Reason: "live.log: x", Incarnation: "b1"}, nil)
 	for step := range 50 {
 		now += 100_000
 		if action, _ := c.Next(now); action.Kind == SendCommand {
--- a/internal/fleet/reconcile/event.go
+++ b/internal/fleet/reconcile/event.go
@@ -99,11 +99,11 @@
 		return
 	}
 	c.recordSuccess(now)
-	if c.Pending != nil && c.Pending.Incarnation != state.Boot {
+	if c.Pending != nil && c.Pending.Incarnation != state.Incarnation {
 		c.Pending = nil // its incarnation has ended, and what that had applied is lost
 	}
 	c.status = brokerStatus{
-		incarnation:    state.Boot,
+		incarnation:    state.Incarnation,
 		appliedEdition: state.AppliedRevision,
 		healthy:        healthy && !state.Draining,
 		listRevision:   state.EndpointListRevision,
@@ -133,7 +133,7 @@
 	c.calls.nextProbeAt = 0
 	switch outcome.Code {
 	case control.CodeApplied:
-		if outcome.Boot == c.status.incarnation {
+		if outcome.Incarnation == c.status.incarnation {
 			c.status.appliedEdition = outcome.AppliedRevision
 			c.status.observedAt = now
 			c.lastError = ""
--- a/internal/fleet/reconcile/property_test.go
+++ b/internal/fleet/reconcile/property_test.go
@@ -120,7 +120,7 @@
 		return
 	}
 	s.lastProbed = fmt.Sprint("b", s.incarnation)
-	answer := &control.State{Boot: s.lastProbed, PID: s.pid, StartDigest: s.controller.StartDigest, AppliedRevision: s.applied}
+	answer := &control.State{Incarnation: s.lastProbed, PID: s.pid, StartDigest: s.controller.StartDigest, AppliedRevision: s.applied}
 	s.controller.RecordProbe(s.now, answer, true, nil)
 }
 
@@ -146,7 +146,7 @@
 
 // apply does what a broker does with a command.
 func (s *simulation) apply(command *Command) *control.Outcome {
-	outcome := &control.Outcome{Code: control.CodeApplied, Boot: command.Incarnation}
+	outcome := &control.Outcome{Code: control.CodeApplied, Incarnation: command.Incarnation}
 	if command.BaseEdition == s.applied {
 		s.applied = command.TargetEdition
 	} else if s.applied != command.TargetEdition {
--- a/internal/fleet/supervisor/action.go
+++ b/internal/fleet/supervisor/action.go
@@ -174,7 +174,7 @@
 	change := &control.Change{
 		ID:            command.ID,
 		FencingToken:  s.session.token,
-		Boot:          command.Incarnation,
+		Incarnation:   command.Incarnation,
 		BaseRevision:  command.BaseEdition,
 		Revision:      command.TargetEdition,
 		FleetRevision: assignment.Revision,
--- a/internal/fleet/supervisor/fakes_test.go
+++ b/internal/fleet/supervisor/fakes_test.go
@@ -185,7 +185,7 @@
 	if p == nil || m.unresponsive || p.crashing {
 		return nil, false, errors.New("connection refused")
 	}
-	state := &control.State{Boot: p.ledger.Boot(), PID: p.id.PID, StartDigest: p.startDigest, AppliedRevision: p.ledger.Applied()}
+	state := &control.State{Incarnation: p.ledger.Incarnation(), PID: p.id.PID, StartDigest: p.startDigest, AppliedRevision: p.ledger.AppliedRevision()}
 	return state, true, nil
 }
 
@@ -220,7 +220,7 @@
 	if outcome := p.ledger.Admit(change); outcome != nil {
 		return outcome
 	}
-	m.applied[fmt.Sprintf("%s %d", change.Boot, change.Revision)]++
+	m.applied[fmt.Sprintf("%s %d", change.Incarnation, change.Revision)]++
 	if instance.Live.MaxInFlight == rejectedMaxInFlight {
 		return p.ledger.Record(change, nil, errors.New("live.max_open: not that"))
 	}
--- a/internal/fleet/supervisor/fleet_test.go
+++ b/internal/fleet/supervisor/fleet_test.go
@@ -177,7 +177,7 @@
 			continue
 		}
 		p := f.machine.processOf(instance.Name)
-		if p == nil || p.ledger.Boot() == instance.Report.Incarnation && p.ledger.Applied() < instance.TargetEdition {
+		if p == nil || p.ledger.Incarnation() == instance.Report.Incarnation && p.ledger.AppliedRevision() < instance.TargetEdition {
 			f.t.Errorf("instance %s is reported as current but is not: %+v", instance.Name, instance.Report)
 		}
 	}
@@ -190,7 +190,7 @@
 	defer f.machine.mu.Unlock()
 	for name, instance := range s.Instances {
 		p := f.machine.processOf(name)
-		if p == nil || p.startDigest != instance.Start.Digest() || p.ledger.Applied() == 0 {
+		if p == nil || p.startDigest != instance.Start.Digest() || p.ledger.AppliedRevision() == 0 {
 			f.t.Errorf("%s: process of %s is %+v, want one with the desired start settings and an applied change", when, name, p)
 		}
 	}
--- a/internal/fleet/supervisor/supervisor_test.go
+++ b/internal/fleet/supervisor/supervisor_test.go
@@ -112,8 +112,8 @@
 		f.machine.mu.Lock()
 		defer f.machine.mu.Unlock()
 		for _, p := range f.machine.processes {
-			p.ledger.Admit(&control.Change{ID: "x", FencingToken: newer.Token, Boot: p.ledger.Boot(), BaseRevision: 99})
-			outcome := p.ledger.Admit(&control.Change{ID: "y", FencingToken: newer.Token - 1, Boot: p.ledger.Boot()})
+			p.ledger.Admit(&control.Change{ID: "x", FencingToken: newer.Token, Incarnation: p.ledger.Incarnation(), BaseRevision: 99})
+			outcome := p.ledger.Admit(&control.Change{ID: "y", FencingToken: newer.Token - 1, Incarnation: p.ledger.Incarnation()})
 			if outcome == nil || outcome.Code != control.CodeFenced {
 				t.Errorf("outcome of a change with the older token is %+v, want CodeFenced", outcome)
 			}
