--- a/internal/nodes/discovery/poller.go
+++ b/internal/nodes/discovery/poller.go
@@ -17,12 +17,12 @@
 
 // StatusError reports that discovery answered with a status other than 200.
 type StatusError struct {
-	Status int
-	After  time.Duration // from the start of the call to the response
+	Status  int
+	Elapsed time.Duration // from the start of the call to the response
 }
 
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("status %d after %v", e.Status, e.After.Round(time.Millisecond))
+	return fmt.Sprintf("status %d after %v", e.Status, e.Elapsed.Round(time.Millisecond))
 }
 
 // poller makes single calls to discovery, one at a time.
@@ -80,7 +80,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return nil, &StatusError{Status: resp.StatusCode, After: time.Since(p.lastCallAt)}
+		return nil, &StatusError{Status: resp.StatusCode, Elapsed: time.Since(p.lastCallAt)}
 	}
 	return decode(resp.Body, p.limits)
 }
