--- a/internal/broker/server/control_test.go
+++ b/internal/broker/server/control_test.go
@@ -83,7 +83,7 @@
 	for _, e := range analysis.Episodes {
 		drained = drained || e.Kind == incident.NodeDrain && e.Subject == node
 	}
-	return s.Boot.ID == c.state().Incarnation && s.Boot.Name == "t1" && drained && len(analysis.Nodes) >= 2
+	return s.Incarnation.ID == c.state().Incarnation && s.Incarnation.Name == "t1" && drained && len(analysis.Nodes) >= 2
 }
 
 // A broker accepts changes while it serves. A node drained by an operator gets no new requests, even if discovery lists
--- a/internal/observability/incident/analyzer.go
+++ b/internal/observability/incident/analyzer.go
@@ -69,8 +69,8 @@
 	a := v.analysis
 	for i, s := range v.streams {
 		a.Events += s.events
-		if s.Boot.SampleFraction > 0 {
-			a.SampleFraction = min(a.SampleFraction, s.Boot.SampleFraction)
+		if s.Incarnation.SampleFraction > 0 {
+			a.SampleFraction = min(a.SampleFraction, s.Incarnation.SampleFraction)
 		}
 		offset := v.clocks[i].Offset
 		if begin := s.start() + offset; a.From == 0 || begin < a.From {
--- a/internal/observability/incident/clocks.go
+++ b/internal/observability/incident/clocks.go
@@ -12,12 +12,12 @@
 // Clock relates the clock of an incarnation to the reference's clock: when it shows t, the reference's clock shows
 // t+Offset, plus or minus Error.
 type Clock struct {
-	Broker        string       `json:"broker"`
-	IncarnationID string       `json:"boot"`
-	Offset        clock.Micros `json:"offset"`
-	Error         clock.Micros `json:"error"`
-	Shared        int          `json:"shared"` // number of list revisions of which both incarnations were notified
-	Text          string       `json:"text,omitempty"`
+	Broker          string       `json:"broker"`
+	IncarnationID   string       `json:"boot"`
+	Offset          clock.Micros `json:"offset"`
+	Error           clock.Micros `json:"error"`
+	SharedRevisions int          `json:"shared"` // number of list revisions of which both incarnations were notified
+	Text            string       `json:"text,omitempty"`
 }
 
 // revisionTimes holds the time at which an incarnation was first notified of each revision of the endpoint list.
@@ -95,7 +95,7 @@
 		lowest = max(lowest, difference-notificationTime)
 		highest = min(highest, difference+notificationTime)
 	}
-	c := Clock{Shared: len(differences)}
+	c := Clock{SharedRevisions: len(differences)}
 	slices.Sort(differences)
 	switch {
 	case len(differences) == 0:
--- a/internal/observability/incident/clocks_test.go
+++ b/internal/observability/incident/clocks_test.go
@@ -18,11 +18,11 @@
 	delayed := &Stream{Name: "o1", first: 1, notes: []note{list(5*second, 8), discovery(18*second, "down: 503"),
 		list(21*second+300_000, 9), discovery(21*second+300_000, "answers"), list(30*second+100_000, 10)}}
 	c := compareClocks([]*Stream{onTime, delayed}, second/2, second)[1]
-	if c.Offset != 0 || c.Shared != 2 || c.Error > second/2 {
+	if c.Offset != 0 || c.SharedRevisions != 2 || c.Error > second/2 {
 		t.Errorf("clock is %+v, want offset 0 from 2 shared revisions with an error of at most 0.5 s", c)
 	}
 	delayed.notes = delayed.notes[1:4] // no comparable revision left: only the wall clocks remain
-	if c := compareClocks([]*Stream{onTime, delayed}, second/2, second)[1]; c.Offset != 0 || c.Shared != 0 {
+	if c := compareClocks([]*Stream{onTime, delayed}, second/2, second)[1]; c.Offset != 0 || c.SharedRevisions != 0 {
 		t.Errorf("clock is %+v, want offset 0 from no shared revision", c)
 	}
 }
--- a/internal/observability/incident/gaps.go
+++ b/internal/observability/incident/gaps.go
@@ -25,8 +25,8 @@
 	frames := slices.Clone(s.frames)
 	slices.SortFunc(frames, func(a, b frame) int { return cmp.Compare(a.seq, b.seq) })
 	var gaps []Span
-	if frames[0].seq > 1 && s.Boot.StartedAt > 0 {
-		gaps = append(gaps, s.gap(Missing, s.Boot.StartedAt, s.first, 0, "the boot's first records have been removed or are nowhere"))
+	if frames[0].seq > 1 && s.Incarnation.StartedAt > 0 {
+		gaps = append(gaps, s.gap(Missing, s.Incarnation.StartedAt, s.first, 0, "the boot's first records have been removed or are nowhere"))
 	}
 	for i := 1; i < len(frames); i++ {
 		gaps = append(gaps, s.gapBetween(frames[i-1], frames[i])...)
--- a/internal/observability/incident/merge.go
+++ b/internal/observability/incident/merge.go
@@ -103,12 +103,12 @@
 // groupNames returns the names of a class and a plan, or their positions if the names are not recorded.
 func (s *Stream) groupNames(g group) (class, plan string) {
 	class = strconv.Itoa(int(g.class))
-	if int(g.class) < len(s.Boot.Classes) {
-		class = s.Boot.Classes[g.class].Name
+	if int(g.class) < len(s.Incarnation.Classes) {
+		class = s.Incarnation.Classes[g.class].Name
 	}
 	plan = strconv.Itoa(int(g.plan))
-	if int(g.plan) < len(s.Boot.Plans) {
-		plan = s.Boot.Plans[g.plan].Name
+	if int(g.plan) < len(s.Incarnation.Plans) {
+		plan = s.Incarnation.Plans[g.plan].Name
 	}
 	return class, plan
 }
--- a/internal/observability/incident/rate_episodes.go
+++ b/internal/observability/incident/rate_episodes.go
@@ -115,7 +115,7 @@
 func (v *analyzer) requestRates() map[string]map[clock.Micros]float64 {
 	volumes := map[string]map[clock.Micros]float64{}
 	for i, s := range v.streams {
-		sampled := s.Boot.SampleFraction
+		sampled := s.Incarnation.SampleFraction
 		if sampled <= 0 {
 			sampled = 1
 		}
--- a/internal/observability/incident/report/page.go
+++ b/internal/observability/incident/report/page.go
@@ -75,7 +75,7 @@
 
 <h2>Clocks</h2>
 <table><thead><tr><th>Broker</th><th>Boot</th><th class="n">Offset, ms</th><th class="n">Give or take, ms</th><th class="n">List versions in common</th><th></th></tr></thead><tbody>
-{{range .Clocks}}<tr><td>{{.Broker}}</td><td>{{.IncarnationID}}</td><td class="n">{{ms .Offset}}</td><td class="n">{{ms .Error}}</td><td class="n">{{.Shared}}</td><td>{{.Text}}</td></tr>{{end}}
+{{range .Clocks}}<tr><td>{{.Broker}}</td><td>{{.IncarnationID}}</td><td class="n">{{ms .Offset}}</td><td class="n">{{ms .Error}}</td><td class="n">{{.SharedRevisions}}</td><td>{{.Text}}</td></tr>{{end}}
 </tbody></table>
 <script>
 document.getElementById('q').addEventListener('input',function(){var q=this.value.toLowerCase();
--- a/internal/observability/incident/report/text.go
+++ b/internal/observability/incident/report/text.go
@@ -34,7 +34,7 @@
 	p.Println("\nclocks, against the reference:")
 	for _, c := range a.Clocks {
 		p.Printf("  %s boot %s: %+.1f ms, give or take %.1f ms, %d list versions in common %s\n", c.Broker, c.IncarnationID,
-			milliseconds(c.Offset), milliseconds(c.Error), c.Shared, c.Text)
+			milliseconds(c.Offset), milliseconds(c.Error), c.SharedRevisions, c.Text)
 	}
 	return p.Err()
 }
--- a/internal/observability/incident/stream.go
+++ b/internal/observability/incident/stream.go
@@ -28,7 +28,7 @@
 type Stream struct {
 	Name          string // name of the broker
 	IncarnationID string
-	Boot          record.Incarnation // latest copy that could be read; it is recorded repeatedly
+	Incarnation   record.Incarnation // latest copy that could be read; it is recorded repeatedly
 
 	frames     []frame
 	damaged    []damage
@@ -128,7 +128,7 @@
 	end := e.At
 	switch e.Kind {
 	case record.KindIncarnation:
-		s.Boot = *e.Incarnation
+		s.Incarnation = *e.Incarnation
 	case record.KindHeartbeat:
 		s.heartbeats = append(s.heartbeats, heartbeat{at: e.At, wall: e.Heartbeat.WallClock, inFlight: e.Heartbeat.InFlight})
 	case record.KindLost:
@@ -198,18 +198,18 @@
 
 // isLate reports whether a served request took longer than the latency objective of its class.
 func (s *Stream) isLate(q *record.Request) bool {
-	return int(q.Class) < len(s.Boot.Classes) && q.Duration > s.Boot.Classes[q.Class].LatencyObjective
+	return int(q.Class) < len(s.Incarnation.Classes) && q.Duration > s.Incarnation.Classes[q.Class].LatencyObjective
 }
 
 // weight returns priority weight times price factor times units of a request. A factor that is not recorded counts as
 // 1.
 func (s *Stream) weight(q *record.Request) float64 {
 	weight := 1.0
-	if int(q.Class) < len(s.Boot.Classes) {
-		weight *= s.Boot.Classes[q.Class].PriorityWeight
+	if int(q.Class) < len(s.Incarnation.Classes) {
+		weight *= s.Incarnation.Classes[q.Class].PriorityWeight
 	}
-	if int(q.Plan) < len(s.Boot.Plans) {
-		weight *= s.Boot.Plans[q.Plan].PriceFactor
+	if int(q.Plan) < len(s.Incarnation.Plans) {
+		weight *= s.Incarnation.Plans[q.Plan].PriceFactor
 	}
 	return weight * q.Units
 }
@@ -247,16 +247,16 @@
 // heartbeatInterval returns the time between two heartbeats of the incarnation. If its Incarnation event is lost, a
 // second is assumed, which is longer than the interval of any documented configuration.
 func (s *Stream) heartbeatInterval() clock.Micros {
-	if s.Boot.HeartbeatInterval > 0 {
-		return s.Boot.HeartbeatInterval
+	if s.Incarnation.HeartbeatInterval > 0 {
+		return s.Incarnation.HeartbeatInterval
 	}
 	return second
 }
 
 // start returns the start of the incarnation, or the time of its earliest event if the Incarnation event is lost.
 func (s *Stream) start() clock.Micros {
-	if s.Boot.StartedAt > 0 {
-		return s.Boot.StartedAt
+	if s.Incarnation.StartedAt > 0 {
+		return s.Incarnation.StartedAt
 	}
 	return s.first
 }
