--- a/internal/broker/core/broker.go
+++ b/internal/broker/core/broker.go
@@ -60,7 +60,7 @@
 	defer b.limiter.Release()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	deadline := r.Deadline - b.lim.AnswerMargin
+	deadline := r.Deadline - b.lim.ResponseMargin
 	expiry := time.AfterFunc(clock.Duration(deadline-b.clock.Now()), func() { cancel(ErrDeadlineExceeded) })
 	defer expiry.Stop()
 
@@ -139,7 +139,7 @@
 	if notAfter != 0 && e.broker.clock.Now() > notAfter {
 		return false
 	}
-	if e.request.ClientGone != nil && e.request.ClientGone() {
+	if e.request.ClientDisconnected != nil && e.request.ClientDisconnected() {
 		e.cancel(ErrClientDisconnected)
 		return false
 	}
--- a/internal/fleet/reconcile/property_test.go
+++ b/internal/fleet/reconcile/property_test.go
@@ -120,7 +120,7 @@
 		return
 	}
 	s.lastProbed = fmt.Sprint("b", s.incarnation)
-	answer := &control.State{Boot: s.lastProbed, PID: s.pid, StartDigest: s.controller.StartDigest, AppliedRevision: s.applied}
+	answer := &control.State{Incarnation: s.lastProbed, PID: s.pid, StartDigest: s.controller.StartDigest, AppliedRevision: s.applied}
 	s.controller.RecordProbe(s.now, answer, true, nil)
 }
 
@@ -146,7 +146,7 @@
 
 // apply does what a broker does with a command.
 func (s *simulation) apply(command *Command) *control.Outcome {
-	outcome := &control.Outcome{Code: control.CodeApplied, Boot: command.Incarnation}
+	outcome := &control.Outcome{Code: control.CodeApplied, Incarnation: command.Incarnation}
 	if command.BaseEdition == s.applied {
 		s.applied = command.TargetEdition
 	} else if s.applied != command.TargetEdition {
@@ -161,7 +161,7 @@
 	if report.AppliedEdition > s.applied {
 		s.t.Fatalf("report is %+v, but the broker has applied edition %d only", report, s.applied)
 	}
-	if !s.running && (report.Incarnation != "" || report.Process == state.Running) {
+	if !s.running && (report.Incarnation != "" || report.Process == state.ProcessRunning) {
 		s.t.Fatalf("report is %+v, but no process runs", report)
 	}
 }
