--- a/internal/fleet/journal/journal_test.go
+++ b/internal/fleet/journal/journal_test.go
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	want := recordsOf(t, contents)
-	for crashCall := 1; crashCall <= intact.Calls(); crashCall++ {
+	for crashCall := 1; crashCall <= intact.ModifyingCalls(); crashCall++ {
 		for _, partialWrite := range []bool{false, true} {
 			for recoveryCrashCall := range 4 {
 				fs := faultfs.New()
@@ -111,7 +111,7 @@
 		if err := j.Append([]byte("before")); err != nil {
 			t.Fatal(err)
 		}
-		fs.SetRoom(space)
+		fs.SetFreeSpace(space)
 		err = j.Append([]byte("0123456789012345678901234567890123456789012345678901234567890123456789"))
 		if !journal.IsRetryable(err) {
 			t.Fatalf("append with %d bytes of space returns %v, want a retryable error", space, err)
@@ -119,7 +119,7 @@
 		if err := j.Compact([]byte("a snapshot that has no room either, since it is rather longer than that")); err == nil {
 			t.Fatal("compact without space for the snapshot succeeds")
 		}
-		fs.SetRoom(-1)
+		fs.SetFreeSpace(-1)
 		want := []string{"before"}
 		if err := j.Append([]byte("after")); err == nil {
 			want = append(want, "after")
@@ -173,7 +173,7 @@
 		if _, err := f.Write(log); err != nil {
 			t.Fatal(err)
 		}
-		fs.Edit("log-0", func(b []byte) []byte { b[offset] ^= 0x10; return b })
+		fs.Corrupt("log-0", func(b []byte) []byte { b[offset] ^= 0x10; return b })
 		_, contents, err := journal.Open(fs, journal.Options{})
 		got := recordsOf(t, contents)
 		if len(got) == len(want) || !slices.Equal(got, want[:len(got)]) {
@@ -221,7 +221,7 @@
 			newest = n
 		}
 	}
-	fs.Edit(newest, func(b []byte) []byte { b[len(b)/2] ^= 1; return b })
+	fs.Corrupt(newest, func(b []byte) []byte { b[len(b)/2] ^= 1; return b })
 	j, contents, err := journal.Open(fs, journal.Options{})
 	if err != nil || len(contents.Report.Damaged) != 1 || !slices.Equal(recordsOf(t, contents), want) {
 		t.Fatalf("open with a damaged snapshot returns error %v, report %+v", err, contents.Report)
--- a/internal/fleet/manager/manager_test.go
+++ b/internal/fleet/manager/manager_test.go
@@ -116,7 +116,7 @@
 		fs := faultfs.New()
 		fs.CrashAt(crashAt, crashAt%2 == 0)
 		confirmed := changeNodesUntilFailure(fs)
-		if !fs.Down() {
+		if !fs.Crashed() {
 			if crashAt < 20 {
 				t.Fatalf("%d disk calls without a crash, want at least 20", crashAt)
 			}
--- a/internal/fleet/supervisor/journal_test.go
+++ b/internal/fleet/supervisor/journal_test.go
@@ -87,7 +87,7 @@
 			t.Error(err)
 		}
 	}()
-	disk.SetRoom(0)
+	disk.SetFreeSpace(0)
 	r := &record{Kind: recordAssignments, FleetID: "f", Assignments: []state.Assignment{assignment("n1", "d")}}
 	if err := s.commit(r); !errors.Is(err, errJournal) {
 		t.Errorf("commit on a full disk returned %v, want errJournal", err)
@@ -98,7 +98,7 @@
 	if s.state.FleetID != "" || len(s.state.Instances) != 0 {
 		t.Errorf("a record that is not on disk was applied: %+v", s.state)
 	}
-	disk.SetRoom(-1)
+	disk.SetFreeSpace(-1)
 	if err := s.commit(r); err != nil {
 		t.Error(err)
 	}
--- a/internal/fleet/supervisor/supervisor_test.go
+++ b/internal/fleet/supervisor/supervisor_test.go
@@ -37,7 +37,7 @@
 			f.mustSettle(when, 2*time.Minute)
 			f.checkMachine(when, s)
 		}
-		diskCalls = disk.Calls()
+		diskCalls = disk.ModifyingCalls()
 	})
 	return diskCalls
 }
@@ -130,7 +130,7 @@
 		defer kill()
 		f.apply(newSpec(2, 64, ""))
 		f.mustSettle("at first", time.Minute)
-		disk.SetRoom(10)
+		disk.SetFreeSpace(10)
 		s := newSpec(3, 96, "")
 		f.apply(s)
 		if f.waitUntilSettled(30 * time.Second) {
@@ -139,7 +139,7 @@
 		if pids, starts := f.machine.pids(), f.machine.startsOf("n0"); len(pids) != 2 || starts != 1 {
 			t.Errorf("%d processes, n0 started %d times; want 2 and 1", len(pids), starts)
 		}
-		disk.SetRoom(-1)
+		disk.SetFreeSpace(-1)
 		f.mustSettle("with space again", 2*time.Minute)
 		f.checkMachine("after a full disk", s)
 	})
@@ -149,7 +149,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.close()
-		f.managerDisk.SetRoom(0)
+		f.managerDisk.SetFreeSpace(0)
 		override := &spec.NodeOverride{ID: "s", State: spec.NodeDraining}
 		request := &api.NodesRequest{Command: f.newCommand(), Changes: []state.NodeChange{{ID: "s", Override: override}}}
 		if _, err := f.manager.ChangeNodes(request); !errors.Is(err, api.ErrStorage) {
@@ -159,7 +159,7 @@
 		if err != nil || len(overview.Nodes) != 0 || overview.JournalFault == "" {
 			t.Errorf("overview is %+v, error %v; want no node and a journal fault", overview, err)
 		}
-		f.managerDisk.SetRoom(-1)
+		f.managerDisk.SetFreeSpace(-1)
 	})
 }
 
--- a/internal/testkit/faultfs/faultfs.go
+++ b/internal/testkit/faultfs/faultfs.go
@@ -49,9 +49,9 @@
 	f.crashAt, f.partial = f.calls+n, partial
 }
 
-// SetRoom sets the number of bytes that can still be written before writes fail with ENOSPC. A negative number means no
-// limit.
-func (f *FS) SetRoom(n int) {
+// SetFreeSpace sets the number of bytes that can still be written before writes fail with ENOSPC. A negative number
+// means no limit.
+func (f *FS) SetFreeSpace(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.spaceLeft = n
@@ -64,15 +64,15 @@
 	f.syncErr = err
 }
 
-// Calls returns the number of modifying calls so far.
-func (f *FS) Calls() int {
+// ModifyingCalls returns the number of modifying calls so far.
+func (f *FS) ModifyingCalls() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.calls
 }
 
-// Down reports whether the machine has crashed and was not rebooted.
-func (f *FS) Down() bool {
+// Crashed reports whether the machine has crashed and was not rebooted.
+func (f *FS) Crashed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.crashed
@@ -90,8 +90,8 @@
 	}
 }
 
-// Edit replaces a file's content in place, like a failing disk that corrupts data.
-func (f *FS) Edit(name string, edit func([]byte) []byte) {
+// Corrupt replaces a file's content in place, like a failing disk that corrupts data.
+func (f *FS) Corrupt(name string, edit func([]byte) []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := f.names[name]
