--- a/internal/broker/control/ledger_test.go
+++ b/internal/broker/control/ledger_test.go
@@ -10,7 +10,7 @@
 	"poppyarch/internal/testkit/fixedseed"
 )
 
-func TestMain(m *testing.M) { fixedseed.Main(m) }
+func TestMain(m *testing.M) { fixedseed.RunTests(m) }
 
 // ledgerModel drives a ledger and keeps the state that its decisions are checked against.
 type ledgerModel struct {
--- a/internal/fleet/retry/retry_test.go
+++ b/internal/fleet/retry/retry_test.go
@@ -9,7 +9,7 @@
 	"poppyarch/internal/timing/clock"
 )
 
-func TestMain(m *testing.M) { fixedseed.Main(m) }
+func TestMain(m *testing.M) { fixedseed.RunTests(m) }
 
 // outageSimulation simulates calls through a breaker to a peer that is down until it recovers at a random time.
 type outageSimulation struct {
--- a/internal/fleet/state/rollout_test.go
+++ b/internal/fleet/state/rollout_test.go
@@ -9,7 +9,7 @@
 	"poppyarch/internal/timing/clock"
 )
 
-func TestMain(m *testing.M) { fixedseed.Main(m) }
+func TestMain(m *testing.M) { fixedseed.RunTests(m) }
 
 // oneAgentFleet is a fleet whose only agent carries out its assignments immediately.
 type oneAgentFleet struct {
--- a/internal/lab/engine/engine_test.go
+++ b/internal/lab/engine/engine_test.go
@@ -11,7 +11,7 @@
 	"poppyarch/internal/testkit/fixedseed"
 )
 
-func TestMain(m *testing.M) { fixedseed.Main(m) }
+func TestMain(m *testing.M) { fixedseed.RunTests(m) }
 
 // eventHeap is the reference: the same order of events by container/heap.
 type eventHeap []Event
--- a/internal/nodes/membership/membership_test.go
+++ b/internal/nodes/membership/membership_test.go
@@ -11,7 +11,7 @@
 	"poppyarch/internal/timing/clock"
 )
 
-func TestMain(m *testing.M) { fixedseed.Main(m) }
+func TestMain(m *testing.M) { fixedseed.RunTests(m) }
 
 func drawEntries(t *rapid.T) []Entry {
 	var out []Entry
--- a/internal/nodes/nodefile/nodefile_test.go
+++ b/internal/nodes/nodefile/nodefile_test.go
@@ -14,7 +14,7 @@
 	"poppyarch/internal/testkit/fixedseed"
 )
 
-func TestMain(m *testing.M) { fixedseed.Main(m) }
+func TestMain(m *testing.M) { fixedseed.RunTests(m) }
 
 const sampleYAML = `# nodes of the test lab
 kinds:
--- a/internal/nodes/routing/routing_test.go
+++ b/internal/nodes/routing/routing_test.go
@@ -12,7 +12,7 @@
 	"poppyarch/internal/testkit/fixedseed"
 )
 
-func TestMain(m *testing.M) { fixedseed.Main(m) }
+func TestMain(m *testing.M) { fixedseed.RunTests(m) }
 
 func makeNodes(n int) (out []Node) {
 	for k := range n {
--- a/internal/observability/record/record_test.go
+++ b/internal/observability/record/record_test.go
@@ -18,7 +18,7 @@
 	"poppyarch/internal/timing/clock"
 )
 
-func TestMain(m *testing.M) { fixedseed.Main(m) }
+func TestMain(m *testing.M) { fixedseed.RunTests(m) }
 
 func drawTime(t *rapid.T, label string) clock.Micros {
 	return clock.Micros(rapid.Int64Range(1, 1<<50).Draw(t, label))
--- a/internal/observability/sketch/sketch_test.go
+++ b/internal/observability/sketch/sketch_test.go
@@ -11,7 +11,7 @@
 	"poppyarch/internal/testkit/fixedseed"
 )
 
-func TestMain(m *testing.M) { fixedseed.Main(m) }
+func TestMain(m *testing.M) { fixedseed.RunTests(m) }
 
 // Quantiles are within 0.8 % of the exact ones, after a merge and after encoding and decoding.
 func TestQuantiles(t *testing.T) {
--- a/internal/testkit/fixedseed/fixedseed.go
+++ b/internal/testkit/fixedseed/fixedseed.go
@@ -7,17 +7,17 @@
 	"os"
 	"testing"
 
-	_ "pgregory.net/rapid" // defines the flags that Set changes
+	_ "pgregory.net/rapid" // defines the flags that FixSeed changes
 )
 
-// Main runs the tests of a package with a fixed seed. A package's TestMain calls it.
-func Main(m *testing.M) {
-	Set()
+// RunTests runs the tests of a package with a fixed seed. A package's TestMain calls it.
+func RunTests(m *testing.M) {
+	FixSeed()
 	os.Exit(m.Run())
 }
 
-// Set fixes the seed unless the command line gives one, and stops rapid from writing files about failed cases.
-func Set() {
+// FixSeed fixes the seed unless the command line gives one, and stops rapid from writing files about failed cases.
+func FixSeed() {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
 		_ = f.Value.Set("20261201")
--- a/internal/timing/timerwheel/timerwheel_test.go
+++ b/internal/timing/timerwheel/timerwheel_test.go
@@ -12,7 +12,7 @@
 	"poppyarch/internal/timing/clock"
 )
 
-func TestMain(m *testing.M) { fixedseed.Main(m) }
+func TestMain(m *testing.M) { fixedseed.RunTests(m) }
 
 // wheelModel applies the same operations to a wheel and to a map of the expected deadlines.
 type wheelModel struct {
