--- a/cmd/poppyarch/incident_test.go
+++ b/cmd/poppyarch/incident_test.go
@@ -37,7 +37,7 @@
 	}()
 	traffic := &fake.Traffic{Blocks: s.Block, Objects: s.Front, Read: "artwork-read", Write: "job-new", Plan: "basis", Shards: 4, Clients: 4,
 		Pause: 20 * time.Millisecond, Patience: 3 * time.Second}
-	truths, gaps, err := s.Play(ctx, traffic, 700*time.Millisecond, func(string) {})
+	episodes, gaps, err := s.Play(ctx, traffic, 700*time.Millisecond, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,8 +66,8 @@
 	if err := json.Unmarshal([]byte(run("report", "--format", "json", "--ended")), &analysis); err != nil {
 		t.Fatal(err)
 	}
-	var expected []check.Truth
-	for _, x := range truths {
+	var expected []check.ActualEpisode
+	for _, x := range episodes {
 		if x.Kind != incident.VolumeSurge {
 			expected = append(expected, x)
 		}
--- a/internal/observability/incident/check/check.go
+++ b/internal/observability/incident/check/check.go
@@ -10,8 +10,8 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// Truth is an actual episode. Times are on the reference's clock.
-type Truth struct {
+// ActualEpisode is an episode that took place, whether or not the analysis has it. Times are on the reference's clock.
+type ActualEpisode struct {
 	Kind     incident.Kind
 	Subject  string
 	Begin    clock.Micros
@@ -19,8 +19,8 @@
 	Optional bool // the analysis need not have it, for instance because no broker could observe it
 }
 
-// Gap is an actual gap in a broker's records. Times are on the reference's clock.
-type Gap struct {
+// ActualGap is a gap that a broker's records really have. Times are on the reference's clock.
+type ActualGap struct {
 	Broker string
 	State  incident.State
 	From   clock.Micros
@@ -35,10 +35,10 @@
 }
 
 // Compare returns a description of each difference between an analysis and the actual episodes and gaps.
-func Compare(a *incident.Analysis, truths []Truth, gaps []Gap, o Options) []string {
+func Compare(a *incident.Analysis, episodes []ActualEpisode, gaps []ActualGap, o Options) []string {
 	c := &comparison{analysis: a, options: o, matched: map[int]bool{}}
-	for _, truth := range truths {
-		c.findEpisode(truth)
+	for _, actual := range episodes {
+		c.findEpisode(actual)
 	}
 	c.findSpuriousEpisodes()
 	for _, gap := range gaps {
@@ -52,7 +52,7 @@
 type comparison struct {
 	analysis    *incident.Analysis
 	options     Options
-	matched     map[int]bool // indices of the episodes that match a truth
+	matched     map[int]bool // indices of the episodes that match an actual one
 	differences []string
 }
 
@@ -60,45 +60,45 @@
 	c.differences = append(c.differences, fmt.Sprintf(format, args...))
 }
 
-// findEpisode marks the episodes that match a truth as matched. It reports a difference if there is none or if the
-// bounds of one are wrong.
-func (c *comparison) findEpisode(truth Truth) {
+// findEpisode marks the reported episodes that match an actual one as matched. It reports a difference if there is none
+// or if the bounds of one are wrong.
+func (c *comparison) findEpisode(actual ActualEpisode) {
 	found := false
 	var wrongBounds []string
 	for i := range c.analysis.Episodes {
 		e := &c.analysis.Episodes[i]
-		if !c.mayBe(e, truth) {
+		if !c.mayBe(e, actual) {
 			continue
 		}
 		c.matched[i] = true
-		if c.boundsHold(e, truth) {
+		if c.boundsHold(e, actual) {
 			found = true
 		} else {
 			wrongBounds = append(wrongBounds, fmt.Sprintf("%s to %s", e.Begin.Format(), e.End.Format()))
 		}
 	}
-	begin := incident.FormatTime(truth.Begin)
-	end := incident.FormatTime(truth.End)
+	begin := incident.FormatTime(actual.Begin)
+	end := incident.FormatTime(actual.End)
 	switch {
 	case len(wrongBounds) > 0:
-		c.report("%s %s: from %s to %s, reported as %v", truth.Kind, truth.Subject, begin, end, wrongBounds)
-	case !found && !truth.Optional:
-		c.report("%s %s from %s to %s: missing from the analysis", truth.Kind, truth.Subject, begin, end)
+		c.report("%s %s: from %s to %s, reported as %v", actual.Kind, actual.Subject, begin, end, wrongBounds)
+	case !found && !actual.Optional:
+		c.report("%s %s from %s to %s: missing from the analysis", actual.Kind, actual.Subject, begin, end)
 	}
 }
 
-// mayBe reports whether an episode has the kind and the subject of a truth and overlaps it.
-func (c *comparison) mayBe(e *incident.Episode, truth Truth) bool {
+// mayBe reports whether an episode has the kind and the subject of an actual one and overlaps it.
+func (c *comparison) mayBe(e *incident.Episode, actual ActualEpisode) bool {
 	slack := c.options.Slack
-	return e.Kind == truth.Kind && e.Subject == truth.Subject && e.Begin.Earliest <= truth.End+slack && e.End.Latest >= truth.Begin-slack
+	return e.Kind == actual.Kind && e.Subject == actual.Subject && e.Begin.Earliest <= actual.End+slack && e.End.Latest >= actual.Begin-slack
 }
 
-// boundsHold reports whether the bounds of an episode contain the begin and the end of a truth.
-func (c *comparison) boundsHold(e *incident.Episode, truth Truth) bool {
+// boundsHold reports whether the bounds of an episode contain the begin and the end of an actual one.
+func (c *comparison) boundsHold(e *incident.Episode, actual ActualEpisode) bool {
 	slack := c.options.Slack
-	begin := e.Begin.Earliest-slack <= truth.Begin && truth.Begin <= e.Begin.Latest+slack
-	end := e.End.Earliest-slack <= truth.End && truth.End <= e.End.Latest+slack
-	stillOpen := e.Open && truth.End >= c.analysis.To-slack
+	begin := e.Begin.Earliest-slack <= actual.Begin && actual.Begin <= e.Begin.Latest+slack
+	end := e.End.Earliest-slack <= actual.End && actual.End <= e.End.Latest+slack
+	stillOpen := e.Open && actual.End >= c.analysis.To-slack
 	return begin && (end || stillOpen)
 }
 
@@ -113,7 +113,7 @@
 }
 
 // findGap reports a difference if no span matches a gap, or if a span in state Known overlaps it.
-func (c *comparison) findGap(gap Gap) {
+func (c *comparison) findGap(gap ActualGap) {
 	tolerance := c.options.Gap
 	covered := false
 	for _, span := range c.analysis.Knowledge {
@@ -133,12 +133,12 @@
 	}
 }
 
-func (c *comparison) findSpuriousGaps(gaps []Gap) {
+func (c *comparison) findSpuriousGaps(gaps []ActualGap) {
 	for _, span := range c.analysis.Knowledge {
 		if span.State == incident.Known || span.State == incident.NotRecorded || span.State == incident.Stopped {
 			continue
 		}
-		actual := slices.ContainsFunc(gaps, func(g Gap) bool {
+		actual := slices.ContainsFunc(gaps, func(g ActualGap) bool {
 			return g.Broker == span.Broker && g.State == span.State && span.From < g.To+c.options.Gap && span.To > g.From-c.options.Gap
 		})
 		if !actual {
--- a/internal/observability/incident/incident_test.go
+++ b/internal/observability/incident/incident_test.go
@@ -228,49 +228,49 @@
 }
 
 // expected returns the actual episodes and gaps of the simulation, on a clock that is clockOffset ahead.
-func (sim *simulation) expected(clockOffset clock.Micros) (out []check.Truth, gaps []check.Gap) {
+func (sim *simulation) expected(clockOffset clock.Micros) (episodes []check.ActualEpisode, gaps []check.ActualGap) {
 	begin := sim.epoch + clockOffset
 	for n, list := range sim.nodeSilences {
 		for _, s := range list {
-			out = append(out, check.Truth{Kind: incident.NodeSilent, Subject: fmt.Sprint("s-", n), Begin: begin + s.from, End: begin + s.to})
+			episodes = append(episodes, check.ActualEpisode{Kind: incident.NodeSilent, Subject: fmt.Sprint("s-", n), Begin: begin + s.from, End: begin + s.to})
 		}
 	}
 	for n, list := range sim.nodeSlowdowns {
 		for _, s := range list {
-			out = append(out, check.Truth{Kind: incident.NodeSlow, Subject: fmt.Sprint("s-", n), Begin: begin + s.from, End: begin + s.to})
+			episodes = append(episodes, check.ActualEpisode{Kind: incident.NodeSlow, Subject: fmt.Sprint("s-", n), Begin: begin + s.from, End: begin + s.to})
 		}
 	}
 	for n, s := range sim.nodeSlowStarts {
-		out = append(out, check.Truth{Kind: incident.NodeSlowStart, Subject: fmt.Sprint("s-", n), Begin: begin + s.from, End: begin + s.to})
+		episodes = append(episodes, check.ActualEpisode{Kind: incident.NodeSlowStart, Subject: fmt.Sprint("s-", n), Begin: begin + s.from, End: begin + s.to})
 	}
 	for n, s := range sim.nodeDrains {
-		out = append(out, check.Truth{Kind: incident.NodeDrain, Subject: fmt.Sprint("s-", n), Begin: begin + s.from, End: begin + s.to})
+		episodes = append(episodes, check.ActualEpisode{Kind: incident.NodeDrain, Subject: fmt.Sprint("s-", n), Begin: begin + s.from, End: begin + s.to})
 	}
 	for v, s := range sim.surges {
-		out = append(out, check.Truth{Kind: incident.VolumeSurge, Subject: v, Begin: begin + s.from, End: begin + s.to})
+		episodes = append(episodes, check.ActualEpisode{Kind: incident.VolumeSurge, Subject: v, Begin: begin + s.from, End: begin + s.to})
 	}
 	for b, list := range sim.brokerOutages {
 		for _, s := range list {
-			out = append(out, check.Truth{Kind: incident.BrokerDead, Subject: fmt.Sprint("n", b), Begin: begin + s.from, End: begin + min(s.to, sim.duration)})
-			gaps = append(gaps, check.Gap{Broker: fmt.Sprint("n", b), State: incident.Dead, From: begin + s.from, To: begin + min(s.to, sim.duration)})
+			episodes = append(episodes, check.ActualEpisode{Kind: incident.BrokerDead, Subject: fmt.Sprint("n", b), Begin: begin + s.from, End: begin + min(s.to, sim.duration)})
+			gaps = append(gaps, check.ActualGap{Broker: fmt.Sprint("n", b), State: incident.Dead, From: begin + s.from, To: begin + min(s.to, sim.duration)})
 		}
 	}
 	if s := sim.discoveryOutage; s != nil {
-		out = append(out, check.Truth{Kind: incident.DiscoveryDown, Subject: "discovery", Begin: begin + s.from, End: begin + s.to})
+		episodes = append(episodes, check.ActualEpisode{Kind: incident.DiscoveryDown, Subject: "discovery", Begin: begin + s.from, End: begin + s.to})
 	}
 	for b, list := range sim.missingFrames {
 		for _, s := range list {
-			gaps = append(gaps, check.Gap{Broker: fmt.Sprint("n", b), State: incident.Missing, From: begin + s.from, To: begin + s.to})
+			gaps = append(gaps, check.ActualGap{Broker: fmt.Sprint("n", b), State: incident.Missing, From: begin + s.from, To: begin + s.to})
 		}
 	}
 	for b, list := range sim.bufferOverflows {
 		for _, s := range list {
 			for t := s.from; t < s.to; t += 50 * ms { // each frame reports its own losses
-				gaps = append(gaps, check.Gap{Broker: fmt.Sprint("n", b), State: incident.Lost, From: begin + t, To: begin + t + 50*ms})
+				gaps = append(gaps, check.ActualGap{Broker: fmt.Sprint("n", b), State: incident.Lost, From: begin + t, To: begin + t + 50*ms})
 			}
 		}
 	}
-	return out, gaps
+	return episodes, gaps
 }
 
 // comparedKinds are the kinds of which the simulation knows all episodes, so that any other episode is spurious. Broker
@@ -293,8 +293,8 @@
 		}
 		maxClockError = max(maxClockError, c.Error)
 	}
-	truths, gaps := sim.expected(referenceOffset)
-	differences := check.Compare(a, truths, gaps, check.Options{Slack: maxClockError + 50*ms, Gap: maxClockError + 600*ms, Kinds: comparedKinds})
+	episodes, gaps := sim.expected(referenceOffset)
+	differences := check.Compare(a, episodes, gaps, check.Options{Slack: maxClockError + 50*ms, Gap: maxClockError + 600*ms, Kinds: comparedKinds})
 	for _, x := range differences {
 		t.Errorf("%s: %s", description, x)
 	}
@@ -402,24 +402,24 @@
 	sim.nodeSilences[1] = []span{{20 * sec, 31 * sec}}
 	sim.brokerOutages[0] = []span{{40 * sec, 45 * sec}}
 	a := incident.Analyse(sim.streams(), incident.DefaultOptions())
-	truths, gaps := sim.expected(0)
+	episodes, gaps := sim.expected(0)
 	o := check.Options{Slack: 600 * ms, Gap: 600 * ms, Kinds: comparedKinds}
-	if wrong := check.Compare(a, truths, gaps, o); len(wrong) > 0 {
+	if wrong := check.Compare(a, episodes, gaps, o); len(wrong) > 0 {
 		t.Fatal(wrong)
 	}
-	expect := func(description, text string, a *incident.Analysis, truths []check.Truth, gaps []check.Gap) {
+	expect := func(description, text string, a *incident.Analysis, episodes []check.ActualEpisode, gaps []check.ActualGap) {
 		t.Helper()
-		if wrong := strings.Join(check.Compare(a, truths, gaps, o), "\n"); !strings.Contains(wrong, text) {
+		if wrong := strings.Join(check.Compare(a, episodes, gaps, o), "\n"); !strings.Contains(wrong, text) {
 			t.Errorf("%s: differences are %q, want one with %q", description, wrong, text)
 		}
 	}
-	expect("an episode without a truth", "spurious episode", a, truths[:0], gaps)
-	expect("a truth without an episode", "missing from the analysis", a, append(slices.Clone(truths), check.Truth{Kind: incident.NodeSilent, Subject: "s-3", Begin: 1, End: 2}), gaps)
-	wrongBegin := slices.Clone(truths)
+	expect("a reported episode that is not an actual one", "spurious episode", a, episodes[:0], gaps)
+	expect("an actual episode that is not reported", "missing from the analysis", a, append(slices.Clone(episodes), check.ActualEpisode{Kind: incident.NodeSilent, Subject: "s-3", Begin: 1, End: 2}), gaps)
+	wrongBegin := slices.Clone(episodes)
 	wrongBegin[0].Begin -= 5 * sec
-	expect("a truth whose begin is out of bounds", "reported as", a, wrongBegin, gaps)
-	expect("a gap that overlaps a span in state known", "known from", a, truths, []check.Gap{{Broker: "n1", State: incident.Dead, From: sim.epoch + 10*sec, To: sim.epoch + 15*sec}})
-	expect("a reported gap that is not an actual one", "spurious gap", a, truths, nil)
+	expect("an actual episode whose begin is out of bounds", "reported as", a, wrongBegin, gaps)
+	expect("a gap that overlaps a span in state known", "known from", a, episodes, []check.ActualGap{{Broker: "n1", State: incident.Dead, From: sim.epoch + 10*sec, To: sim.epoch + 15*sec}})
+	expect("a reported gap that is not an actual one", "spurious gap", a, episodes, nil)
 }
 
 // Diff matches the episodes that both analyses have and lists those that only one has.
--- a/internal/testkit/cluster/incident_script.go
+++ b/internal/testkit/cluster/incident_script.go
@@ -43,19 +43,19 @@
 
 // incidentScript is the state of a run of Play. It records what actually happens, for comparison with an analysis.
 type incidentScript struct {
-	ctx     context.Context
-	cluster *Stack
-	traffic *fake.Traffic
-	unit    time.Duration // the script's unit of time
-	log     func(string)
-	truths  []check.Truth
-	gaps    []check.Gap
+	ctx      context.Context
+	cluster  *Stack
+	traffic  *fake.Traffic
+	unit     time.Duration // the script's unit of time
+	log      func(string)
+	episodes []check.ActualEpisode
+	gaps     []check.ActualGap
 }
 
 // Play runs a scripted incident on a running fleet under the given traffic and returns the episodes and recording gaps
 // that it caused. A storage node stops answering while brokers are killed, a node is drained while discovery is down,
 // and the traffic of a volume surges. The script's delays are multiples of unit. log receives a line for each step.
-func (s *Stack) Play(ctx context.Context, traffic *fake.Traffic, unit time.Duration, log func(string)) ([]check.Truth, []check.Gap, error) {
+func (s *Stack) Play(ctx context.Context, traffic *fake.Traffic, unit time.Duration, log func(string)) ([]check.ActualEpisode, []check.ActualGap, error) {
 	loadCtx, stop := context.WithCancel(ctx)
 	var load sync.WaitGroup
 	load.Go(func() { traffic.Run(loadCtx) })
@@ -71,8 +71,8 @@
 	script.wait(1)
 	script.surgeVolume()
 	script.wait(2)
-	slices.SortFunc(script.truths, func(a, b check.Truth) int { return strings.Compare(string(a.Kind), string(b.Kind)) })
-	return script.truths, script.gaps, ctx.Err()
+	slices.SortFunc(script.episodes, func(a, b check.ActualEpisode) int { return strings.Compare(string(a.Kind), string(b.Kind)) })
+	return script.episodes, script.gaps, ctx.Err()
 }
 
 // now returns the wall clock time.
@@ -90,7 +90,7 @@
 
 // recordEpisode records an episode that ends now.
 func (x *incidentScript) recordEpisode(kind incident.Kind, subject string, begin clock.Micros) {
-	x.truths = append(x.truths, check.Truth{Kind: kind, Subject: subject, Begin: begin, End: now()})
+	x.episodes = append(x.episodes, check.ActualEpisode{Kind: kind, Subject: subject, Begin: begin, End: now()})
 }
 
 func (x *incidentScript) killBrokersWhileNodeIsSilent() error {
@@ -148,7 +148,7 @@
 		time.Sleep(restartPoll)
 	}
 	x.recordEpisode(incident.BrokerDead, killed.name, killed.killedAt)
-	x.gaps = append(x.gaps, check.Gap{Broker: killed.name, State: incident.Dead, From: killed.killedAt, To: now()})
+	x.gaps = append(x.gaps, check.ActualGap{Broker: killed.name, State: incident.Dead, From: killed.killedAt, To: now()})
 	x.log(killed.name + " restarted")
 	return x.ctx.Err()
 }
--- a/tools/measure/incident.go
+++ b/tools/measure/incident.go
@@ -44,7 +44,7 @@
 	load := &fake.Traffic{Blocks: s.Block, Objects: s.Front, Read: "artwork-read", Write: "job-new", Plan: "basis", Shards: 4, Clients: 6,
 		Pause: 20 * time.Millisecond, Patience: 1200 * time.Millisecond}
 	start := time.Now()
-	truths, gaps, err := s.Play(ctx, load, unit, func(text string) { fmt.Printf("%6.2f s  %s\n", time.Since(start).Seconds(), text) })
+	episodes, gaps, err := s.Play(ctx, load, unit, func(text string) { fmt.Printf("%6.2f s  %s\n", time.Since(start).Seconds(), text) })
 	if err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 	if err := report.HTML(f, analysis, "Scripted incident"); err != nil {
 		return err
 	}
-	differences := check.Compare(analysis, truths, gaps, check.Options{Slack: 100_000, Gap: 700_000, Kinds: []incident.Kind{incident.BrokerDead, incident.NodeSilent,
+	differences := check.Compare(analysis, episodes, gaps, check.Options{Slack: 100_000, Gap: 700_000, Kinds: []incident.Kind{incident.BrokerDead, incident.NodeSilent,
 		incident.DiscoveryDown, incident.NodeDrain, incident.VolumeSurge}})
 	for _, difference := range differences {
 		fmt.Println("WRONG:", difference)
