--- a/cmd/poppyarch/fleet_test.go
+++ b/cmd/poppyarch/fleet_test.go
@@ -115,15 +115,15 @@
 // startTraffic starts clients that send requests until the returned function is called.
 func (f *runningFleet) startTraffic() (stop func()) {
 	f.traffic = &fake.Traffic{
-		Blocks:   f.cluster.Block,
-		Objects:  f.cluster.Front,
-		Read:     "artwork-read",
-		Write:    "job-new",
-		Plan:     "basis",
-		Shards:   3,
-		Clients:  3,
-		Pause:    5 * time.Millisecond,
-		Patience: 20 * time.Second,
+		BlockAddrs:     f.cluster.Block,
+		ObjectAddrs:    f.cluster.Front,
+		ReadClass:      "artwork-read",
+		WriteClass:     "job-new",
+		Plan:           "basis",
+		Shards:         3,
+		Clients:        3,
+		Pause:          5 * time.Millisecond,
+		RequestTimeout: 20 * time.Second,
 	}
 	ctx, cancel := context.WithCancel(f.ctx)
 	var traffic sync.WaitGroup
@@ -171,10 +171,10 @@
 	if o := f.awaitSettled("after the rollback"); o.Revision != 5 || len(o.Nodes) != 1 {
 		f.t.Errorf("revision %d, node overrides %v, want revision 5 and 1 override", o.Revision, o.Nodes)
 	}
-	seen := len(f.cluster.Stores[2].Seen())
+	seen := len(f.cluster.Stores[2].Commands())
 	served := f.traffic.Served.Load()
 	f.await("200 more requests served", func(api.Overview) bool { return f.traffic.Served.Load() > served+200 })
-	if now := len(f.cluster.Stores[2].Seen()); now != seen {
+	if now := len(f.cluster.Stores[2].Commands()); now != seen {
 		f.t.Errorf("%d commands reached drained node s-2, want none", now-seen)
 	}
 	f.run("nodes", "clear", "s-2", "--wait")
@@ -236,14 +236,14 @@
 func (f *runningFleet) checkTraffic() {
 	f.t.Helper()
 	f.t.Log(f.traffic)
-	if f.traffic.Wrong.Load() > 0 || f.traffic.Silent.Load() > 0 || f.traffic.Served.Load() < 300 {
-		f.t.Errorf("%v, want none wrong, no time-outs and at least 300 served: %v", f.traffic, f.traffic.Complaints())
+	if f.traffic.WrongResponses.Load() > 0 || f.traffic.TimedOut.Load() > 0 || f.traffic.Served.Load() < 300 {
+		f.t.Errorf("%v, want none wrong, no time-outs and at least 300 served: %v", f.traffic, f.traffic.WrongResponseDetails())
 	}
 	var all [][]string
 	for _, b := range f.cluster.Stores {
-		all = append(all, b.Seen())
+		all = append(all, b.Commands())
 	}
-	if twice := fake.Twice(all...); len(twice) > 0 {
+	if twice := fake.RepeatedWrites(all...); len(twice) > 0 {
 		f.t.Errorf("commands that ran twice: %v", twice)
 	}
 }
--- a/cmd/poppyarch/incident_test.go
+++ b/cmd/poppyarch/incident_test.go
@@ -35,14 +35,14 @@
 			_ = s.Close()
 		}
 	}()
-	traffic := &fake.Traffic{Blocks: s.Block, Objects: s.Front, Read: "artwork-read", Write: "job-new", Plan: "basis", Shards: 4, Clients: 4,
-		Pause: 20 * time.Millisecond, Patience: 3 * time.Second}
+	traffic := &fake.Traffic{BlockAddrs: s.Block, ObjectAddrs: s.Front, ReadClass: "artwork-read", WriteClass: "job-new", Plan: "basis", Shards: 4, Clients: 4,
+		Pause: 20 * time.Millisecond, RequestTimeout: 3 * time.Second}
 	episodes, gaps, err := s.Play(ctx, traffic, 700*time.Millisecond, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if traffic.Wrong.Load() > 0 {
-		t.Errorf("wrong responses: %v", traffic.Complaints())
+	if traffic.WrongResponses.Load() > 0 {
+		t.Errorf("wrong responses: %v", traffic.WrongResponseDetails())
 	}
 	overview, err := s.Client.Overview(ctx, nil, nil)
 	if err != nil || len(overview.Stats) != 5 || overview.Stats[0].Stats.Span == 0 {
--- a/cmd/poppyarch/nodes_test.go
+++ b/cmd/poppyarch/nodes_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = s.Close() }()
-	traffic := &fake.Traffic{Blocks: s.Block, Objects: s.Front, Read: "artwork-read", Write: "job-new", Plan: "basis", Shards: 4, Clients: 3,
+	traffic := &fake.Traffic{BlockAddrs: s.Block, ObjectAddrs: s.Front, ReadClass: "artwork-read", WriteClass: "job-new", Plan: "basis", Shards: 4, Clients: 3,
 		Pause: 10 * time.Millisecond}
 	trafficCtx, stop := context.WithCancel(ctx)
 	var running sync.WaitGroup
@@ -37,7 +37,7 @@
 		t.Fatalf("%v\n%s", err, b)
 	}
 	t.Log(edits, traffic)
-	if traffic.Wrong.Load() > 0 || len(edits) != 9 {
-		t.Errorf("edits %v, want 9 and no wrong response: %v", edits, traffic.Complaints())
+	if traffic.WrongResponses.Load() > 0 || len(edits) != 9 {
+		t.Errorf("edits %v, want 9 and no wrong response: %v", edits, traffic.WrongResponseDetails())
 	}
 }
--- a/examples/tour/main.go
+++ b/examples/tour/main.go
@@ -102,14 +102,14 @@
 		return err
 	}
 	load := &fake.Traffic{
-		Blocks:  s.Block,
-		Objects: s.Front,
-		Read:    "artwork-read",
-		Write:   "job-new",
-		Plan:    "basis",
-		Shards:  3,
-		Clients: 2,
-		Pause:   5 * time.Millisecond,
+		BlockAddrs:  s.Block,
+		ObjectAddrs: s.Front,
+		ReadClass:   "artwork-read",
+		WriteClass:  "job-new",
+		Plan:        "basis",
+		Shards:      3,
+		Clients:     2,
+		Pause:       5 * time.Millisecond,
 	}
 	if err := g.operateUnderLoad(ctx, load); err != nil {
 		return err
@@ -117,8 +117,8 @@
 	g.heading("Outcomes of the clients' requests")
 	g.logf("%v", load)
 	fmt.Println("          disconnected are requests whose connection ended with a killed or drained broker; a wrong or second response would be an error")
-	if n := load.Wrong.Load(); n > 0 {
-		return fmt.Errorf("%d wrong responses: %v", n, load.Complaints())
+	if n := load.WrongResponses.Load(); n > 0 {
+		return fmt.Errorf("%d wrong responses: %v", n, load.WrongResponseDetails())
 	}
 	return nil
 }
--- a/examples/toystore/main.go
+++ b/examples/toystore/main.go
@@ -43,14 +43,14 @@
 	}
 	for i := range nodes {
 		block, objects := address(port+i), address(port+100+i)
-		if err := serve(block, fake.NewBlock().Serve); err != nil {
+		if err := serve(block, fake.NewBlockServer().Serve); err != nil {
 			return err
 		}
-		srv := &http.Server{Handler: fake.NewObjects()}
+		srv := &http.Server{Handler: fake.NewObjectServer()}
 		if err := serve(objects, srv.Serve); err != nil {
 			return err
 		}
-		service.Set(discovery.Endpoint{ID: fmt.Sprintf("s-toy%d", i), Addr: block, ObjectAddr: objects, Zone: "room",
+		service.SetEndpoints(discovery.Endpoint{ID: fmt.Sprintf("s-toy%d", i), Addr: block, ObjectAddr: objects, Zone: "room",
 			Model: "toy", Shard: i, State: "up", Capacity: 1})
 		fmt.Printf("node s-toy%d: shard %d, blocks at %s, objects at %s\n", i, i, block, objects)
 	}
--- a/internal/broker/server/block_test.go
+++ b/internal/broker/server/block_test.go
@@ -55,17 +55,17 @@
 
 // startBlockBroker starts a block node, a broker whose endpoint list names it, and a client connection to the broker.
 // hook may be nil.
-func startBlockBroker(t *testing.T, hook func(redcon.Conn, redcon.Command) bool) (*fake.Block, net.Conn, *bufio.Reader, func()) {
+func startBlockBroker(t *testing.T, hook func(redcon.Conn, redcon.Command) bool) (*fake.BlockServer, net.Conn, *bufio.Reader, func()) {
 	t.Helper()
 	f := newFixture(t)
-	b := fake.NewBlock()
+	b := fake.NewBlockServer()
 	b.SetHook(hook)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	serveBlock(t, b, ln)
-	f.discovery.Set(discovery.Endpoint{ID: "s-0", Addr: ln.Addr().String(), Zone: "room", Shard: 0, State: "up"})
+	f.discovery.SetEndpoints(discovery.Endpoint{ID: "s-0", Addr: ln.Addr().String(), Zone: "room", Shard: 0, State: "up"})
 	base, stop := f.startBroker(`,"listen":"127.0.0.1:0","object":null`)
 	c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
 	if err != nil {
@@ -129,7 +129,7 @@
 		t.Errorf("request that is not idempotent got %q", got)
 	}
 	received := map[string]int{}
-	for _, s := range b.Seen() {
+	for _, s := range b.Commands() {
 		received[s]++
 	}
 	if received["BLK.READ idempotent"] != 2 || received["BLK.WRITE not-idempotent"] != 1 {
--- a/internal/broker/server/clients_test.go
+++ b/internal/broker/server/clients_test.go
@@ -35,7 +35,7 @@
 			close(disconnected)
 			stop() // returns when the broker has finished all accepted requests
 			attempts := 0
-			for _, s := range b.Seen() {
+			for _, s := range b.Commands() {
 				if s == "BLK.READ abandoned" {
 					attempts++
 				}
--- a/internal/broker/server/discovery_test.go
+++ b/internal/broker/server/discovery_test.go
@@ -20,7 +20,7 @@
 func TestDiscoveryRecoversWhileIdleClientsHoldDescriptors(t *testing.T) {
 	const descriptors = 64
 	f := newFixture(t)
-	block := fake.NewBlock()
+	block := fake.NewBlockServer()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -41,8 +41,8 @@
 			_, _ = io.WriteString(c, "*1\r\n$4\r\nPING\r\n") // the broker may have closed the connection
 		}
 	}
-	eventually(t, "failed calls to discovery", func() bool { return len(f.discovery.Calls()) > 2 })
-	f.discovery.Set(discovery.Endpoint{ID: "s-0", Addr: ln.Addr().String(), Zone: "room", Shard: 0, State: "up"})
+	eventually(t, "failed calls to discovery", func() bool { return len(f.discovery.CallTimes()) > 2 })
+	f.discovery.SetEndpoints(discovery.Endpoint{ID: "s-0", Addr: ln.Addr().String(), Zone: "room", Shard: 0, State: "up"})
 	f.discovery.SetDown(false)
 	eventually(t, "a reply from the node that the new list names", func() bool {
 		c, err := net.Dial("tcp", addr)
@@ -79,10 +79,10 @@
 		for _, mode := range []string{"ask", "push"} {
 			f := newFixture(t)
 			for i := range 300 {
-				f.discovery.Set(discovery.Endpoint{ID: fmt.Sprint("n-", i), Addr: "127.0.0.1:1", Zone: "room", Shard: i % 2, State: "up"})
+				f.discovery.SetEndpoints(discovery.Endpoint{ID: fmt.Sprint("n-", i), Addr: "127.0.0.1:1", Zone: "room", Shard: i % 2, State: "up"})
 			}
 			text := f.configText(`,"listen":"127.0.0.1:0","object":null`)
-			text = bytes.Replace(text, []byte(f.discoveryNode.Addr()), []byte(ln.Addr().String()), 1)
+			text = bytes.Replace(text, []byte(f.discoveryServer.Addr()), []byte(ln.Addr().String()), 1)
 			text = bytes.Replace(text, []byte(`"discovery":"ask"`), fmt.Appendf(nil, `"discovery":%q`, mode), 1)
 			for range 2 {
 				startedAt := time.Now()
@@ -108,9 +108,9 @@
 	f := newFixture(t)
 	text := bytes.Replace(f.configText(""), []byte(`"discovery":"ask"`), []byte(`"discovery":"push"`), 1)
 	base, _ := f.startProcessWith(text)
-	eventually(t, "a watch at discovery", func() bool { return len(f.discovery.Calls()) > 1 })
+	eventually(t, "a watch at discovery", func() bool { return len(f.discovery.CallTimes()) > 1 })
 	for i := range 2 {
-		f.discovery.Set(discovery.Endpoint{ID: fmt.Sprint("s-", i), Addr: f.nodes[i].Addr(), Zone: "room", Shard: i, State: "draining"})
+		f.discovery.SetEndpoints(discovery.Endpoint{ID: fmt.Sprint("s-", i), Addr: f.nodes[i].Addr(), Zone: "room", Shard: i, State: "draining"})
 	}
 	eventually(t, "requests are rejected when all nodes drain", func() bool {
 		return f.do("PUT", base+"/b/k", []byte("x")).status == http.StatusServiceUnavailable
--- a/internal/broker/server/fixture_test.go
+++ b/internal/broker/server/fixture_test.go
@@ -113,20 +113,20 @@
 
 // fixture is two object stores and a discovery service, with the brokers that a test starts.
 type fixture struct {
-	t             *testing.T
-	stores        []*fake.Objects
-	nodes         []*fake.Node // the servers of stores, by index
-	discovery     *fake.Discovery
-	discoveryNode *fake.Node // the server of discovery
-	http          *http.Client
+	t               *testing.T
+	stores          []*fake.ObjectServer
+	nodes           []*fake.RestartableServer // the servers of stores, by index
+	discovery       *fake.Discovery
+	discoveryServer *fake.RestartableServer // the server of discovery
+	http            *http.Client
 }
 
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	f := &fixture{t: t, discovery: fake.NewDiscovery()}
 	for range 2 {
-		s := fake.NewObjects()
-		n, err := fake.Start(s)
+		s := fake.NewObjectServer()
+		n, err := fake.StartServer(s)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -134,10 +134,10 @@
 		f.stores, f.nodes = append(f.stores, s), append(f.nodes, n)
 	}
 	var err error
-	if f.discoveryNode, err = fake.Start(f.discovery); err != nil {
+	if f.discoveryServer, err = fake.StartServer(f.discovery); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(f.discoveryNode.Kill)
+	t.Cleanup(f.discoveryServer.Kill)
 	f.listNodes(0, 0)
 	tr := &http.Transport{}
 	t.Cleanup(tr.CloseIdleConnections)
@@ -148,7 +148,7 @@
 // listNodes makes discovery list the nodes as up, with their last start times in milliseconds.
 func (f *fixture) listNodes(startedAtMS ...int64) {
 	for i, started := range startedAtMS {
-		f.discovery.Set(discovery.Endpoint{ID: fmt.Sprint("s-", i), Addr: f.nodes[i].Addr(), Zone: "room", Shard: i,
+		f.discovery.SetEndpoints(discovery.Endpoint{ID: fmt.Sprint("s-", i), Addr: f.nodes[i].Addr(), Zone: "room", Shard: i,
 			State: "up", StartedAtMS: started})
 	}
 }
@@ -156,7 +156,7 @@
 // configText returns a configuration with the object frontend on, the current list of discovery and further JSON keys.
 // extra is empty or starts with a comma.
 func (f *fixture) configText(extra string) []byte {
-	return f.configTextFor(f.discoveryNode.Addr(), extra)
+	return f.configTextFor(f.discoveryServer.Addr(), extra)
 }
 
 // configTextFor is configText with the given address of discovery.
@@ -303,7 +303,7 @@
 }
 
 // countRequests returns how many of the requests that a store received have the prefix.
-func countRequests(s *fake.Objects, prefix string) (n int) {
+func countRequests(s *fake.ObjectServer, prefix string) (n int) {
 	for _, line := range s.Requests() {
 		if strings.HasPrefix(line, prefix) {
 			n++
@@ -328,7 +328,7 @@
 }
 
 // serveBlock runs a block node on a listener until the end of the test.
-func serveBlock(t *testing.T, b *fake.Block, ln net.Listener) {
+func serveBlock(t *testing.T, b *fake.BlockServer, ln net.Listener) {
 	t.Helper()
 	done := make(chan struct{})
 	go func() {
--- a/internal/broker/server/object_test.go
+++ b/internal/broker/server/object_test.go
@@ -78,7 +78,7 @@
 			next()
 			return
 		}
-		store.Cut(&truncatingWriter{ResponseWriter: w, remaining: 11_000}, q)
+		store.ServeWithoutHook(&truncatingWriter{ResponseWriter: w, remaining: 11_000}, q)
 		w.(http.Flusher).Flush()
 		// Another process replaces the node; discovery lists its start time later.
 		go func() {
@@ -123,7 +123,7 @@
 			next()
 			return
 		}
-		store.Cut(&truncatingWriter{ResponseWriter: w, remaining: 11_000}, q)
+		store.ServeWithoutHook(&truncatingWriter{ResponseWriter: w, remaining: 11_000}, q)
 		w.(http.Flusher).Flush()
 		store.Put("/art/restart", newBody)
 		panic(http.ErrAbortHandler)
@@ -146,7 +146,7 @@
 	body := testBytes(300_000, 5)
 	store := f.stores[f.putObject(base, "/art/big", body)]
 	store.SetHook(func(w http.ResponseWriter, q *http.Request, next func()) {
-		store.Cut(&truncatingWriter{ResponseWriter: w, remaining: 200_000}, q)
+		store.ServeWithoutHook(&truncatingWriter{ResponseWriter: w, remaining: 200_000}, q)
 		w.(http.Flusher).Flush()
 		panic(http.ErrAbortHandler)
 	})
@@ -270,7 +270,7 @@
 				return
 			}
 			if execute {
-				s.Cut(&truncatingWriter{ResponseWriter: w}, q)
+				s.ServeWithoutHook(&truncatingWriter{ResponseWriter: w}, q)
 			}
 			go func() {
 				f.nodes[i].Kill()
@@ -287,7 +287,7 @@
 
 // completions returns how often the stores have completed an upload of the object.
 func (f *fixture) completions(path string) int {
-	return f.stores[0].Completions(path) + f.stores[1].Completions(path)
+	return f.stores[0].CompletionCount(path) + f.stores[1].CompletionCount(path)
 }
 
 func TestAbortAndErrorsHaveS3Codes(t *testing.T) {
@@ -332,7 +332,7 @@
 // No node has the shard of the object. The broker rejects the request immediately, with Retry-After.
 func TestRejectionCarriesRetryAfter(t *testing.T) {
 	f := newFixture(t)
-	f.discovery.Set(discovery.Endpoint{ID: "s-0", State: "removed", Addr: f.nodes[0].Addr()},
+	f.discovery.SetEndpoints(discovery.Endpoint{ID: "s-0", State: "removed", Addr: f.nodes[0].Addr()},
 		discovery.Endpoint{ID: "s-1", State: "removed", Addr: f.nodes[1].Addr()})
 	base, _ := f.startBroker("")
 	resp := f.do("GET", base+"/art/x", nil)
--- a/internal/broker/server/reload_test.go
+++ b/internal/broker/server/reload_test.go
@@ -26,7 +26,7 @@
 	done := make(chan int, 1)
 	go func() { done <- f.do("GET", base+"/b/k", nil).status }()
 	<-received
-	moved := bytes.Replace(f.configText(""), []byte(f.discoveryNode.Addr()), []byte("127.0.0.1:1"), 1)
+	moved := bytes.Replace(f.configText(""), []byte(f.discoveryServer.Addr()), []byte("127.0.0.1:1"), 1)
 	tmp := filepath.Join(filepath.Dir(process.config), "new")
 	if err := os.WriteFile(tmp, moved, 0o600); err != nil {
 		t.Fatal(err)
@@ -51,17 +51,17 @@
 func TestSIGHUPReloadsTheConfiguration(t *testing.T) {
 	f := newFixture(t)
 	newDiscovery := fake.NewDiscovery()
-	newDiscoveryNode, err := fake.Start(newDiscovery)
+	newDiscoveryServer, err := fake.StartServer(newDiscovery)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(newDiscoveryNode.Kill)
+	t.Cleanup(newDiscoveryServer.Kill)
 	for i, endpoint := range f.discovery.List(-1).Endpoints {
 		endpoint.Addr = f.nodes[1-i].Addr() // the new list swaps the addresses of the stores
-		newDiscovery.Set(endpoint)
+		newDiscovery.SetEndpoints(endpoint)
 	}
-	base, process := f.startProcess("LB_DISCOVERY=" + f.discoveryNode.Addr())
-	eventually(t, "a watch at the first discovery service", func() bool { return len(f.discovery.Calls()) > 0 })
+	base, process := f.startProcess("LB_DISCOVERY=" + f.discoveryServer.Addr())
+	eventually(t, "a watch at the first discovery service", func() bool { return len(f.discovery.CallTimes()) > 0 })
 	storeIndex := f.putObject(base, "/b/k", []byte("x"))
 	original := f.configText("")
 	// reload replaces the configuration file, sends SIGHUP and waits until a log line has come at least times times.
@@ -79,12 +79,12 @@
 	}
 	reload([]byte(`{"discovery":`), "reload: invalid configuration", 1)
 	reload(bytes.Replace(original, []byte(`"cores":1`), []byte(`"cores":"x"`), 1), "reload: invalid configuration", 2)
-	if n := len(newDiscovery.Calls()); n != 0 {
+	if n := len(newDiscovery.CallTimes()); n != 0 {
 		t.Errorf("%d calls to a discovery service that no valid configuration has named", n)
 	}
-	moved := bytes.Replace(original, []byte(f.discoveryNode.Addr()), []byte(newDiscoveryNode.Addr()), 1)
+	moved := bytes.Replace(original, []byte(f.discoveryServer.Addr()), []byte(newDiscoveryServer.Addr()), 1)
 	reload(bytes.Replace(moved, []byte(`"name":"t1"`), []byte(`"name":"t1","log":"debug"`), 1), "reload: configuration read", 1)
-	eventually(t, "calls to the new discovery service", func() bool { return len(newDiscovery.Calls()) > 1 })
+	eventually(t, "calls to the new discovery service", func() bool { return len(newDiscovery.CallTimes()) > 1 })
 	// Log lines of the process come through a pipe and can arrive later than its calls.
 	eventually(t, "a line at the new log level", func() bool { return process.log.count("discovery: node") > 0 })
 	f.listNodes(0, 0) // at the old discovery service, which the broker no longer uses
--- a/internal/broker/server/scale_test.go
+++ b/internal/broker/server/scale_test.go
@@ -68,7 +68,7 @@
 func TestThousandNodesUnderSmallLimits(t *testing.T) {
 	const sockets = 96
 	f := newFixture(t)
-	block := fake.NewBlock()
+	block := fake.NewBlockServer()
 	var addrs []string
 	for range 64 {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -80,8 +80,8 @@
 	}
 	up := func(int) string { return "up" }
 	firstDiscovery, secondDiscovery := fake.NewDiscovery(), fake.NewDiscovery()
-	firstDiscovery.Set(listThousandNodes(addrs, up)...)
-	secondDiscovery.Set(listThousandNodes(addrs, up)...)
+	firstDiscovery.SetEndpoints(listThousandNodes(addrs, up)...)
+	secondDiscovery.SetEndpoints(listThousandNodes(addrs, up)...)
 	firstServer, secondServer := httptest.NewServer(firstDiscovery), httptest.NewServer(secondDiscovery)
 	t.Cleanup(firstServer.Close)
 	t.Cleanup(secondServer.Close)
@@ -113,7 +113,7 @@
 		}
 	}
 	checkServed("from the configuration", readShards(t, addr, "a", all), len(all))
-	firstDiscovery.Set(listThousandNodes(addrs, func(i int) string { return []string{"up", "draining"}[i%2] })...)
+	firstDiscovery.SetEndpoints(listThousandNodes(addrs, func(i int) string { return []string{"up", "draining"}[i%2] })...)
 	eventually(t, "the change is in force", func() bool { return readShards(t, addr, fmt.Sprint("b", time.Now().UnixNano()), odd[:1])['-'] == 1 })
 	if got := readShards(t, addr, "c", odd); got['-'] != len(odd) {
 		t.Errorf("requests to draining nodes got %v, want %d errors", got, len(odd))
--- a/internal/broker/server/transcript_test.go
+++ b/internal/broker/server/transcript_test.go
@@ -126,14 +126,14 @@
 // testdata.
 func TestBlockFrontendTranscript(t *testing.T) {
 	f := newFixture(t)
-	node := fake.NewBlock()
+	node := fake.NewBlockServer()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	serveBlock(t, node, listener)
 	proxy := newRecordingProxy(t, listener.Addr().String())
-	f.discovery.Set(discovery.Endpoint{ID: "s-0", Addr: proxy.addr(), Zone: "room", Shard: 0, State: "up"})
+	f.discovery.SetEndpoints(discovery.Endpoint{ID: "s-0", Addr: proxy.addr(), Zone: "room", Shard: 0, State: "up"})
 	base, _ := f.startBroker(`,"listen":"127.0.0.1:0","object":null`)
 	var transcript strings.Builder
 	for _, request := range []string{
@@ -191,7 +191,7 @@
 	for i, node := range f.nodes {
 		proxy := newRecordingProxy(t, node.Addr())
 		proxies = append(proxies, proxy)
-		f.discovery.Set(discovery.Endpoint{ID: fmt.Sprint("s-", i), Addr: proxy.addr(), Zone: "room", Shard: i, State: "up"})
+		f.discovery.SetEndpoints(discovery.Endpoint{ID: fmt.Sprint("s-", i), Addr: proxy.addr(), Zone: "room", Shard: i, State: "up"})
 	}
 	base, _ := f.startBroker("")
 	conn, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
@@ -285,7 +285,7 @@
 // The calls to discovery, without repetitions, are those in testdata.
 func TestDiscoveryCallsTranscript(t *testing.T) {
 	f := newFixture(t)
-	proxy := newRecordingProxy(t, f.discoveryNode.Addr())
+	proxy := newRecordingProxy(t, f.discoveryServer.Addr())
 	f.startBrokerWith(f.configTextFor(proxy.addr(), ""))
 	completeCalls := func() []string {
 		parts := strings.Split(proxy.recorded(), "\r\n\r\n")
--- a/internal/lab/load/install.go
+++ b/internal/lab/load/install.go
@@ -26,7 +26,7 @@
 	Blocks   []string // addresses of the brokers' block API
 	Objects  []string // addresses of their object API, if it is used instead
 
-	nodes []*fake.Timed
+	nodes []*fake.TimedBlockServer
 	stops []func() error
 }
 
@@ -63,16 +63,16 @@
 	disc := fake.NewDiscovery()
 	for _, k := range s.Nodes {
 		for range k.Count {
-			n := &fake.Timed{Cores: k.Cores, Speed: k.Speed, Room: k.QueueCapacity, Handshake: time.Duration(s.Service.Handshake)}
+			n := &fake.TimedBlockServer{Cores: k.Cores, Speed: k.Speed, QueueCapacity: k.QueueCapacity, HandshakeWork: time.Duration(s.Service.Handshake)}
 			block, err := in.serve(n.Serve)
 			if err != nil {
 				return in, err
 			}
 			t := discovery.Endpoint{ID: fmt.Sprintf("s-%04d", len(in.nodes)), Addr: block, Zone: "room", Shard: len(in.nodes), State: "up", Capacity: 1}
 			if o.Objects {
-				objects := fake.NewObjects()
+				objects := fake.NewObjectServer()
 				objects.SetHook(func(w http.ResponseWriter, r *http.Request, next func()) {
-					done, ok := n.Take(ObjectWork(r.URL.Path))
+					done, ok := n.Schedule(ObjectWork(r.URL.Path))
 					if !ok {
 						w.WriteHeader(http.StatusServiceUnavailable)
 						return
@@ -84,7 +84,7 @@
 					return in, err
 				}
 			}
-			disc.Set(t)
+			disc.SetEndpoints(t)
 			in.nodes = append(in.nodes, n)
 		}
 	}
@@ -240,7 +240,7 @@
 
 // runPauses pauses a node as the fault describes: once if the fault has a start time, otherwise repeatedly at random
 // times until the context ends.
-func (in *Installation) runPauses(ctx context.Context, t *model.Fault, n *fake.Timed, seed, stream uint64) {
+func (in *Installation) runPauses(ctx context.Context, t *model.Fault, n *fake.TimedBlockServer, seed, stream uint64) {
 	random := rand.New(rand.NewPCG(seed, stream))
 	if random.Float64() >= t.Share {
 		return
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -321,7 +321,7 @@
 		a.Units, a.Shard, a.Hosts)
 	var b strings.Builder
 	fmt.Fprintf(&b, "*%d\r\n", argumentCount)
-	for _, w := range []string{name, fake.Piece(a.Key, int64(a.Work)), id, attributes, "x"}[:argumentCount] {
+	for _, w := range []string{name, fake.PieceID(a.Key, int64(a.Work)), id, attributes, "x"}[:argumentCount] {
 		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(w), w)
 	}
 	for {
--- a/internal/nodes/discovery/client_test.go
+++ b/internal/nodes/discovery/client_test.go
@@ -71,14 +71,14 @@
 // immediately, whatever the revision at the old one, and endpoints that only the old list named are removed.
 func TestAddressChangeEndsWatchAndReadsFullList(t *testing.T) {
 	old, other := fake.NewDiscovery(), fake.NewDiscovery()
-	old.Set(endpoint("a", "up"), endpoint("b", "up"))
-	old.Set(endpoint("a", "up"))
+	old.SetEndpoints(endpoint("a", "up"), endpoint("b", "up"))
+	old.SetEndpoints(endpoint("a", "up"))
 	srv := httptest.NewServer(other)
 	t.Cleanup(srv.Close)
 	table, c := startClient(t, old, testLimits())
 	eventually(t, "a is up", hasState(table, "a")(decision.Ready))
-	eventually(t, "a watch", func() bool { return len(old.Calls()) > 1 })
-	other.Set(endpoint("b", "draining"))
+	eventually(t, "a watch", func() bool { return len(old.CallTimes()) > 1 })
+	other.SetEndpoints(endpoint("b", "draining"))
 	addr := strings.TrimPrefix(srv.URL, "http://")
 	c.SetAddress(addr)
 	c.SetAddress(addr) // no change
@@ -86,14 +86,14 @@
 	if !hasState(table, "a")(decision.Removed)() {
 		t.Error("a, which only the old address lists, was not removed")
 	}
-	other.Set(endpoint("c", "up"))
+	other.SetEndpoints(endpoint("c", "up"))
 	eventually(t, "c is up", hasState(table, "c")(decision.Ready))
-	if n := len(old.Calls()); n != 2 {
+	if n := len(old.CallTimes()); n != 2 {
 		t.Errorf("%d calls at the old address, want 2", n)
 	}
 	c.SetAddress("127.0.0.1:1") // no server listens there: the list stays, and the next change works
 	c.SetAddress(addr)
-	other.Set(endpoint("c", "draining"))
+	other.SetEndpoints(endpoint("c", "draining"))
 	eventually(t, "c drains", hasState(table, "c")(decision.Draining))
 }
 
@@ -101,8 +101,8 @@
 // continues.
 func TestAddressChangeIsDelayedByJitter(t *testing.T) {
 	old, other := fake.NewDiscovery(), fake.NewDiscovery()
-	old.Set(endpoint("a", "up"))
-	other.Set(endpoint("b", "up"))
+	old.SetEndpoints(endpoint("a", "up"))
+	other.SetEndpoints(endpoint("b", "up"))
 	srv := httptest.NewServer(other)
 	t.Cleanup(srv.Close)
 	lim := testLimits()
@@ -110,9 +110,9 @@
 	table, c := startClient(t, old, lim)
 	eventually(t, "a is up", hasState(table, "a")(decision.Ready))
 	c.SetAddress(strings.TrimPrefix(srv.URL, "http://"))
-	old.Set(endpoint("a", "draining"))
+	old.SetEndpoints(endpoint("a", "draining"))
 	eventually(t, "a drains at the old address", hasState(table, "a")(decision.Draining))
-	if n := len(other.Calls()); n > 0 {
+	if n := len(other.CallTimes()); n > 0 {
 		t.Errorf("%d calls at the new address before the delay, want 0", n)
 	}
 }
@@ -138,10 +138,10 @@
 func TestChangesAreReadWhileFullListIsRejected(t *testing.T) {
 	old, other := fake.NewDiscovery(), fake.NewDiscovery()
 	for _, d := range []*fake.Discovery{old, other} {
-		d.Set(endpoint("a", "up"))
-		d.Set(endpoint("b", "up"))
+		d.SetEndpoints(endpoint("a", "up"))
+		d.SetEndpoints(endpoint("b", "up"))
 	}
-	other.Set(endpoint("b", "draining"))
+	other.SetEndpoints(endpoint("b", "draining"))
 	var fullListCalls, overloaded atomic.Int32
 	overloaded.Store(1)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -172,7 +172,7 @@
 	}
 	eventually(t, "the full list is requested again", func() bool { return fullListCalls.Load() > 1 })
 	overloaded.Store(0)
-	other.Set(endpoint("a", "removed"))
+	other.SetEndpoints(endpoint("a", "removed"))
 	eventually(t, "a is removed", hasState(table, "a")(decision.Removed))
 }
 
@@ -209,11 +209,11 @@
 func TestWatchFollowsChanges(t *testing.T) {
 	d := fake.NewDiscovery()
 	table := startWatch(t, d, testLimits())
-	d.Set(endpoint("a", "up"))
+	d.SetEndpoints(endpoint("a", "up"))
 	eventually(t, "a is up", hasState(table, "a")(decision.Ready))
-	d.Set(endpoint("a", "draining"))
+	d.SetEndpoints(endpoint("a", "draining"))
 	eventually(t, "a drains", hasState(table, "a")(decision.Draining))
-	d.Set(endpoint("a", "removed"), endpoint("b", "up"))
+	d.SetEndpoints(endpoint("a", "removed"), endpoint("b", "up"))
 	eventually(t, "a is removed", hasState(table, "a")(decision.Removed))
 	eventually(t, "b is up", hasState(table, "b")(decision.Ready))
 }
@@ -224,14 +224,14 @@
 	lim.NotificationDeadline = lim.WatchGracePeriod + 60_000_000 // as in production, leaves time for the backoff
 	d := fake.NewDiscovery()
 	table := startWatch(t, d, lim)
-	d.Set(endpoint("a", "up"))
+	d.SetEndpoints(endpoint("a", "up"))
 	eventually(t, "a is up", hasState(table, "a")(decision.Ready))
 	d.SetDown(true)
-	n := len(d.Calls())
+	n := len(d.CallTimes())
 	// One call may have been in flight, and the first after a long watch follows immediately; later ones follow a
 	// backoff.
-	eventually(t, "three more calls", func() bool { return len(d.Calls()) >= n+3 })
-	calls := d.Calls()
+	eventually(t, "three more calls", func() bool { return len(d.CallTimes()) >= n+3 })
+	calls := d.CallTimes()
 	// The first backoff is at least a third of 0.75 s. A slow machine can only make it longer.
 	if gap := calls[len(calls)-1].Sub(calls[len(calls)-2]); gap < 250*time.Millisecond {
 		t.Errorf("polled again after %v", gap)
@@ -240,7 +240,7 @@
 		t.Error("the list was dropped while discovery was down")
 	}
 	d.SetDown(false)
-	d.Set(endpoint("a", "draining"))
+	d.SetEndpoints(endpoint("a", "draining"))
 	eventually(t, "a drains", hasState(table, "a")(decision.Draining))
 }
 
@@ -279,7 +279,7 @@
 		defer mu.Unlock()
 		return len(calls) > 1
 	})
-	d.Set(endpoint("a", "up"))
+	d.SetEndpoints(endpoint("a", "up"))
 	eventually(t, "a is up", hasState(table, "a")(decision.Ready))
 	mu.Lock()
 	defer mu.Unlock()
--- a/internal/testkit/cluster/cluster.go
+++ b/internal/testkit/cluster/cluster.go
@@ -47,12 +47,12 @@
 	Config       string // path of fleet.toml, which the manager and the command line read
 	Client       *api.Client
 	Discovery    *fake.Discovery
-	Stores       []*fake.Block   // the nodes' block servers
-	ObjectStores []*fake.Objects // the nodes' object servers
-	Block        []string        // addresses of the brokers' block frontends
-	Front        []string        // addresses of the brokers' object frontends
-	blockAddrs   []string        // addresses of Stores
-	objectAddrs  []string        // addresses of ObjectStores
+	Stores       []*fake.BlockServer  // the nodes' block servers
+	ObjectStores []*fake.ObjectServer // the nodes' object servers
+	Block        []string             // addresses of the brokers' block frontends
+	Front        []string             // addresses of the brokers' object frontends
+	blockAddrs   []string             // addresses of Stores
+	objectAddrs  []string             // addresses of ObjectStores
 
 	stops []func()
 	mu    sync.Mutex
@@ -72,7 +72,7 @@
 		return ln.Addr().String(), nil
 	}
 	for k := range o.Nodes {
-		blocks, objects := fake.NewBlock(), fake.NewObjects()
+		blocks, objects := fake.NewBlockServer(), fake.NewObjectServer()
 		blockAddr, err := serve(blocks.Serve)
 		if err != nil {
 			return nil, err
@@ -86,7 +86,7 @@
 		if o.Lists {
 			continue
 		}
-		s.Discovery.Set(discovery.Endpoint{ID: fmt.Sprint("s-", k), Addr: blockAddr, ObjectAddr: objectAddr, Zone: "room", Model: "toy", Shard: k,
+		s.Discovery.SetEndpoints(discovery.Endpoint{ID: fmt.Sprint("s-", k), Addr: blockAddr, ObjectAddr: objectAddr, Zone: "room", Model: "toy", Shard: k,
 			State: "up", Capacity: 1})
 	}
 	discoveryAddr, err := serve((&http.Server{Handler: s.Discovery}).Serve)
--- a/internal/testkit/cluster/incident_script.go
+++ b/internal/testkit/cluster/incident_script.go
@@ -158,7 +158,7 @@
 	drainingSince := now()
 	endpoint := x.cluster.Discovery.List(-1).Endpoints[2]
 	endpoint.State = "draining"
-	x.cluster.Discovery.Set(endpoint)
+	x.cluster.Discovery.SetEndpoints(endpoint)
 	x.wait(1)
 	downSince := now()
 	x.cluster.Discovery.SetDown(true)
@@ -168,7 +168,7 @@
 	x.log("discovery answers again")
 	x.wait(2)
 	endpoint.State = "up"
-	x.cluster.Discovery.Set(endpoint)
+	x.cluster.Discovery.SetEndpoints(endpoint)
 	x.recordEpisode(incident.NodeDrain, "s-2", drainingSince)
 }
 
@@ -176,18 +176,18 @@
 	x.log("traffic of a volume surges")
 	begin := now()
 	extra := &fake.Traffic{
-		Blocks:  x.cluster.Block,
-		Read:    x.traffic.Read,
-		Write:   x.traffic.Write,
-		Plan:    x.traffic.Plan,
-		Shards:  x.traffic.Shards,
-		Clients: 1,
-		Volume:  surgingVolume,
-		Pause:   x.traffic.Pause / surgeFactor,
+		BlockAddrs: x.cluster.Block,
+		ReadClass:  x.traffic.ReadClass,
+		WriteClass: x.traffic.WriteClass,
+		Plan:       x.traffic.Plan,
+		Shards:     x.traffic.Shards,
+		Clients:    1,
+		Volume:     surgingVolume,
+		Pause:      x.traffic.Pause / surgeFactor,
 	}
 	ctx, stop := context.WithTimeout(x.ctx, surgeUnits*x.unit)
 	extra.Run(ctx)
 	stop()
 	x.recordEpisode(incident.VolumeSurge, surgingVolumeName, begin)
-	x.traffic.Wrong.Add(extra.Wrong.Load())
+	x.traffic.WrongResponses.Add(extra.WrongResponses.Load())
 }
--- a/internal/testkit/cluster/list_edits.go
+++ b/internal/testkit/cluster/list_edits.go
@@ -220,12 +220,12 @@
 // overrideDiscovery lists a node as out that discovery reports as up. The stricter source must win.
 func (e *listEditor) overrideDiscovery(ctx context.Context) error {
 	s := e.cluster
-	s.Discovery.Set(discovery.Endpoint{ID: "s-2", Addr: s.blockAddrs[2], ObjectAddr: s.objectAddrs[2], Zone: "room", Shard: 2, State: "up", Capacity: 1})
+	s.Discovery.SetEndpoints(discovery.Endpoint{ID: "s-2", Addr: s.blockAddrs[2], ObjectAddr: s.objectAddrs[2], Zone: "room", Shard: 2, State: "up", Capacity: 1})
 	takeOut := func() error { return e.replaceFile(e.listWith(2, ",up", ",out")) }
 	if err := e.measure(ctx, "out, though discovery has it up", 2, takeOut); err != nil {
 		return err
 	}
-	s.Discovery.Set(discovery.Endpoint{ID: "s-2", State: "removed"})
+	s.Discovery.SetEndpoints(discovery.Endpoint{ID: "s-2", State: "removed"})
 	return e.restore()
 }
 
--- a/internal/testkit/fake/block.go
+++ b/internal/testkit/fake/block.go
@@ -8,36 +8,36 @@
 	"github.com/tidwall/redcon"
 )
 
-// Block is the block server of a storage node. It keeps pieces in memory.
-type Block struct {
-	mu   sync.Mutex
-	data map[string][]byte // by piece
-	seen []string          // "COMMAND id" of each request
-	hook func(c redcon.Conn, cmd redcon.Command) bool
+// BlockServer is the block server of a storage node. It keeps pieces in memory.
+type BlockServer struct {
+	mu       sync.Mutex
+	data     map[string][]byte // by piece
+	commands []string          // "COMMAND id" of each request
+	hook     func(c redcon.Conn, cmd redcon.Command) bool
 }
 
-// NewBlock returns a server without data.
-func NewBlock() *Block { return &Block{data: map[string][]byte{}} }
+// NewBlockServer returns a server without data.
+func NewBlockServer() *BlockServer { return &BlockServer{data: map[string][]byte{}} }
 
 // SetHook has f called before every command is served. If f returns true, the command is not served. A nil f removes
 // the hook.
-func (b *Block) SetHook(f func(c redcon.Conn, cmd redcon.Command) bool) {
+func (b *BlockServer) SetHook(f func(c redcon.Conn, cmd redcon.Command) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.hook = f
 }
 
-// Seen returns the received block commands, each as the command's name and the request's id.
-func (b *Block) Seen() []string {
+// Commands returns the received block commands, each as the command's name and the request's id.
+func (b *BlockServer) Commands() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return append([]string(nil), b.seen...)
+	return append([]string(nil), b.commands...)
 }
 
 // Serve serves connections until the listener is closed.
-func (b *Block) Serve(ln net.Listener) error { return redcon.Serve(ln, b.handle, nil, nil) }
+func (b *BlockServer) Serve(ln net.Listener) error { return redcon.Serve(ln, b.handle, nil, nil) }
 
-func (b *Block) handle(c redcon.Conn, cmd redcon.Command) {
+func (b *BlockServer) handle(c redcon.Conn, cmd redcon.Command) {
 	name := strings.ToUpper(string(cmd.Args[0]))
 	if name != "BLK.READ" && name != "BLK.WRITE" {
 		if name == "PING" {
@@ -52,7 +52,7 @@
 		return
 	}
 	b.mu.Lock()
-	b.seen = append(b.seen, name+" "+string(cmd.Args[2]))
+	b.commands = append(b.commands, name+" "+string(cmd.Args[2]))
 	hook := b.hook
 	b.mu.Unlock()
 	if hook != nil && hook(c, cmd) {
--- a/internal/testkit/fake/discovery.go
+++ b/internal/testkit/fake/discovery.go
@@ -32,8 +32,8 @@
 	return &Discovery{byID: map[string]entry{}, changed: make(chan struct{})}
 }
 
-// Set adds or replaces endpoints, as one revision.
-func (d *Discovery) Set(endpoints ...discovery.Endpoint) {
+// SetEndpoints adds or replaces endpoints, as one revision.
+func (d *Discovery) SetEndpoints(endpoints ...discovery.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.revision++
@@ -56,8 +56,8 @@
 	d.changed = make(chan struct{})
 }
 
-// Calls returns the time of each call.
-func (d *Discovery) Calls() []time.Time {
+// CallTimes returns the time of each call.
+func (d *Discovery) CallTimes() []time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]time.Time(nil), d.callTimes...)
--- a/internal/testkit/fake/node.go
+++ b/internal/testkit/fake/node.go
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// Node is an HTTP server that can be killed and restarted at its address, like a process.
-type Node struct {
+// RestartableServer is an HTTP server that can be killed and restarted at its address, like a process.
+type RestartableServer struct {
 	Handler http.Handler
 
 	mu   sync.Mutex
@@ -17,14 +17,14 @@
 	srv  *http.Server
 }
 
-// Start starts a node that serves h on a loopback port chosen by the system.
-func Start(h http.Handler) (*Node, error) {
-	n := &Node{Handler: h, addr: "127.0.0.1:0"}
+// StartServer starts a server for h on a loopback port chosen by the system.
+func StartServer(h http.Handler) (*RestartableServer, error) {
+	n := &RestartableServer{Handler: h, addr: "127.0.0.1:0"}
 	return n, n.Restart()
 }
 
-// Restart serves at the node's previous address again.
-func (n *Node) Restart() error {
+// Restart serves at the server's previous address again.
+func (n *RestartableServer) Restart() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	lc := net.ListenConfig{}
@@ -38,13 +38,13 @@
 }
 
 // serve starts a server on a listener. The caller holds mu.
-func (n *Node) serve(ln *net.TCPListener) {
+func (n *RestartableServer) serve(ln *net.TCPListener) {
 	n.ln, n.srv = ln, &http.Server{Handler: n.Handler}
 	go func() { _ = n.srv.Serve(ln) }()
 }
 
-// Addr returns the node's address.
-func (n *Node) Addr() string {
+// Addr returns the server's address.
+func (n *RestartableServer) Addr() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.addr
@@ -53,7 +53,7 @@
 // Replace replaces the running server with a new one at the same address. Open connections break, but no new connection
 // is refused in between, unlike between Kill and Restart, where the port is closed for a time that depends on the
 // machine.
-func (n *Node) Replace() error {
+func (n *RestartableServer) Replace() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f, err := n.ln.File() // shares the socket, so new connections are queued until the new server accepts
@@ -71,7 +71,7 @@
 }
 
 // Kill stops the server immediately. Its connections break.
-func (n *Node) Kill() {
+func (n *RestartableServer) Kill() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	_ = n.srv.Close()
--- a/internal/testkit/fake/objects.go
+++ b/internal/testkit/fake/objects.go
@@ -17,9 +17,9 @@
 	"time"
 )
 
-// Objects is the object server of a storage node, with its objects in memory. It outlives the Node that serves it:
-// after the Node is killed, another one can serve the same objects.
-type Objects struct {
+// ObjectServer is the object server of a storage node, with its objects in memory. It outlives the
+// RestartableServer that serves it: after that is killed, another one can serve the same objects.
+type ObjectServer struct {
 	mu          sync.Mutex
 	objects     map[string]*object
 	uploads     map[string]*upload
@@ -42,41 +42,41 @@
 	parts       map[int][]byte
 }
 
-// NewObjects returns a server without objects.
-func NewObjects() *Objects {
-	return &Objects{objects: map[string]*object{}, uploads: map[string]*upload{}, completions: map[string]int{}}
+// NewObjectServer returns a server without objects.
+func NewObjectServer() *ObjectServer {
+	return &ObjectServer{objects: map[string]*object{}, uploads: map[string]*upload{}, completions: map[string]int{}}
 }
 
 // SetHook has f called for every request. f calls next to serve the request. A nil f removes the hook.
-func (s *Objects) SetHook(f func(w http.ResponseWriter, r *http.Request, next func())) {
+func (s *ObjectServer) SetHook(f func(w http.ResponseWriter, r *http.Request, next func())) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hook = f
 }
 
-// Completions returns the number of multipart uploads completed as the object at path.
-func (s *Objects) Completions(path string) int {
+// CompletionCount returns the number of multipart uploads completed as the object at path.
+func (s *ObjectServer) CompletionCount(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.completions[path]
 }
 
 // Requests returns the received requests in order, each as its method and target.
-func (s *Objects) Requests() []string {
+func (s *ObjectServer) Requests() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), s.requests...)
 }
 
 // Put stores an object.
-func (s *Objects) Put(path string, body []byte) {
+func (s *ObjectServer) Put(path string, body []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.objects[path] = &object{body: body, etag: etag(body), contentType: "application/octet-stream", modified: time.Now()}
 }
 
 // Get returns an object's bytes, or nil if there is no object at path.
-func (s *Objects) Get(path string) []byte {
+func (s *ObjectServer) Get(path string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if o := s.objects[path]; o != nil {
@@ -91,7 +91,7 @@
 }
 
 // ServeHTTP serves a request, or passes it to the hook.
-func (s *Objects) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *ObjectServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	s.requests = append(s.requests, r.Method+" "+r.URL.RequestURI())
 	hook := s.hook
@@ -103,7 +103,7 @@
 	s.serve(w, r)
 }
 
-func (s *Objects) serve(w http.ResponseWriter, r *http.Request) {
+func (s *ObjectServer) serve(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -146,7 +146,7 @@
 }
 
 // serveUpload serves a request for an existing multipart upload.
-func (s *Objects) serveUpload(w http.ResponseWriter, r *http.Request, id string, u *upload, body []byte) {
+func (s *ObjectServer) serveUpload(w http.ResponseWriter, r *http.Request, id string, u *upload, body []byte) {
 	switch r.Method {
 	case http.MethodPut:
 		n, err := strconv.Atoi(r.URL.Query().Get("partNumber"))
@@ -177,7 +177,7 @@
 }
 
 // complete creates the object from the parts that the request lists.
-func (s *Objects) complete(w http.ResponseWriter, id string, u *upload, body []byte) {
+func (s *ObjectServer) complete(w http.ResponseWriter, id string, u *upload, body []byte) {
 	var request struct {
 		Part []struct {
 			PartNumber int
@@ -219,8 +219,9 @@
 	_, _ = io.WriteString(w, xml.Header+"<Error><Code>"+code+"</Code></Error>")
 }
 
-// Cut serves a request without calling the hook. A hook calls it with a w that drops some or all of the response.
-func (s *Objects) Cut(w http.ResponseWriter, r *http.Request) { s.serve(w, r) }
+// ServeWithoutHook serves a request without calling the hook. A hook calls it with a w that drops some or all of the
+// response.
+func (s *ObjectServer) ServeWithoutHook(w http.ResponseWriter, r *http.Request) { s.serve(w, r) }
 
 func requestContentType(r *http.Request) string {
 	if k := r.Header.Get("Content-Type"); k != "" {
--- a/internal/testkit/fake/traffic.go
+++ b/internal/testkit/fake/traffic.go
@@ -19,68 +19,68 @@
 // Traffic runs clients of the block and object frontends. They check that each request gets the response made for it,
 // and only one. A client that loses its broker turns to the next one.
 type Traffic struct {
-	Blocks   []string // addresses of block frontends
-	Objects  []string // addresses of object frontends
-	Read     string   // class of reads
-	Write    string   // class of writes, which must never be executed twice
-	Plan     string
-	Shards   int           // number of shards
-	Volume   uint64        // volume of all block clients; 0 means a volume for each
-	Clients  int           // number of clients for each frontend protocol
-	Pause    time.Duration // between two requests of a client
-	Patience time.Duration // request timeout; 0 means 10 s
+	BlockAddrs     []string // addresses of block frontends
+	ObjectAddrs    []string // addresses of object frontends
+	ReadClass      string   // class of reads
+	WriteClass     string   // class of writes, which must never be executed twice
+	Plan           string
+	Shards         int           // number of shards
+	Volume         uint64        // volume of all block clients; 0 means a volume for each
+	Clients        int           // number of clients for each frontend protocol
+	Pause          time.Duration // between two requests of a client
+	RequestTimeout time.Duration // 0 means 10 s
 
-	Served        atomic.Int64
-	Refused       atomic.Int64
-	Failed        atomic.Int64 // answered with an error
-	Disconnected  atomic.Int64 // the connection ended before the response
-	Silent        atomic.Int64 // no response within the timeout
-	ConnectFailed atomic.Int64 // a connection could not be opened, so nothing was sent
-	Wrong         atomic.Int64 // a response for another request, or a second response
+	Served         atomic.Int64
+	Refused        atomic.Int64
+	Failed         atomic.Int64 // answered with an error
+	Disconnected   atomic.Int64 // the connection ended before the response
+	TimedOut       atomic.Int64 // no response within the timeout
+	ConnectFailed  atomic.Int64 // a connection could not be opened, so nothing was sent
+	WrongResponses atomic.Int64 // a response for another request, or a second response
 
-	mu         sync.Mutex
-	complaints []string // descriptions of the first ten wrong responses
-	lastID     atomic.Int64
+	mu                   sync.Mutex
+	wrongResponseDetails []string // descriptions of the first ten wrong responses
+	lastID               atomic.Int64
 }
 
 // Sent counts the requests that were written to a connection.
 func (t *Traffic) Sent() int64 {
-	return t.Served.Load() + t.Refused.Load() + t.Failed.Load() + t.Disconnected.Load() + t.Silent.Load() + t.Wrong.Load()
+	return t.Served.Load() + t.Refused.Load() + t.Failed.Load() + t.Disconnected.Load() + t.TimedOut.Load() + t.WrongResponses.Load()
 }
 
 // String summarizes the outcomes of all requests.
 func (t *Traffic) String() string {
 	return fmt.Sprintf("%d requests: %d served, %d refused, %d failed, %d disconnected, %d timed out, %d with a wrong or second response",
-		t.Sent(), t.Served.Load(), t.Refused.Load(), t.Failed.Load(), t.Disconnected.Load(), t.Silent.Load(), t.Wrong.Load())
+		t.Sent(), t.Served.Load(), t.Refused.Load(), t.Failed.Load(), t.Disconnected.Load(), t.TimedOut.Load(), t.WrongResponses.Load())
 }
 
-// Complaints describes the first ten wrong responses.
-func (t *Traffic) Complaints() []string {
+// WrongResponseDetails describes the first ten wrong responses.
+func (t *Traffic) WrongResponseDetails() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return append([]string(nil), t.complaints...)
+	return append([]string(nil), t.wrongResponseDetails...)
 }
 
 func (t *Traffic) reportWrong(format string, args ...any) {
-	t.Wrong.Add(1)
+	t.WrongResponses.Add(1)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.complaints) < 10 {
-		t.complaints = append(t.complaints, fmt.Sprintf(format, args...))
+	if len(t.wrongResponseDetails) < 10 {
+		t.wrongResponseDetails = append(t.wrongResponseDetails, fmt.Sprintf(format, args...))
 	}
 }
 
 // Run sends requests until ctx is done, and returns when each has been answered or has timed out.
 func (t *Traffic) Run(ctx context.Context) {
-	if t.Patience == 0 {
-		t.Patience = 10 * time.Second
+	if t.RequestTimeout == 0 {
+		t.RequestTimeout = 10 * time.Second
 	}
 	var clients sync.WaitGroup
 	for k := range t.Clients {
-		if len(t.Blocks) > 0 {
+		if len(t.BlockAddrs) > 0 {
 			clients.Go(func() { t.runBlockClient(ctx, k) })
 		}
-		if len(t.Objects) > 0 {
+		if len(t.ObjectAddrs) > 0 {
 			clients.Go(func() { t.runObjectClient(ctx, k) })
 		}
 	}
@@ -122,24 +122,24 @@
 		}
 		if c == nil {
 			broker++
-			if c = t.dial(ctx, t.Blocks[broker%len(t.Blocks)]); c == nil {
+			if c = t.dial(ctx, t.BlockAddrs[broker%len(t.BlockAddrs)]); c == nil {
 				t.ConnectFailed.Add(1)
 				t.pause(ctx)
 				continue
 			}
 		}
 		id := strconv.FormatInt(t.lastID.Add(1), 10)
-		class, words := t.Write, []string{"BLK.WRITE"}
+		class, words := t.WriteClass, []string{"BLK.WRITE"}
 		if n%3 == 2 {
-			class, words = t.Read, []string{"BLK.READ"}
+			class, words = t.ReadClass, []string{"BLK.READ"}
 		}
 		shard, _ := strconv.Atoi(id)
 		shard %= max(t.Shards, 1)
 		piece := fmt.Sprintf("%016x", 1<<40+t.lastID.Load()*7919+int64(k))
 		want := "v-" + id
 		words = append(words, piece, id, fmt.Sprintf("c=%s,t=%s,d=%d,volume=%016x,units=1,shard=%d,hosts=%d", class, t.Plan,
-			t.Patience.Milliseconds()/2, volume, shard, len(t.Blocks)))
-		if class == t.Write {
+			t.RequestTimeout.Milliseconds()/2, volume, shard, len(t.BlockAddrs)))
+		if class == t.WriteClass {
 			words = append(words, want)
 		} else {
 			want = ""
@@ -177,7 +177,7 @@
 	for _, w := range words {
 		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(w), w)
 	}
-	_ = c.SetDeadline(time.Now().Add(t.Patience))
+	_ = c.SetDeadline(time.Now().Add(t.RequestTimeout))
 	if _, err := c.Write(b.Bytes()); err != nil {
 		t.Disconnected.Add(1)
 		return false
@@ -186,7 +186,7 @@
 	var ne net.Error
 	switch {
 	case errors.As(err, &ne) && ne.Timeout():
-		t.Silent.Add(1)
+		t.TimedOut.Add(1)
 	case err != nil:
 		t.Disconnected.Add(1)
 	case replyType == '-' && strings.HasPrefix(got, "BUSY"):
@@ -249,7 +249,7 @@
 func (t *Traffic) runObjectClient(ctx context.Context, k int) {
 	tr := &http.Transport{MaxIdleConnsPerHost: 1}
 	defer tr.CloseIdleConnections()
-	client := &http.Client{Transport: tr, Timeout: t.Patience}
+	client := &http.Client{Transport: tr, Timeout: t.RequestTimeout}
 	broker := k
 	do := func(method, url, body string) (int, string, error) {
 		req, err := http.NewRequest(method, url, strings.NewReader(body))
@@ -266,7 +266,7 @@
 	}
 	for ctx.Err() == nil {
 		id := t.lastID.Add(1)
-		url := fmt.Sprintf("http://%s/load/k%d", t.Objects[broker%len(t.Objects)], id)
+		url := fmt.Sprintf("http://%s/load/k%d", t.ObjectAddrs[broker%len(t.ObjectAddrs)], id)
 		value := fmt.Sprint("v-", id)
 		for _, method := range []string{http.MethodPut, http.MethodGet} {
 			body := ""
@@ -282,7 +282,7 @@
 					t.ConnectFailed.Add(1)
 					t.pause(ctx)
 				case strings.Contains(err.Error(), "Client.Timeout"):
-					t.Silent.Add(1)
+					t.TimedOut.Add(1)
 				default:
 					t.Disconnected.Add(1)
 				}
@@ -306,10 +306,11 @@
 	}
 }
 
-// Twice returns the writes that occur more than once in the results of Block.Seen of several servers.
-func Twice(seen ...[]string) (repeated []string) {
+// RepeatedWrites returns the writes that occur more than once in the results of BlockServer.Commands of several
+// servers.
+func RepeatedWrites(commandLists ...[]string) (repeated []string) {
 	count := map[string]int{}
-	for _, commands := range seen {
+	for _, commands := range commandLists {
 		for _, command := range commands {
 			if strings.HasPrefix(command, "BLK.WRITE ") {
 				count[command]++
--- a/tools/measure/fleet.go
+++ b/tools/measure/fleet.go
@@ -57,7 +57,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
-	load := &fake.Traffic{Blocks: s.Block, Objects: s.Front, Read: "artwork-read", Write: "job-new", Plan: "basis", Shards: 3, Clients: 4,
+	load := &fake.Traffic{BlockAddrs: s.Block, ObjectAddrs: s.Front, ReadClass: "artwork-read", WriteClass: "job-new", Plan: "basis", Shards: 3, Clients: 4,
 		Pause: 5 * time.Millisecond}
 	start, change, err := rollout(ctx, s, load, program)
 	if closeErr := s.Close(); err == nil {
@@ -67,7 +67,7 @@
 		return err
 	}
 	fmt.Printf("| %s | %d | %.2f s | %.2f s | %d | %.0f | %d | %d | %d | %d | %d | %d |\n", name, run, start.Seconds(), change.Seconds(), load.Sent(),
-		float64(load.Served.Load())/(change+time.Second).Seconds(), load.ConnectFailed.Load(), load.Refused.Load(), load.Failed.Load(), load.Disconnected.Load(), load.Silent.Load(), load.Wrong.Load())
+		float64(load.Served.Load())/(change+time.Second).Seconds(), load.ConnectFailed.Load(), load.Refused.Load(), load.Failed.Load(), load.Disconnected.Load(), load.TimedOut.Load(), load.WrongResponses.Load())
 	return nil
 }
 
--- a/tools/measure/incident.go
+++ b/tools/measure/incident.go
@@ -41,8 +41,8 @@
 	if err != nil {
 		return err
 	}
-	load := &fake.Traffic{Blocks: s.Block, Objects: s.Front, Read: "artwork-read", Write: "job-new", Plan: "basis", Shards: 4, Clients: 6,
-		Pause: 20 * time.Millisecond, Patience: 1200 * time.Millisecond}
+	load := &fake.Traffic{BlockAddrs: s.Block, ObjectAddrs: s.Front, ReadClass: "artwork-read", WriteClass: "job-new", Plan: "basis", Shards: 4, Clients: 6,
+		Pause: 20 * time.Millisecond, RequestTimeout: 1200 * time.Millisecond}
 	start := time.Now()
 	episodes, gaps, err := s.Play(ctx, load, unit, func(text string) { fmt.Printf("%6.2f s  %s\n", time.Since(start).Seconds(), text) })
 	if err != nil {
--- a/tools/measure/nodes.go
+++ b/tools/measure/nodes.go
@@ -75,7 +75,7 @@
 		return nil, err
 	}
 	defer func() { _ = s.Close() }()
-	load := &fake.Traffic{Blocks: s.Block, Objects: s.Front, Read: "artwork-read", Write: "job-new", Plan: "basis", Shards: 4, Clients: 4,
+	load := &fake.Traffic{BlockAddrs: s.Block, ObjectAddrs: s.Front, ReadClass: "artwork-read", WriteClass: "job-new", Plan: "basis", Shards: 4, Clients: 4,
 		Pause: 2 * time.Millisecond}
 	loadCtx, stop := context.WithCancel(ctx)
 	var clients sync.WaitGroup
--- a/tools/measure/record.go
+++ b/tools/measure/record.go
@@ -104,7 +104,7 @@
 	if err := cmd.Start(); err != nil {
 		return 0, err
 	}
-	load := &fake.Traffic{Blocks: s.Block, Read: "artwork-read", Write: "job-new", Plan: "basis", Shards: 3, Clients: 8, Pause: 200 * time.Microsecond}
+	load := &fake.Traffic{BlockAddrs: s.Block, ReadClass: "artwork-read", WriteClass: "job-new", Plan: "basis", Shards: 3, Clients: 8, Pause: 200 * time.Microsecond}
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 	load.Run(ctx)
 	cancel()
