--- a/cmd/poppyarch/fleet_test.go
+++ b/cmd/poppyarch/fleet_test.go
@@ -36,7 +36,7 @@
 type runningFleet struct {
 	t       *testing.T
 	ctx     context.Context
-	cluster *cluster.Stack
+	cluster *cluster.Cluster
 	dir     string
 	traffic *fake.Traffic
 }
@@ -76,7 +76,7 @@
 // run runs a fleet command and fails the test if the command fails.
 func (f *runningFleet) run(args ...string) string {
 	f.t.Helper()
-	out, err := f.cluster.Run(args...)
+	out, err := f.cluster.RunFleetCommand(args...)
 	if err != nil {
 		f.t.Fatalf("fleet command %v: %v\n%s", args, err, out)
 	}
@@ -86,7 +86,7 @@
 // apply changes the instances' settings in the inventory and applies it.
 func (f *runningFleet) apply(settings map[string]string, args ...string) {
 	f.t.Helper()
-	if err := f.cluster.Inventory(settings); err != nil {
+	if err := f.cluster.WriteInventory(settings); err != nil {
 		f.t.Fatal(err)
 	}
 	f.run(append([]string{"apply"}, args...)...)
@@ -101,7 +101,7 @@
 			return o
 		}
 		if time.Now().After(end) {
-			out, _ := f.cluster.Run("status")
+			out, _ := f.cluster.RunFleetCommand("status")
 			f.t.Fatalf("%s: state not reached within %v; last error: %v\n%s", what, waitTimeout, err, out)
 		}
 	}
@@ -115,8 +115,8 @@
 // startTraffic starts clients that send requests until the returned function is called.
 func (f *runningFleet) startTraffic() (stop func()) {
 	f.traffic = &fake.Traffic{
-		BlockAddrs:     f.cluster.Block,
-		ObjectAddrs:    f.cluster.Front,
+		BlockAddrs:     f.cluster.BlockFrontendAddrs,
+		ObjectAddrs:    f.cluster.ObjectFrontendAddrs,
 		ReadClass:      "artwork-read",
 		WriteClass:     "job-new",
 		Plan:           "basis",
@@ -149,13 +149,13 @@
 		}
 	}
 	f.cluster.Kill("manager")
-	if _, err := f.cluster.Run("--timeout", "1s", "status"); processExitCode(err) != exitUnavailable {
+	if _, err := f.cluster.RunFleetCommand("--timeout", "1s", "status"); processExitCode(err) != exitUnavailable {
 		f.t.Errorf("status without a manager: %v, want exit code %d", err, exitUnavailable)
 	}
-	if err := f.cluster.Manager(); err != nil {
+	if err := f.cluster.StartManager(); err != nil {
 		f.t.Fatal(err)
 	}
-	if err := f.cluster.Agent(1); err != nil {
+	if err := f.cluster.StartAgent(1); err != nil {
 		f.t.Fatal(err)
 	}
 	f.awaitSettled("after the kills")
@@ -171,10 +171,10 @@
 	if o := f.awaitSettled("after the rollback"); o.Revision != 5 || len(o.Nodes) != 1 {
 		f.t.Errorf("revision %d, node overrides %v, want revision 5 and 1 override", o.Revision, o.Nodes)
 	}
-	seen := len(f.cluster.Stores[2].Commands())
+	seen := len(f.cluster.BlockServers[2].Commands())
 	served := f.traffic.Served.Load()
 	f.await("200 more requests served", func(api.Overview) bool { return f.traffic.Served.Load() > served+200 })
-	if now := len(f.cluster.Stores[2].Commands()); now != seen {
+	if now := len(f.cluster.BlockServers[2].Commands()); now != seen {
 		f.t.Errorf("%d commands reached drained node s-2, want none", now-seen)
 	}
 	f.run("nodes", "clear", "s-2", "--wait")
@@ -240,7 +240,7 @@
 		f.t.Errorf("%v, want none wrong, no time-outs and at least 300 served: %v", f.traffic, f.traffic.WrongResponseDetails())
 	}
 	var all [][]string
-	for _, b := range f.cluster.Stores {
+	for _, b := range f.cluster.BlockServers {
 		all = append(all, b.Commands())
 	}
 	if twice := fake.RepeatedWrites(all...); len(twice) > 0 {
@@ -252,7 +252,7 @@
 func TestFleetSurvivesKillsUnderLoad(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 4*time.Minute)
 	defer cancel()
-	f := startFleet(ctx, t, cluster.Options{Nodes: 3, Blocks: 5, Objects: 3, Agents: 2, Soak: 100 * time.Millisecond})
+	f := startFleet(ctx, t, cluster.Options{NodeCount: 3, BlockBrokers: 5, ObjectBrokers: 3, AgentCount: 2, SoakTime: 100 * time.Millisecond})
 	f.apply(map[string]string{"memory_mb": "96"}, "--note", "first")
 	f.awaitSettled("first apply")
 	stop := f.startTraffic()
@@ -276,15 +276,15 @@
 // TestFleetExitCodes checks the exit code and output of fleet commands against a manager without agents.
 func TestFleetExitCodes(t *testing.T) {
 	dir := t.TempDir()
-	s, err := cluster.New(cluster.Options{Dir: dir, Program: os.Args[0], Env: []string{"POPPYARCH_TEST_MAIN=1"}, Nodes: 1, Blocks: 2, Agents: 1})
+	s, err := cluster.New(cluster.Options{Dir: dir, Program: os.Args[0], Env: []string{"POPPYARCH_TEST_MAIN=1"}, NodeCount: 1, BlockBrokers: 2, AgentCount: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = s.Close() }()
-	if err := s.Inventory(map[string]string{"memory_mb": "96"}); err != nil {
+	if err := s.WriteInventory(map[string]string{"memory_mb": "96"}); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Manager(); err != nil {
+	if err := s.StartManager(); err != nil {
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(waitTimeout); ; time.Sleep(20 * time.Millisecond) {
@@ -328,12 +328,12 @@
 		{[]string{"--json", "history"}, 0, `"rev": 2`},
 		{[]string{"--config", bad, "status"}, exitUsage, "bad.csv:1"},
 	} {
-		out, err := s.Run(x.args...)
+		out, err := s.RunFleetCommand(x.args...)
 		if processExitCode(err) != x.code || !strings.Contains(out, x.text) {
 			t.Errorf("%v: exit %d, want %d and output with %q:\n%s", x.args, processExitCode(err), x.code, x.text, out)
 		}
 	}
-	out, err := s.Run("--json", "status")
+	out, err := s.RunFleetCommand("--json", "status")
 	var o api.Overview
 	if jerr := json.Unmarshal([]byte(out[:strings.LastIndex(out, "}")+1]), &o); jerr != nil || o.Revision != 2 || processExitCode(err) != exitUnhealthy {
 		t.Errorf("status as JSON: %v, want revision 2; command: %v, want exit code %d\n%s", jerr, err, exitUnhealthy, out)
--- a/cmd/poppyarch/incident_test.go
+++ b/cmd/poppyarch/incident_test.go
@@ -24,8 +24,8 @@
 	dir := t.TempDir()
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Minute)
 	defer cancel()
-	s, err := cluster.Up(ctx, cluster.Options{Dir: dir, Program: os.Args[0], Env: []string{"POPPYARCH_TEST_MAIN=1"}, Nodes: 4, Blocks: 3, Objects: 2, Agents: 1,
-		Soak: 50 * time.Millisecond, Aim: time.Second, Record: true})
+	s, err := cluster.StartNew(ctx, cluster.Options{Dir: dir, Program: os.Args[0], Env: []string{"POPPYARCH_TEST_MAIN=1"}, NodeCount: 4, BlockBrokers: 3, ObjectBrokers: 2,
+		AgentCount: 1, SoakTime: 50 * time.Millisecond, LatencyObjective: time.Second, WriteRecords: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,9 +35,9 @@
 			_ = s.Close()
 		}
 	}()
-	traffic := &fake.Traffic{BlockAddrs: s.Block, ObjectAddrs: s.Front, ReadClass: "artwork-read", WriteClass: "job-new", Plan: "basis", Shards: 4, Clients: 4,
-		Pause: 20 * time.Millisecond, RequestTimeout: 3 * time.Second}
-	episodes, gaps, err := s.Play(ctx, traffic, 700*time.Millisecond, func(string) {})
+	traffic := &fake.Traffic{BlockAddrs: s.BlockFrontendAddrs, ObjectAddrs: s.ObjectFrontendAddrs, ReadClass: "artwork-read", WriteClass: "job-new",
+		Plan: "basis", Shards: 4, Clients: 4, Pause: 20 * time.Millisecond, RequestTimeout: 3 * time.Second}
+	episodes, gaps, err := s.RunIncident(ctx, traffic, 700*time.Millisecond, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 	}
 	run := func(args ...string) string {
 		t.Helper()
-		cmd := exec.Command(os.Args[0], append([]string{"incident", "-r", s.Records()}, args...)...)
+		cmd := exec.Command(os.Args[0], append([]string{"incident", "-r", s.RecordsFolder()}, args...)...)
 		cmd.Env = append(os.Environ(), "POPPYARCH_TEST_MAIN=1")
 		out, err := cmd.Output()
 		if err != nil {
@@ -92,7 +92,7 @@
 	if err != nil || !strings.Contains(string(page), "broker dead") || strings.Contains(string(page), "src=\"http") {
 		t.Errorf("HTML report: %v, %d bytes, want a dead broker and no external sources", err, len(page))
 	}
-	if text := run("diff", s.Records(), filepath.Join(into, "records")); !strings.Contains(text, "broker dead") {
+	if text := run("diff", s.RecordsFolder(), filepath.Join(into, "records")); !strings.Contains(text, "broker dead") {
 		t.Errorf("diff does not show a dead broker:\n%s", text)
 	}
 }
--- a/cmd/poppyarch/nodes_test.go
+++ b/cmd/poppyarch/nodes_test.go
@@ -18,18 +18,18 @@
 	dir := t.TempDir()
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Minute)
 	defer cancel()
-	s, err := cluster.Up(ctx, cluster.Options{Dir: dir, Program: os.Args[0], Env: []string{"POPPYARCH_TEST_MAIN=1"}, Nodes: 4, Blocks: 2, Objects: 1, Agents: 1,
-		Soak: 50 * time.Millisecond, Aim: 2 * time.Second, Lists: true})
+	s, err := cluster.StartNew(ctx, cluster.Options{Dir: dir, Program: os.Args[0], Env: []string{"POPPYARCH_TEST_MAIN=1"}, NodeCount: 4, BlockBrokers: 2, ObjectBrokers: 1,
+		AgentCount: 1, SoakTime: 50 * time.Millisecond, LatencyObjective: 2 * time.Second, NodesFromFile: true})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = s.Close() }()
-	traffic := &fake.Traffic{BlockAddrs: s.Block, ObjectAddrs: s.Front, ReadClass: "artwork-read", WriteClass: "job-new", Plan: "basis", Shards: 4, Clients: 3,
-		Pause: 10 * time.Millisecond}
+	traffic := &fake.Traffic{BlockAddrs: s.BlockFrontendAddrs, ObjectAddrs: s.ObjectFrontendAddrs, ReadClass: "artwork-read", WriteClass: "job-new",
+		Plan: "basis", Shards: 4, Clients: 3, Pause: 10 * time.Millisecond}
 	trafficCtx, stop := context.WithCancel(ctx)
 	var running sync.WaitGroup
 	running.Go(func() { traffic.Run(trafficCtx) })
-	edits, err := s.Edits(ctx, 400*time.Millisecond, waitTimeout)
+	edits, err := s.MeasureListEdits(ctx, 400*time.Millisecond, waitTimeout)
 	stop()
 	running.Wait()
 	if err != nil {
--- a/examples/tour/main.go
+++ b/examples/tour/main.go
@@ -37,7 +37,7 @@
 
 // guide runs the steps of the tour and prints their results.
 type guide struct {
-	cluster *cluster.Stack
+	cluster *cluster.Cluster
 	start   time.Time
 	pace    time.Duration
 }
@@ -56,7 +56,7 @@
 // runFleet runs a fleet command and prints it with its output.
 func (g *guide) runFleet(args ...string) error {
 	fmt.Println("$ poppyarch fleet", strings.Join(args, " "))
-	out, err := g.cluster.Run(args...)
+	out, err := g.cluster.RunFleetCommand(args...)
 	for _, line := range strings.Split(strings.TrimRight(out, "\n"), "\n") {
 		fmt.Println("    " + line)
 	}
@@ -88,7 +88,7 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
-	s, err := cluster.New(cluster.Options{Dir: dir, Program: program, Nodes: 3, Blocks: 3, Objects: 2, Agents: 2, Soak: 500 * time.Millisecond})
+	s, err := cluster.New(cluster.Options{Dir: dir, Program: program, NodeCount: 3, BlockBrokers: 3, ObjectBrokers: 2, AgentCount: 2, SoakTime: 500 * time.Millisecond})
 	if err != nil {
 		return err
 	}
@@ -102,8 +102,8 @@
 		return err
 	}
 	load := &fake.Traffic{
-		BlockAddrs:  s.Block,
-		ObjectAddrs: s.Front,
+		BlockAddrs:  s.BlockFrontendAddrs,
+		ObjectAddrs: s.ObjectFrontendAddrs,
 		ReadClass:   "artwork-read",
 		WriteClass:  "job-new",
 		Plan:        "basis",
@@ -130,7 +130,7 @@
 		return err
 	}
 	g.logf("discovery and the storage nodes serve; the manager answers; the agents have registered")
-	if err := g.cluster.Inventory(map[string]string{"memory_mb": "96"}); err != nil {
+	if err := g.cluster.WriteInventory(map[string]string{"memory_mb": "96"}); err != nil {
 		return err
 	}
 	text, err := os.ReadFile(filepath.Join(dir, "inventory.yaml"))
@@ -180,7 +180,7 @@
 // killBrokerDuringRollout rolls out a change and kills a broker before it is complete.
 func (g *guide) killBrokerDuringRollout(ctx context.Context) error {
 	g.heading("A change that restarts every broker, and a broker killed during the rollout")
-	if err := g.cluster.Inventory(map[string]string{"memory_mb": "128", "log": "debug"}); err != nil {
+	if err := g.cluster.WriteInventory(map[string]string{"memory_mb": "128", "log": "debug"}); err != nil {
 		return err
 	}
 	if err := g.runFleet("plan"); err != nil {
--- a/internal/lab/load/install.go
+++ b/internal/lab/load/install.go
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	addrs, err := cluster.Ports(in.Scenario.Brokers)
+	addrs, err := cluster.FreeAddresses(in.Scenario.Brokers)
 	if err != nil {
 		return err
 	}
--- a/internal/testkit/cluster/cluster.go
+++ b/internal/testkit/cluster/cluster.go
@@ -27,32 +27,32 @@
 
 // Options describes an installation.
 type Options struct {
-	Dir     string        // an empty folder, which takes all files of the installation
-	Program string        // path of the poppyarch binary
-	Env     []string      // added to the environment of every process
-	Nodes   int           // number of storage nodes
-	Blocks  int           // number of brokers with a block frontend
-	Objects int           // number of brokers with an object frontend
-	Agents  int           // number of agents
-	Soak    time.Duration // soak time of a rollout wave; 0 means 500 ms
-	Log     io.Writer     // log output of the manager and the agents; nil means a file in Dir for each
-	Aim     time.Duration // latency objective of every class; 0 means 20 s, so that a slow machine fails no test
-	Record  bool          // brokers write records to Dir/records
-	Lists   bool          // nodes are listed in Dir/nodes.csv instead of by discovery
+	Dir              string        // an empty folder, which takes all files of the installation
+	Program          string        // path of the poppyarch binary
+	Env              []string      // added to the environment of every process
+	NodeCount        int           // number of storage nodes
+	BlockBrokers     int           // number of brokers with a block frontend
+	ObjectBrokers    int           // number of brokers with an object frontend
+	AgentCount       int           // number of agents
+	SoakTime         time.Duration // soak time of a rollout wave; 0 means 500 ms
+	LogOutput        io.Writer     // log output of the manager and the agents; nil means a file in Dir for each
+	LatencyObjective time.Duration // latency objective of every class; 0 means 20 s, so that a slow machine fails no test
+	WriteRecords     bool          // brokers write records to Dir/records
+	NodesFromFile    bool          // nodes are listed in Dir/nodes.csv instead of by discovery
 }
 
-// Stack is a running installation.
-type Stack struct {
-	options      Options
-	Config       string // path of fleet.toml, which the manager and the command line read
-	Client       *api.Client
-	Discovery    *fake.Discovery
-	Stores       []*fake.BlockServer  // the nodes' block servers
-	ObjectStores []*fake.ObjectServer // the nodes' object servers
-	Block        []string             // addresses of the brokers' block frontends
-	Front        []string             // addresses of the brokers' object frontends
-	blockAddrs   []string             // addresses of Stores
-	objectAddrs  []string             // addresses of ObjectStores
+// Cluster is a running installation.
+type Cluster struct {
+	options             Options
+	ConfigPath          string // path of fleet.toml, which the manager and the command line read
+	Client              *api.Client
+	Discovery           *fake.Discovery
+	BlockServers        []*fake.BlockServer  // the nodes' block servers
+	ObjectServers       []*fake.ObjectServer // the nodes' object servers
+	BlockFrontendAddrs  []string             // addresses of the brokers' block frontends
+	ObjectFrontendAddrs []string             // addresses of the brokers' object frontends
+	blockServerAddrs    []string             // addresses of BlockServers
+	objectServerAddrs   []string             // addresses of ObjectServers
 
 	stops []func()
 	mu    sync.Mutex
@@ -60,8 +60,8 @@
 }
 
 // New starts the fakes and writes the configuration files. Start starts the processes.
-func New(o Options) (*Stack, error) {
-	s := &Stack{options: o, procs: map[string]*exec.Cmd{}, Discovery: fake.NewDiscovery(), Config: filepath.Join(o.Dir, "fleet.toml")}
+func New(o Options) (*Cluster, error) {
+	s := &Cluster{options: o, procs: map[string]*exec.Cmd{}, Discovery: fake.NewDiscovery(), ConfigPath: filepath.Join(o.Dir, "fleet.toml")}
 	serve := func(f func(net.Listener) error) (string, error) {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -71,7 +71,7 @@
 		s.stops = append(s.stops, func() { _ = ln.Close() })
 		return ln.Addr().String(), nil
 	}
-	for k := range o.Nodes {
+	for k := range o.NodeCount {
 		blocks, objects := fake.NewBlockServer(), fake.NewObjectServer()
 		blockAddr, err := serve(blocks.Serve)
 		if err != nil {
@@ -81,9 +81,9 @@
 		if err != nil {
 			return nil, err
 		}
-		s.Stores, s.ObjectStores = append(s.Stores, blocks), append(s.ObjectStores, objects)
-		s.blockAddrs, s.objectAddrs = append(s.blockAddrs, blockAddr), append(s.objectAddrs, objectAddr)
-		if o.Lists {
+		s.BlockServers, s.ObjectServers = append(s.BlockServers, blocks), append(s.ObjectServers, objects)
+		s.blockServerAddrs, s.objectServerAddrs = append(s.blockServerAddrs, blockAddr), append(s.objectServerAddrs, objectAddr)
+		if o.NodesFromFile {
 			continue
 		}
 		s.Discovery.SetEndpoints(discovery.Endpoint{ID: fmt.Sprint("s-", k), Addr: blockAddr, ObjectAddr: objectAddr, Zone: "room", Model: "toy", Shard: k,
@@ -93,7 +93,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if o.Lists {
+	if o.NodesFromFile {
 		if err := s.writeFile("nodes.csv", s.NodeList(nil)); err != nil {
 			return nil, err
 		}
@@ -101,18 +101,18 @@
 	if err := s.writeFile("broker.json", s.brokerConfig(discoveryAddr)); err != nil {
 		return nil, err
 	}
-	ports, err := Ports(o.Blocks + o.Objects + 1)
+	addrs, err := FreeAddresses(o.BlockBrokers + o.ObjectBrokers + 1)
 	if err != nil {
 		return nil, err
 	}
-	s.Block, s.Front = ports[:o.Blocks], ports[o.Blocks:o.Blocks+o.Objects]
-	managerAddr := ports[o.Blocks+o.Objects]
-	soak := o.Soak
+	s.BlockFrontendAddrs, s.ObjectFrontendAddrs = addrs[:o.BlockBrokers], addrs[o.BlockBrokers:o.BlockBrokers+o.ObjectBrokers]
+	managerAddr := addrs[o.BlockBrokers+o.ObjectBrokers]
+	soak := o.SoakTime
 	if soak == 0 {
 		soak = 500 * time.Millisecond
 	}
 	s.Client = api.NewClient(managerAddr)
-	for k := range o.Agents {
+	for k := range o.AgentCount {
 		text := fmt.Sprintf("[agent]\nname = \"m%d\"\nmanager = %q\njournal = \"agent%d\"\nrun_dir = \"run%d\"\nlook = \"300ms\"\n",
 			k+1, managerAddr, k+1, k+1)
 		if err := s.writeFile(fmt.Sprintf("agent%d.toml", k+1), text); err != nil {
@@ -124,22 +124,22 @@
 		managerAddr, managerAddr, soak.Milliseconds()))
 }
 
-// Ports returns n free addresses on loopback. They are no longer bound when Ports returns; the system does not assign
-// the same port again soon.
-func Ports(n int) (out []string, err error) {
+// FreeAddresses returns n free addresses on loopback. They are no longer bound when FreeAddresses returns; the system
+// does not assign the same port again soon.
+func FreeAddresses(n int) (addrs []string, err error) {
 	for range n {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
 		}
 		defer func() { _ = ln.Close() }()
-		out = append(out, ln.Addr().String())
+		addrs = append(addrs, ln.Addr().String())
 	}
-	return out, nil
+	return addrs, nil
 }
 
 // writeFile replaces a file in the installation's folder atomically.
-func (s *Stack) writeFile(name, text string) error {
+func (s *Cluster) writeFile(name, text string) error {
 	tmp := filepath.Join(s.options.Dir, ".new")
 	if err := os.WriteFile(tmp, []byte(text), 0o600); err != nil {
 		return err
@@ -148,9 +148,9 @@
 }
 
 // brokerConfig returns the configuration that all brokers share.
-func (s *Stack) brokerConfig(discoveryAddr string) string {
+func (s *Cluster) brokerConfig(discoveryAddr string) string {
 	type m = map[string]any
-	aim := s.options.Aim
+	aim := s.options.LatencyObjective
 	if aim == 0 {
 		aim = 20 * time.Second
 	}
@@ -159,22 +159,22 @@
 	}
 	doc := m{
 		"discovery": discoveryAddr, "known": s.Discovery.List(-1), "limits": m{"cores": 1, "memory_mb": 96, "sockets": 512},
-		"settings": m{"balancers": s.options.Blocks + s.options.Objects, "discovery": "ask", "zones": []string{"room"},
+		"settings": m{"balancers": s.options.BlockBrokers + s.options.ObjectBrokers, "discovery": "ask", "zones": []string{"room"},
 			"classes": []m{class("artwork-read", "retryable"), class("job-new", "fragile"), class("object-read", "retryable"),
 				class("object-write", "retryable"), class("object-complete", "fragile")},
 			"policies":  []m{{"name": "basis", "shares": 1, "value_factor": 1, "usual_rate": 5000, "floor_rate": 5000}},
 			"contract":  m{"ask_within_ns": 10e9, "cold_from": 0.5, "tip_after_ns": 50e6, "warm_after_ns": 100e6},
 			"limits":    m{"send_cap": 3, "connect_timeout_ns": 2e9, "keepalive_ns": 30e9, "retry_after": true, "max_retry_after_ns": 2e9},
-			"specifics": m{"mean_units": 1, "max_units": 8, "n_shards": s.options.Nodes, "cold_bears": 5000, "fair_worth": 0.3}},
+			"specifics": m{"mean_units": 1, "max_units": 8, "n_shards": s.options.NodeCount, "cold_bears": 5000, "fair_worth": 0.3}},
 		"object": m{"listen": "127.0.0.1:0", "read_class": "object-read", "write_class": "object-write", "complete_class": "object-complete",
 			"default_plan": "basis"},
 		"tuning": m{"drain_serve": 300000, "drain_accept": 300000, "drain_answer": 2500000, "drain_total": 4000000},
 	}
-	if s.options.Lists {
+	if s.options.NodesFromFile {
 		doc["nodes"] = m{"files": []string{filepath.Join(s.options.Dir, "nodes.csv")}}
 	}
-	if s.options.Record {
-		doc["record"] = m{"dir": s.Records()}
+	if s.options.WriteRecords {
+		doc["record"] = m{"dir": s.RecordsFolder()}
 	}
 	b, err := json.MarshalIndent(doc, "", " ")
 	if err != nil {
@@ -183,9 +183,9 @@
 	return string(b)
 }
 
-// Inventory writes an inventory with all brokers, which are assigned to the agents in turn. vars are settings of every
-// broker.
-func (s *Stack) Inventory(vars map[string]string) error {
+// WriteInventory writes an inventory with all brokers, which are assigned to the agents in turn. vars are settings of
+// every broker.
+func (s *Cluster) WriteInventory(vars map[string]string) error {
 	var b strings.Builder
 	b.WriteString("all:\n  vars:\n    config: broker.json\n")
 	for _, key := range []string{"memory_mb", "sockets", "log", "max_open", "config"} {
@@ -194,26 +194,26 @@
 		}
 	}
 	b.WriteString("  children:\n    blocks:\n      hosts:\n")
-	for k, addr := range s.Block {
-		fmt.Fprintf(&b, "        b%d: {listen: %q, agent: m%d}\n", k+1, addr, k%s.options.Agents+1)
+	for k, addr := range s.BlockFrontendAddrs {
+		fmt.Fprintf(&b, "        b%d: {listen: %q, agent: m%d}\n", k+1, addr, k%s.options.AgentCount+1)
 	}
 	b.WriteString("    objects:\n      hosts:\n")
-	for k, addr := range s.Front {
-		fmt.Fprintf(&b, "        o%d: {object_listen: %q, agent: m%d}\n", k+1, addr, k%s.options.Agents+1)
+	for k, addr := range s.ObjectFrontendAddrs {
+		fmt.Fprintf(&b, "        o%d: {object_listen: %q, agent: m%d}\n", k+1, addr, k%s.options.AgentCount+1)
 	}
 	return s.writeFile("inventory.yaml", b.String())
 }
 
-// Records returns the folder that brokers write records to if Options.Record is set.
-func (s *Stack) Records() string { return filepath.Join(s.options.Dir, "records") }
+// RecordsFolder returns the folder that brokers write records to if Options.WriteRecords is set.
+func (s *Cluster) RecordsFolder() string { return filepath.Join(s.options.Dir, "records") }
 
 // NodeList returns a node list in CSV with all nodes. edit may replace a node's row, and drops the row if it returns
 // "".
-func (s *Stack) NodeList(edit func(node int, row string) string) string {
+func (s *Cluster) NodeList(edit func(node int, row string) string) string {
 	var b strings.Builder
 	b.WriteString("id,addr,objects,shard,state\n")
-	for k := range s.blockAddrs {
-		row := fmt.Sprintf("s-%d,%s,%s,%d,up", k, s.blockAddrs[k], s.objectAddrs[k], k)
+	for k := range s.blockServerAddrs {
+		row := fmt.Sprintf("s-%d,%s,%s,%d,up", k, s.blockServerAddrs[k], s.objectServerAddrs[k], k)
 		if edit != nil {
 			row = edit(k, row)
 		}
@@ -224,21 +224,23 @@
 	return b.String()
 }
 
-// Manager starts the manager.
-func (s *Stack) Manager() error { return s.startProcess("manager", "fleet", "manager", "-c", s.Config) }
+// StartManager starts the manager.
+func (s *Cluster) StartManager() error {
+	return s.startProcess("manager", "fleet", "manager", "-c", s.ConfigPath)
+}
 
-// Agent starts agent k, counted from 1.
-func (s *Stack) Agent(k int) error {
+// StartAgent starts agent k, counted from 1.
+func (s *Cluster) StartAgent(k int) error {
 	return s.startProcess(fmt.Sprint("agent", k), "fleet", "agent", "-c", filepath.Join(s.options.Dir, fmt.Sprintf("agent%d.toml", k)), "--drain")
 }
 
 // Start starts the manager and all agents, and waits until the manager answers.
-func (s *Stack) Start(ctx context.Context) error {
-	if err := s.Manager(); err != nil {
+func (s *Cluster) Start(ctx context.Context) error {
+	if err := s.StartManager(); err != nil {
 		return err
 	}
-	for k := range s.options.Agents {
-		if err := s.Agent(k + 1); err != nil {
+	for k := range s.options.AgentCount {
+		if err := s.StartAgent(k + 1); err != nil {
 			return err
 		}
 	}
@@ -251,19 +253,19 @@
 	}
 }
 
-// Up creates and starts an installation in an empty folder, and returns once all brokers run.
-func Up(ctx context.Context, o Options) (*Stack, error) {
+// StartNew creates and starts an installation in an empty folder, and returns once all brokers run.
+func StartNew(ctx context.Context, o Options) (*Cluster, error) {
 	s, err := New(o)
 	if err != nil {
 		return nil, err
 	}
 	err = s.Start(ctx)
 	if err == nil {
-		err = s.Inventory(map[string]string{"memory_mb": "96"})
+		err = s.WriteInventory(map[string]string{"memory_mb": "96"})
 	}
 	if err == nil {
 		var out string
-		if out, err = s.Run("apply", "--wait"); err != nil {
+		if out, err = s.RunFleetCommand("apply", "--wait"); err != nil {
 			err = fmt.Errorf("%w: %s", err, out)
 		}
 	}
@@ -274,14 +276,14 @@
 }
 
 // startProcess starts a poppyarch process. name is the key for Kill and the base name of the log file.
-func (s *Stack) startProcess(name string, args ...string) error {
+func (s *Cluster) startProcess(name string, args ...string) error {
 	cmd := exec.Command(s.options.Program, args...)
 	cmd.Env = append(os.Environ(), s.options.Env...)
 	// A process group of its own: signals to the group of this process, such as an interrupt from the terminal, do not
 	// reach it. Close ends it.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
-	if s.options.Log != nil {
-		cmd.Stderr = s.options.Log
+	if s.options.LogOutput != nil {
+		cmd.Stderr = s.options.LogOutput
 	} else {
 		f, err := os.OpenFile(filepath.Join(s.options.Dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 		if err != nil {
@@ -300,7 +302,7 @@
 }
 
 // Kill sends SIGKILL to the manager ("manager") or an agent ("agent1") and waits until it has ended.
-func (s *Stack) Kill(name string) {
+func (s *Cluster) Kill(name string) {
 	s.mu.Lock()
 	cmd := s.procs[name]
 	delete(s.procs, name)
@@ -311,16 +313,16 @@
 	}
 }
 
-// Run runs "poppyarch fleet" with args and returns its output.
-func (s *Stack) Run(args ...string) (string, error) {
-	cmd := exec.Command(s.options.Program, append([]string{"fleet", "-c", s.Config}, args...)...)
+// RunFleetCommand runs "poppyarch fleet" with args and returns its output.
+func (s *Cluster) RunFleetCommand(args ...string) (string, error) {
+	cmd := exec.Command(s.options.Program, append([]string{"fleet", "-c", s.ConfigPath}, args...)...)
 	cmd.Env = append(os.Environ(), s.options.Env...)
 	out, err := cmd.CombinedOutput()
 	return string(out), err
 }
 
 // BrokerProcess returns the process and the incarnation of a broker according to its last report to the manager.
-func (s *Stack) BrokerProcess(ctx context.Context, name string) (process.Identity, string, error) {
+func (s *Cluster) BrokerProcess(ctx context.Context, name string) (process.Identity, string, error) {
 	o, err := s.Client.Overview(ctx, []string{name}, nil)
 	if err != nil || len(o.Instances) != 1 {
 		return process.Identity{}, "", fmt.Errorf("%s: %d instances, %w", name, len(o.Instances), err)
@@ -334,7 +336,7 @@
 }
 
 // KillBroker sends SIGKILL to a broker.
-func (s *Stack) KillBroker(ctx context.Context, name string) error {
+func (s *Cluster) KillBroker(ctx context.Context, name string) error {
 	id, _, err := s.BrokerProcess(ctx, name)
 	if err != nil {
 		return err
@@ -344,7 +346,7 @@
 
 // Close stops the installation. The agents drain their brokers; processes that do not end in time are killed. It
 // returns an error if a broker outlived its agent.
-func (s *Stack) Close() error {
+func (s *Cluster) Close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	var brokers []process.Identity
--- a/internal/testkit/cluster/incident_script.go
+++ b/internal/testkit/cluster/incident_script.go
@@ -20,15 +20,15 @@
 
 // HangNode makes a node accept requests without answering them until release is called. Requests received in between
 // are never answered.
-func (s *Stack) HangNode(node int) (release func()) {
-	s.Stores[node].SetHook(func(redcon.Conn, redcon.Command) bool { return true })
-	s.ObjectStores[node].SetHook(func(_ http.ResponseWriter, r *http.Request, _ func()) {
+func (s *Cluster) HangNode(node int) (release func()) {
+	s.BlockServers[node].SetHook(func(redcon.Conn, redcon.Command) bool { return true })
+	s.ObjectServers[node].SetHook(func(_ http.ResponseWriter, r *http.Request, _ func()) {
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
 	})
 	return func() {
-		s.Stores[node].SetHook(nil)
-		s.ObjectStores[node].SetHook(nil)
+		s.BlockServers[node].SetHook(nil)
+		s.ObjectServers[node].SetHook(nil)
 	}
 }
 
@@ -41,10 +41,10 @@
 	restartPoll = 5 * time.Millisecond
 )
 
-// incidentScript is the state of a run of Play. It records what actually happens, for comparison with an analysis.
+// incidentScript is the state of a run of RunIncident. It records what actually happens, for comparison with an analysis.
 type incidentScript struct {
 	ctx      context.Context
-	cluster  *Stack
+	cluster  *Cluster
 	traffic  *fake.Traffic
 	unit     time.Duration // the script's unit of time
 	log      func(string)
@@ -52,10 +52,11 @@
 	gaps     []check.ActualGap
 }
 
-// Play runs a scripted incident on a running fleet under the given traffic and returns the episodes and recording gaps
-// that it caused. A storage node stops answering while brokers are killed, a node is drained while discovery is down,
-// and the traffic of a volume surges. The script's delays are multiples of unit. log receives a line for each step.
-func (s *Stack) Play(ctx context.Context, traffic *fake.Traffic, unit time.Duration, log func(string)) ([]check.ActualEpisode, []check.ActualGap, error) {
+// RunIncident runs a scripted incident on a running fleet under the given traffic and returns the episodes and recording
+// gaps that it caused. A storage node stops answering while brokers are killed, a node is drained while discovery is
+// down, and the traffic of a volume surges. The script's delays are multiples of unit. log receives a line for each
+// step.
+func (s *Cluster) RunIncident(ctx context.Context, traffic *fake.Traffic, unit time.Duration, log func(string)) ([]check.ActualEpisode, []check.ActualGap, error) {
 	loadCtx, stop := context.WithCancel(ctx)
 	var load sync.WaitGroup
 	load.Go(func() { traffic.Run(loadCtx) })
@@ -176,7 +177,7 @@
 	x.log("traffic of a volume surges")
 	begin := now()
 	extra := &fake.Traffic{
-		BlockAddrs: x.cluster.Block,
+		BlockAddrs: x.cluster.BlockFrontendAddrs,
 		ReadClass:  x.traffic.ReadClass,
 		WriteClass: x.traffic.WriteClass,
 		Plan:       x.traffic.Plan,
--- a/internal/testkit/cluster/list_edits.go
+++ b/internal/testkit/cluster/list_edits.go
@@ -64,7 +64,7 @@
 
 // listEditor edits the node list and observes which nodes receive requests.
 type listEditor struct {
-	cluster     *Stack
+	cluster     *Cluster
 	path        string // path of the node list
 	arrivals    *arrivals
 	quietPeriod time.Duration // a node without requests for this long is regarded as unused
@@ -72,15 +72,15 @@
 	results     []EditResult
 }
 
-// Edits edits the node list of a fleet under load in every way that brokers have to handle, and measures when requests
-// stop reaching the node that was removed, drained or moved. A node without requests for quietPeriod is regarded as
-// unused. timeout bounds each wait. Edits returns an error if requests keep reaching such a node, or stop reaching
-// another one.
-func (s *Stack) Edits(ctx context.Context, quietPeriod, timeout time.Duration) ([]EditResult, error) {
+// MeasureListEdits edits the node list of a fleet under load in every way that brokers have to handle, and measures when
+// requests stop reaching the node that was removed, drained or moved. A node without requests for quietPeriod is
+// regarded as unused. timeout bounds each wait. MeasureListEdits returns an error if requests keep reaching such a node,
+// or stop reaching another one.
+func (s *Cluster) MeasureListEdits(ctx context.Context, quietPeriod, timeout time.Duration) ([]EditResult, error) {
 	e := &listEditor{
 		cluster:     s,
 		path:        filepath.Join(s.options.Dir, listFile),
-		arrivals:    &arrivals{times: make([][]time.Time, len(s.Stores))},
+		arrivals:    &arrivals{times: make([][]time.Time, len(s.BlockServers))},
 		quietPeriod: quietPeriod,
 		timeout:     timeout,
 	}
@@ -97,12 +97,12 @@
 
 // observeNodes records the requests that reach each node.
 func (e *listEditor) observeNodes() {
-	for node := range e.cluster.Stores {
-		e.cluster.Stores[node].SetHook(func(redcon.Conn, redcon.Command) bool {
+	for node := range e.cluster.BlockServers {
+		e.cluster.BlockServers[node].SetHook(func(redcon.Conn, redcon.Command) bool {
 			e.arrivals.record(node)
 			return false
 		})
-		e.cluster.ObjectStores[node].SetHook(func(_ http.ResponseWriter, _ *http.Request, next func()) {
+		e.cluster.ObjectServers[node].SetHook(func(_ http.ResponseWriter, _ *http.Request, next func()) {
 			e.arrivals.record(node)
 			next()
 		})
@@ -122,7 +122,7 @@
 		{"state draining, in place", 1, func() error { return e.writeInPlace(e.listWith(1, ",up", ",draining")) }},
 		{"state out, by rename", 2, func() error { return e.replaceFile(e.listWith(2, ",up", ",out")) }},
 		{"moved to another address, which nobody serves", 3, func() error {
-			return e.replaceFile(e.listWith(3, e.cluster.blockAddrs[3]+","+e.cluster.objectAddrs[3], "127.0.0.1:1,127.0.0.1:1"))
+			return e.replaceFile(e.listWith(3, e.cluster.blockServerAddrs[3]+","+e.cluster.objectServerAddrs[3], "127.0.0.1:1,127.0.0.1:1"))
 		}},
 	} {
 		if err := e.measure(ctx, step.name, step.node, step.write); err != nil {
@@ -175,7 +175,7 @@
 // writeFaultyLists writes faulty lists and removes the file. Brokers must keep using all nodes.
 func (e *listEditor) writeFaultyLists(ctx context.Context) error {
 	for _, write := range []func() error{
-		func() error { return e.replaceFile(e.listWith(2, e.cluster.blockAddrs[2], "nowhere")) },
+		func() error { return e.replaceFile(e.listWith(2, e.cluster.blockServerAddrs[2], "nowhere")) },
 		func() error { return e.writeInPlace("id,addr\n\"s-0") },
 		func() error { return os.Remove(e.path) },
 		func() error { return e.replaceFile("id,addr,objects,shard,state\n") }, // the removal of all rows is held back
@@ -184,7 +184,7 @@
 			return err
 		}
 		time.Sleep(faultyListPause)
-		for node := range e.cluster.Stores {
+		for node := range e.cluster.BlockServers {
 			if err := e.awaitRequests(ctx, node); err != nil {
 				return fmt.Errorf("after a faulty list: %w", err)
 			}
@@ -220,7 +220,8 @@
 // overrideDiscovery lists a node as out that discovery reports as up. The stricter source must win.
 func (e *listEditor) overrideDiscovery(ctx context.Context) error {
 	s := e.cluster
-	s.Discovery.SetEndpoints(discovery.Endpoint{ID: "s-2", Addr: s.blockAddrs[2], ObjectAddr: s.objectAddrs[2], Zone: "room", Shard: 2, State: "up", Capacity: 1})
+	s.Discovery.SetEndpoints(discovery.Endpoint{ID: "s-2", Addr: s.blockServerAddrs[2], ObjectAddr: s.objectServerAddrs[2], Zone: "room", Shard: 2,
+		State: "up", Capacity: 1})
 	takeOut := func() error { return e.replaceFile(e.listWith(2, ",up", ",out")) }
 	if err := e.measure(ctx, "out, though discovery has it up", 2, takeOut); err != nil {
 		return err
--- a/tools/measure/fleet.go
+++ b/tools/measure/fleet.go
@@ -33,7 +33,7 @@
 	for run := range runs {
 		for _, variant := range []struct {
 			name    string
-			rollout func(context.Context, *cluster.Stack, *fake.Traffic, string) (time.Duration, time.Duration, error)
+			rollout func(context.Context, *cluster.Cluster, *fake.Traffic, string) (time.Duration, time.Duration, error)
 		}{{"fleet", rolloutByManager}, {"fleet, agent killed in it", rolloutByManagerWithCrash}, {"single agent", rolloutBySingleAgent}, {"single agent, killed", rolloutBySingleAgentWithCrash}} {
 			if err := measureRollout(variant.name, run+1, variant.rollout); err != nil {
 				return fmt.Errorf("%s: %w", variant.name, err)
@@ -45,20 +45,20 @@
 
 // measureRollout runs one variant on an installation of its own and prints its row of the table. rollout returns the
 // times that the start and the change of all brokers took.
-func measureRollout(name string, run int, rollout func(context.Context, *cluster.Stack, *fake.Traffic, string) (time.Duration, time.Duration, error)) error {
+func measureRollout(name string, run int, rollout func(context.Context, *cluster.Cluster, *fake.Traffic, string) (time.Duration, time.Duration, error)) error {
 	dir, err := os.MkdirTemp("", "fleet")
 	if err != nil {
 		return err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	s, err := cluster.New(cluster.Options{Dir: dir, Program: program, Nodes: 3, Blocks: 5, Objects: 3, Agents: 1, Soak: 100 * time.Millisecond})
+	s, err := cluster.New(cluster.Options{Dir: dir, Program: program, NodeCount: 3, BlockBrokers: 5, ObjectBrokers: 3, AgentCount: 1, SoakTime: 100 * time.Millisecond})
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
-	load := &fake.Traffic{BlockAddrs: s.Block, ObjectAddrs: s.Front, ReadClass: "artwork-read", WriteClass: "job-new", Plan: "basis", Shards: 3, Clients: 4,
-		Pause: 5 * time.Millisecond}
+	load := &fake.Traffic{BlockAddrs: s.BlockFrontendAddrs, ObjectAddrs: s.ObjectFrontendAddrs, ReadClass: "artwork-read", WriteClass: "job-new",
+		Plan: "basis", Shards: 3, Clients: 4, Pause: 5 * time.Millisecond}
 	start, change, err := rollout(ctx, s, load, program)
 	if closeErr := s.Close(); err == nil {
 		err = closeErr
@@ -87,7 +87,7 @@
 }
 
 // waitUntilSettled waits until the manager reports that all instances run as specified.
-func waitUntilSettled(ctx context.Context, s *cluster.Stack) error {
+func waitUntilSettled(ctx context.Context, s *cluster.Cluster) error {
 	for ctx.Err() == nil {
 		if o, err := s.Client.Overview(ctx, nil, nil); err == nil && o.Settled && o.Revision > 0 {
 			return nil
@@ -98,48 +98,48 @@
 }
 
 // startFleet starts the manager, the agents and all brokers. It returns how long the apply command took.
-func startFleet(ctx context.Context, s *cluster.Stack) (time.Duration, error) {
+func startFleet(ctx context.Context, s *cluster.Cluster) (time.Duration, error) {
 	if err := s.Start(ctx); err != nil {
 		return 0, err
 	}
-	if err := s.Inventory(map[string]string{"memory_mb": "96"}); err != nil {
+	if err := s.WriteInventory(map[string]string{"memory_mb": "96"}); err != nil {
 		return 0, err
 	}
 	begin := time.Now()
-	if out, err := s.Run("apply"); err != nil {
+	if out, err := s.RunFleetCommand("apply"); err != nil {
 		return 0, fmt.Errorf("%w: %s", err, out)
 	}
 	return time.Since(begin), waitUntilSettled(ctx, s)
 }
 
-func rolloutByManager(ctx context.Context, s *cluster.Stack, load *fake.Traffic, _ string) (start, change time.Duration, err error) {
+func rolloutByManager(ctx context.Context, s *cluster.Cluster, load *fake.Traffic, _ string) (start, change time.Duration, err error) {
 	return changeByManager(ctx, s, load, false)
 }
 
-func rolloutByManagerWithCrash(ctx context.Context, s *cluster.Stack, load *fake.Traffic, _ string) (start, change time.Duration, err error) {
+func rolloutByManagerWithCrash(ctx context.Context, s *cluster.Cluster, load *fake.Traffic, _ string) (start, change time.Duration, err error) {
 	return changeByManager(ctx, s, load, true)
 }
 
 // changeByManager starts the brokers and changes all of them through the fleet's manager. With kill, the agent is
 // killed during the change and restarted a second later.
-func changeByManager(ctx context.Context, s *cluster.Stack, load *fake.Traffic, kill bool) (start, change time.Duration, err error) {
+func changeByManager(ctx context.Context, s *cluster.Cluster, load *fake.Traffic, kill bool) (start, change time.Duration, err error) {
 	begin := time.Now()
 	if _, err = startFleet(ctx, s); err != nil {
 		return
 	}
 	start = time.Since(begin)
 	change, err = timeUnderLoad(ctx, load, func() error {
-		if err := s.Inventory(map[string]string{"memory_mb": "128"}); err != nil {
+		if err := s.WriteInventory(map[string]string{"memory_mb": "128"}); err != nil {
 			return err
 		}
-		if out, err := s.Run("apply"); err != nil {
+		if out, err := s.RunFleetCommand("apply"); err != nil {
 			return fmt.Errorf("%w: %s", err, out)
 		}
 		if kill {
 			time.Sleep(time.Second)
 			s.Kill("agent1")
 			time.Sleep(time.Second)
-			if err := s.Agent(1); err != nil {
+			if err := s.StartAgent(1); err != nil {
 				return err
 			}
 		}
@@ -149,8 +149,8 @@
 }
 
 // startSingleAgent starts an agent that has no manager and waits until all its instances run.
-func startSingleAgent(s *cluster.Stack, program, dir string) (*exec.Cmd, error) {
-	cmd := exec.Command(program, "agent", "--inventory", filepath.Join(filepath.Dir(s.Config), "inventory.yaml"), "--run-dir", dir)
+func startSingleAgent(s *cluster.Cluster, program, dir string) (*exec.Cmd, error) {
+	cmd := exec.Command(program, "agent", "--inventory", filepath.Join(filepath.Dir(s.ConfigPath), "inventory.yaml"), "--run-dir", dir)
 	cmd.Stderr, _ = os.Create(filepath.Join(dir, "agent.log"))
 	if err := cmd.Start(); err != nil {
 		return nil, err
@@ -164,11 +164,11 @@
 	}
 }
 
-func rolloutBySingleAgent(ctx context.Context, s *cluster.Stack, load *fake.Traffic, program string) (start, change time.Duration, err error) {
+func rolloutBySingleAgent(ctx context.Context, s *cluster.Cluster, load *fake.Traffic, program string) (start, change time.Duration, err error) {
 	return changeBySingleAgent(ctx, s, load, program, false)
 }
 
-func rolloutBySingleAgentWithCrash(ctx context.Context, s *cluster.Stack, load *fake.Traffic, program string) (start, change time.Duration, err error) {
+func rolloutBySingleAgentWithCrash(ctx context.Context, s *cluster.Cluster, load *fake.Traffic, program string) (start, change time.Duration, err error) {
 	return changeBySingleAgent(ctx, s, load, program, true)
 }
 
@@ -176,16 +176,16 @@
 
 // changeBySingleAgent starts the brokers and changes all of them through a single agent without a manager. With kill,
 // the agent is killed during the change and restarted a second later.
-func changeBySingleAgent(ctx context.Context, s *cluster.Stack, load *fake.Traffic, program string, kill bool) (start, change time.Duration, err error) {
-	dir := filepath.Join(filepath.Dir(s.Config), "single")
+func changeBySingleAgent(ctx context.Context, s *cluster.Cluster, load *fake.Traffic, program string, kill bool) (start, change time.Duration, err error) {
+	dir := filepath.Join(filepath.Dir(s.ConfigPath), "single")
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		return 0, 0, err
 	}
 	writeInventory := func(memory string) error {
-		if err := s.Inventory(map[string]string{"memory_mb": memory}); err != nil {
+		if err := s.WriteInventory(map[string]string{"memory_mb": memory}); err != nil {
 			return err
 		}
-		path := filepath.Join(filepath.Dir(s.Config), "inventory.yaml")
+		path := filepath.Join(filepath.Dir(s.ConfigPath), "inventory.yaml")
 		b, err := os.ReadFile(path)
 		if err != nil {
 			return err
--- a/tools/measure/incident.go
+++ b/tools/measure/incident.go
@@ -36,15 +36,15 @@
 	defer func() { _ = os.RemoveAll(dir) }()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
-	s, err := cluster.Up(ctx, cluster.Options{Dir: dir, Program: program, Nodes: 4, Blocks: 3, Objects: 2, Agents: 1, Soak: 100 * time.Millisecond,
-		Aim: 400 * time.Millisecond, Record: true})
+	s, err := cluster.StartNew(ctx, cluster.Options{Dir: dir, Program: program, NodeCount: 4, BlockBrokers: 3, ObjectBrokers: 2, AgentCount: 1,
+		SoakTime: 100 * time.Millisecond, LatencyObjective: 400 * time.Millisecond, WriteRecords: true})
 	if err != nil {
 		return err
 	}
-	load := &fake.Traffic{BlockAddrs: s.Block, ObjectAddrs: s.Front, ReadClass: "artwork-read", WriteClass: "job-new", Plan: "basis", Shards: 4, Clients: 6,
-		Pause: 20 * time.Millisecond, RequestTimeout: 1200 * time.Millisecond}
+	load := &fake.Traffic{BlockAddrs: s.BlockFrontendAddrs, ObjectAddrs: s.ObjectFrontendAddrs, ReadClass: "artwork-read", WriteClass: "job-new",
+		Plan: "basis", Shards: 4, Clients: 6, Pause: 20 * time.Millisecond, RequestTimeout: 1200 * time.Millisecond}
 	start := time.Now()
-	episodes, gaps, err := s.Play(ctx, load, unit, func(text string) { fmt.Printf("%6.2f s  %s\n", time.Since(start).Seconds(), text) })
+	episodes, gaps, err := s.RunIncident(ctx, load, unit, func(text string) { fmt.Printf("%6.2f s  %s\n", time.Since(start).Seconds(), text) })
 	if err != nil {
 		return err
 	}
@@ -52,7 +52,7 @@
 	if err := s.Close(); err != nil {
 		return err
 	}
-	streams, found, err := collect.Read(s.Records())
+	streams, found, err := collect.Read(s.RecordsFolder())
 	if err != nil {
 		return err
 	}
--- a/tools/measure/nodes.go
+++ b/tools/measure/nodes.go
@@ -69,18 +69,18 @@
 	defer func() { _ = os.RemoveAll(dir) }()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
-	s, err := cluster.Up(ctx, cluster.Options{Dir: dir, Program: program, Nodes: 4, Blocks: 2, Objects: 1, Agents: 1, Soak: 50 * time.Millisecond,
-		Aim: 2 * time.Second, Lists: true})
+	s, err := cluster.StartNew(ctx, cluster.Options{Dir: dir, Program: program, NodeCount: 4, BlockBrokers: 2, ObjectBrokers: 1, AgentCount: 1,
+		SoakTime: 50 * time.Millisecond, LatencyObjective: 2 * time.Second, NodesFromFile: true})
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = s.Close() }()
-	load := &fake.Traffic{BlockAddrs: s.Block, ObjectAddrs: s.Front, ReadClass: "artwork-read", WriteClass: "job-new", Plan: "basis", Shards: 4, Clients: 4,
-		Pause: 2 * time.Millisecond}
+	load := &fake.Traffic{BlockAddrs: s.BlockFrontendAddrs, ObjectAddrs: s.ObjectFrontendAddrs, ReadClass: "artwork-read", WriteClass: "job-new",
+		Plan: "basis", Shards: 4, Clients: 4, Pause: 2 * time.Millisecond}
 	loadCtx, stop := context.WithCancel(ctx)
 	var clients sync.WaitGroup
 	clients.Go(func() { load.Run(loadCtx) })
 	defer clients.Wait()
 	defer stop()
-	return s.Edits(ctx, time.Second, 20*time.Second)
+	return s.MeasureListEdits(ctx, time.Second, 20*time.Second)
 }
--- a/tools/measure/record.go
+++ b/tools/measure/record.go
@@ -75,7 +75,7 @@
 		return 0, err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	s, err := cluster.New(cluster.Options{Dir: dir, Program: program, Nodes: 3, Blocks: 1})
+	s, err := cluster.New(cluster.Options{Dir: dir, Program: program, NodeCount: 3, BlockBrokers: 1})
 	if err != nil {
 		return 0, err
 	}
@@ -89,7 +89,7 @@
 	// the recorder.
 	recorder := map[string]string{"off": "", "1 in 100": fmt.Sprintf(`,"record":{"dir":%q,"sample":0.01}`, dir), "full": fmt.Sprintf(`,"record":{"dir":%q}`, dir)}[mode]
 	config := strings.TrimSpace(string(text))
-	config = strings.Replace(config[:len(config)-1]+fmt.Sprintf(`,"listen":%q%s}`, s.Block[0], recorder), `"object"`, `"unused"`, 1)
+	config = strings.Replace(config[:len(config)-1]+fmt.Sprintf(`,"listen":%q%s}`, s.BlockFrontendAddrs[0], recorder), `"object"`, `"unused"`, 1)
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		return 0, err
 	}
@@ -104,7 +104,8 @@
 	if err := cmd.Start(); err != nil {
 		return 0, err
 	}
-	load := &fake.Traffic{BlockAddrs: s.Block, ReadClass: "artwork-read", WriteClass: "job-new", Plan: "basis", Shards: 3, Clients: 8, Pause: 200 * time.Microsecond}
+	load := &fake.Traffic{BlockAddrs: s.BlockFrontendAddrs, ReadClass: "artwork-read", WriteClass: "job-new",
+		Plan: "basis", Shards: 3, Clients: 8, Pause: 200 * time.Microsecond}
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 	load.Run(ctx)
 	cancel()
