--- a/internal/testkit/cluster/incident_script.go
+++ b/internal/testkit/cluster/incident_script.go
@@ -20,15 +20,15 @@
 
 // HangNode makes a node accept requests without answering them until release is called. Requests received in between
 // are never answered.
-func (s *Stack) HangNode(node int) (release func()) {
-	s.Stores[node].SetHook(func(redcon.Conn, redcon.Command) bool { return true })
-	s.ObjectStores[node].SetHook(func(_ http.ResponseWriter, r *http.Request, _ func()) {
+func (s *Cluster) HangNode(node int) (release func()) {
+	s.BlockServers[node].SetHook(func(redcon.Conn, redcon.Command) bool { return true })
+	s.ObjectServers[node].SetHook(func(_ http.ResponseWriter, r *http.Request, _ func()) {
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
 	})
 	return func() {
-		s.Stores[node].SetHook(nil)
-		s.ObjectStores[node].SetHook(nil)
+		s.BlockServers[node].SetHook(nil)
+		s.ObjectServers[node].SetHook(nil)
 	}
 }
 
@@ -41,21 +41,22 @@
 	restartPoll = 5 * time.Millisecond
 )
 
-// incidentScript is the state of a run of Play. It records what actually happens, for comparison with an analysis.
+// incidentScript is the state of a run of RunIncident. It records what actually happens, for comparison with an analysis.
 type incidentScript struct {
-	ctx     context.Context
-	cluster *Stack
-	traffic *fake.Traffic
-	unit    time.Duration // the script's unit of time
-	log     func(string)
-	truths  []check.Truth
-	gaps    []check.Gap
+	ctx      context.Context
+	cluster  *Cluster
+	traffic  *fake.Traffic
+	unit     time.Duration // the script's unit of time
+	log      func(string)
+	episodes []check.ActualEpisode
+	gaps     []check.ActualGap
 }
 
-// Play runs a scripted incident on a running fleet under the given traffic and returns the episodes and recording gaps
-// that it caused. A storage node stops answering while brokers are killed, a node is drained while discovery is down,
-// and the traffic of a volume surges. The script's delays are multiples of unit. log receives a line for each step.
-func (s *Stack) Play(ctx context.Context, traffic *fake.Traffic, unit time.Duration, log func(string)) ([]check.Truth, []check.Gap, error) {
+// RunIncident runs a scripted incident on a running fleet under the given traffic and returns the episodes and recording
+// gaps that it caused. A storage node stops answering while brokers are killed, a node is drained while discovery is
+// down, and the traffic of a volume surges. The script's delays are multiples of unit. log receives a line for each
+// step.
+func (s *Cluster) RunIncident(ctx context.Context, traffic *fake.Traffic, unit time.Duration, log func(string)) ([]check.ActualEpisode, []check.ActualGap, error) {
 	loadCtx, stop := context.WithCancel(ctx)
 	var load sync.WaitGroup
 	load.Go(func() { traffic.Run(loadCtx) })
@@ -71,8 +72,8 @@
 	script.wait(1)
 	script.surgeVolume()
 	script.wait(2)
-	slices.SortFunc(script.truths, func(a, b check.Truth) int { return strings.Compare(string(a.Kind), string(b.Kind)) })
-	return script.truths, script.gaps, ctx.Err()
+	slices.SortFunc(script.episodes, func(a, b check.ActualEpisode) int { return strings.Compare(string(a.Kind), string(b.Kind)) })
+	return script.episodes, script.gaps, ctx.Err()
 }
 
 // now returns the wall clock time.
@@ -90,7 +91,7 @@
 
 // recordEpisode records an episode that ends now.
 func (x *incidentScript) recordEpisode(kind incident.Kind, subject string, begin clock.Micros) {
-	x.truths = append(x.truths, check.Truth{Kind: kind, Subject: subject, Begin: begin, End: now()})
+	x.episodes = append(x.episodes, check.ActualEpisode{Kind: kind, Subject: subject, Begin: begin, End: now()})
 }
 
 func (x *incidentScript) killBrokersWhileNodeIsSilent() error {
@@ -148,7 +149,7 @@
 		time.Sleep(restartPoll)
 	}
 	x.recordEpisode(incident.BrokerDead, killed.name, killed.killedAt)
-	x.gaps = append(x.gaps, check.Gap{Broker: killed.name, State: incident.Dead, From: killed.killedAt, To: now()})
+	x.gaps = append(x.gaps, check.ActualGap{Broker: killed.name, State: incident.Dead, From: killed.killedAt, To: now()})
 	x.log(killed.name + " restarted")
 	return x.ctx.Err()
 }
@@ -158,7 +159,7 @@
 	drainingSince := now()
 	endpoint := x.cluster.Discovery.List(-1).Endpoints[2]
 	endpoint.State = "draining"
-	x.cluster.Discovery.Set(endpoint)
+	x.cluster.Discovery.SetEndpoints(endpoint)
 	x.wait(1)
 	downSince := now()
 	x.cluster.Discovery.SetDown(true)
@@ -168,7 +169,7 @@
 	x.log("discovery answers again")
 	x.wait(2)
 	endpoint.State = "up"
-	x.cluster.Discovery.Set(endpoint)
+	x.cluster.Discovery.SetEndpoints(endpoint)
 	x.recordEpisode(incident.NodeDrain, "s-2", drainingSince)
 }
 
@@ -176,18 +177,18 @@
 	x.log("traffic of a volume surges")
 	begin := now()
 	extra := &fake.Traffic{
-		Blocks:  x.cluster.Block,
-		Read:    x.traffic.Read,
-		Write:   x.traffic.Write,
-		Plan:    x.traffic.Plan,
-		Shards:  x.traffic.Shards,
-		Clients: 1,
-		Volume:  surgingVolume,
-		Pause:   x.traffic.Pause / surgeFactor,
+		BlockAddrs: x.cluster.BlockFrontendAddrs,
+		ReadClass:  x.traffic.ReadClass,
+		WriteClass: x.traffic.WriteClass,
+		Plan:       x.traffic.Plan,
+		Shards:     x.traffic.Shards,
+		Clients:    1,
+		Volume:     surgingVolume,
+		Pause:      x.traffic.Pause / surgeFactor,
 	}
 	ctx, stop := context.WithTimeout(x.ctx, surgeUnits*x.unit)
 	extra.Run(ctx)
 	stop()
 	x.recordEpisode(incident.VolumeSurge, surgingVolumeName, begin)
-	x.traffic.Wrong.Add(extra.Wrong.Load())
+	x.traffic.WrongResponses.Add(extra.WrongResponses.Load())
 }
