--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -323,7 +323,7 @@
 		a.Units, a.Shard, a.BrokerCount)
 	var b strings.Builder
 	fmt.Fprintf(&b, "*%d\r\n", argumentCount)
-	for _, w := range []string{name, fake.Piece(a.Key, int64(a.Work)), id, attributes, "x"}[:argumentCount] {
+	for _, w := range []string{name, fake.PieceID(a.Key, int64(a.Work)), id, attributes, "x"}[:argumentCount] {
 		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(w), w)
 	}
 	for {
