--- a/cmd/poppyarch/fleet_nodes.go
+++ b/cmd/poppyarch/fleet_nodes.go
@@ -48,7 +48,7 @@
 		RunE: f.inSession(func(s *session) error {
 			override := node
 			override.ID = s.args[0]
-			return s.changeNodes("add", []state.NodeChange{{ID: override.ID, Override: &override}}, change)
+			return s.changeNodes("add", []state.NodeOverrideChange{{ID: override.ID, Override: &override}}, change)
 		}),
 	}
 	c.Flags().StringVar(&node.Addr, "addr", "", "HOST:PORT of the node")
@@ -66,9 +66,9 @@
 	c := &cobra.Command{
 		Use: name + " NODE...", Short: short, Args: checkArgs(cobra.MinimumNArgs(1)),
 		RunE: f.inSession(func(s *session) error {
-			var changes []state.NodeChange
+			var changes []state.NodeOverrideChange
 			for _, id := range s.args {
-				nodeChange := state.NodeChange{ID: id}
+				nodeChange := state.NodeOverrideChange{ID: id}
 				if to != "" {
 					nodeChange.Override = &spec.NodeOverride{ID: id, State: to}
 				}
@@ -82,7 +82,7 @@
 }
 
 // changeNodes sends changes of node overrides to the manager and, with --wait, waits until the fleet has settled.
-func (s *session) changeNodes(name string, changes []state.NodeChange, f changeFlags) error {
+func (s *session) changeNodes(name string, changes []state.NodeOverrideChange, f changeFlags) error {
 	command, err := s.newCommand(f)
 	if err != nil {
 		return err
--- a/internal/fleet/api/messages.go
+++ b/internal/fleet/api/messages.go
@@ -103,7 +103,7 @@
 // NodesRequest changes the operators' overrides of storage nodes.
 type NodesRequest struct {
 	state.Command
-	Changes []state.NodeChange `json:"changes"`
+	Changes []state.NodeOverrideChange `json:"changes"`
 }
 
 // SetPhaseRequest pauses, resumes or aborts a rollout.
--- a/internal/fleet/manager/manager_test.go
+++ b/internal/fleet/manager/manager_test.go
@@ -34,7 +34,7 @@
 func drainNode(commandID, node string) *api.NodesRequest {
 	return &api.NodesRequest{
 		Command: state.Command{ID: commandID},
-		Changes: []state.NodeChange{{ID: node, Override: &spec.NodeOverride{ID: node, State: spec.NodeDraining}}},
+		Changes: []state.NodeOverrideChange{{ID: node, Override: &spec.NodeOverride{ID: node, State: spec.NodeDraining}}},
 	}
 }
 
--- a/internal/fleet/state/node_overrides.go
+++ b/internal/fleet/state/node_overrides.go
@@ -10,8 +10,8 @@
 	"poppyarch/internal/timing/clock"
 )
 
-// NodeChange sets or withdraws the override of one storage node.
-type NodeChange struct {
+// NodeOverrideChange sets or withdraws the override of one storage node.
+type NodeOverrideChange struct {
 	ID       string             `json:"id"`
 	Override *spec.NodeOverride `json:"to"` // nil withdraws it
 }
@@ -22,7 +22,7 @@
 }
 
 // SetNodeOverrides returns the record that changes the overrides of storage nodes, or nil if nothing changes.
-func (s *State) SetNodeOverrides(c *Command, changes []NodeChange, at clock.Micros) (*Record, error) {
+func (s *State) SetNodeOverrides(c *Command, changes []NodeOverrideChange, at clock.Micros) (*Record, error) {
 	if err := s.checkExpectedRevision(c); err != nil {
 		return nil, err
 	}
@@ -48,7 +48,7 @@
 }
 
 // changeOverride applies one change to a set of overrides.
-func changeOverride(byID map[string]spec.NodeOverride, change NodeChange) error {
+func changeOverride(byID map[string]spec.NodeOverride, change NodeOverrideChange) error {
 	previous, exists := byID[change.ID]
 	if change.Override == nil {
 		if !exists {
--- a/internal/fleet/state/property_test.go
+++ b/internal/fleet/state/property_test.go
@@ -419,11 +419,11 @@
 
 func (f *simulatedFleet) changeNodeOverride(t *rapid.T) {
 	states := []spec.NodeOverrideState{spec.NodeDraining, spec.NodeRemoved}
-	change := NodeChange{ID: "s-1", Override: &spec.NodeOverride{ID: "s-1", State: rapid.SampledFrom(states).Draw(t, "state")}}
+	change := NodeOverrideChange{ID: "s-1", Override: &spec.NodeOverride{ID: "s-1", State: rapid.SampledFrom(states).Draw(t, "state")}}
 	if rapid.Bool().Draw(t, "withdraw") {
 		change.Override = nil
 	}
-	r, err := f.s.SetNodeOverrides(f.command(), []NodeChange{change}, f.now)
+	r, err := f.s.SetNodeOverrides(f.command(), []NodeOverrideChange{change}, f.now)
 	if err != nil && !errors.Is(err, ErrNotFound) {
 		t.Fatal(err)
 	}
--- a/internal/fleet/state/propose.go
+++ b/internal/fleet/state/propose.go
@@ -73,7 +73,7 @@
 func (s *State) planFor(r *Record) *Plan {
 	planned := &rollout{revision: r.Revision, strategy: *r.Strategy}
 	for _, c := range r.Changes {
-		planned.changes = append(planned.changes, Step{Name: c.Name, Old: s.desired.instances[c.Name], New: c.Desired})
+		planned.changes = append(planned.changes, RevisionChange{Name: c.Name, Old: s.desired.instances[c.Name], New: c.Desired})
 	}
 	plan := &Plan{Revision: r.Revision}
 	if !r.IsRollback { // a rollback aborts the unfinished rollouts instead of waiting for them
--- a/internal/fleet/state/restore.go
+++ b/internal/fleet/state/restore.go
@@ -137,10 +137,10 @@
 	return t.table[index-1]
 }
 
-func (t *tableReader) steps(stored []storedStep) []Step {
-	var list []Step
+func (t *tableReader) steps(stored []storedStep) []RevisionChange {
+	var list []RevisionChange
 	for _, v := range stored {
-		list = append(list, Step{
+		list = append(list, RevisionChange{
 			Name: v.Name,
 			Old:  t.instance(v.Old),
 			New:  t.instance(v.New),
--- a/internal/fleet/state/revision.go
+++ b/internal/fleet/state/revision.go
@@ -18,12 +18,12 @@
 	CommandID  string              `json:"command,omitempty"`
 	IsRollback bool                `json:"back,omitempty"`
 	RollbackTo uint64              `json:"from,omitempty"` // revision that a rollback goes back to
-	Changes    []Step              `json:"changes,omitempty"`
+	Changes    []RevisionChange    `json:"changes,omitempty"`
 	Nodes      []spec.NodeOverride `json:"nodes,omitempty"` // all node overrides in force from this revision on
 }
 
-// Step is the change that a revision makes to one instance.
-type Step struct {
+// RevisionChange is the change that a revision makes to one instance.
+type RevisionChange struct {
 	Name string         `json:"name"`
 	Old  *spec.Instance `json:"old"` // nil if the instance was added
 	New  *spec.Instance `json:"new"` // nil if the instance was removed
@@ -65,7 +65,7 @@
 	}
 	revision := newRevision(r, s.desired.nodes.list)
 	for _, c := range r.Changes {
-		revision.Changes = append(revision.Changes, Step{Name: c.Name, Old: s.desired.instances[c.Name], New: c.Desired})
+		revision.Changes = append(revision.Changes, RevisionChange{Name: c.Name, Old: s.desired.instances[c.Name], New: c.Desired})
 		setOrDelete(s.desired.instances, c.Name, c.Desired)
 	}
 	s.addRevision(revision)
--- a/internal/fleet/state/rollout.go
+++ b/internal/fleet/state/rollout.go
@@ -46,7 +46,7 @@
 type rollout struct {
 	revision  uint64
 	strategy  Strategy
-	changes   []Step
+	changes   []RevisionChange
 	createdAt clock.Micros // time at which the revision was created, Unix time
 	phase     Phase
 	reason    string // why the rollout is in this phase
--- a/internal/fleet/state/snapshot.go
+++ b/internal/fleet/state/snapshot.go
@@ -137,7 +137,7 @@
 	return indexes
 }
 
-func (t *tableWriter) steps(list []Step) []storedStep {
+func (t *tableWriter) steps(list []RevisionChange) []storedStep {
 	var stored []storedStep
 	for _, step := range list {
 		stored = append(stored, storedStep{
--- a/internal/testkit/compat/json_test.go
+++ b/internal/testkit/compat/json_test.go
@@ -97,8 +97,8 @@
 	"state-filled-strategy":   &state.Strategy{},
 	"state-instance-report":   &state.Report{},
 	"state-command":           &state.Command{},
-	"state-node-change":       &state.NodeChange{},
-	"state-revision-step":     &state.Step{},
+	"state-node-change":       &state.NodeOverrideChange{},
+	"state-revision-step":     &state.RevisionChange{},
 	"state-revision-instance": &state.InstanceChange{},
 }
 
