--- a/cmd/poppyarch/fleet_nodes.go
+++ b/cmd/poppyarch/fleet_nodes.go
@@ -87,7 +87,7 @@
 	if err != nil {
 		return err
 	}
-	reply, err := s.client.ChangeNodes(s.ctx, &api.NodesRequest{Command: command, Changes: changes})
+	reply, err := s.client.ChangeNodes(s.ctx, &api.NodeOverridesRequest{Command: command, Changes: changes})
 	if err != nil {
 		return err
 	}
--- a/cmd/poppyarch/root.go
+++ b/cmd/poppyarch/root.go
@@ -43,7 +43,7 @@
 		return exitUnavailable
 	case errors.Is(err, state.ErrConflict), errors.Is(err, state.ErrRolloutActive), errors.Is(err, state.ErrInvalidState):
 		return exitConflict
-	case errors.Is(err, state.ErrNotFound), errors.Is(err, api.ErrRequest):
+	case errors.Is(err, state.ErrNotFound), errors.Is(err, api.ErrInvalidRequest):
 		return exitUsage
 	case errors.Is(err, agent.ErrUnknownInstance):
 		return exitUsage
--- a/internal/fleet/api/calls.go
+++ b/internal/fleet/api/calls.go
@@ -39,7 +39,7 @@
 }
 
 // ChangeNodes changes the operators' overrides of storage nodes.
-func (c *Client) ChangeNodes(ctx context.Context, request *NodesRequest) (Reply, error) {
+func (c *Client) ChangeNodes(ctx context.Context, request *NodeOverridesRequest) (Reply, error) {
 	return c.command(ctx, PathChangeNodes, request)
 }
 
--- a/internal/fleet/api/client.go
+++ b/internal/fleet/api/client.go
@@ -94,7 +94,7 @@
 func (c *Client) call(ctx context.Context, path string, longPoll time.Duration, request, response any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrRequest, err)
+		return fmt.Errorf("%w: %w", ErrInvalidRequest, err)
 	}
 	c.recordCall()
 	var lastErr error
@@ -151,7 +151,7 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+path, bytes.NewReader(body))
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrRequest, err)
+		return fmt.Errorf("%w: %w", ErrInvalidRequest, err)
 	}
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.http.Do(req)
--- a/internal/fleet/api/client_test.go
+++ b/internal/fleet/api/client_test.go
@@ -50,8 +50,8 @@
 
 func TestErrorWithoutCodeIsReceivedAsErrRequest(t *testing.T) {
 	client := newClient(t, func(w http.ResponseWriter, _ *http.Request) { writeError(t, w, errors.New("spec: no instances")) })
-	if _, err := client.History(t.Context(), 1); !errors.Is(err, ErrRequest) || err.Error() != "spec: no instances" {
-		t.Errorf("got error %v, want ErrRequest with the text as sent", err)
+	if _, err := client.History(t.Context(), 1); !errors.Is(err, ErrInvalidRequest) || err.Error() != "spec: no instances" {
+		t.Errorf("got error %v, want ErrInvalidRequest with the text as sent", err)
 	}
 }
 
@@ -62,8 +62,8 @@
 			t.Error(err)
 		}
 	})
-	if _, err := client.History(t.Context(), 1); !errors.Is(err, ErrRequest) || err.Error() != "faulty request: not yet" {
-		t.Errorf("got error %v, want ErrRequest with the text \"faulty request: not yet\"", err)
+	if _, err := client.History(t.Context(), 1); !errors.Is(err, ErrInvalidRequest) || err.Error() != "faulty request: not yet" {
+		t.Errorf("got error %v, want ErrInvalidRequest with the text \"faulty request: not yet\"", err)
 	}
 }
 
--- a/internal/fleet/api/errors.go
+++ b/internal/fleet/api/errors.go
@@ -11,7 +11,7 @@
 var (
 	ErrManagerRestarted = errors.New("the manager has restarted")            // sessions with its earlier incarnation have ended
 	ErrStorage          = errors.New("the manager cannot write its journal") // nothing has changed
-	ErrRequest          = errors.New("faulty request")                       // a retry would fail again
+	ErrInvalidRequest   = errors.New("faulty request")                       // a retry would fail again
 )
 
 // ErrUnavailable is the client's error if there was no response. Whether the manager has carried out the request is
@@ -28,7 +28,7 @@
 var wireErrors = []wireError{
 	{ErrManagerRestarted, "epoch", http.StatusGone},
 	{ErrStorage, "storage", http.StatusInsufficientStorage},
-	{ErrRequest, "request", http.StatusBadRequest},
+	{ErrInvalidRequest, "request", http.StatusBadRequest},
 	{state.ErrConflict, "conflict", http.StatusConflict},
 	{state.ErrRolloutActive, "overlap", http.StatusConflict},
 	{state.ErrNotFound, "unknown", http.StatusNotFound},
@@ -43,7 +43,7 @@
 }
 
 // NewErrorResponse returns the response body and the HTTP status for an error. An error without a code of its own is
-// sent as ErrRequest.
+// sent as ErrInvalidRequest.
 func NewErrorResponse(err error) (response ErrorResponse, status int) {
 	for _, w := range wireErrors {
 		if errors.Is(err, w.err) {
@@ -66,12 +66,12 @@
 func (e *RemoteError) Unwrap() error { return e.kind }
 
 // asError returns the error that a response stands for. A code that this version does not know is treated as
-// ErrRequest.
+// ErrInvalidRequest.
 func (r ErrorResponse) asError() error {
 	for _, w := range wireErrors {
 		if w.code == r.Code {
 			return &RemoteError{Code: r.Code, Message: r.Error, kind: w.err}
 		}
 	}
-	return &RemoteError{Code: r.Code, Message: ErrRequest.Error() + ": " + r.Error, kind: ErrRequest}
+	return &RemoteError{Code: r.Code, Message: ErrInvalidRequest.Error() + ": " + r.Error, kind: ErrInvalidRequest}
 }
--- a/internal/fleet/api/messages.go
+++ b/internal/fleet/api/messages.go
@@ -100,8 +100,8 @@
 	Strategy state.Strategy `json:"strategy"`
 }
 
-// NodesRequest changes the operators' overrides of storage nodes.
-type NodesRequest struct {
+// NodeOverridesRequest changes the operators' overrides of storage nodes.
+type NodeOverridesRequest struct {
 	state.Command
 	Changes []state.NodeOverrideChange `json:"changes"`
 }
--- a/internal/fleet/manager/agents.go
+++ b/internal/fleet/manager/agents.go
@@ -20,7 +20,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if agent == "" || len(agent) > maxAgentName {
-		return api.Registration{}, fmt.Errorf("%w: agent: a name has 1 to 64 letters", api.ErrRequest)
+		return api.Registration{}, fmt.Errorf("%w: agent: a name has 1 to 64 letters", api.ErrInvalidRequest)
 	}
 	r := m.state.Register(agent, seenEdition, m.clock.Now())
 	if err := m.commit(r); err != nil {
--- a/internal/fleet/manager/commands.go
+++ b/internal/fleet/manager/commands.go
@@ -20,7 +20,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if command.ID == "" || len(command.ID) > maxCommandID {
-		return api.Reply{}, fmt.Errorf("%w: id: a command needs one of up to 128 letters", api.ErrRequest)
+		return api.Reply{}, fmt.Errorf("%w: id: a command needs one of up to 128 letters", api.ErrInvalidRequest)
 	}
 	if result, seen := m.state.CommandResult(command.ID); seen {
 		return api.Reply{Result: result}, nil
@@ -60,7 +60,7 @@
 }
 
 // ChangeNodes changes the operators' overrides of storage nodes.
-func (m *Manager) ChangeNodes(request *api.NodesRequest) (api.Reply, error) {
+func (m *Manager) ChangeNodes(request *api.NodeOverridesRequest) (api.Reply, error) {
 	return m.execute(&request.Command, func(now clock.Micros) (*state.Record, *state.Plan, error) {
 		record, err := m.state.SetNodeOverrides(&request.Command, request.Changes, now)
 		return record, nil, err
@@ -78,7 +78,7 @@
 // SetRolloutPhase pauses, resumes or aborts a rollout.
 func (m *Manager) SetRolloutPhase(request *api.SetPhaseRequest) (api.Reply, error) {
 	if request.To != state.Paused && request.To != state.Active && request.To != state.Aborted {
-		return api.Reply{}, fmt.Errorf("%w: to: %q is none of paused, active, aborted", api.ErrRequest, request.To)
+		return api.Reply{}, fmt.Errorf("%w: to: %q is none of paused, active, aborted", api.ErrInvalidRequest, request.To)
 	}
 	return m.execute(&request.Command, func(now clock.Micros) (*state.Record, *state.Plan, error) {
 		record, err := m.state.SetRolloutPhase(&request.Command, request.Revision, request.To, now)
--- a/internal/fleet/manager/handler.go
+++ b/internal/fleet/manager/handler.go
@@ -71,7 +71,7 @@
 	decoder.DisallowUnknownFields()
 	in := new(In)
 	if err := decoder.Decode(in); err != nil {
-		return nil, fmt.Errorf("%w: %w", api.ErrRequest, err)
+		return nil, fmt.Errorf("%w: %w", api.ErrInvalidRequest, err)
 	}
 	return in, nil
 }
--- a/internal/fleet/manager/manager_test.go
+++ b/internal/fleet/manager/manager_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-func drainNode(commandID, node string) *api.NodesRequest {
-	return &api.NodesRequest{
+func drainNode(commandID, node string) *api.NodeOverridesRequest {
+	return &api.NodeOverridesRequest{
 		Command: state.Command{ID: commandID},
 		Changes: []state.NodeOverrideChange{{ID: node, Override: &spec.NodeOverride{ID: node, State: spec.NodeDraining}}},
 	}
--- a/internal/fleet/manager/queries.go
+++ b/internal/fleet/manager/queries.go
@@ -19,7 +19,7 @@
 // Overview returns the state of the fleet, with the selected instances.
 func (m *Manager) Overview(selector spec.Selector) (api.Overview, error) {
 	if err := selector.Validate(); err != nil {
-		return api.Overview{}, fmt.Errorf("%w: %w", api.ErrRequest, err)
+		return api.Overview{}, fmt.Errorf("%w: %w", api.ErrInvalidRequest, err)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fleet/supervisor/supervisor_test.go
+++ b/internal/fleet/supervisor/supervisor_test.go
@@ -151,7 +151,7 @@
 		defer f.close()
 		f.managerDisk.SetFreeSpace(0)
 		override := &spec.NodeOverride{ID: "s", State: spec.NodeDraining}
-		request := &api.NodesRequest{Command: f.newCommand(), Changes: []state.NodeOverrideChange{{ID: "s", Override: override}}}
+		request := &api.NodeOverridesRequest{Command: f.newCommand(), Changes: []state.NodeOverrideChange{{ID: "s", Override: override}}}
 		if _, err := f.manager.ChangeNodes(request); !errors.Is(err, api.ErrStorage) {
 			t.Errorf("ChangeNodes on a full disk returned %v, want ErrStorage", err)
 		}
@@ -277,7 +277,7 @@
 		if i%2 == 0 {
 			change.Override = &spec.NodeOverride{ID: "s-9", State: spec.NodeDraining}
 		}
-		if _, err := f.manager.ChangeNodes(&api.NodesRequest{Command: f.newCommand(), Changes: []state.NodeOverrideChange{change}}); err != nil {
+		if _, err := f.manager.ChangeNodes(&api.NodeOverridesRequest{Command: f.newCommand(), Changes: []state.NodeOverrideChange{change}}); err != nil {
 			f.t.Fatal(err)
 		}
 	}
--- a/internal/testkit/compat/json_test.go
+++ b/internal/testkit/compat/json_test.go
@@ -42,7 +42,7 @@
 	"api-fault":               &api.ErrorResponse{},
 	"api-figures":             &api.BrokerStats{},
 	"api-history":             &api.History{},
-	"api-nodes":               &api.NodesRequest{},
+	"api-nodes":               &api.NodeOverridesRequest{},
 	"api-overview":            &api.Overview{},
 	"api-registration":        &api.Registration{},
 	"api-reply":               &api.Reply{},
