--- a/cmd/poppyarch/inventory.go
+++ b/cmd/poppyarch/inventory.go
@@ -16,7 +16,7 @@
 )
 
 // nodeFiles reads node lists from disk.
-var nodeFiles = nodefile.Files{Read: os.ReadFile, List: filewatch.Lists}
+var nodeFiles = nodefile.FileSystem{Read: os.ReadFile, List: filewatch.ListFiles}
 
 // inventoryFlags are the flags that all inventory commands share.
 type inventoryFlags struct {
@@ -43,7 +43,7 @@
 	faults := 0
 	for _, fault := range doc.Faults {
 		severity := "warning"
-		if !fault.Warn {
+		if !fault.IsWarning {
 			severity = "fault"
 			faults++
 		}
--- a/internal/broker/server/nodelists.go
+++ b/internal/broker/server/nodelists.go
@@ -124,7 +124,7 @@
 	}
 	l.logFaults(doc.Faults)
 	for _, fault := range doc.Faults {
-		if !fault.Warn && fault.Node != "" {
+		if !fault.IsWarning && fault.Node != "" {
 			l.keepValid(next, fault.Node)
 		}
 	}
@@ -158,7 +158,7 @@
 func (l *nodeLists) logFaults(faults []nodefile.Fault) {
 	for _, f := range faults[:min(len(faults), maxLoggedFaults)] {
 		text := "nodes: invalid row, the other rows are used"
-		if f.Warn {
+		if f.IsWarning {
 			text = "nodes: row used with a warning"
 		}
 		l.log.Warn(text, "at", f.Pos.String(), "key", f.Key, "what", f.Text)
@@ -210,10 +210,10 @@
 // complete line of a CSV list may be a partial row and is ignored.
 func (l *nodeLists) load(settled func() bool) (doc *nodefile.Doc, isSettled bool) {
 	texts := newFileTexts(l.paths)
-	doc = nodefile.LoadAll(l.paths, nodefile.Files{Read: texts.read, List: texts.list})
+	doc = nodefile.LoadAll(l.paths, nodefile.FileSystem{Read: texts.read, List: texts.list})
 	isSettled = settled()
 	if !isSettled {
-		doc = nodefile.LoadAll(l.paths, nodefile.Files{Read: texts.readCompleteLines, List: texts.list})
+		doc = nodefile.LoadAll(l.paths, nodefile.FileSystem{Read: texts.readCompleteLines, List: texts.list})
 	}
 	l.readPaths = texts.paths
 	return doc, isSettled
@@ -255,7 +255,7 @@
 
 func (t *fileTexts) list(dir string) ([]string, error) {
 	t.paths = append(t.paths, dir)
-	return filewatch.Lists(dir)
+	return filewatch.ListFiles(dir)
 }
 
 func isCSV(path string) bool { return strings.EqualFold(filepath.Ext(path), ".csv") }
--- a/internal/nodes/filewatch/filewatch.go
+++ b/internal/nodes/filewatch/filewatch.go
@@ -15,9 +15,9 @@
 	"github.com/fsnotify/fsnotify"
 )
 
-// Lists returns the paths of the node lists in a directory, sorted: files ending in .csv, .yaml or .yml. Hidden files,
-// such as editors and tools create next to the lists, are ignored.
-func Lists(dir string) (out []string, err error) {
+// ListFiles returns the paths of the node lists in a directory, sorted: files ending in .csv, .yaml or .yml. Hidden
+// files, such as editors and tools create next to the lists, are ignored.
+func ListFiles(dir string) (out []string, err error) {
 	entries, err := os.ReadDir(dir) // sorted by name
 	if err != nil {
 		return nil, err
--- a/internal/nodes/nodefile/nodefile.go
+++ b/internal/nodes/nodefile/nodefile.go
@@ -33,11 +33,11 @@
 
 // Fault is an error or a warning about a position in a list.
 type Fault struct {
-	Pos  Pos    `json:"pos"`
-	Key  string `json:"key,omitempty"`
-	Text string `json:"text"`
-	Node string `json:"node,omitempty"` // ID of the node whose row it is, if known
-	Warn bool   `json:"warn,omitempty"` // the fault is a warning: the row is still used
+	Pos       Pos    `json:"pos"`
+	Key       string `json:"key,omitempty"`
+	Text      string `json:"text"`
+	Node      string `json:"node,omitempty"` // ID of the node whose row it is, if known
+	IsWarning bool   `json:"warn,omitempty"` // the fault is a warning: the row is still used
 }
 
 func (f Fault) Error() string {
@@ -95,18 +95,18 @@
 // knownKeys are the keys that a row may have.
 var knownKeys = []string{"addr", "objects", "shard", "zone", "state", "kind", "cores", "speed", "labels"}
 
-// Files provides access to files, so that the package itself does no I/O.
-type Files struct {
+// FileSystem provides access to files, so that the package itself does no I/O.
+type FileSystem struct {
 	Read func(path string) ([]byte, error)  // returns the content of a file
 	List func(dir string) ([]string, error) // returns the .csv, .yaml and .yml files of a directory, sorted; nil if unsupported
 }
 
 // Load reads a file, or all files of a directory in the order of their names. If two rows contradict each other, the
 // first one is used.
-func Load(path string, f Files) *Doc { return LoadAll([]string{path}, f) }
+func Load(path string, f FileSystem) *Doc { return LoadAll([]string{path}, f) }
 
 // LoadAll reads several files or directories as a single list.
-func LoadAll(paths []string, f Files) *Doc {
+func LoadAll(paths []string, f FileSystem) *Doc {
 	d := &Doc{Complete: true}
 	b := &builder{doc: d, files: f, kinds: map[string]Kind{}, loaded: map[string]bool{}}
 	for _, path := range paths {
@@ -122,7 +122,7 @@
 
 // Parse reads a list from a text. Includes are reported as faults.
 func Parse(path string, text []byte) *Doc {
-	return Load(path, Files{Read: func(p string) ([]byte, error) {
+	return Load(path, FileSystem{Read: func(p string) ([]byte, error) {
 		if p == path {
 			return text, nil
 		}
@@ -133,7 +133,7 @@
 // builder collects the rows of one or more files.
 type builder struct {
 	doc        *Doc
-	files      Files
+	files      FileSystem
 	kinds      map[string]Kind
 	rawRows    []rawRow
 	loaded     map[string]bool // files that have been read, to detect include cycles
@@ -187,7 +187,7 @@
 			continue
 		}
 		if at, twice := ids[row.ID]; twice {
-			b.fault(Fault{Pos: r.id.pos, Key: row.ID, Text: "given twice, first at " + at.String(), Warn: false})
+			b.fault(Fault{Pos: r.id.pos, Key: row.ID, Text: "given twice, first at " + at.String(), IsWarning: false})
 			continue
 		}
 		foldedID := strings.ToLower(row.ID)
@@ -201,7 +201,7 @@
 		}
 		if row.State != "out" && row.Addr != "" {
 			if other, twice := shards[row.Shard]; twice {
-				b.fault(Fault{Pos: cmp.Or(r.vars["shard"].pos, r.id.pos), Key: row.ID + ".shard", Warn: true, Node: row.ID,
+				b.fault(Fault{Pos: cmp.Or(r.vars["shard"].pos, r.id.pos), Key: row.ID + ".shard", IsWarning: true, Node: row.ID,
 					Text: fmt.Sprintf("%d is also %s's: both are used", row.Shard, other)})
 			} else {
 				shards[row.Shard] = row.ID
--- a/internal/nodes/nodefile/nodefile_test.go
+++ b/internal/nodes/nodefile/nodefile_test.go
@@ -134,7 +134,7 @@
 	write("a.yaml", "include: [more, none.csv, a.yaml]\ng: {hosts: {a: {addr: \"10.0.0.1:1\"}}}\n")
 	write("more/b.csv", "id,addr,shard\nb,10.0.0.2:1,1\n")
 	write("more/c.yaml", "g: {hosts: {c: {addr: \"10.0.0.3:1\", shard: 2}, b: {addr: \"10.0.0.4:1\", shard: 3}}}\n")
-	f := Files{Read: os.ReadFile, List: func(d string) ([]string, error) {
+	f := FileSystem{Read: os.ReadFile, List: func(d string) ([]string, error) {
 		names, err := filepath.Glob(filepath.Join(d, "*"))
 		if err != nil || len(names) == 0 {
 			return nil, os.ErrNotExist
--- a/internal/nodes/nodefile/yaml.go
+++ b/internal/nodes/nodefile/yaml.go
@@ -213,7 +213,7 @@
 				f.text = "" // stays unset; the fault is reported only once per range
 			}
 			if old, twice := m.own[key]; twice && old.text != f.text {
-				t.b.fault(Fault{Pos: f.pos, Key: id + "." + key, Text: "set twice, first at " + old.pos.String() + ": the first value is used", Node: id, Warn: true})
+				t.b.fault(Fault{Pos: f.pos, Key: id + "." + key, Text: "set twice, first at " + old.pos.String() + ": the first value is used", Node: id, IsWarning: true})
 				continue
 			}
 			m.own[key] = f
--- a/internal/nodes/routing/subset.go
+++ b/internal/nodes/routing/subset.go
@@ -67,10 +67,10 @@
 	return out
 }
 
-// Rounds is deterministic subsetting in rounds: a group of n/k brokers shares one shuffle of all n nodes, and each
-// broker takes a slice of k nodes. The picks are as even as possible, but an added or removed node changes every
+// ShuffledRounds is deterministic subsetting in rounds: a group of n/k brokers shares one shuffle of all n nodes, and
+// each broker takes a slice of k nodes. The picks are as even as possible, but an added or removed node changes every
 // shuffle. It serves as a baseline for comparison.
-func Rounds(brokers []string, nodes []Node, k int) map[string][]string {
+func ShuffledRounds(brokers []string, nodes []Node, k int) map[string][]string {
 	k = min(k, len(nodes))
 	if k == 0 {
 		return map[string][]string{}
--- a/tools/measure/subset.go
+++ b/tools/measure/subset.go
@@ -51,7 +51,7 @@
 }
 
 var subsetAlgorithms = []subsetAlgorithm{
-	{"rounds of shuffles", routing.Rounds},
+	{"rounds of shuffles", routing.ShuffledRounds},
 	{"weighted rendezvous", rendezvous},
 	{"weighted rendezvous, bounded", routing.Bounded},
 }
