--- a/internal/broker/config/config.go
+++ b/internal/broker/config/config.go
@@ -21,11 +21,11 @@
 	Zones         []string // names, by zone number
 	Shards        int      // number of shards; 0 if unknown
 	Limits        limits.Limits
-	Object        *Object    // nil if the object frontend is off
-	Control       *Control   // nil if there is no control endpoint
-	Record        *Record    // nil if nothing is recorded
-	Nodes         *NodeFiles // nil if nodes come from discovery alone
-	LogLevel      string     // debug, info, warn or error
+	Object        *ObjectFrontend  // nil if the object frontend is off
+	Control       *ControlEndpoint // nil if there is no control endpoint
+	Record        *Recording       // nil if nothing is recorded
+	Nodes         *NodeFiles       // nil if nodes come from discovery alone
+	LogLevel      string           // debug, info, warn or error
 
 	source source
 }
--- a/internal/broker/config/object.go
+++ b/internal/broker/config/object.go
@@ -8,8 +8,8 @@
 
 const defaultUnitBytes = 1 << 20
 
-// Object configures the object frontend.
-type Object struct {
+// ObjectFrontend configures the object frontend.
+type ObjectFrontend struct {
 	Listen        string            `json:"listen"`
 	Shards        int               `json:"shards"`     // that objects are distributed over by name; default: n_shards
 	UnitBytes     int64             `json:"unit_bytes"` // bytes in one unit of request size; default 1 MiB
--- a/internal/broker/config/parse.go
+++ b/internal/broker/config/parse.go
@@ -27,19 +27,19 @@
 
 // file is the JSON object of the configuration file.
 type file struct {
-	Name      string          `json:"name"`
-	Listen    string          `json:"listen"`
-	Discovery string          `json:"discovery"`
-	Seed      string          `json:"seed"` // up to 16 hexadecimal digits
-	Limits    machineSize     `json:"limits"`
-	Known     *discovery.List `json:"known"`
-	Settings  json.RawMessage `json:"settings"`
-	Object    *Object         `json:"object"`
-	Control   *Control        `json:"control"`
-	Record    *Record         `json:"record"`
-	Nodes     *NodeFiles      `json:"nodes"`
-	Log       string          `json:"log"`
-	Tuning    json.RawMessage `json:"tuning"` // overrides of limits.Limits, by JSON name
+	Name      string           `json:"name"`
+	Listen    string           `json:"listen"`
+	Discovery string           `json:"discovery"`
+	Seed      string           `json:"seed"` // up to 16 hexadecimal digits
+	Limits    machineSize      `json:"limits"`
+	Known     *discovery.List  `json:"known"`
+	Settings  json.RawMessage  `json:"settings"`
+	Object    *ObjectFrontend  `json:"object"`
+	Control   *ControlEndpoint `json:"control"`
+	Record    *Recording       `json:"record"`
+	Nodes     *NodeFiles       `json:"nodes"`
+	Log       string           `json:"log"`
+	Tuning    json.RawMessage  `json:"tuning"` // overrides of limits.Limits, by JSON name
 }
 
 // machineSize is the part of the machine that the broker may use.
--- a/internal/broker/config/record.go
+++ b/internal/broker/config/record.go
@@ -15,8 +15,8 @@
 	minSegmentsOfDiskRecord  = 2
 )
 
-// Record configures the recorder.
-type Record struct {
+// Recording configures the recorder.
+type Recording struct {
 	Dir             string  `json:"dir"`           // of the segments; if empty, records go to a ring buffer in memory
 	SampleFraction  float64 `json:"sample"`        // of requests recorded individually; all are counted; default 1
 	SegmentBytes    int64   `json:"segment_bytes"` // default 8 MiB
@@ -26,7 +26,7 @@
 }
 
 // check validates the recorder's keys and fills in defaults.
-func (r *Record) check() error {
+func (r *Recording) check() error {
 	inMemory := r.Dir == ""
 	total := int64(defaultTotalBytes)
 	if inMemory {
--- a/internal/fleet/supervisor/local.go
+++ b/internal/fleet/supervisor/local.go
@@ -43,7 +43,7 @@
 // Start starts a broker with the start settings of an instance. The live settings are sent to its control endpoint
 // later.
 func (b *LocalBrokers) Start(instance *spec.Instance, text, launchID string) (Process, error) {
-	endpoint := &config.Control{Listen: b.controlAddress(instance.Name), StartDigest: instance.Start.Digest()}
+	endpoint := &config.ControlEndpoint{Listen: b.controlAddress(instance.Name), StartDigest: instance.Start.Digest()}
 	content, err := agent.Compose(inventoryInstance(instance), []byte(text), endpoint)
 	if err != nil {
 		return nil, err
--- a/internal/frontend/object/complete_test.go
+++ b/internal/frontend/object/complete_test.go
@@ -43,7 +43,7 @@
 			},
 			Plans: []decision.Plan{{Name: "p"}},
 		},
-		Object: &config.Object{
+		Object: &config.ObjectFrontend{
 			Shards:        2,
 			UnitBytes:     1024,
 			ReadClass:     "read",
--- a/internal/host/agent/compose.go
+++ b/internal/host/agent/compose.go
@@ -21,7 +21,7 @@
 // Compose returns the configuration of an instance. text is the content of the configuration file that the instance
 // names; settings of the inventory override those in text. control configures the control endpoint, unless it is nil.
 // Compose returns an error if the result is not a valid configuration.
-func Compose(instance inventory.Instance, text []byte, control *config.Control) ([]byte, error) {
+func Compose(instance inventory.Instance, text []byte, control *config.ControlEndpoint) ([]byte, error) {
 	doc, err := parseObject(text)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", instance.Config, err)
