--- a/internal/fleet/settings/settings.go
+++ b/internal/fleet/settings/settings.go
@@ -168,7 +168,7 @@
 	decoder := toml.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&f); err != nil {
-		return f, tomlerror.Error(path, err)
+		return f, tomlerror.Wrap(path, err)
 	}
 	base := filepath.Dir(path)
 	for _, p := range []*string{&f.Manager.JournalDir, &f.Agent.JournalDir, &f.Agent.RunDir, &f.Fleet.Inventory} {
--- a/internal/lab/experiment/plan.go
+++ b/internal/lab/experiment/plan.go
@@ -113,7 +113,7 @@
 	}
 	defer func() { _ = file.Close() }()
 	if err := toml.NewDecoder(file).DisallowUnknownFields().Decode(into); err != nil {
-		return tomlerror.Error(path, err)
+		return tomlerror.Wrap(path, err)
 	}
 	return nil
 }
--- a/internal/tomlerror/tomlerror.go
+++ b/internal/tomlerror/tomlerror.go
@@ -9,9 +9,9 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Error adds the file's path to an error of the TOML library, and the line and the key if the error has them. Of
+// Wrap adds the file's path to an error of the TOML library, and the line and the key if the error has them. Of
 // several unknown keys it reports the first.
-func Error(path string, err error) error {
+func Wrap(path string, err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
 		unknown := strict.Errors[0]
