--- a/cmd/poppyarch/incident.go
+++ b/cmd/poppyarch/incident.go
@@ -117,7 +117,7 @@
 			if err != nil {
 				return err
 			}
-			if err := report.Show(cmd.OutOrStdout(), analysis, id); err != nil {
+			if err := report.WriteEpisode(cmd.OutOrStdout(), analysis, id); err != nil {
 				return &exitError{exitUsage, err}
 			}
 			return nil
@@ -258,7 +258,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return collect.Bytes(segment)
+	return collect.DecodeStream(segment)
 }
 
 // parseTime parses RFC 3339, or a time of day in UTC on the day of referenceTime. An empty text gives defaultTime.
--- a/cmd/poppyarch/incident_test.go
+++ b/cmd/poppyarch/incident_test.go
@@ -72,7 +72,7 @@
 			expected = append(expected, x)
 		}
 	}
-	for _, difference := range check.Compare(&analysis, expected, gaps, check.Options{Slack: 2_000_000, Gap: 2_000_000, Kinds: []incident.Kind{incident.BrokerDead}}) {
+	for _, difference := range check.Compare(&analysis, expected, gaps, check.Options{ClockTolerance: 2_000_000, GapTolerance: 2_000_000, Kinds: []incident.Kind{incident.BrokerDead}}) {
 		if !strings.Contains(difference, string(incident.Stalled)) && !strings.Contains(difference, string(incident.Lost)) { // a paused test machine causes these
 			t.Error(difference)
 		}
--- a/internal/broker/server/control_test.go
+++ b/internal/broker/server/control_test.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	s, err := collect.Bytes(segment)
+	s, err := collect.DecodeStream(segment)
 	if err != nil {
 		c.t.Fatal(err)
 	}
--- a/internal/broker/server/recording.go
+++ b/internal/broker/server/recording.go
@@ -150,7 +150,7 @@
 		listed[n.ID] = true
 		old, known := endpoints.Get(n.ID)
 		if text := nodeChangeText(old, known, n); text != "" {
-			r.recorder.Note(record.KindList, n.ID, text, revision)
+			r.recorder.Note(record.KindEndpointList, n.ID, text, revision)
 		}
 	}
 	if !full {
@@ -158,7 +158,7 @@
 	}
 	for _, n := range endpoints.All() {
 		if !listed[n.ID] {
-			r.recorder.Note(record.KindList, n.ID, recordedState(decision.Removed), revision)
+			r.recorder.Note(record.KindEndpointList, n.ID, recordedState(decision.Removed), revision)
 		}
 	}
 }
--- a/internal/observability/incident/check/check.go
+++ b/internal/observability/incident/check/check.go
@@ -29,9 +29,9 @@
 
 // Options are the tolerances of a comparison.
 type Options struct {
-	Slack clock.Micros    // added to both ends of every bound, for the error of the clocks
-	Gap   clock.Micros    // maximum error of a gap's ends, for records not yet written when a broker crashed
-	Kinds []incident.Kind // kinds whose spurious episodes are reported; nil means all kinds
+	ClockTolerance clock.Micros    // added to both ends of every bound, for the error of the clocks
+	GapTolerance   clock.Micros    // maximum error of a gap's ends, for records not yet written when a broker crashed
+	Kinds          []incident.Kind // kinds whose spurious episodes are reported; nil means all kinds
 }
 
 // Compare returns a description of each difference between an analysis and the actual episodes and gaps.
@@ -89,16 +89,16 @@
 
 // mayBe reports whether an episode has the kind and the subject of an actual one and overlaps it.
 func (c *comparison) mayBe(e *incident.Episode, actual ActualEpisode) bool {
-	slack := c.options.Slack
-	return e.Kind == actual.Kind && e.Subject == actual.Subject && e.Begin.Earliest <= actual.End+slack && e.End.Latest >= actual.Begin-slack
+	tolerance := c.options.ClockTolerance
+	return e.Kind == actual.Kind && e.Subject == actual.Subject && e.Begin.Earliest <= actual.End+tolerance && e.End.Latest >= actual.Begin-tolerance
 }
 
 // boundsHold reports whether the bounds of an episode contain the begin and the end of an actual one.
 func (c *comparison) boundsHold(e *incident.Episode, actual ActualEpisode) bool {
-	slack := c.options.Slack
-	begin := e.Begin.Earliest-slack <= actual.Begin && actual.Begin <= e.Begin.Latest+slack
-	end := e.End.Earliest-slack <= actual.End && actual.End <= e.End.Latest+slack
-	stillOpen := e.Open && actual.End >= c.analysis.To-slack
+	tolerance := c.options.ClockTolerance
+	begin := e.Begin.Earliest-tolerance <= actual.Begin && actual.Begin <= e.Begin.Latest+tolerance
+	end := e.End.Earliest-tolerance <= actual.End && actual.End <= e.End.Latest+tolerance
+	stillOpen := e.Open && actual.End >= c.analysis.To-tolerance
 	return begin && (end || stillOpen)
 }
 
@@ -114,7 +114,7 @@
 
 // findGap reports a difference if no span matches a gap, or if a span in state Known overlaps it.
 func (c *comparison) findGap(gap ActualGap) {
-	tolerance := c.options.Gap
+	tolerance := c.options.GapTolerance
 	covered := false
 	for _, span := range c.analysis.Knowledge {
 		if span.Broker != gap.Broker {
@@ -139,7 +139,7 @@
 			continue
 		}
 		actual := slices.ContainsFunc(gaps, func(g ActualGap) bool {
-			return g.Broker == span.Broker && g.State == span.State && span.From < g.To+c.options.Gap && span.To > g.From-c.options.Gap
+			return g.Broker == span.Broker && g.State == span.State && span.From < g.To+c.options.GapTolerance && span.To > g.From-c.options.GapTolerance
 		})
 		if !actual {
 			c.report("%s: spurious gap %q from %s to %s", span.Broker, span.State, incident.FormatTime(span.From), incident.FormatTime(span.To))
--- a/internal/observability/incident/clocks.go
+++ b/internal/observability/incident/clocks.go
@@ -35,7 +35,7 @@
 			watchFailed = n.isDiscoveryFailure()
 			continue
 		}
-		if n.kind != record.KindList || n.value < 0 {
+		if n.kind != record.KindEndpointList || n.value < 0 {
 			continue
 		}
 		if at, ok := times[n.value]; !ok || n.at < at {
--- a/internal/observability/incident/clocks_test.go
+++ b/internal/observability/incident/clocks_test.go
@@ -11,7 +11,7 @@
 // after the other. The offset must be computed only from the revisions that reached both through a working watch.
 func TestRevisionsDelayedByAWatchFailureDoNotShiftTheClock(t *testing.T) {
 	list := func(at clock.Micros, rev int64) note {
-		return note{at: at, kind: record.KindList, subject: "s-1", text: "up", value: rev}
+		return note{at: at, kind: record.KindEndpointList, subject: "s-1", text: "up", value: rev}
 	}
 	discovery := func(at clock.Micros, text string) note { return note{at: at, kind: record.KindDiscovery, text: text} }
 	onTime := &Stream{Name: "b1", first: 1, notes: []note{list(5*second, 8), list(20*second, 9), list(30*second, 10)}}
--- a/internal/observability/incident/collect/collect.go
+++ b/internal/observability/incident/collect/collect.go
@@ -16,8 +16,8 @@
 // segmentExtension is the extension of segment files.
 const segmentExtension = ".seg"
 
-// Found counts what Read has read, and lists what it could not read.
-type Found struct {
+// ReadReport counts what Read has read, and lists what it could not read.
+type ReadReport struct {
 	Files  int      `json:"files"`
 	Bytes  int64    `json:"bytes"`
 	Frames int      `json:"frames"`
@@ -25,7 +25,7 @@
 	Faults []string `json:"faults,omitempty"`
 }
 
-func (f *Found) faultf(format string, args ...any) {
+func (f *ReadReport) faultf(format string, args ...any) {
 	f.Faults = append(f.Faults, fmt.Sprintf(format, args...))
 }
 
@@ -47,16 +47,16 @@
 }
 
 // Read reads all segments under the paths, each of which is a directory or a segment file. Files and bytes that cannot
-// be read are listed in Found.Faults and skipped; an error means that a path cannot be accessed.
-func Read(paths ...string) ([]*incident.Stream, *Found, error) {
-	found := &Found{}
+// be read are listed in ReadReport.Faults and skipped; an error means that a path cannot be accessed.
+func Read(paths ...string) ([]*incident.Stream, *ReadReport, error) {
+	report := &ReadReport{}
 	files, err := findFiles(paths)
 	if err != nil {
-		return nil, found, err
+		return nil, report, err
 	}
 	// Headers are read first, then each incarnation in the order of its frames, so that only one file is in memory at a
 	// time.
-	segments := readHeaders(files, found)
+	segments := readHeaders(files, report)
 	slices.SortFunc(segments, compareSegments)
 	var streams []*incident.Stream
 	for len(segments) > 0 {
@@ -64,11 +64,11 @@
 		for count < len(segments) && segments[count].broker == segments[0].broker && segments[count].incarnationID == segments[0].incarnationID {
 			count++
 		}
-		streams = append(streams, readIncarnation(segments[:count], found))
+		streams = append(streams, readIncarnation(segments[:count], report))
 		segments = segments[count:]
 	}
-	slices.Sort(found.Faults)
-	return streams, found, nil
+	slices.Sort(report.Faults)
+	return streams, report, nil
 }
 
 // findFiles returns the paths that are files, and the segment files under those that are directories.
@@ -97,12 +97,12 @@
 }
 
 // readHeaders reads the headers of the files and returns those that are segments.
-func readHeaders(files []string, found *Found) []segment {
+func readHeaders(files []string, report *ReadReport) []segment {
 	var segments []segment
 	for _, path := range files {
 		b, err := os.ReadFile(path)
 		if err != nil { // the file was removed in the meantime, or permission is missing
-			found.faultf("%v", err)
+			report.faultf("%v", err)
 			continue
 		}
 		s := segment{path: path}
@@ -112,7 +112,7 @@
 			}
 		})
 		if err != nil {
-			found.faultf("%s: %v", path, err)
+			report.faultf("%s: %v", path, err)
 			continue
 		}
 		segments = append(segments, s)
@@ -120,30 +120,30 @@
 	return segments
 }
 
-// Bytes decodes one segment, such as the contents of a broker's record.Ring.
-func Bytes(b []byte) (*incident.Stream, error) {
+// DecodeStream decodes one segment, such as the contents of a broker's record.Ring.
+func DecodeStream(b []byte) (*incident.Stream, error) {
 	broker, incarnationID, err := record.DecodeSegment(b, func(record.Part) {})
 	if err != nil {
 		return nil, err
 	}
-	r := newIncarnationReader(broker, incarnationID, &Found{})
+	r := newIncarnationReader(broker, incarnationID, &ReadReport{})
 	r.readSegment(b)
 	return r.stream, nil
 }
 
 // readIncarnation reads the segments of one incarnation, which are in the order of their frames.
-func readIncarnation(segments []segment, found *Found) *incident.Stream {
-	r := newIncarnationReader(segments[0].broker, segments[0].incarnationID, found)
+func readIncarnation(segments []segment, report *ReadReport) *incident.Stream {
+	r := newIncarnationReader(segments[0].broker, segments[0].incarnationID, report)
 	for _, s := range segments {
 		b, err := os.ReadFile(s.path)
 		if err != nil {
-			found.faultf("%v", err)
+			report.faultf("%v", err)
 			continue
 		}
-		found.Files++
-		found.Bytes += int64(len(b))
+		report.Files++
+		report.Bytes += int64(len(b))
 		if damaged := r.readSegment(b); damaged > 0 {
-			found.faultf("%s: %d bytes cannot be read", s.path, damaged)
+			report.faultf("%s: %d bytes cannot be read", s.path, damaged)
 		}
 	}
 	return r.stream
@@ -152,15 +152,15 @@
 // incarnationReader adds the frames of one incarnation to its stream, each once.
 type incarnationReader struct {
 	stream  *incident.Stream
-	found   *Found
+	report  *ReadReport
 	decoder *record.Decoder
 	seen    map[uint64]bool // numbers of the frames that have been read
 }
 
-func newIncarnationReader(broker, incarnationID string, found *Found) *incarnationReader {
+func newIncarnationReader(broker, incarnationID string, report *ReadReport) *incarnationReader {
 	return &incarnationReader{
 		stream:  incident.NewStream(broker, incarnationID),
-		found:   found,
+		report:  report,
 		decoder: record.NewDecoder(),
 		seen:    map[uint64]bool{},
 	}
@@ -182,7 +182,7 @@
 		}
 		lastSeq = p.Frame.Seq
 		if r.seen[lastSeq] {
-			r.found.Copies++
+			r.report.Copies++
 			return
 		}
 		r.seen[lastSeq] = true
@@ -199,12 +199,12 @@
 	for {
 		ok, err := r.decoder.Next(&event)
 		if err != nil {
-			r.found.faultf("%s boot %s frame %d: %v", r.stream.Name, r.stream.IncarnationID, frame.Seq, err)
+			r.report.faultf("%s boot %s frame %d: %v", r.stream.Name, r.stream.IncarnationID, frame.Seq, err)
 			r.stream.AddDamage(frame.Seq-1, len(frame.Events))
 			return
 		}
 		if !ok {
-			r.found.Frames++
+			r.report.Frames++
 			r.stream.AddFrame(frame.Seq, frame.WrittenAt)
 			return
 		}
--- a/internal/observability/incident/collect/collect_test.go
+++ b/internal/observability/incident/collect/collect_test.go
@@ -57,7 +57,7 @@
 
 // knowledgeOf reads and analyses the records under paths. It returns the spans of a broker as text, with times in
 // seconds since epoch.
-func knowledgeOf(t *testing.T, broker string, paths ...string) (out []string, a *incident.Analysis, f *Found) {
+func knowledgeOf(t *testing.T, broker string, paths ...string) (out []string, a *incident.Analysis, f *ReadReport) {
 	t.Helper()
 	streams, f, err := Read(paths...)
 	if err != nil {
--- a/internal/observability/incident/incident_test.go
+++ b/internal/observability/incident/incident_test.go
@@ -159,14 +159,14 @@
 	sim := x.sim
 	for node, d := range sim.nodeDrains {
 		delay := sim.jitter(200 * ms)
-		x.addNote(d.from+delay, record.KindList, fmt.Sprint("s-", node), "draining", 10+int64(node))
-		x.addNote(d.to+sim.jitter(200*ms), record.KindList, fmt.Sprint("s-", node), "up", 20+int64(node))
+		x.addNote(d.from+delay, record.KindEndpointList, fmt.Sprint("s-", node), "draining", 10+int64(node))
+		x.addNote(d.to+sim.jitter(200*ms), record.KindEndpointList, fmt.Sprint("s-", node), "up", 20+int64(node))
 	}
 	for node, c := range sim.nodeSlowStarts {
 		x.addNote(c.from+sim.jitter(300*ms), record.KindNode, fmt.Sprint("s-", node), "may have restarted: outcome 4", 0)
 	}
 	for v := range int64(sim.duration / (5 * sec)) { // the list changes every 5 s, so that clocks can be compared
-		x.addNote(clock.Micros(v)*5*sec+2*sec+sim.jitter(150*ms), record.KindList, "s-x", fmt.Sprint("moved 10.0.0.", v), 100+v)
+		x.addNote(clock.Micros(v)*5*sec+2*sec+sim.jitter(150*ms), record.KindEndpointList, "s-x", fmt.Sprint("moved 10.0.0.", v), 100+v)
 	}
 	if d := sim.discoveryOutage; d != nil {
 		x.addNote(d.from+sim.jitter(2*sec), record.KindDiscovery, "", "down: status 503", 0)
@@ -294,7 +294,7 @@
 		maxClockError = max(maxClockError, c.Error)
 	}
 	episodes, gaps := sim.expected(referenceOffset)
-	differences := check.Compare(a, episodes, gaps, check.Options{Slack: maxClockError + 50*ms, Gap: maxClockError + 600*ms, Kinds: comparedKinds})
+	differences := check.Compare(a, episodes, gaps, check.Options{ClockTolerance: maxClockError + 50*ms, GapTolerance: maxClockError + 600*ms, Kinds: comparedKinds})
 	for _, x := range differences {
 		t.Errorf("%s: %s", description, x)
 	}
@@ -403,7 +403,7 @@
 	sim.brokerOutages[0] = []span{{40 * sec, 45 * sec}}
 	a := incident.Analyse(sim.streams(), incident.DefaultOptions())
 	episodes, gaps := sim.expected(0)
-	o := check.Options{Slack: 600 * ms, Gap: 600 * ms, Kinds: comparedKinds}
+	o := check.Options{ClockTolerance: 600 * ms, GapTolerance: 600 * ms, Kinds: comparedKinds}
 	if wrong := check.Compare(a, episodes, gaps, o); len(wrong) > 0 {
 		t.Fatal(wrong)
 	}
--- a/internal/observability/incident/merge.go
+++ b/internal/observability/incident/merge.go
@@ -59,7 +59,7 @@
 		to.usualLatency = max(to.usualLatency, quantile(&latency, usualQuantile))
 	}
 	for _, n := range s.notes {
-		if (n.kind == record.KindNode || n.kind == record.KindList) && n.subject != "" {
+		if (n.kind == record.KindNode || n.kind == record.KindEndpointList) && n.subject != "" {
 			v.node(n.subject)
 		}
 	}
--- a/internal/observability/incident/note_episodes.go
+++ b/internal/observability/incident/note_episodes.go
@@ -77,7 +77,7 @@
 	drains := map[string]*drainNotifications{} // drains that have not ended, by node
 	for i := range notes {
 		n := &notes[i]
-		if n.kind != record.KindList {
+		if n.kind != record.KindEndpointList {
 			continue
 		}
 		drain := drains[n.subject]
@@ -155,7 +155,7 @@
 	latest := map[string]clock.Micros{}
 	for i := range notes {
 		n := &notes[i]
-		started := n.kind == record.KindList && strings.HasPrefix(n.text, "started ")
+		started := n.kind == record.KindEndpointList && strings.HasPrefix(n.text, "started ")
 		restarted := n.kind == record.KindNode && strings.HasPrefix(n.text, "may have restarted")
 		if !started && !restarted {
 			continue
--- a/internal/observability/incident/report/report_test.go
+++ b/internal/observability/incident/report/report_test.go
@@ -77,7 +77,7 @@
 	if err := json.Unmarshal(encoded.Bytes(), &decoded); err != nil || len(decoded.Episodes) != len(a.Episodes) || len(decoded.Knowledge) != len(a.Knowledge) {
 		t.Errorf("decoded JSON: error %v, %d episodes and %d spans, want %d and %d", err, len(decoded.Episodes), len(decoded.Knowledge), len(a.Episodes), len(a.Knowledge))
 	}
-	if err := Show(&text, a, 99); err == nil {
-		t.Error("Show returned no error for an episode that does not exist")
+	if err := WriteEpisode(&text, a, 99); err == nil {
+		t.Error("WriteEpisode returned no error for an episode that does not exist")
 	}
 }
--- a/internal/observability/incident/report/text.go
+++ b/internal/observability/incident/report/text.go
@@ -84,8 +84,8 @@
 	return fmt.Sprintf("%d %s; %s", s.Events, unit, s.Text)
 }
 
-// Show writes one episode with its evidence, uncertainties, overlaps and impact.
-func Show(w io.Writer, a *incident.Analysis, id int) error {
+// WriteEpisode writes one episode with its evidence, uncertainties, overlaps and impact.
+func WriteEpisode(w io.Writer, a *incident.Analysis, id int) error {
 	if id < 1 || id > len(a.Episodes) {
 		return fmt.Errorf("episode %d not found: the analysis has %d episodes", id, len(a.Episodes))
 	}
--- a/internal/observability/record/decode.go
+++ b/internal/observability/record/decode.go
@@ -72,7 +72,7 @@
 		e.Summary = d.summary()
 	case KindLost:
 		e.Lost = d.lost(e.At)
-	case KindNode, KindList, KindDiscovery, KindControl, KindDrain, KindStop:
+	case KindNode, KindEndpointList, KindDiscovery, KindControl, KindDrain, KindStop:
 		e.Note = &Note{Subject: d.string(), Text: d.string(), Value: d.varint()}
 	default:
 		d.malformed = true
--- a/internal/observability/record/event.go
+++ b/internal/observability/record/event.go
@@ -15,17 +15,17 @@
 
 // The kinds of events. The numbers are stored and must not change.
 const (
-	KindIncarnation Kind = iota + 1 // Incarnation
-	KindHeartbeat                   // Heartbeat
-	KindRequest                     // Request
-	KindSummary                     // Summary
-	KindNode                        // Note: the decision module's view of a storage node has changed
-	KindList                        // Note: an entry of the endpoint list has changed; Value is the list's revision
-	KindDiscovery                   // Note: a call to discovery failed, or calls succeed again
-	KindControl                     // Note: the control endpoint applied or rejected a change; Value is the edition
-	KindDrain                       // Note: the broker has started to drain
-	KindStop                        // Note: the broker has answered all requests and exits
-	KindLost                        // Lost
+	KindIncarnation  Kind = iota + 1 // Incarnation
+	KindHeartbeat                    // Heartbeat
+	KindRequest                      // Request
+	KindSummary                      // Summary
+	KindNode                         // Note: the decision module's view of a storage node has changed
+	KindEndpointList                 // Note: an entry of the endpoint list has changed; Value is the list's revision
+	KindDiscovery                    // Note: a call to discovery failed, or calls succeed again
+	KindControl                      // Note: the control endpoint applied or rejected a change; Value is the edition
+	KindDrain                        // Note: the broker has started to drain
+	KindStop                         // Note: the broker has answered all requests and exits
+	KindLost                         // Lost
 	kindCount
 )
 
--- a/internal/testkit/compat/json_test.go
+++ b/internal/testkit/compat/json_test.go
@@ -64,7 +64,7 @@
 	"incident-bound":          &incident.Bound{},
 	"incident-change":         &incident.Change{},
 	"incident-clock":          &incident.Clock{},
-	"incident-found":          &collect.Found{},
+	"incident-found":          &collect.ReadReport{},
 	"incident-impact":         &incident.Impact{},
 	"incident-span":           &incident.Span{},
 	"inventory-instance":      &inventory.Instance{},
--- a/internal/testkit/compat/stored_test.go
+++ b/internal/testkit/compat/stored_test.go
@@ -215,7 +215,7 @@
 		{At: 3000, Kind: record.KindSummary, Summary: summary},
 		{At: 3500, Kind: record.KindLost, Lost: filled(&record.Lost{}).(*record.Lost)},
 	}
-	for _, kind := range []record.Kind{record.KindNode, record.KindList, record.KindDiscovery, record.KindControl,
+	for _, kind := range []record.Kind{record.KindNode, record.KindEndpointList, record.KindDiscovery, record.KindControl,
 		record.KindDrain, record.KindStop} {
 		events = append(events, record.Event{At: 4000, Kind: kind, Note: &record.Note{Subject: "s-1", Text: "text", Value: -7}})
 	}
--- a/tools/measure/incident.go
+++ b/tools/measure/incident.go
@@ -67,7 +67,7 @@
 	if err := report.HTML(f, analysis, "Scripted incident"); err != nil {
 		return err
 	}
-	differences := check.Compare(analysis, episodes, gaps, check.Options{Slack: 100_000, Gap: 700_000, Kinds: []incident.Kind{incident.BrokerDead, incident.NodeSilent,
+	differences := check.Compare(analysis, episodes, gaps, check.Options{ClockTolerance: 100_000, GapTolerance: 700_000, Kinds: []incident.Kind{incident.BrokerDead, incident.NodeSilent,
 		incident.DiscoveryDown, incident.NodeDrain, incident.VolumeSurge}})
 	for _, difference := range differences {
 		fmt.Println("WRONG:", difference)
