--- a/internal/lab/load/install.go
+++ b/internal/lab/load/install.go
@@ -60,7 +60,7 @@
 			in = nil
 		}
 	}()
-	disc := fake.NewDiscovery()
+	discoveryServer := fake.NewDiscovery()
 	for _, k := range s.Nodes {
 		for range k.Count {
 			n := &fake.TimedBlockServer{Cores: k.Cores, Speed: k.Speed, QueueCapacity: k.QueueCapacity, HandshakeWork: time.Duration(s.Service.Handshake)}
@@ -84,15 +84,15 @@
 					return in, err
 				}
 			}
-			disc.SetEndpoints(t)
+			discoveryServer.SetEndpoints(t)
 			in.nodes = append(in.nodes, n)
 		}
 	}
-	addr, err := in.serve((&http.Server{Handler: disc}).Serve)
+	addr, err := in.serve((&http.Server{Handler: discoveryServer}).Serve)
 	if err != nil {
 		return in, err
 	}
-	return in, in.startBrokers(o, addr, disc.List(-1), start)
+	return in, in.startBrokers(o, addr, discoveryServer.List(-1), start)
 }
 
 // serve runs a server on a port that the system chooses, and returns its address.
@@ -107,7 +107,7 @@
 }
 
 // startBrokers configures and starts the brokers, and waits until they listen.
-func (in *Installation) startBrokers(o Options, disc string, known discovery.List, start Start) error {
+func (in *Installation) startBrokers(o Options, discoveryAddr string, known discovery.List, start Start) error {
 	settings, err := in.Scenario.BrokerSettings()
 	if err != nil {
 		return err
@@ -119,7 +119,7 @@
 	type m = map[string]any
 	for i, addr := range addrs {
 		name := fmt.Sprint("b", i+1)
-		doc := m{"name": name, "discovery": disc, "known": known, "settings": settings, "limits": m{"cores": 1, "memory_mb": 192, "sockets": 1024},
+		doc := m{"name": name, "discovery": discoveryAddr, "known": known, "settings": settings, "limits": m{"cores": 1, "memory_mb": 192, "sockets": 1024},
 			"tuning": m{"drain_serve": 1000, "drain_accept": 1000}}
 		if o.Records != "" {
 			doc["record"] = m{"dir": filepath.Join(o.Records, name)}
--- a/policy/watch_test.go
+++ b/policy/watch_test.go
@@ -73,7 +73,7 @@
 // calls would never empty.
 func TestAllBrokersGetAListFromSlowDiscovery(t *testing.T) {
 	const brokers = 80
-	disc := &slowDiscovery{callTime: time.Second / 15, timeout: 2 * time.Second}
+	discoveryServer := &slowDiscovery{callTime: time.Second / 15, timeout: 2 * time.Second}
 	type pending struct {
 		end time.Duration
 		ok  bool
@@ -100,7 +100,7 @@
 			}
 			for _, a := range h.step(evs...) {
 				if a.Kind == decision.WatchEndpoints {
-					end, ok := disc.call(h.now)
+					end, ok := discoveryServer.call(h.now)
 					calls[i] = &pending{end, ok}
 				}
 			}
