--- a/internal/fleet/api/messages.go
+++ b/internal/fleet/api/messages.go
@@ -100,10 +100,10 @@
 	Strategy state.Strategy `json:"strategy"`
 }
 
-// NodesRequest changes the operators' overrides of storage nodes.
-type NodesRequest struct {
+// NodeOverridesRequest changes the operators' overrides of storage nodes.
+type NodeOverridesRequest struct {
 	state.Command
-	Changes []state.NodeChange `json:"changes"`
+	Changes []state.NodeOverrideChange `json:"changes"`
 }
 
 // SetPhaseRequest pauses, resumes or aborts a rollout.
