--- a/cmd/labplot/main.go
+++ b/cmd/labplot/main.go
@@ -1,4 +1,4 @@
-// Command labplot draws charts and reports of lab results. It is a program of its own, called by "poppyarch lab plot"
+// Command labplot draws charts and reports of lab results. It is a separate program, called by "poppyarch lab plot"
 // and "poppyarch lab report": the drawing libraries bring fonts that they read at start, and a broker has to be small
 // and start quickly.
 package main
--- a/cmd/poppyarch/fleet_rollout.go
+++ b/cmd/poppyarch/fleet_rollout.go
@@ -92,7 +92,8 @@
 	return c
 }
 
-// finishRollout prints the reply to a command that starts a rollout and, with --wait, waits until the rollout has ended.
+// finishRollout prints the reply to a command that starts a rollout and, with --wait, waits until the rollout has
+// ended.
 func (s *session) finishRollout(command string, reply api.Reply, f changeFlags) error {
 	if err := s.printReply(command, reply); err != nil {
 		return err
--- a/cmd/poppyarch/fleet_test.go
+++ b/cmd/poppyarch/fleet_test.go
@@ -26,7 +26,8 @@
 	os.Exit(m.Run())
 }
 
-// waitTimeout bounds each wait for an expected state. A test that reaches it fails; no result depends on a shorter time.
+// waitTimeout bounds each wait for an expected state. A test that reaches it fails; no result depends on a shorter
+// time.
 const waitTimeout = 90 * time.Second
 
 // appliedChangeLine is what a broker logs for a change from its control endpoint.
@@ -200,8 +201,8 @@
 	}
 }
 
-// checkChangesAppliedOnce checks in the brokers' logs that each broker applied at least one change, and no change twice.
-// line is the log line of an applied change.
+// checkChangesAppliedOnce checks in the brokers' logs that each broker applied at least one change, and no change
+// twice. line is the log line of an applied change.
 func (f *runningFleet) checkChangesAppliedOnce(line string) {
 	f.t.Helper()
 	logs, err := filepath.Glob(filepath.Join(f.dir, "run*", "*.log"))
@@ -248,7 +249,8 @@
 	}
 }
 
-// TestFleetSurvivesKillsUnderLoad rolls changes out over eight brokers while agents, brokers and the manager are killed.
+// TestFleetSurvivesKillsUnderLoad rolls changes out over eight brokers while agents, brokers and the manager are
+// killed.
 func TestFleetSurvivesKillsUnderLoad(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 4*time.Minute)
 	defer cancel()
--- a/cmd/poppyarch/incident_test.go
+++ b/cmd/poppyarch/incident_test.go
@@ -16,10 +16,10 @@
 	"poppyarch/internal/testkit/fake"
 )
 
-// A scripted incident with real brokers: nodes stop answering while brokers are killed, and a node drains while discovery
-// is down. The report from the brokers' records must contain these events within their bounds and mark the gaps of the dead
-// brokers. A slow machine may cause further slow episodes, so this test only looks for the scripted events. The tests with
-// simulated brokers check that no other episode is reported.
+// A scripted incident with real brokers: nodes stop answering while brokers are killed, and a node drains while
+// discovery is down. The report from the brokers' records must contain these events within their bounds and mark the
+// gaps of the dead brokers. A slow machine may cause further slow episodes, so this test only looks for the scripted
+// events. The tests with simulated brokers check that no other episode is reported.
 func TestScriptedIncidentOverRealBrokers(t *testing.T) {
 	dir := t.TempDir()
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Minute)
@@ -73,7 +73,8 @@
 		}
 	}
 	for _, difference := range check.Compare(&analysis, expected, gaps, check.Options{ClockTolerance: 2_000_000, GapTolerance: 2_000_000, Kinds: []incident.Kind{incident.BrokerDead}}) {
-		if !strings.Contains(difference, string(incident.Stalled)) && !strings.Contains(difference, string(incident.Lost)) { // a paused test machine causes these
+		// A pause of the test machine also causes episodes of these two kinds.
+		if !strings.Contains(difference, string(incident.Stalled)) && !strings.Contains(difference, string(incident.Lost)) {
 			t.Error(difference)
 		}
 	}
--- a/cmd/poppyarch/load.go
+++ b/cmd/poppyarch/load.go
@@ -80,8 +80,8 @@
 	return t.Flush()
 }
 
-// printClientOverhead prints the delay that the clients themselves add to the measured times, and the number of protocol
-// errors.
+// printClientOverhead prints the delay that the clients themselves add to the measured times, and the number of
+// protocol errors.
 func printClientOverhead(t *textoutput.Table, reports []*driver.Report) {
 	median, p99 := 0.0, 0.0
 	cut, wrong := 0, 0
--- a/cmd/poppyarch/nodes_test.go
+++ b/cmd/poppyarch/nodes_test.go
@@ -11,9 +11,9 @@
 	"poppyarch/internal/testkit/fake"
 )
 
-// Edits the list of storage nodes in every way that brokers have to handle, under load through both frontends. Brokers must
-// stop sending new requests to nodes that were removed and keep sending requests to the others. tools/measure measures
-// how long that takes; this test does not, so that a slow machine cannot fail it.
+// Edits the list of storage nodes in every way that brokers have to handle, under load through both frontends. Brokers
+// must stop sending new requests to nodes that were removed and keep sending requests to the others. tools/measure
+// measures how long that takes; this test does not, so that a slow machine cannot fail it.
 func TestListsEditedUnderLoad(t *testing.T) {
 	dir := t.TempDir()
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Minute)
--- a/internal/broker/config/config.go
+++ b/internal/broker/config/config.go
@@ -13,10 +13,10 @@
 // Config is a validated configuration.
 type Config struct {
 	Name          string
-	Listen        string // of the block frontend; empty if it is off
+	Listen        string // address of the block frontend; empty if it is off
 	DiscoveryAddr string
 	Seed          uint64
-	InitialList   discovery.List // in force at the start; its Revision is discovery.NoRevision if there is none
+	InitialList   discovery.List // list in force at the start; its Revision is discovery.NoRevision if there is none
 	Policy        decision.Config
 	Zones         []string // names, by zone number
 	Shards        int      // number of shards; 0 if unknown
--- a/internal/broker/config/record.go
+++ b/internal/broker/config/record.go
@@ -17,10 +17,10 @@
 
 // Recording configures the recorder.
 type Recording struct {
-	Dir             string  `json:"dir"`           // of the segments; if empty, records go to a ring buffer in memory
-	SampleFraction  float64 `json:"sample"`        // of requests recorded individually; all are counted; default 1
+	Dir             string  `json:"dir"`           // directory of the segments; empty for a ring buffer in memory
+	SampleFraction  float64 `json:"sample"`        // fraction of requests recorded individually; all are counted; default 1
 	SegmentBytes    int64   `json:"segment_bytes"` // default 8 MiB
-	TotalBytes      int64   `json:"total_bytes"`   // of all segments (default 256 MiB) or of the ring (default 8 MiB)
+	TotalBytes      int64   `json:"total_bytes"`   // limit of all segments (default 256 MiB) or of the ring (default 8 MiB)
 	FlushIntervalMS int64   `json:"flush_ms"`      // default 50
 	HeartbeatMS     int64   `json:"beat_ms"`       // default 500
 }
--- a/internal/broker/control/messages.go
+++ b/internal/broker/control/messages.go
@@ -10,7 +10,7 @@
 // a difference.
 type Change struct {
 	ID            string              `json:"id"`       // idempotency key of the command
-	FencingToken  uint64              `json:"token"`    // of the agent; one below the highest one seen is rejected
+	FencingToken  uint64              `json:"token"`    // of the agent; a token below the highest one seen is rejected
 	Incarnation   string              `json:"boot"`     // the incarnation that the change is meant for
 	BaseRevision  uint64              `json:"base"`     // the revision that the incarnation must hold
 	Revision      uint64              `json:"revision"` // the revision held afterwards; greater than BaseRevision
@@ -65,7 +65,7 @@
 	NodeCount            int               `json:"nodes"`
 	InFlight             int64             `json:"open"`              // requests admitted and not yet answered
 	Live                 spec.LiveSettings `json:"live"`              // settings in force
-	Stats                *Stats            `json:"figures,omitempty"` // of the last second; nil if nothing is recorded
+	Stats                *Stats            `json:"figures,omitempty"` // figures of the last second; nil if nothing is recorded
 }
 
 // acceptResult is the response to POST /v1/nodes/accept.
--- a/internal/fleet/api/errors.go
+++ b/internal/fleet/api/errors.go
@@ -9,7 +9,7 @@
 
 // Errors of the manager, in addition to those of package state. Each is sent as a code.
 var (
-	ErrManagerRestarted = errors.New("the manager has restarted")            // sessions with its earlier incarnation have ended
+	ErrManagerRestarted = errors.New("the manager has restarted")            // its earlier sessions have ended
 	ErrStorage          = errors.New("the manager cannot write its journal") // nothing has changed
 	ErrInvalidRequest   = errors.New("faulty request")                       // a retry would fail again
 )
--- a/internal/fleet/api/messages.go
+++ b/internal/fleet/api/messages.go
@@ -144,7 +144,7 @@
 	FleetID      string                 `json:"fleet"`
 	Revision     uint64                 `json:"rev"`
 	Settled      bool                   `json:"settled"`     // the observed state equals the desired state
-	Unavailable  int                    `json:"unavailable"` // of Enabled: not known to serve, or about to stop
+	Unavailable  int                    `json:"unavailable"` // enabled instances not known to serve, or about to stop
 	Enabled      int                    `json:"enabled"`     // enabled instances that have served
 	NotCurrent   int                    `json:"differing"`   // instances that are not in their desired state
 	Instances    []state.InstanceStatus `json:"instances"`
--- a/internal/fleet/spec/spec.go
+++ b/internal/fleet/spec/spec.go
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// reserveAddress records an instance's listen address, and returns an error if it is already used on the same agent. The
-// same address may be used on different agents, because their machines may use the same loopback addresses.
+// reserveAddress records an instance's listen address, and returns an error if it is already used on the same agent.
+// The same address may be used on different agents, because their machines may use the same loopback addresses.
 func reserveAddress(usedBy map[string]string, i *Instance, field, address string) error {
 	if address == "" {
 		return nil
--- a/internal/fleet/state/propose.go
+++ b/internal/fleet/state/propose.go
@@ -81,8 +81,8 @@
 	}
 	if len(plan.WaitsFor) > 0 {
 		// By then those rollouts have brought the fleet to the newest desired state.
-		for _, step := range planned.changes {
-			if c := spec.Compare(step.Old, step.New); c != nil {
+		for _, change := range planned.changes {
+			if c := spec.Compare(change.Old, change.New); c != nil {
 				plan.Changes = append(plan.Changes, *c)
 			}
 		}
--- a/internal/fleet/state/restore.go
+++ b/internal/fleet/state/restore.go
@@ -56,7 +56,7 @@
 	}
 	for _, v := range stored.History {
 		revision := v.Revision
-		revision.Changes = t.steps(v.Changes)
+		revision.Changes = t.changes(v.Changes)
 		s.desired.history = append(s.desired.history, &revision)
 	}
 }
@@ -137,7 +137,7 @@
 	return t.table[index-1]
 }
 
-func (t *tableReader) steps(stored []storedStep) []RevisionChange {
+func (t *tableReader) changes(stored []storedChange) []RevisionChange {
 	var list []RevisionChange
 	for _, v := range stored {
 		list = append(list, RevisionChange{
@@ -161,7 +161,7 @@
 	r := &rollout{
 		revision:  stored.Revision,
 		strategy:  stored.Strategy,
-		changes:   t.steps(stored.Changes),
+		changes:   t.changes(stored.Changes),
 		createdAt: stored.CreatedAt,
 		phase:     stored.Phase,
 		reason:    stored.Reason,
--- a/internal/fleet/state/rollout.go
+++ b/internal/fleet/state/rollout.go
@@ -126,12 +126,12 @@
 		desired[name] = s.target.instances[name]
 	}
 	for _, o := range superseded {
-		for _, step := range o.changes {
-			desired[step.Name] = s.target.instances[step.Name]
+		for _, change := range o.changes {
+			desired[change.Name] = s.target.instances[change.Name]
 		}
 	}
-	for _, step := range r.changes {
-		desired[step.Name] = step.New
+	for _, change := range r.changes {
+		desired[change.Name] = change.New
 	}
 	var changes []spec.Change
 	for name, to := range desired {
@@ -153,9 +153,9 @@
 
 // retarget applies a rollout's changes to the target that the released state is compared with.
 func (s *State) retarget(r *rollout) {
-	for _, step := range r.changes {
-		setOrDelete(s.target.instances, step.Name, step.New)
-		s.target.unreleased[step.Name] = true
+	for _, change := range r.changes {
+		setOrDelete(s.target.instances, change.Name, change.New)
+		s.target.unreleased[change.Name] = true
 	}
 	for name := range s.target.unreleased {
 		if s.releasedState(name).Equal(s.target.instances[name]) {
--- a/internal/fleet/state/snapshot.go
+++ b/internal/fleet/state/snapshot.go
@@ -36,10 +36,10 @@
 // storedRevision is a Revision whose changes refer to the table. Revision.Changes is nil.
 type storedRevision struct {
 	Revision
-	Changes []storedStep `json:"steps"`
+	Changes []storedChange `json:"steps"`
 }
 
-type storedStep struct {
+type storedChange struct {
 	Name string `json:"name"`
 	Old  int    `json:"old"`
 	New  int    `json:"new"`
@@ -59,7 +59,7 @@
 type storedRollout struct {
 	Revision   uint64            `json:"rev"`
 	Strategy   Strategy          `json:"strategy"`
-	Changes    []storedStep      `json:"steps"`
+	Changes    []storedChange    `json:"steps"`
 	Phase      Phase             `json:"phase"`
 	Reason     string            `json:"reason"`
 	CreatedAt  clock.Micros      `json:"at"`
@@ -137,13 +137,13 @@
 	return indexes
 }
 
-func (t *tableWriter) steps(list []RevisionChange) []storedStep {
-	var stored []storedStep
-	for _, step := range list {
-		stored = append(stored, storedStep{
-			Name: step.Name,
-			Old:  t.instance(step.Old),
-			New:  t.instance(step.New),
+func (t *tableWriter) changes(list []RevisionChange) []storedChange {
+	var stored []storedChange
+	for _, change := range list {
+		stored = append(stored, storedChange{
+			Name: change.Name,
+			Old:  t.instance(change.Old),
+			New:  t.instance(change.New),
 		})
 	}
 	return stored
@@ -152,7 +152,7 @@
 func (t *tableWriter) revisions(list []*Revision) []storedRevision {
 	var stored []storedRevision
 	for _, revision := range list {
-		v := storedRevision{Revision: *revision, Changes: t.steps(revision.Changes)}
+		v := storedRevision{Revision: *revision, Changes: t.changes(revision.Changes)}
 		v.Revision.Changes = nil
 		stored = append(stored, v)
 	}
@@ -189,7 +189,7 @@
 	stored := storedRollout{
 		Revision:  r.revision,
 		Strategy:  r.strategy,
-		Changes:   t.steps(r.changes),
+		Changes:   t.changes(r.changes),
 		Phase:     r.phase,
 		Reason:    r.reason,
 		CreatedAt: r.createdAt,
--- a/internal/fleet/state/state.go
+++ b/internal/fleet/state/state.go
@@ -48,7 +48,7 @@
 	commands commandResults
 
 	instances map[string]*instance // released instances, by name
-	departed  map[string]*instance // of these, those that have ended at an agent where they are no longer desired
+	departed  map[string]*instance // released instances that have ended at an agent where they are no longer desired
 }
 
 // desiredState is the fleet as the newest revision defines it, with the history of revisions.
--- a/internal/frontend/block/eviction.go
+++ b/internal/frontend/block/eviction.go
@@ -91,7 +91,7 @@
 )
 
 // evictionRank returns the connection's rank. A connection that is about to end is not evictable: if it has received
-// input meanwhile, it stays open, and waiting for its end would be in vain.
+// input meanwhile, it stays open, and waiting for its end would be useless.
 func (c *conn) evictionRank(now clock.Micros) evictionRank {
 	unused := c.lastReadAt.Load() == 0 && now >= c.acceptedAt+c.server.lim.ClientStallTimeout/4
 	switch {
--- a/internal/frontend/block/scanner_test.go
+++ b/internal/frontend/block/scanner_test.go
@@ -27,7 +27,7 @@
 			at = end
 		}
 		if chunksComplete != complete || (err == nil) != (chunksErr == nil) {
-			t.Fatalf("at once: %d bytes complete, error %v; in chunks: %d, %v", complete, err, chunksComplete, chunksErr)
+			t.Fatalf("in one piece: %d bytes complete, error %v; in chunks: %d, %v", complete, err, chunksComplete, chunksErr)
 		}
 		expectCommands(t, b[:complete])
 	})
--- a/internal/frontend/object/listener.go
+++ b/internal/frontend/object/listener.go
@@ -139,8 +139,8 @@
 }
 
 // clientDisconnected returns a function that reports whether a request's client has disconnected, or nil if the
-// connection is not known. The HTTP server itself detects a disconnect only after it has read the request's body, and not if more
-// input follows the body.
+// connection is not known. The HTTP server itself detects a disconnect only after it has read the request's body, and
+// not if more input follows the body.
 func clientDisconnected(ctx context.Context) func() bool {
 	c, ok := ctx.Value(connKey{}).(net.Conn)
 	if !ok {
--- a/internal/lab/experiment/plan.go
+++ b/internal/lab/experiment/plan.go
@@ -24,7 +24,7 @@
 	Scenario  string   `toml:"scenario"` // path of the scenario file, relative to the plan
 	Designs   []string `toml:"designs"`  // the first is the baseline that the others are compared with
 	Measure   string   `toml:"measure"`
-	Precision float64  `toml:"precision"` // wanted half-width of the confidence interval; 0 adds no seeds
+	Precision float64  `toml:"precision"` // target half-width of the confidence interval; 0 adds no seeds
 	Runs      int      `toml:"runs"`      // seeds added at a time, and the minimum per design and point
 	MaxRuns   int      `toml:"most"`      // maximum number of seeds per design and point
 	Seed      uint64   `toml:"seed"`
--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -53,7 +53,8 @@
 		d.busyUntil = max(d.busyUntil, now) + int64(1e6/rate)
 		wait = d.busyUntil - now
 	}
-	if timeout := d.run.s.Discovery.Timeout.us(); timeout > 0 && wait > timeout { // it takes as much service time as an answered one
+	// A poll that times out takes as much service time as an answered one.
+	if timeout := d.run.s.Discovery.Timeout.us(); timeout > 0 && wait > timeout {
 		d.failures++
 		reply(timeout+roundTrip, fail)
 		return
--- a/internal/lab/model/scenario.go
+++ b/internal/lab/model/scenario.go
@@ -80,10 +80,10 @@
 // SlowStart is the reduced capacity of nodes after a start, which grows linearly. Without Duration nodes start warm.
 // Without InitialUnits brokers are configured with the capacity of the slowest node.
 type SlowStart struct {
-	InitialCapacity float64  `toml:"share"`    // fraction of a warm node's
+	InitialCapacity float64  `toml:"share"`    // fraction of a warm node's capacity
 	Duration        Duration `toml:"warm"`     // until a node is warm
 	OverloadFactor  float64  `toml:"multiple"` // arrivals beyond this multiple of the capacity crash a node; 0 if they do not
-	Window          Duration `toml:"window"`   // in which arrivals are added up for that
+	Window          Duration `toml:"window"`   // in which arrivals are counted for OverloadFactor
 	InitialUnits    float64  `toml:"bears"`    // units per window at a node's start, as brokers know it; 0 to derive it
 }
 
@@ -111,8 +111,8 @@
 	Deadline             Duration `toml:"patience"` // of requests, if the scenario has no classes; 0 if there is none
 	RetryFraction        float64  `toml:"retry"`    // fraction of clients that retry once after a rejection or failure
 	RereadFraction       float64  `toml:"reread"`   // fraction of reads that read one of the objects written last
-	PrimaryShiftInterval Duration `toml:"shift"`    // mean time after which another broker gets most of a volume's load; 0 for never
-	ZipfExponent         float64  `toml:"skew"`     // exponent of the Zipf distribution of a volume's load over its brokers; 0 if uniform
+	PrimaryShiftInterval Duration `toml:"shift"`    // mean time until another broker gets most of a volume's load; 0 for never
+	ZipfExponent         float64  `toml:"skew"`     // Zipf exponent of a volume's load over its brokers; 0 if uniform
 }
 
 // Class is a class of requests.
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -45,8 +45,8 @@
 	return table
 }
 
-// Differences are paired by seed: here the seeds differ by far more than the designs do, and the difference is
-// significant all the same. If its sign changes from seed to seed, it is not significant.
+// Differences are paired by seed: here the seeds differ by far more than the designs do, but the difference is
+// still significant. If its sign changes from seed to seed, it is not significant.
 func TestDifferencesArePairedBySeed(t *testing.T) {
 	points := []string{"2,240", "10,240", "40,240", "2,400", "10,400", "40,400"}
 	table := writeResults(t, "brokers,load.rate", points, []string{"module", "two", "same"}, 4, func(p, d string, seed int) float64 {
--- a/internal/lab/rules/attempt.go
+++ b/internal/lab/rules/attempt.go
@@ -72,6 +72,6 @@
 	}
 	state := b.notified[r.Node]
 	if state.state != history.Ready && r.At > state.since+c.settings.DrainGrace {
-		c.violate(ruleDrain, r, "sent %d us after the broker was told", r.At-state.since)
+		c.violate(ruleDrain, r, "sent %d us after the broker was notified", r.At-state.since)
 	}
 }
--- a/internal/lab/rules/node.go
+++ b/internal/lab/rules/node.go
@@ -125,7 +125,7 @@
 		}
 	}
 	if all > 0 && 3*informed > 2*all {
-		c.violate(ruleOverload, r, "fell, %d of %d sends came from brokers that had been told of its start", informed, all)
+		c.violate(ruleOverload, r, "node overloaded, %d of %d sends came from brokers notified of its start", informed, all)
 	}
 	n.endSlowStart()
 }
--- a/internal/lab/search/search.go
+++ b/internal/lab/search/search.go
@@ -31,7 +31,7 @@
 type Case struct {
 	Scenario    *model.Scenario
 	Verdict     Verdict
-	Evaluations int // of candidates and of smaller cases
+	Evaluations int // evaluations of candidates and of smaller cases
 }
 
 // Run evaluates candidates and shrinks the worst one. Half of the candidates are drawn at random, half are mutations
--- a/internal/lab/search/shrink.go
+++ b/internal/lab/search/shrink.go
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// reduceFault reduces a fault as long as the finding is reproduced.
+// reduceFault reduces a fault repeatedly while the finding is still reproduced.
 func (k *shrinker) reduceFault(ctx context.Context, i int, reduce func(*model.Fault) bool) error {
 	for {
 		smaller := slices.Clone(k.faults)
--- a/internal/nodes/filewatch/filewatch.go
+++ b/internal/nodes/filewatch/filewatch.go
@@ -37,7 +37,7 @@
 type Config struct {
 	PollInterval time.Duration // time between checks of the files if the system sends no notification
 	SettleTime   time.Duration // the files count as settled after this time without a change
-	MaxDelay     time.Duration // a change is reported this long after it was first seen, even if the files have not settled
+	MaxDelay     time.Duration // a change is reported this long after it is first seen, even if unsettled
 }
 
 // DefaultConfig returns delays with which a write takes effect well within half a second.
--- a/internal/nodes/filewatch/filewatch_test.go
+++ b/internal/nodes/filewatch/filewatch_test.go
@@ -71,7 +71,7 @@
 	return e.write(listName, text)
 }
 
-// awaitSettled waits until the watcher reports the wanted content as settled. It returns the last settled content.
+// awaitSettled waits until the watcher reports the expected content as settled. It returns the last settled content.
 func awaitSettled(ctx context.Context, w *Watcher, path, want string) (settled string, ok bool) {
 	unsettled := false
 	for settled != want {
--- a/internal/nodes/nodefile/nodefile.go
+++ b/internal/nodes/nodefile/nodefile.go
@@ -98,7 +98,7 @@
 // FileSystem provides access to files, so that the package itself does no I/O.
 type FileSystem struct {
 	Read func(path string) ([]byte, error)  // returns the content of a file
-	List func(dir string) ([]string, error) // returns the .csv, .yaml and .yml files of a directory, sorted; nil if unsupported
+	List func(dir string) ([]string, error) // sorted .csv, .yaml and .yml files of a directory; nil if unsupported
 }
 
 // Load reads a file, or all files of a directory in the order of their names. If two rows contradict each other, the
--- a/internal/observability/incident/stream.go
+++ b/internal/observability/incident/stream.go
@@ -20,7 +20,7 @@
 	second                   = 1000 * millisecond
 )
 
-// secondOf returns the begin of the second that a time lies in.
+// secondOf returns the start of the second that contains a time.
 func secondOf(at clock.Micros) clock.Micros { return at - at%second }
 
 // Stream collects the records of one incarnation of a broker, in the order of their frames. Times are on the broker's
--- a/internal/testkit/cluster/cluster.go
+++ b/internal/testkit/cluster/cluster.go
@@ -1,5 +1,5 @@
 // Package cluster runs a complete installation on loopback for tests, measurements and the tour. The storage nodes and
-// the discovery service are fakes in this process. The manager and the agents are processes of their own, and the
+// the discovery service are fakes in this process. The manager and the agents are separate processes, and the
 // agents start the brokers.
 package cluster
 
@@ -279,8 +279,8 @@
 func (s *Cluster) startProcess(name string, args ...string) error {
 	cmd := exec.Command(s.options.Program, args...)
 	cmd.Env = append(os.Environ(), s.options.Env...)
-	// A process group of its own: signals to the group of this process, such as an interrupt from the terminal, do not
-	// reach it. Close ends it.
+	// The process gets a separate process group, so that signals to the group of this process, such as an interrupt from
+	// the terminal, do not reach it. Close ends it.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	if s.options.LogOutput != nil {
 		cmd.Stderr = s.options.LogOutput
--- a/internal/testkit/cluster/incident_script.go
+++ b/internal/testkit/cluster/incident_script.go
@@ -41,7 +41,8 @@
 	restartPoll = 5 * time.Millisecond
 )
 
-// incidentScript is the state of a run of RunIncident. It records what actually happens, for comparison with an analysis.
+// incidentScript is the state of a run of RunIncident. It records what actually happens, for comparison with an
+// analysis.
 type incidentScript struct {
 	ctx      context.Context
 	cluster  *Cluster
@@ -52,10 +53,10 @@
 	gaps     []check.ActualGap
 }
 
-// RunIncident runs a scripted incident on a running fleet under the given traffic and returns the episodes and recording
-// gaps that it caused. A storage node stops answering while brokers are killed, a node is drained while discovery is
-// down, and the traffic of a volume surges. The script's delays are multiples of unit. log receives a line for each
-// step.
+// RunIncident runs a scripted incident on a running fleet under the given traffic and returns the episodes and
+// recording gaps that it caused. A storage node stops answering while brokers are killed, a node is drained while
+// discovery is down, and the traffic of a volume surges. The script's delays are multiples of unit. log receives a line
+// for each step.
 func (s *Cluster) RunIncident(ctx context.Context, traffic *fake.Traffic, unit time.Duration, log func(string)) ([]check.ActualEpisode, []check.ActualGap, error) {
 	loadCtx, stop := context.WithCancel(ctx)
 	var load sync.WaitGroup
--- a/internal/testkit/cluster/list_edits.go
+++ b/internal/testkit/cluster/list_edits.go
@@ -72,10 +72,10 @@
 	results     []EditResult
 }
 
-// MeasureListEdits edits the node list of a fleet under load in every way that brokers have to handle, and measures when
-// requests stop reaching the node that was removed, drained or moved. A node without requests for quietPeriod is
-// regarded as unused. timeout bounds each wait. MeasureListEdits returns an error if requests keep reaching such a node,
-// or stop reaching another one.
+// MeasureListEdits edits the node list of a fleet under load in every way that brokers have to handle, and measures
+// when requests stop reaching the node that was removed, drained or moved. A node without requests for quietPeriod is
+// regarded as unused. timeout bounds each wait. MeasureListEdits returns an error if requests keep reaching such a
+// node, or stop reaching another one.
 func (s *Cluster) MeasureListEdits(ctx context.Context, quietPeriod, timeout time.Duration) ([]EditResult, error) {
 	e := &listEditor{
 		cluster:     s,
--- a/internal/testkit/fake/timed.go
+++ b/internal/testkit/fake/timed.go
@@ -25,7 +25,7 @@
 
 // TimedBlockServer is the block server of a storage node with a limited speed. It serves requests in order of arrival,
 // each on the core that becomes free first. The id of a request's piece determines how long the request takes. Requests
-// that their client has abandoned are served all the same.
+// that their client has abandoned are still served.
 type TimedBlockServer struct {
 	Cores         int
 	Speed         float64       // seconds of work that a core does in a second
--- a/internal/timing/timerwheel/timerwheel.go
+++ b/internal/timing/timerwheel/timerwheel.go
@@ -50,8 +50,8 @@
 	t.next = t
 }
 
-// Wheel holds timers. A timer fires at the first Advance at or after its deadline rounded up to a tick: never early, and
-// late by less than a tick.
+// Wheel holds timers. A timer fires at the first Advance at or after its deadline rounded up to a tick: never early,
+// and late by less than a tick.
 type Wheel struct {
 	tick     clock.Micros         // width of a slot of the lowest level
 	now      tickCount            // all timers due up to this tick have fired
@@ -112,8 +112,8 @@
 	t.pushBack(slot)
 }
 
-// Advance moves the wheel's time to now, tick by tick, and calls fire for each timer whose deadline has passed. fire may
-// set and stop timers.
+// Advance moves the wheel's time to now, tick by tick, and calls fire for each timer whose deadline has passed. fire
+// may set and stop timers.
 func (w *Wheel) Advance(now clock.Micros, fire func(*Timer)) {
 	end := tickCount(now / w.tick)
 	for w.now < end {
--- a/policy/randomized_test.go
+++ b/policy/randomized_test.go
@@ -368,7 +368,8 @@
 	ramp := (w.cfg.SlowStartFraction + (1-w.cfg.SlowStartFraction)*age) / w.cfg.SlowStartFraction
 	capacity := w.cfg.SlowStartCapacityUnits * ramp
 	share, last := capacity/float64(w.cfg.Brokers), n.sends[len(n.sends)-1].units
-	if sum > share+1e-6 && (sum > last || last <= share) { // a request larger than the share may be admitted alone, at random
+	// A request larger than the share may be admitted alone, at random.
+	if sum > share+1e-6 && (sum > last || last <= share) {
 		w.fail("%v units sent in a window to a node with a slow-start capacity of %v for %d brokers", sum, capacity, w.cfg.Brokers)
 	}
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -19,7 +19,7 @@
 	class   *decision.Class
 	volume  *volume
 
-	clientStartedAt time.Duration // when the client first sent the request, before any retries of its own
+	clientStartedAt time.Duration // when the client first sent the request, before any retries by the client
 	objectiveAt     time.Duration // time by which the latency objective wants a response
 	queueUntil      time.Duration // a request still queued at this time is rejected
 	maxQueueUntil   time.Duration // upper bound of queueUntil that follows from the client's deadline
--- a/tools/measure/fleet.go
+++ b/tools/measure/fleet.go
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// measureRollout runs one variant on an installation of its own and prints its row of the table. rollout returns the
+// measureRollout runs one variant on a separate installation and prints its row of the table. rollout returns the
 // times that the start and the change of all brokers took.
 func measureRollout(name string, run int, rollout func(context.Context, *cluster.Cluster, *fake.Traffic, string) (time.Duration, time.Duration, error)) error {
 	dir, err := os.MkdirTemp("", "fleet")
--- a/tools/measure/nodes.go
+++ b/tools/measure/nodes.go
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// editListsOnce runs all edits on an installation of its own.
+// editListsOnce runs all edits on a separate installation.
 func editListsOnce() ([]cluster.EditResult, error) {
 	dir, err := os.MkdirTemp("", "nodes")
 	if err != nil {
