--- a/internal/broker/limits/limits.go
+++ b/internal/broker/limits/limits.go
@@ -28,7 +28,7 @@
 	ClientWriteTimeout             clock.Micros `json:"client_write"`  // for a client to take its response
 	ClientFirstByteTimeout         clock.Micros `json:"client_first"`  // for the first byte on a new connection
 	ClientStallTimeout             clock.Micros `json:"client_stall"`  // between two reads within one command
-	ClientRequestTimeout           clock.Micros `json:"client_send"`   // for a whole command
+	ClientRequestTimeout           clock.Micros `json:"client_send"`   // for receiving one complete command
 	ClientIdleTimeoutUnderPressure clock.Micros `json:"client_lull"`   // client_idle if descriptors or memory are scarce
 	ClientIdleConns                int          `json:"client_keep"`   // idle connections kept; the longest idle are closed first
 	ClientIdleTimeout              clock.Micros `json:"client_idle"`   // between two commands
--- a/internal/broker/server/object_test.go
+++ b/internal/broker/server/object_test.go
@@ -138,7 +138,7 @@
 	}
 }
 
-// A node fails after the first bytes of the response have gone to the client. The broker truncates the body, so that
+// A node fails after the first bytes of the response were sent to the client. The broker truncates the body, so that
 // the client detects the failure, and does not retry.
 func TestFailureAfterFirstByteTruncatesTheBody(t *testing.T) {
 	f := newFixture(t)
--- a/internal/fleet/state/rollout_test.go
+++ b/internal/fleet/state/rollout_test.go
@@ -115,17 +115,23 @@
 	}
 }
 
+// strategyWithoutCanary returns a strategy with waves of batch instances, of which up to four may be unavailable.
+func strategyWithoutCanary(batch int, soakTime, progressDeadline clock.Micros) Strategy {
+	strategy := DefaultStrategy()
+	strategy.Canary = 0
+	strategy.Batch = CountOrPercent{Count: batch}
+	strategy.MaxUnavailable = CountOrPercent{Count: 4}
+	strategy.SoakTime = soakTime
+	strategy.ProgressDeadline = progressDeadline
+	return strategy
+}
+
 // Half of the first wave fails permanently. If that exceeds the failure budget, the rollout pauses before the next
 // wave, names the failed instances and releases no others; within the budget it completes.
 func TestRolloutPausesOnceFailureBudgetIsExceeded(t *testing.T) {
 	for _, budget := range []int{1, 2} {
 		f := newOneAgentFleet(t)
-		strategy := DefaultStrategy()
-		strategy.Canary = 0
-		strategy.Batch = CountOrPercent{Count: 4}
-		strategy.MaxUnavailable = CountOrPercent{Count: 4}
-		strategy.SoakTime = 1_000_000
-		strategy.ProgressDeadline = 10_000_000
+		strategy := strategyWithoutCanary(4, 1_000_000, 10_000_000)
 		f.propose(8, 64, strategy)
 		f.run(20_000_000)
 		if !f.s.Settled() {
@@ -149,12 +155,7 @@
 
 func TestFailureInFinishedWaveCountsAgainstBudget(t *testing.T) {
 	f := newOneAgentFleet(t)
-	strategy := DefaultStrategy()
-	strategy.Canary = 0
-	strategy.Batch = CountOrPercent{Count: 1}
-	strategy.MaxUnavailable = CountOrPercent{Count: 4}
-	strategy.SoakTime = 2_000_000
-	strategy.ProgressDeadline = 60_000_000
+	strategy := strategyWithoutCanary(1, 2_000_000, 60_000_000)
 	f.propose(4, 64, strategy)
 	f.run(30_000_000)
 	f.propose(4, 96, strategy)
--- a/internal/frontend/block/idle.go
+++ b/internal/frontend/block/idle.go
@@ -126,7 +126,7 @@
 	return c.inCommand.Load() && now >= c.lastReadAt.Load()+timeout
 }
 
-// tooSlow reports whether the client has been sending one command for so long that it may be evicted although it is not
+// tooSlow reports whether the client has exceeded the time for sending one command and may be evicted although it is not
 // stalled: otherwise a few hundred such clients could occupy all connections.
 func (c *conn) tooSlow(now clock.Micros) bool {
 	return c.inCommand.Load() && now >= c.commandStartedAt.Load()+2*c.server.lim.ClientStallTimeout
--- a/internal/host/process/start.go
+++ b/internal/host/process/start.go
@@ -58,7 +58,7 @@
 		cmd.Env = os.Environ()
 	}
 	cmd.Env = append(cmd.Env, LaunchIDVariable+"="+launchID)
-	// A separate session keeps signals to the parent's terminal or process group away from the process.
+	// In a separate session the process does not receive signals to the parent's terminal or process group.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setsid: true}
 	if err := cmd.Start(); err != nil {
 		return Identity{}, nil, err
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -24,8 +24,8 @@
 
 const timeout = 60 * time.Second
 
-// smallScenario returns the example scenario made short and light enough for any machine, with deadlines so long that
-// no result depends on the machine's speed.
+// smallScenario returns the example scenario made short and light enough for any machine, with deadlines long enough
+// that no result depends on the machine's speed.
 func smallScenario(t *testing.T) *model.Scenario {
 	t.Helper()
 	s, err := experiment.ReadScenario("../../../examples/lab/live.toml")
--- a/internal/observability/console/console.go
+++ b/internal/observability/console/console.go
@@ -324,7 +324,7 @@
 }
 
 // truncate shortens a line to n columns. It returns a line with escape sequences unchanged: they take no columns, and
-// only lines that are styled as a whole have them.
+// only lines that are styled from start to end have them.
 func truncate(s string, n int) string {
 	if strings.Contains(s, "\x1b") || utf8.RuneCountInString(s) <= n {
 		return s
